--- a/crates/starlinghill-registry/tests/fleet.rs
+++ b/crates/starlinghill-discovery/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet that follows one discovery in virtual time: each gateway's calls are played one millisecond at a time.
 
-use starlinghill_registry::{Call, Follower, Source, Verdict};
+use starlinghill_discovery::{Call, Follower, Source, Verdict};
 use std::time::Duration;
 
 /// A discovery that can take so many calls a second, turns away what would wait for more than two, and counts what it is asked.
--- a/crates/starlinghill-gateway/src/config.rs
+++ b/crates/starlinghill-gateway/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::peers::Peers;
 use serde::Deserialize;
-use starlinghill_registry::{Follower, Source};
+use starlinghill_discovery::{Follower, Source};
 use starlinghill_settings::members::MemberList;
 use starlinghill_settings::{flatten, Fields, Site};
 use std::collections::{BTreeMap, BTreeSet};
