--- a/crates/starlinghill-console/src/ask.rs
+++ b/crates/starlinghill-console/src/ask.rs
@@ -12,7 +12,7 @@
 use starlinghill_dovetail::net;
 use starlinghill_dovetail::settings::Node;
 use starlinghill_dovetail::{PATTERNBOOK, TOOLRACK};
-use starlinghill_toolrack::wire::{Answer, Question, Status};
+use starlinghill_registry::wire::{Answer, Question, Status};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
--- a/crates/starlinghill-console/src/explain.rs
+++ b/crates/starlinghill-console/src/explain.rs
@@ -5,8 +5,8 @@
 use starlinghill_catalog::State;
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
+use starlinghill_registry::wire::Status;
 use starlinghill_template::{Book, Change, Refusal, Table};
-use starlinghill_toolrack::wire::Status;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The items as they are read back, as a book.
--- a/crates/starlinghill-console/src/picture.rs
+++ b/crates/starlinghill-console/src/picture.rs
@@ -2,8 +2,8 @@
 
 use starlinghill_catalog::{Instance, Liveness, State};
 use starlinghill_gauge::Seen;
+use starlinghill_registry::wire::Status;
 use starlinghill_template::Kind;
-use starlinghill_toolrack::wire::Status;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 
--- a/crates/starlinghill-mockup/src/play.rs
+++ b/crates/starlinghill-mockup/src/play.rs
@@ -12,7 +12,7 @@
 use simd_json::OwnedValue;
 use starlinghill_dovetail::call::Caller;
 use starlinghill_dovetail::net::Net;
-use starlinghill_toolrack::wire::{Answer, Question};
+use starlinghill_registry::wire::{Answer, Question};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
--- a/crates/starlinghill-mockup/src/world.rs
+++ b/crates/starlinghill-mockup/src/world.rs
@@ -15,8 +15,8 @@
 use starlinghill_gateway::inbox::{Clock, Input, Listing};
 
 use starlinghill_patternbook::program::store;
+use starlinghill_registry::program::registry;
 use starlinghill_template::Table;
-use starlinghill_toolrack::program::registry;
 use starlinghill_workbench::count::Counter;
 use starlinghill_workbench::news::{self, Shared, View, Ways};
 use starlinghill_workbench::ring::Ring;
--- a/crates/starlinghill-mockup/tests/control.rs
+++ b/crates/starlinghill-mockup/tests/control.rs
@@ -12,7 +12,7 @@
 use starlinghill_mockup::check::{Attempt, Held, History, InForce, Items, Order, Read, APPLY};
 use starlinghill_mockup::play::{call, play, Play};
 use starlinghill_mockup::world::{ip, World};
-use starlinghill_toolrack::wire::{Answer, Question};
+use starlinghill_registry::wire::{Answer, Question};
 use std::collections::BTreeSet;
 use std::future::Future;
 use std::net::IpAddr;
--- a/crates/starlinghill-toolrack/tests/orders.rs
+++ b/crates/starlinghill-registry/tests/orders.rs
@@ -3,7 +3,7 @@
 
 use starlinghill_holdfast::contact::{ORDER_ANSWERED, ORDER_PASSED_ON, ORDER_TRIED};
 use starlinghill_patternbook::wire::{Answer, Outcome};
-use starlinghill_toolrack::peers::first_clear;
+use starlinghill_registry::peers::first_clear;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/starlinghill-rig/examples/catch_up.rs
+++ b/crates/starlinghill-rig/examples/catch_up.rs
@@ -30,7 +30,7 @@
 
 fn main() -> ExitCode {
     match std::env::args().nth(1).as_deref() {
-        Some("toolrack") => program::start(false, starlinghill_toolrack::program::run),
+        Some("toolrack") => program::start(false, starlinghill_registry::program::run),
         Some("patternbook") => program::start(false, starlinghill_patternbook::program::run),
         _ => {
             let runtime =
--- a/crates/starlinghill-rig/examples/scale/hollow.rs
+++ b/crates/starlinghill-rig/examples/scale/hollow.rs
@@ -6,7 +6,7 @@
 use starlinghill_dovetail::net::Connection;
 use starlinghill_gauge::{Draw, Word};
 use starlinghill_grindstone::Seen;
-use starlinghill_toolrack::wire::{Answer, Have, News, Question};
+use starlinghill_registry::wire::{Answer, Have, News, Question};
 use std::collections::HashMap;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/starlinghill-rig/examples/scale/main.rs
+++ b/crates/starlinghill-rig/examples/scale/main.rs
@@ -405,7 +405,7 @@
     // Each part reads its own command line behind its name.
     match std::env::args().nth(1).as_deref() {
         Some("workbench") => program::start(false, starlinghill_workbench::program::run),
-        Some("toolrack") => program::start(false, starlinghill_toolrack::program::run),
+        Some("toolrack") => program::start(false, starlinghill_registry::program::run),
         Some("patternbook") => program::start(false, starlinghill_patternbook::program::run),
         Some("pieces") => {
             pieces::print();
--- a/crates/starlinghill-rig/examples/scale/pieces.rs
+++ b/crates/starlinghill-rig/examples/scale/pieces.rs
@@ -6,8 +6,8 @@
 use starlinghill_dovetail::frame;
 use starlinghill_gauge::{Allowance, Draw, Gauge, Listed, Word};
 use starlinghill_grindstone::{Seen, Sight};
+use starlinghill_registry::wire::{Answer, Have, Heard, News, Question};
 use starlinghill_template::{Book, Change, Item};
-use starlinghill_toolrack::wire::{Answer, Have, Heard, News, Question};
 use std::collections::BTreeSet;
 use std::hint::black_box;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
--- a/crates/starlinghill-rig/examples/system.rs
+++ b/crates/starlinghill-rig/examples/system.rs
@@ -60,7 +60,7 @@
             starlinghill_workbench::program::run_on(cut_net(), signals).await
         }),
         Some("toolrack") => program::start(false, async |signals| {
-            starlinghill_toolrack::program::run_on(cut_net(), signals).await
+            starlinghill_registry::program::run_on(cut_net(), signals).await
         }),
         Some("patternbook") => program::start(false, async |signals| {
             starlinghill_patternbook::program::run_on(cut_net(), signals).await
--- a/crates/starlinghill-rig/src/catch_up.rs
+++ b/crates/starlinghill-rig/src/catch_up.rs
@@ -4,7 +4,7 @@
 use crate::system::{change, first_items, patch, rule, Machine, System};
 use starlinghill_dovetail::call::Caller;
 use starlinghill_dovetail::net;
-use starlinghill_toolrack::wire::{Answer, Question};
+use starlinghill_registry::wire::{Answer, Question};
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
--- a/crates/starlinghill-rig/src/rooms.rs
+++ b/crates/starlinghill-rig/src/rooms.rs
@@ -3,7 +3,7 @@
 //! places are taken.
 
 use starlinghill_gauge::{Draw, Level, Listed, Loads, Word};
-use starlinghill_toolrack::wire::{Answer, Question};
+use starlinghill_registry::wire::{Answer, Question};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
--- a/crates/starlinghill-workbench/src/count.rs
+++ b/crates/starlinghill-workbench/src/count.rs
@@ -8,7 +8,7 @@
 use starlinghill_gateway::counter::{Count, Counting};
 use starlinghill_gateway::inbox::Counted;
 use starlinghill_gauge::{Client, Draw, Level, Room, Word, KEEP_IN_TOUCH};
-use starlinghill_toolrack::wire::{Answer, Question};
+use starlinghill_registry::wire::{Answer, Question};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
--- a/crates/starlinghill-workbench/tests/count.rs
+++ b/crates/starlinghill-workbench/tests/count.rs
@@ -8,7 +8,7 @@
 use starlinghill_gateway::counter::Count;
 use starlinghill_gateway::inbox::Counted;
 use starlinghill_gauge::{Draw, Level, Room};
-use starlinghill_toolrack::wire::{Answer, Question};
+use starlinghill_registry::wire::{Answer, Question};
 use starlinghill_workbench::count::{Counter, DrawCounts, PATIENCE};
 use starlinghill_workbench::news::nowhere;
 use std::cell::Cell;
