--- a/crates/starlinghill-patternbook/tests/keeper.rs
+++ b/crates/starlinghill-config-store/tests/keeper.rs
@@ -1,9 +1,9 @@
 //! A disk that refuses, or hangs: what was not kept is not told.
 
 use starlinghill_clamp::{Ask, Ballot, Members, State, Tell, Voter};
+use starlinghill_config_store::keeper::Keeper;
+use starlinghill_config_store::shelf::{Order, ShelfError};
 use starlinghill_dovetail::essential::Essentials;
-use starlinghill_patternbook::keeper::Keeper;
-use starlinghill_patternbook::shelf::{Order, ShelfError};
 use std::net::IpAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- a/crates/starlinghill-patternbook/tests/numbers.rs
+++ b/crates/starlinghill-config-store/tests/numbers.rs
@@ -3,8 +3,8 @@
 //! each number that was ever confirmed, no repeat refused, and in the end what was confirmed is read back.
 
 use starlinghill_clamp::{Ask, Ballot, Kept, Member, MemberChange, Members, Round, Save, Step, Tell, Voter};
-use starlinghill_patternbook::orders;
-use starlinghill_patternbook::wire::{Outcome, State, Value};
+use starlinghill_config_store::orders;
+use starlinghill_config_store::wire::{Outcome, State, Value};
 use starlinghill_template::Change;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::IpAddr;
--- a/crates/starlinghill-patternbook/tests/shelf.rs
+++ b/crates/starlinghill-config-store/tests/shelf.rs
@@ -1,8 +1,8 @@
 //! What is on disk after writes, kills of the process, and files that were cut short.
 
 use starlinghill_clamp::{Ballot, Kept, Member, Members};
-use starlinghill_patternbook::shelf::Shelf;
-use starlinghill_patternbook::wire::State;
+use starlinghill_config_store::shelf::Shelf;
+use starlinghill_config_store::wire::State;
 use starlinghill_template::{History, Item, Kind};
 use std::net::IpAddr;
 use std::path::Path;
@@ -32,7 +32,7 @@
     State { members: members(), value }
 }
 
-fn open(folder: &Path) -> (Shelf, Option<starlinghill_patternbook::shelf::Found>) {
+fn open(folder: &Path) -> (Shelf, Option<starlinghill_config_store::shelf::Found>) {
     Shelf::open(folder, members().voters[2].ip).unwrap_or_else(|error| panic!("{error}"))
 }
 
--- a/crates/starlinghill-console/src/membership.rs
+++ b/crates/starlinghill-console/src/membership.rs
@@ -2,9 +2,9 @@
 
 use crate::ask::{AskError, Places, PATIENCE};
 use starlinghill_clamp::{Member, Members};
+use starlinghill_config_store::wire::{Admission, Answer, CoreOrder, Question, Standing, Wait};
 use starlinghill_dovetail::call::Caller;
 use starlinghill_dovetail::net;
-use starlinghill_patternbook::wire::{Admission, Answer, CoreOrder, Question, Standing, Wait};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 
--- a/crates/starlinghill-mockup/src/lives.rs
+++ b/crates/starlinghill-mockup/src/lives.rs
@@ -2,7 +2,7 @@
 //! by a kill, or not be looked at as while it is frozen.
 
 use starlinghill_clamp::Kept;
-use starlinghill_patternbook::shelf::{Disk, Found, Order};
+use starlinghill_config_store::shelf::{Disk, Found, Order};
 use std::cell::RefCell;
 use std::future::Future;
 use std::pin::Pin;
--- a/crates/starlinghill-mockup/src/trouble.rs
+++ b/crates/starlinghill-mockup/src/trouble.rs
@@ -2,8 +2,8 @@
 
 use crate::play::Run;
 use crate::world::ip;
+use starlinghill_config_store::wire::{Admission, Answer, CoreOrder, Question};
 use starlinghill_dovetail::call::Caller;
-use starlinghill_patternbook::wire::{Admission, Answer, CoreOrder, Question};
 use std::net::IpAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/starlinghill-mockup/src/world.rs
+++ b/crates/starlinghill-mockup/src/world.rs
@@ -14,7 +14,7 @@
 use starlinghill_gateway::counter::Count;
 use starlinghill_gateway::inbox::{Clock, Input, Listing};
 
-use starlinghill_patternbook::program::store;
+use starlinghill_config_store::program::store;
 use starlinghill_registry::program::registry;
 use starlinghill_template::Table;
 use starlinghill_workbench::count::Counter;
--- a/crates/starlinghill-registry/tests/orders.rs
+++ b/crates/starlinghill-registry/tests/orders.rs
@@ -1,8 +1,8 @@
 //! An order that a registry passes to stores, in virtual time: its caller is answered while it still waits, whatever the
 //! store beside the registry does.
 
+use starlinghill_config_store::wire::{Answer, Outcome};
 use starlinghill_holdfast::contact::{ORDER_ANSWERED, ORDER_PASSED_ON, ORDER_TRIED};
-use starlinghill_patternbook::wire::{Answer, Outcome};
 use starlinghill_registry::peers::first_clear;
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/starlinghill-rig/examples/catch_up.rs
+++ b/crates/starlinghill-rig/examples/catch_up.rs
@@ -31,7 +31,7 @@
 fn main() -> ExitCode {
     match std::env::args().nth(1).as_deref() {
         Some("toolrack") => program::start(false, starlinghill_registry::program::run),
-        Some("patternbook") => program::start(false, starlinghill_patternbook::program::run),
+        Some("patternbook") => program::start(false, starlinghill_config_store::program::run),
         _ => {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
--- a/crates/starlinghill-rig/examples/scale/main.rs
+++ b/crates/starlinghill-rig/examples/scale/main.rs
@@ -406,7 +406,7 @@
     match std::env::args().nth(1).as_deref() {
         Some("workbench") => program::start(false, starlinghill_workbench::program::run),
         Some("toolrack") => program::start(false, starlinghill_registry::program::run),
-        Some("patternbook") => program::start(false, starlinghill_patternbook::program::run),
+        Some("patternbook") => program::start(false, starlinghill_config_store::program::run),
         Some("pieces") => {
             pieces::print();
             ExitCode::SUCCESS
--- a/crates/starlinghill-rig/examples/system.rs
+++ b/crates/starlinghill-rig/examples/system.rs
@@ -63,7 +63,7 @@
             starlinghill_registry::program::run_on(cut_net(), signals).await
         }),
         Some("patternbook") => program::start(false, async |signals| {
-            starlinghill_patternbook::program::run_on(cut_net(), signals).await
+            starlinghill_config_store::program::run_on(cut_net(), signals).await
         }),
         _ => {
             let runtime =
--- a/crates/starlinghill-rig/tests/members.rs
+++ b/crates/starlinghill-rig/tests/members.rs
@@ -1,9 +1,9 @@
 //! Members of the core as people change them, by real processes and the console's own orders: `docs/operate/system.md`.
 
+use starlinghill_config_store::wire::CoreOrder;
 use starlinghill_console::ask::Places;
 use starlinghill_console::membership::{list, why};
 use starlinghill_dovetail::settings::Node;
-use starlinghill_patternbook::wire::CoreOrder;
 use starlinghill_rig::system::{change, eventually, first_items, program, rule, System};
 use std::net::IpAddr;
 use std::time::Duration;
