--- a/crates/starlinghill-mockup/src/world.rs
+++ b/crates/starlinghill-mockup/src/world.rs
@@ -15,12 +15,12 @@
 use starlinghill_gateway::inbox::{Clock, Input, Listing};
 
 use starlinghill_config_store::program::store;
+use starlinghill_proxy::count::Counter;
+use starlinghill_proxy::news::{self, Shared, View, Ways};
+use starlinghill_proxy::ring::Ring;
+use starlinghill_proxy::rules::Places;
 use starlinghill_registry::program::registry;
 use starlinghill_template::Table;
-use starlinghill_workbench::count::Counter;
-use starlinghill_workbench::news::{self, Shared, View, Ways};
-use starlinghill_workbench::ring::Ring;
-use starlinghill_workbench::rules::Places;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/starlinghill-rig/examples/scale/main.rs
+++ b/crates/starlinghill-rig/examples/scale/main.rs
@@ -404,7 +404,7 @@
 fn main() -> ExitCode {
     // Each part reads its own command line behind its name.
     match std::env::args().nth(1).as_deref() {
-        Some("workbench") => program::start(false, starlinghill_workbench::program::run),
+        Some("workbench") => program::start(false, starlinghill_proxy::program::run),
         Some("toolrack") => program::start(false, starlinghill_registry::program::run),
         Some("patternbook") => program::start(false, starlinghill_config_store::program::run),
         Some("pieces") => {
--- a/crates/starlinghill-rig/examples/system.rs
+++ b/crates/starlinghill-rig/examples/system.rs
@@ -57,7 +57,7 @@
     // Each part reads its own command line behind its name.
     match std::env::args().nth(1).as_deref() {
         Some("workbench") => program::start(false, async |signals| {
-            starlinghill_workbench::program::run_on(cut_net(), signals).await
+            starlinghill_proxy::program::run_on(cut_net(), signals).await
         }),
         Some("toolrack") => program::start(false, async |signals| {
             starlinghill_registry::program::run_on(cut_net(), signals).await
