--- a/crates/starlinghill-config-store/src/agree.rs
+++ b/crates/starlinghill-config-store/src/agree.rs
@@ -5,7 +5,7 @@
 use crate::recent::Recent;
 use crate::rules::{Sight, Times};
 use crate::wire::{Answer, Outcome, Question, State, Value};
-use starlinghill_clamp::{Ask, Ballot, Member, Members, Round, Step, Tell};
+use starlinghill_consensus::{Ask, Ballot, Member, Members, Round, Step, Tell};
 use starlinghill_dovetail::call::Caller;
 use starlinghill_dovetail::net::Net;
 use starlinghill_holdfast::contact::{Chain, Contact, LastContact, ORDER_TRIED};
--- a/crates/starlinghill-config-store/src/keeper.rs
+++ b/crates/starlinghill-config-store/src/keeper.rs
@@ -3,7 +3,7 @@
 
 use crate::shelf::{Disk, Order};
 use crate::wire::Value;
-use starlinghill_clamp::{Ask, Ballot, Kept, Member, Members, Save, Tell, Voter};
+use starlinghill_consensus::{Ask, Ballot, Kept, Member, Members, Save, Tell, Voter};
 use starlinghill_dovetail::essential::Essentials;
 use starlinghill_dovetail::queue::Fill;
 use std::time::Duration;
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -6,7 +6,7 @@
 use crate::shelf::{self, Disk, Found, Order, Shelf, ShelfError};
 use crate::wire::{Answer, Question, Value};
 use snafu::{OptionExt, ResultExt, Snafu};
-use starlinghill_clamp::{Member, Members, Voter};
+use starlinghill_consensus::{Member, Members, Voter};
 use starlinghill_dovetail::call::serve;
 use starlinghill_dovetail::essential::Essentials;
 use starlinghill_dovetail::net::{self, Net};
--- a/crates/starlinghill-config-store/src/recent.rs
+++ b/crates/starlinghill-config-store/src/recent.rs
@@ -1,7 +1,7 @@
 //! What changed with the last ballots, so that whoever has the value of one of them is told only that.
 
 use crate::wire::Value;
-use starlinghill_clamp::Ballot;
+use starlinghill_consensus::Ballot;
 use starlinghill_template::Item;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/starlinghill-config-store/src/rules.rs
+++ b/crates/starlinghill-config-store/src/rules.rs
@@ -1,7 +1,7 @@
 //! When a store that does not vote may take a member's place, without people. Pure: what was heard is an argument.
 
 use crate::wire::Wait;
-use starlinghill_clamp::{has_majority, Member, MemberChange, Members};
+use starlinghill_consensus::{has_majority, Member, MemberChange, Members};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/starlinghill-config-store/src/shelf.rs
+++ b/crates/starlinghill-config-store/src/shelf.rs
@@ -5,7 +5,7 @@
 use crate::wire::{State, Value};
 use bitcode::{Decode, Encode};
 use snafu::Snafu;
-use starlinghill_clamp::{Ballot, Kept, Member, Members};
+use starlinghill_consensus::{Ballot, Kept, Member, Members};
 use starlinghill_template::{History, Item, Kind};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
--- a/crates/starlinghill-config-store/src/wire.rs
+++ b/crates/starlinghill-config-store/src/wire.rs
@@ -1,7 +1,7 @@
 //! What a store is asked by other stores, by the registry beside it, and by a console.
 
 use bitcode::{Decode, Encode};
-use starlinghill_clamp::{Ask, Ballot, Member, MemberChange, Members, Tell};
+use starlinghill_consensus::{Ask, Ballot, Member, MemberChange, Members, Tell};
 use starlinghill_holdfast::contact::Contact;
 use starlinghill_template::Item;
 
@@ -9,7 +9,7 @@
 pub type Value = Vec<Item>;
 
 /// The state that they agree on: the value, and who votes.
-pub type State = starlinghill_clamp::State<Value>;
+pub type State = starlinghill_consensus::State<Value>;
 
 /// A question.
 #[derive(Debug, Clone, Encode, Decode)]
--- a/crates/starlinghill-config-store/tests/keeper.rs
+++ b/crates/starlinghill-config-store/tests/keeper.rs
@@ -1,8 +1,8 @@
 //! A disk that refuses, or hangs: what was not kept is not told.
 
-use starlinghill_clamp::{Ask, Ballot, Members, State, Tell, Voter};
 use starlinghill_config_store::keeper::Keeper;
 use starlinghill_config_store::shelf::{Order, ShelfError};
+use starlinghill_consensus::{Ask, Ballot, Members, State, Tell, Voter};
 use starlinghill_dovetail::essential::Essentials;
 use std::net::IpAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/starlinghill-config-store/tests/recent.rs
+++ b/crates/starlinghill-config-store/tests/recent.rs
@@ -1,8 +1,8 @@
 //! Whoever is told only what changed has all that stands.
 
-use starlinghill_clamp::Ballot;
 use starlinghill_config_store::recent::Recent;
 use starlinghill_config_store::wire::Value;
+use starlinghill_consensus::Ballot;
 use starlinghill_template::{Book, History, Item, Kind};
 use std::collections::BTreeMap;
 
--- a/crates/starlinghill-clamp/tests/agreement.rs
+++ b/crates/starlinghill-consensus/tests/agreement.rs
@@ -2,7 +2,7 @@
 //! members that are added, removed and replaced meanwhile, three to five of them. What was acknowledged is read back, no
 //! version has two contents, and of any two states that were agreed on the later one holds all of the earlier.
 
-use starlinghill_clamp::{
+use starlinghill_consensus::{
     Ask, Ballot, Kept, Member, MemberChange, Members, Round, Save, State, Step, Tell, Voter,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/starlinghill-clamp/tests/model.rs
+++ b/crates/starlinghill-consensus/tests/model.rs
@@ -2,7 +2,7 @@
 //! one that writes, every order in which questions arrive, or don't, and an answer that is lost, to a stated depth. The same
 //! model with a change of members that the old set need not accept is found out.
 
-use starlinghill_clamp::{Ask, Ballot, Member, MemberChange, Members, Round, State, Step, Tell, Voter};
+use starlinghill_consensus::{Ask, Ballot, Member, MemberChange, Members, Round, State, Step, Tell, Voter};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::net::IpAddr;
--- a/crates/starlinghill-console/src/membership.rs
+++ b/crates/starlinghill-console/src/membership.rs
@@ -1,8 +1,8 @@
 //! Who belongs to the core: what its stores say of each other, and orders to change it.
 
 use crate::ask::{AskError, Places, PATIENCE};
-use starlinghill_clamp::{Member, Members};
 use starlinghill_config_store::wire::{Admission, Answer, CoreOrder, Question, Standing, Wait};
+use starlinghill_consensus::{Member, Members};
 use starlinghill_dovetail::call::Caller;
 use starlinghill_dovetail::net;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/starlinghill-proxy/src/news.rs
+++ b/crates/starlinghill-proxy/src/news.rs
@@ -5,7 +5,7 @@
 use crate::rules::{Fleet, Places, COLD};
 use hyper::header::HeaderValue;
 use starlinghill_catalog::{number, service_number, Change, Gateway, Liveness, MergedView, State};
-use starlinghill_clamp::Members;
+use starlinghill_consensus::Members;
 use starlinghill_decision::api::*;
 use starlinghill_decision::store_name;
 use starlinghill_dovetail::call::Caller;
--- a/crates/starlinghill-registry/src/members.rs
+++ b/crates/starlinghill-registry/src/members.rs
@@ -1,6 +1,6 @@
 //! Whose registries count: the members of the core, as the store beside this registry tells.
 
-use starlinghill_clamp::{Member, Members};
+use starlinghill_consensus::{Member, Members};
 use std::net::IpAddr;
 use std::time::Duration;
 
--- a/crates/starlinghill-registry/src/owner.rs
+++ b/crates/starlinghill-registry/src/owner.rs
@@ -3,8 +3,8 @@
 use crate::members::Sets;
 use crate::wire::{Answer, Count, Have, Heard, News, Question, Status};
 use starlinghill_catalog::{number, service_number, Catalog, Instance, Liveness, Observation, State};
-use starlinghill_clamp::Members;
 use starlinghill_config_store::wire::Value;
+use starlinghill_consensus::Members;
 use starlinghill_dovetail::essential::Essentials;
 use starlinghill_dovetail::queue::Fill;
 use starlinghill_dovetail::settings::Node;
--- a/crates/starlinghill-registry/src/peers.rs
+++ b/crates/starlinghill-registry/src/peers.rs
@@ -3,8 +3,8 @@
 use crate::owner::{Command, Due, Owner};
 use crate::wire::{Answer, Heard, Question};
 use starlinghill_catalog::Instance;
-use starlinghill_clamp::{Ballot, Member, Members};
 use starlinghill_config_store::wire as store;
+use starlinghill_consensus::{Ballot, Member, Members};
 use starlinghill_dovetail::call::Caller;
 use starlinghill_dovetail::net::Net;
 use starlinghill_holdfast::contact::{may_confirm_drain, Chain, ORDER_PASSED_ON};
--- a/crates/starlinghill-registry/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -2,7 +2,7 @@
 
 use bitcode::{Decode, Encode};
 use starlinghill_catalog::{Gateway, Instance, Observation};
-use starlinghill_clamp::Members;
+use starlinghill_consensus::Members;
 use starlinghill_gauge::{Draw, Level, Reading, Seen as Sight, Word};
 use starlinghill_grindstone::Seen;
 use starlinghill_holdfast as holdfast;
