--- a/crates/starlinghill-config-store/src/admission.rs
+++ b/crates/starlinghill-config-store/src/admission.rs
@@ -4,7 +4,7 @@
 use crate::rules::{decide, Sight};
 use crate::wire::{Admission, Answer, CoreOrder, Question, Standing, State, Wait};
 use starlinghill_consensus::{Ask, Member, MemberChange, Members, Tell};
-use starlinghill_holdfast::contact::ORDER_TRIED;
+use starlinghill_lease::contact::ORDER_TRIED;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::rc::Rc;
--- a/crates/starlinghill-config-store/src/agree.rs
+++ b/crates/starlinghill-config-store/src/agree.rs
@@ -8,7 +8,7 @@
 use starlinghill_consensus::{Ask, Ballot, Member, Members, Round, Step, Tell};
 use starlinghill_dovetail::call::Caller;
 use starlinghill_dovetail::net::Net;
-use starlinghill_holdfast::contact::{Chain, Contact, LastContact, ORDER_TRIED};
+use starlinghill_lease::contact::{Chain, Contact, LastContact, ORDER_TRIED};
 use starlinghill_template::Change;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -13,7 +13,7 @@
 use starlinghill_dovetail::settings::{Node, SettingsError};
 use starlinghill_dovetail::signals::{Reread, Signals};
 use starlinghill_dovetail::PATTERNBOOK;
-use starlinghill_holdfast::contact::Chain;
+use starlinghill_lease::contact::Chain;
 use starlinghill_template::Item;
 use std::future::Future;
 use std::net::IpAddr;
--- a/crates/starlinghill-config-store/src/wire.rs
+++ b/crates/starlinghill-config-store/src/wire.rs
@@ -2,7 +2,7 @@
 
 use bitcode::{Decode, Encode};
 use starlinghill_consensus::{Ask, Ballot, Member, MemberChange, Members, Tell};
-use starlinghill_holdfast::contact::Contact;
+use starlinghill_lease::contact::Contact;
 use starlinghill_template::Item;
 
 /// The value that stores agree on.
--- a/crates/starlinghill-holdfast/tests/contact.rs
+++ b/crates/starlinghill-lease/tests/contact.rs
@@ -1,11 +1,11 @@
 //! How old a majority's word gets on its way from a store over a registry to a gateway, with questions that wait, answers
 //! that are slow and processes that stand still: nobody takes it for younger than it is. And what may be said by it.
 
-use starlinghill_holdfast::contact::{
+use starlinghill_lease::contact::{
     is_majority, may_confirm_drain, Chain, LastContact, CALLER_WAITS, ORDER_ANSWERED, ORDER_PASSED_ON,
     ORDER_TRIED,
 };
-use starlinghill_holdfast::{Ask, Holdfast, LEASE};
+use starlinghill_lease::{Ask, Holdfast, LEASE};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -121,7 +121,7 @@
     let begun = ms(2_000);
     let Some(ask @ Ask::Want { term, .. }) = one.tick(begun, 1) else { panic!("it bids") };
     assert!(!one.may_draw(begun, term));
-    let yes = starlinghill_holdfast::Tell { yes: true, term };
+    let yes = starlinghill_lease::Tell { yes: true, term };
     one.told(begun + ms(5), 1, begun, ask, yes);
     assert!(one.may_draw(begun + ms(5), term) && !one.may_draw(begun + ms(5), term + 1));
     assert!(one.may_draw(begun + LEASE - ms(1), term));
--- a/crates/starlinghill-holdfast/tests/duty.rs
+++ b/crates/starlinghill-lease/tests/duty.rs
@@ -1,7 +1,7 @@
 //! Histories of a duty over three processes, in virtual time: cuts either way, freezes, restarts, leaving. Checked after the
 //! fact: no two hold at one moment, and somebody holds soon after things are calm.
 
-use starlinghill_holdfast::{Ask, Holdfast, Tell, LEASE, MARGIN};
+use starlinghill_lease::{Ask, Holdfast, Tell, LEASE, MARGIN};
 use std::time::Duration;
 
 const OF: usize = 3;
--- a/crates/starlinghill-proxy/src/news.rs
+++ b/crates/starlinghill-proxy/src/news.rs
@@ -14,7 +14,7 @@
 use starlinghill_dovetail::settings::Node;
 use starlinghill_dovetail::TOOLRACK;
 use starlinghill_gateway::inbox::{Clock, Inbox, Input, Listing};
-use starlinghill_holdfast::contact::{Chain, LastContact};
+use starlinghill_lease::contact::{Chain, LastContact};
 use starlinghill_registry::wire::{Answer, Have, News, Question};
 use starlinghill_template::book::digest;
 use starlinghill_template::table::Tenant;
--- a/crates/starlinghill-registry/src/peers.rs
+++ b/crates/starlinghill-registry/src/peers.rs
@@ -7,7 +7,7 @@
 use starlinghill_consensus::{Ballot, Member, Members};
 use starlinghill_dovetail::call::Caller;
 use starlinghill_dovetail::net::Net;
-use starlinghill_holdfast::contact::{may_confirm_drain, Chain, ORDER_PASSED_ON};
+use starlinghill_lease::contact::{may_confirm_drain, Chain, ORDER_PASSED_ON};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -198,7 +198,7 @@
     }
 
     /// The holder of the count leaves: tells its successor.
-    pub async fn hand_over(&self, to: IpAddr, ask: starlinghill_holdfast::Ask<IpAddr>) {
+    pub async fn hand_over(&self, to: IpAddr, ask: starlinghill_lease::Ask<IpAddr>) {
         let epoch = self.members.borrow().epoch;
         let told = self.lines(to).0.call::<_, Answer>(&Question::Duty(epoch, ask), PATIENCE).await;
         log::info!("event=count_handed_over to={to} ok={}", told.is_ok());
--- a/crates/starlinghill-registry/src/program.rs
+++ b/crates/starlinghill-registry/src/program.rs
@@ -12,7 +12,7 @@
 use starlinghill_dovetail::settings::{Node, SettingsError};
 use starlinghill_dovetail::signals::Signals;
 use starlinghill_dovetail::{PATTERNBOOK, TOOLRACK};
-use starlinghill_holdfast::contact::Chain;
+use starlinghill_lease::contact::Chain;
 use std::future::Future;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
--- a/crates/starlinghill-registry/src/serve.rs
+++ b/crates/starlinghill-registry/src/serve.rs
@@ -17,7 +17,7 @@
 use starlinghill_config_store::wire::{Answer, Outcome, Question as Ask};
 use starlinghill_dovetail::check::{At, Faults};
 use starlinghill_dovetail::net::{Listener, Net};
-use starlinghill_holdfast::contact::ORDER_ANSWERED;
+use starlinghill_lease::contact::ORDER_ANSWERED;
 use starlinghill_template::Book;
 use std::cell::Cell;
 use std::convert::Infallible;
--- a/crates/starlinghill-registry/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -5,8 +5,8 @@
 use starlinghill_consensus::Members;
 use starlinghill_gauge::{Draw, Level, Reading, Seen as Sight, Word};
 use starlinghill_grindstone::Seen;
-use starlinghill_holdfast as holdfast;
-use starlinghill_holdfast::contact::Contact;
+use starlinghill_lease as holdfast;
+use starlinghill_lease::contact::Contact;
 use starlinghill_template::{Item, Kind};
 use std::net::IpAddr;
 
--- a/crates/starlinghill-registry/tests/contact.rs
+++ b/crates/starlinghill-registry/tests/contact.rs
@@ -4,7 +4,7 @@
 use starlinghill_catalog::Gateway;
 use starlinghill_dovetail::essential::Essentials;
 use starlinghill_dovetail::settings::{Bounds, Node};
-use starlinghill_holdfast::contact::{Chain, LastContact};
+use starlinghill_lease::contact::{Chain, LastContact};
 use starlinghill_registry::owner::{self, Command, Owner};
 use starlinghill_registry::wire::{Answer, Have, News, Question};
 use std::time::Duration;
--- a/crates/starlinghill-registry/tests/orders.rs
+++ b/crates/starlinghill-registry/tests/orders.rs
@@ -2,7 +2,7 @@
 //! store beside the registry does.
 
 use starlinghill_config_store::wire::{Answer, Outcome};
-use starlinghill_holdfast::contact::{ORDER_ANSWERED, ORDER_PASSED_ON, ORDER_TRIED};
+use starlinghill_lease::contact::{ORDER_ANSWERED, ORDER_PASSED_ON, ORDER_TRIED};
 use starlinghill_registry::peers::first_clear;
 use std::cell::RefCell;
 use std::rc::Rc;
