--- a/crates/starlinghill-config-store/src/keeper.rs
+++ b/crates/starlinghill-config-store/src/keeper.rs
@@ -4,8 +4,8 @@
 use crate::shelf::{Disk, Order};
 use crate::wire::Value;
 use starlinghill_consensus::{Ask, Ballot, Kept, Member, Members, Save, Tell, Voter};
-use starlinghill_dovetail::essential::Essentials;
-use starlinghill_dovetail::queue::Fill;
+use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::queue::Fill;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
--- a/crates/starlinghill-config-store/src/main.rs
+++ b/crates/starlinghill-config-store/src/main.rs
@@ -10,5 +10,5 @@
 ";
 
 fn main() -> ExitCode {
-    starlinghill_dovetail::program::main(HELP, starlinghill_config_store::program::run)
+    starlinghill_runtime::program::main(HELP, starlinghill_config_store::program::run)
 }
--- a/crates/starlinghill-config-store/tests/keeper.rs
+++ b/crates/starlinghill-config-store/tests/keeper.rs
@@ -3,7 +3,7 @@
 use starlinghill_config_store::keeper::Keeper;
 use starlinghill_config_store::shelf::{Order, ShelfError};
 use starlinghill_consensus::{Ask, Ballot, Members, State, Tell, Voter};
-use starlinghill_dovetail::essential::Essentials;
+use starlinghill_runtime::essential::Essentials;
 use std::net::IpAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- a/crates/starlinghill-console/src/main.rs
+++ b/crates/starlinghill-console/src/main.rs
@@ -9,7 +9,7 @@
 use starlinghill_console::screen::{draw, Beside};
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
-use starlinghill_dovetail::settings::Node;
+use starlinghill_runtime::settings::Node;
 use starlinghill_template::{Change, Table};
 use std::collections::HashMap;
 use std::path::PathBuf;
--- a/crates/starlinghill-mockup/src/fleet.rs
+++ b/crates/starlinghill-mockup/src/fleet.rs
@@ -5,10 +5,10 @@
 
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
-use starlinghill_dovetail::settings::Bounds;
 use starlinghill_gauge::{Client, Draw, Gauge, Level, KEEP_IN_TOUCH};
 use starlinghill_proxy::count::PATIENCE;
 use starlinghill_proxy::rules;
+use starlinghill_runtime::settings::Bounds;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 use std::time::Duration;
--- a/crates/starlinghill-mockup/src/links.rs
+++ b/crates/starlinghill-mockup/src/links.rs
@@ -1,7 +1,7 @@
 //! Links between machines that are played in one thread: streams stay streams, and what a link does is decided by whoever
 //! plays. What is cut is sent again once the link is back, as TCP does it.
 
-use starlinghill_dovetail::net::{Connection, Listener, Net, Network, Stream, Waiting};
+use starlinghill_runtime::net::{Connection, Listener, Net, Network, Stream, Waiting};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::future::Future;
--- a/crates/starlinghill-mockup/src/world.rs
+++ b/crates/starlinghill-mockup/src/world.rs
@@ -7,12 +7,12 @@
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::{CustomerId, Listed, Micros, Outcome, ServiceId};
 use starlinghill_decision::store_name;
-use starlinghill_dovetail::essential::Essentials;
-use starlinghill_dovetail::net::Net;
-use starlinghill_dovetail::settings::{Bounds, Node};
-use starlinghill_dovetail::{PATTERNBOOK, TOOLRACK, WORKBENCH};
 use starlinghill_gateway::counter::Count;
 use starlinghill_gateway::inbox::{Clock, Input, Listing};
+use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::net::Net;
+use starlinghill_runtime::settings::{Bounds, Node};
+use starlinghill_runtime::{PATTERNBOOK, TOOLRACK, WORKBENCH};
 
 use starlinghill_config_store::program::store;
 use starlinghill_proxy::count::Counter;
--- a/crates/starlinghill-mockup/tests/control.rs
+++ b/crates/starlinghill-mockup/tests/control.rs
@@ -7,12 +7,12 @@
 
 use hyper::Method;
 use starlinghill_catalog::State;
-use starlinghill_dovetail::call::Caller;
 use starlinghill_mockup::backends::beat;
 use starlinghill_mockup::check::{Attempt, Held, History, InForce, Items, Order, Read, APPLY};
 use starlinghill_mockup::play::{call, play, Play};
 use starlinghill_mockup::world::{ip, World};
 use starlinghill_registry::wire::{Answer, Question};
+use starlinghill_runtime::call::Caller;
 use std::collections::BTreeSet;
 use std::future::Future;
 use std::net::IpAddr;
--- a/crates/starlinghill-proxy/src/count.rs
+++ b/crates/starlinghill-proxy/src/count.rs
@@ -2,13 +2,13 @@
 
 use starlinghill_catalog::Unknown;
 use starlinghill_decision::api::{CountName, Micros, Outcome, ServerId, ServiceId};
-use starlinghill_dovetail::essential::Essentials;
-use starlinghill_dovetail::frame::{self, Reader};
-use starlinghill_dovetail::net::Net;
 use starlinghill_gateway::counter::{Count, Counting};
 use starlinghill_gateway::inbox::Counted;
 use starlinghill_gauge::{Client, Draw, Level, Room, Word, KEEP_IN_TOUCH};
 use starlinghill_registry::wire::{Answer, Question};
+use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::frame::{self, Reader};
+use starlinghill_runtime::net::Net;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
--- a/crates/starlinghill-proxy/src/main.rs
+++ b/crates/starlinghill-proxy/src/main.rs
@@ -10,5 +10,5 @@
 ";
 
 fn main() -> ExitCode {
-    starlinghill_dovetail::program::main(HELP, starlinghill_proxy::program::run)
+    starlinghill_runtime::program::main(HELP, starlinghill_proxy::program::run)
 }
--- a/crates/starlinghill-proxy/src/rules.rs
+++ b/crates/starlinghill-proxy/src/rules.rs
@@ -2,7 +2,7 @@
 //! place for as long as the process lives, since requests that are open go by it.
 
 use starlinghill_decision::api::*;
-use starlinghill_dovetail::settings::Bounds;
+use starlinghill_runtime::settings::Bounds;
 use starlinghill_template::table::{Route, Tenant};
 use starlinghill_template::Table;
 use std::collections::HashMap;
--- a/crates/starlinghill-proxy/tests/count.rs
+++ b/crates/starlinghill-proxy/tests/count.rs
@@ -2,15 +2,15 @@
 
 use starlinghill_catalog::Unknown;
 use starlinghill_decision::api::{CountName, Micros, Outcome, ServerId, ServiceId};
-use starlinghill_dovetail::essential::Essentials;
-use starlinghill_dovetail::frame::{self, Reader};
-use starlinghill_dovetail::net::tcp;
 use starlinghill_gateway::counter::Count;
 use starlinghill_gateway::inbox::Counted;
 use starlinghill_gauge::{Draw, Level, Room};
 use starlinghill_proxy::count::{Counter, DrawCounts, PATIENCE};
 use starlinghill_proxy::news::nowhere;
 use starlinghill_registry::wire::{Answer, Question};
+use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::frame::{self, Reader};
+use starlinghill_runtime::net::tcp;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/starlinghill-registry/src/main.rs
+++ b/crates/starlinghill-registry/src/main.rs
@@ -10,5 +10,5 @@
 ";
 
 fn main() -> ExitCode {
-    starlinghill_dovetail::program::main(HELP, starlinghill_registry::program::run)
+    starlinghill_runtime::program::main(HELP, starlinghill_registry::program::run)
 }
--- a/crates/starlinghill-registry/tests/contact.rs
+++ b/crates/starlinghill-registry/tests/contact.rs
@@ -2,11 +2,11 @@
 //! while the process stands still.
 
 use starlinghill_catalog::Gateway;
-use starlinghill_dovetail::essential::Essentials;
-use starlinghill_dovetail::settings::{Bounds, Node};
 use starlinghill_lease::contact::{Chain, LastContact};
 use starlinghill_registry::owner::{self, Command, Owner};
 use starlinghill_registry::wire::{Answer, Have, News, Question};
+use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::settings::{Bounds, Node};
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
--- a/crates/starlinghill-rig/examples/scale/hollow.rs
+++ b/crates/starlinghill-rig/examples/scale/hollow.rs
@@ -2,11 +2,11 @@
 
 use crate::machines::Net;
 use starlinghill_catalog::{number, service_number, Gateway, Observation, State};
-use starlinghill_dovetail::frame::{self, Reader};
-use starlinghill_dovetail::net::Connection;
 use starlinghill_gauge::{Draw, Word};
 use starlinghill_grindstone::Seen;
 use starlinghill_registry::wire::{Answer, Have, News, Question};
+use starlinghill_runtime::frame::{self, Reader};
+use starlinghill_runtime::net::Connection;
 use std::collections::HashMap;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/starlinghill-rig/examples/system.rs
+++ b/crates/starlinghill-rig/examples/system.rs
@@ -2,8 +2,8 @@
 //! backends, a configuration, and a client that goes on asking. `cargo run --profile demo -p starlinghill-rig --example
 //! system`. Called with the name of a part, it is that part: tests start their processes so.
 
-use starlinghill_dovetail::program;
 use starlinghill_rig::system::{cut_net, first_items, Backend, Client, System};
+use starlinghill_runtime::program;
 use std::process::ExitCode;
 use std::time::Duration;
 
--- a/crates/starlinghill-rig/src/catch_up.rs
+++ b/crates/starlinghill-rig/src/catch_up.rs
@@ -2,9 +2,9 @@
 
 use crate::processes::Process;
 use crate::system::{change, first_items, patch, rule, Machine, System};
-use starlinghill_dovetail::call::Caller;
-use starlinghill_dovetail::net;
 use starlinghill_registry::wire::{Answer, Question};
+use starlinghill_runtime::call::Caller;
+use starlinghill_runtime::net;
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
--- a/crates/starlinghill-rig/src/cuts.rs
+++ b/crates/starlinghill-rig/src/cuts.rs
@@ -4,7 +4,7 @@
 //! Bytes that a cut holds up come through once it is mended, as a sender's kernel would send them again. The side that
 //! connects plays both directions, as it knows who both are; datagrams are not cut.
 
-use starlinghill_dovetail::net::{tcp, Connection, Listener, Net, Network, Stream, Waiting};
+use starlinghill_runtime::net::{tcp, Connection, Listener, Net, Network, Stream, Waiting};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::io;
--- a/crates/starlinghill-dovetail/tests/queue.rs
+++ b/crates/starlinghill-runtime/tests/queue.rs
@@ -1,6 +1,6 @@
 //! How full a queue gets is said, and not for every command.
 
-use starlinghill_dovetail::queue::Fill;
+use starlinghill_runtime::queue::Fill;
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/starlinghill-dovetail/tests/settings.rs
+++ b/crates/starlinghill-runtime/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings files with faults, and messages that are none.
 
-use starlinghill_dovetail::frame::{encode, Reader, LONGEST, VERSION};
-use starlinghill_dovetail::settings::Node;
+use starlinghill_runtime::frame::{encode, Reader, LONGEST, VERSION};
+use starlinghill_runtime::settings::Node;
 use std::io::ErrorKind;
 use test_case::test_case;
 
