--- a/crates/starlinghill-template/tests/items.rs
+++ b/crates/starlinghill-config-model/tests/items.rs
@@ -1,6 +1,6 @@
 //! What operators send: what is taken, what is refused, and what it comes to.
 
-use starlinghill_template::{Book, Change, Item, Refusal, Table};
+use starlinghill_config_model::{Book, Change, Item, Refusal, Table};
 use test_case::test_case;
 
 fn route(name: &str, version: u64, host: &str, prefix: &str, service: &str) -> String {
--- a/crates/starlinghill-template/tests/numbers.rs
+++ b/crates/starlinghill-config-model/tests/numbers.rs
@@ -1,7 +1,7 @@
 //! What was confirmed under a number: the same again is taken, another content never is, and what is forgotten is neither.
 
-use starlinghill_template::history::{level, Known, MOST_IN_ALL, MOST_OF_ITEM};
-use starlinghill_template::{Book, Change, History, Item, Kind, Refusal};
+use starlinghill_config_model::history::{level, Known, MOST_IN_ALL, MOST_OF_ITEM};
+use starlinghill_config_model::{Book, Change, History, Item, Kind, Refusal};
 use test_case::test_case;
 
 fn customer(version: u64, rate: &str) -> String {
--- a/crates/starlinghill-config-store/src/orders.rs
+++ b/crates/starlinghill-config-store/src/orders.rs
@@ -1,7 +1,7 @@
 //! What becomes of an operator's order on top of what was agreed on.
 
 use crate::wire::{Outcome, Value};
-use starlinghill_template::{Book, Change, Refusal};
+use starlinghill_config_model::{Book, Change, Refusal};
 
 /// The next value, where the order makes a new one, and what the operator is told once the value that this was decided on,
 /// or the next, is known to be agreed on.
--- a/crates/starlinghill-config-store/src/recent.rs
+++ b/crates/starlinghill-config-store/src/recent.rs
@@ -1,8 +1,8 @@
 //! What changed with the last ballots, so that whoever has the value of one of them is told only that.
 
 use crate::wire::Value;
+use starlinghill_config_model::Item;
 use starlinghill_consensus::Ballot;
-use starlinghill_template::Item;
 use std::collections::{BTreeMap, VecDeque};
 
 /// The most ballots that are remembered: a registry asks again at once, and one that missed so many is told all.
--- a/crates/starlinghill-config-store/src/wire.rs
+++ b/crates/starlinghill-config-store/src/wire.rs
@@ -1,9 +1,9 @@
 //! What a store is asked by other stores, by the registry beside it, and by a console.
 
 use bitcode::{Decode, Encode};
+use starlinghill_config_model::Item;
 use starlinghill_consensus::{Ask, Ballot, Member, MemberChange, Members, Tell};
 use starlinghill_lease::contact::Contact;
-use starlinghill_template::Item;
 
 /// The value that stores agree on.
 pub type Value = Vec<Item>;
--- a/crates/starlinghill-config-store/tests/numbers.rs
+++ b/crates/starlinghill-config-store/tests/numbers.rs
@@ -2,12 +2,12 @@
 //! members are cut off, lose power or their disk, and answers are lost. Histories are checked as they come: one content for
 //! each number that was ever confirmed, no repeat refused, and in the end what was confirmed is read back.
 
+use starlinghill_config_model::Change;
 use starlinghill_config_store::orders;
 use starlinghill_config_store::wire::{Outcome, State, Value};
 use starlinghill_consensus::{
     Ask, Ballot, Kept, Member, MemberChange, Members, Round, Save, Step, Tell, Voter,
 };
-use starlinghill_template::Change;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::IpAddr;
 
--- a/crates/starlinghill-config-store/tests/recent.rs
+++ b/crates/starlinghill-config-store/tests/recent.rs
@@ -1,9 +1,9 @@
 //! Whoever is told only what changed has all that stands.
 
+use starlinghill_config_model::{Book, History, Item, Kind};
 use starlinghill_config_store::recent::Recent;
 use starlinghill_config_store::wire::Value;
 use starlinghill_consensus::Ballot;
-use starlinghill_template::{Book, History, Item, Kind};
 use std::collections::BTreeMap;
 
 fn item(name: u64, version: u64) -> Item {
--- a/crates/starlinghill-config-store/tests/shelf.rs
+++ b/crates/starlinghill-config-store/tests/shelf.rs
@@ -1,9 +1,9 @@
 //! What is on disk after writes, kills of the process, and files that were cut short.
 
+use starlinghill_config_model::{History, Item, Kind};
 use starlinghill_config_store::shelf::Shelf;
 use starlinghill_config_store::wire::State;
 use starlinghill_consensus::{Ballot, Kept, Member, Members};
-use starlinghill_template::{History, Item, Kind};
 use std::net::IpAddr;
 use std::path::Path;
 
--- a/crates/starlinghill-console/src/explain.rs
+++ b/crates/starlinghill-console/src/explain.rs
@@ -3,10 +3,10 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use starlinghill_catalog::State;
+use starlinghill_config_model::{Book, Change, Refusal, Table};
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
 use starlinghill_registry::wire::Status;
-use starlinghill_template::{Book, Change, Refusal, Table};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The items as they are read back, as a book.
@@ -100,7 +100,7 @@
 
 /// What differs between the items that stand and those of a file: a line each.
 pub fn differences(stand: &Book, file: &Book) -> Vec<String> {
-    let line = |sign: char, item: &starlinghill_template::Item| {
+    let line = |sign: char, item: &starlinghill_config_model::Item| {
         let dropped = if item.body.is_none() { " dropped" } else { "" };
         format!("{sign} {:?} {} r{}{dropped}", item.kind, item.name, item.version)
     };
--- a/crates/starlinghill-console/src/main.rs
+++ b/crates/starlinghill-console/src/main.rs
@@ -2,6 +2,7 @@
 
 use ratatui::crossterm::event::{self, Event, KeyCode};
 use simd_json::prelude::*;
+use starlinghill_config_model::{Change, Table};
 use starlinghill_console::ask::{AskError, Places};
 use starlinghill_console::explain::{book, differences, explain, Asked};
 use starlinghill_console::membership;
@@ -10,7 +11,6 @@
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
 use starlinghill_runtime::settings::Node;
-use starlinghill_template::{Change, Table};
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/starlinghill-console/src/picture.rs
+++ b/crates/starlinghill-console/src/picture.rs
@@ -1,9 +1,9 @@
 //! How things stand over all registries, as one picture, and what changed since the last one.
 
 use starlinghill_catalog::{Instance, Liveness, State};
+use starlinghill_config_model::Kind;
 use starlinghill_gauge::Seen;
 use starlinghill_registry::wire::Status;
-use starlinghill_template::Kind;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 
--- a/crates/starlinghill-console/src/screen.rs
+++ b/crates/starlinghill-console/src/screen.rs
@@ -6,7 +6,7 @@
 use ratatui::text::{Line, Span};
 use ratatui::widgets::{Block, Paragraph};
 use ratatui::Frame;
-use starlinghill_template::Kind;
+use starlinghill_config_model::Kind;
 use std::collections::HashMap;
 
 fn panel<'a>(title: String, lines: Vec<Line<'a>>, from: usize) -> Paragraph<'a> {
--- a/crates/starlinghill-console/tests/words.rs
+++ b/crates/starlinghill-console/tests/words.rs
@@ -1,14 +1,14 @@
 //! What the console says of how things stand.
 
 use starlinghill_catalog::{Gateway, Instance, Liveness, Observation, State};
+use starlinghill_config_model::book::digest;
+use starlinghill_config_model::{Change, History, Item, Kind};
 use starlinghill_console::explain::{book, differences, explain, Asked};
 use starlinghill_console::picture::Picture;
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
 use starlinghill_gauge::Seen;
 use starlinghill_registry::wire::{Count, Status};
-use starlinghill_template::book::digest;
-use starlinghill_template::{Change, History, Item, Kind};
 use std::net::{IpAddr, SocketAddr};
 use test_case::test_case;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/starlinghill-mockup/src/world.rs
+++ b/crates/starlinghill-mockup/src/world.rs
@@ -14,13 +14,13 @@
 use starlinghill_runtime::settings::{Bounds, Node};
 use starlinghill_runtime::{PATTERNBOOK, TOOLRACK, WORKBENCH};
 
+use starlinghill_config_model::Table;
 use starlinghill_config_store::program::store;
 use starlinghill_proxy::count::Counter;
 use starlinghill_proxy::news::{self, Shared, View, Ways};
 use starlinghill_proxy::ring::Ring;
 use starlinghill_proxy::rules::Places;
 use starlinghill_registry::program::registry;
-use starlinghill_template::Table;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -387,7 +387,7 @@
         let shared = gateway.shared.borrow();
         let shared = shared.as_ref()?;
         let view = shared.view.borrow();
-        let item = |tenant: &Rc<starlinghill_template::table::Tenant>| {
+        let item = |tenant: &Rc<starlinghill_config_model::table::Tenant>| {
             (tenant.name.clone(), (tenant.burst as u64, tenant.rate as u64))
         };
         let ready = *shared.ready.borrow();
--- a/crates/starlinghill-proxy/src/desk.rs
+++ b/crates/starlinghill-proxy/src/desk.rs
@@ -8,6 +8,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 use starlinghill_catalog::number;
+use starlinghill_config_model::table::Route;
 use starlinghill_decision::api::*;
 use starlinghill_gateway::answer::AnswerBody;
 use starlinghill_gateway::idle::Reuse;
@@ -16,7 +17,6 @@
 use starlinghill_gateway::server::{
     body_of, come_back, last, plain, unless_read, Desk, Intake, Malformed, Wanted,
 };
-use starlinghill_template::table::Route;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/starlinghill-registry/src/owner.rs
+++ b/crates/starlinghill-registry/src/owner.rs
@@ -3,6 +3,8 @@
 use crate::members::Sets;
 use crate::wire::{Answer, Count, Have, Heard, News, Question, Status};
 use starlinghill_catalog::{number, service_number, Catalog, Instance, Liveness, Observation, State};
+use starlinghill_config_model::book::digest;
+use starlinghill_config_model::{Item, Kind};
 use starlinghill_config_store::wire::Value;
 use starlinghill_consensus::Members;
 use starlinghill_gauge::{Gauge, Listed};
@@ -13,8 +15,6 @@
 use starlinghill_runtime::essential::Essentials;
 use starlinghill_runtime::queue::Fill;
 use starlinghill_runtime::settings::Node;
-use starlinghill_template::book::digest;
-use starlinghill_template::{Item, Kind};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::time::Duration;
--- a/crates/starlinghill-registry/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -2,12 +2,12 @@
 
 use bitcode::{Decode, Encode};
 use starlinghill_catalog::{Gateway, Instance, Observation};
+use starlinghill_config_model::{Item, Kind};
 use starlinghill_consensus::Members;
 use starlinghill_gauge::{Draw, Level, Reading, Seen as Sight, Word};
 use starlinghill_grindstone::Seen;
 use starlinghill_lease as holdfast;
 use starlinghill_lease::contact::Contact;
-use starlinghill_template::{Item, Kind};
 use std::net::IpAddr;
 
 /// A question.
--- a/crates/starlinghill-rig/examples/scale/pieces.rs
+++ b/crates/starlinghill-rig/examples/scale/pieces.rs
@@ -3,11 +3,11 @@
 use starlinghill_catalog::{
     number, service_number, Catalog, Gateway, Instance, Liveness, Observation, State,
 };
+use starlinghill_config_model::{Book, Change, Item};
 use starlinghill_gauge::{Allowance, Draw, Gauge, Listed, Word};
 use starlinghill_grindstone::{Seen, Sight};
 use starlinghill_registry::wire::{Answer, Have, Heard, News, Question};
 use starlinghill_runtime::frame;
-use starlinghill_template::{Book, Change, Item};
 use std::collections::BTreeSet;
 use std::hint::black_box;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
--- a/crates/starlinghill-runtime/src/check.rs
+++ b/crates/starlinghill-runtime/src/check.rs
@@ -3,7 +3,7 @@
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use starlinghill_template::table::time;
+use starlinghill_config_model::table::time;
 use std::time::Duration;
 
 /// The most faults that are named of one document.
