--- a/crates/starlinghill-console/src/picture.rs
+++ b/crates/starlinghill-console/src/picture.rs
@@ -2,7 +2,7 @@
 
 use starlinghill_catalog::{Instance, Liveness, State};
 use starlinghill_config_model::Kind;
-use starlinghill_gauge::Seen;
+use starlinghill_quota_counter::Seen;
 use starlinghill_registry::wire::Status;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::{IpAddr, SocketAddr};
--- a/crates/starlinghill-console/tests/words.rs
+++ b/crates/starlinghill-console/tests/words.rs
@@ -7,7 +7,7 @@
 use starlinghill_console::picture::Picture;
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
-use starlinghill_gauge::Seen;
+use starlinghill_quota_counter::Seen;
 use starlinghill_registry::wire::{Count, Status};
 use std::net::{IpAddr, SocketAddr};
 use test_case::test_case;
--- a/crates/starlinghill-mockup/src/fleet.rs
+++ b/crates/starlinghill-mockup/src/fleet.rs
@@ -5,9 +5,9 @@
 
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
-use starlinghill_gauge::{Client, Draw, Gauge, Level, KEEP_IN_TOUCH};
 use starlinghill_proxy::count::PATIENCE;
 use starlinghill_proxy::rules;
+use starlinghill_quota_counter::{Client, Draw, Gauge, Level, KEEP_IN_TOUCH};
 use starlinghill_runtime::settings::Bounds;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
--- a/crates/starlinghill-proxy/src/count.rs
+++ b/crates/starlinghill-proxy/src/count.rs
@@ -4,7 +4,7 @@
 use starlinghill_decision::api::{CountName, Micros, Outcome, ServerId, ServiceId};
 use starlinghill_gateway::counter::{Count, Counting};
 use starlinghill_gateway::inbox::Counted;
-use starlinghill_gauge::{Client, Draw, Level, Room, Word, KEEP_IN_TOUCH};
+use starlinghill_quota_counter::{Client, Draw, Level, Room, Word, KEEP_IN_TOUCH};
 use starlinghill_registry::wire::{Answer, Question};
 use starlinghill_runtime::essential::Essentials;
 use starlinghill_runtime::frame::{self, Reader};
--- a/crates/starlinghill-gauge/tests/debts.rs
+++ b/crates/starlinghill-quota-counter/tests/debts.rs
@@ -1,6 +1,6 @@
 //! What a gateway used without the counter's word is charged once, and what the store gave for nothing goes back.
 
-use starlinghill_gauge::{Allowance, Debts, Draw, DrawEnd, Gauge};
+use starlinghill_quota_counter::{Allowance, Debts, Draw, DrawEnd, Gauge};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/crates/starlinghill-gauge/tests/loads.rs
+++ b/crates/starlinghill-quota-counter/tests/loads.rs
@@ -1,7 +1,7 @@
 //! Which backends the counter names: words that are lost, come twice or late, gateways that die, backends that are slow, ill,
 //! or not heard of.
 
-use starlinghill_gauge::{Listed, Loads, Word};
+use starlinghill_quota_counter::{Listed, Loads, Word};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 use test_case::test_case;
--- a/crates/starlinghill-rig/examples/scale/hollow.rs
+++ b/crates/starlinghill-rig/examples/scale/hollow.rs
@@ -2,8 +2,8 @@
 
 use crate::machines::Net;
 use starlinghill_catalog::{number, service_number, Gateway, Observation, State};
-use starlinghill_gauge::{Draw, Word};
 use starlinghill_grindstone::Seen;
+use starlinghill_quota_counter::{Draw, Word};
 use starlinghill_registry::wire::{Answer, Have, News, Question};
 use starlinghill_runtime::frame::{self, Reader};
 use starlinghill_runtime::net::Connection;
--- a/crates/starlinghill-rig/src/rooms.rs
+++ b/crates/starlinghill-rig/src/rooms.rs
@@ -2,7 +2,7 @@
 //! of choosing, and what that costs. Words to the counter are late, backends differ in speed, and are slower when all of their
 //! places are taken.
 
-use starlinghill_gauge::{Draw, Level, Listed, Loads, Word};
+use starlinghill_quota_counter::{Draw, Level, Listed, Loads, Word};
 use starlinghill_registry::wire::{Answer, Question};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -230,7 +230,7 @@
 }
 
 /// The bytes of one draw with its answer, but for the words.
-fn asking(rooms: Vec<starlinghill_gauge::Room>) -> usize {
+fn asking(rooms: Vec<starlinghill_quota_counter::Room>) -> usize {
     let draw = Draw { name: 1, owed: 0.0, units: 1.0, rate: 90.0, burst: 90.0, service: 1, within_ms: 500 };
     let question = Question::Count { term: 1 << 20, from: u64::MAX, draws: vec![draw], words: Vec::new() };
     let level = Level { level: 10.0, share: 0.1, rooms };
--- a/crates/starlinghill-rig/src/soak/mod.rs
+++ b/crates/starlinghill-rig/src/soak/mod.rs
@@ -16,7 +16,7 @@
 use crate::system::{call, first_items, program, Backend, Client, Does, System};
 use kept::{Kept, Unanswered};
 use operator::Operator;
-use starlinghill_gauge::{Allowance, Quota};
+use starlinghill_quota_counter::{Allowance, Quota};
 use std::collections::{BTreeSet, HashSet};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/starlinghill-rig/tests/system.rs
+++ b/crates/starlinghill-rig/tests/system.rs
@@ -1,7 +1,7 @@
 //! The whole system as real processes on loopback: what is acknowledged, what runs, what a tenant gets, while processes are
 //! killed, disks are lost and backends misbehave. Histories are checked after the fact.
 
-use starlinghill_gauge::{most_in, Allowance, Quota, Troubles};
+use starlinghill_quota_counter::{most_in, Allowance, Quota, Troubles};
 use starlinghill_rig::system::{
     call, change, eventually, first_items, patch, program, rule, Backend, Client, Does, System,
 };
