--- a/crates/starlinghill-grindstone/tests/ring.rs
+++ b/crates/starlinghill-failure-detector/tests/ring.rs
@@ -1,7 +1,7 @@
 //! Gateways that die, are cut off from the core, or from all, with words that get lost: who is taken for dead, and who takes
 //! itself for alone.
 
-use starlinghill_grindstone::{watchers, Beat, Sight, Watch, ALONE, DEAD, EVERY, WATCHERS};
+use starlinghill_failure_detector::{watchers, Beat, Sight, Watch, ALONE, DEAD, EVERY, WATCHERS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::time::Duration;
--- a/crates/starlinghill-proxy/src/ring.rs
+++ b/crates/starlinghill-proxy/src/ring.rs
@@ -1,6 +1,6 @@
 //! The ring of gateways on a socket: each says that it lives to those that watch it.
 
-use starlinghill_grindstone::{Beat, Seen, Watch, EVERY};
+use starlinghill_failure_detector::{Beat, Seen, Watch, EVERY};
 use std::cell::RefCell;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
--- a/crates/starlinghill-registry/src/owner.rs
+++ b/crates/starlinghill-registry/src/owner.rs
@@ -7,7 +7,7 @@
 use starlinghill_config_model::{Item, Kind};
 use starlinghill_config_store::wire::Value;
 use starlinghill_consensus::Members;
-use starlinghill_grindstone::Sight;
+use starlinghill_failure_detector::Sight;
 use starlinghill_lease::contact::{Chain, Contact, LastContact};
 use starlinghill_lease::{self as holdfast, Holdfast};
 use starlinghill_ledger::Allowance;
--- a/crates/starlinghill-registry/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -4,7 +4,7 @@
 use starlinghill_catalog::{Gateway, Instance, Observation};
 use starlinghill_config_model::{Item, Kind};
 use starlinghill_consensus::Members;
-use starlinghill_grindstone::Seen;
+use starlinghill_failure_detector::Seen;
 use starlinghill_lease as holdfast;
 use starlinghill_lease::contact::Contact;
 use starlinghill_quota_counter::{Draw, Level, Reading, Seen as Sight, Word};
--- a/crates/starlinghill-rig/examples/scale/hollow.rs
+++ b/crates/starlinghill-rig/examples/scale/hollow.rs
@@ -2,7 +2,7 @@
 
 use crate::machines::Net;
 use starlinghill_catalog::{number, service_number, Gateway, Observation, State};
-use starlinghill_grindstone::Seen;
+use starlinghill_failure_detector::Seen;
 use starlinghill_quota_counter::{Draw, Word};
 use starlinghill_registry::wire::{Answer, Have, News, Question};
 use starlinghill_runtime::frame::{self, Reader};
--- a/crates/starlinghill-rig/examples/scale/pieces.rs
+++ b/crates/starlinghill-rig/examples/scale/pieces.rs
@@ -4,7 +4,7 @@
     number, service_number, Catalog, Gateway, Instance, Liveness, Observation, State,
 };
 use starlinghill_config_model::{Book, Change, Item};
-use starlinghill_grindstone::{Seen, Sight};
+use starlinghill_failure_detector::{Seen, Sight};
 use starlinghill_quota_counter::{Allowance, Draw, Gauge, Listed, Word};
 use starlinghill_registry::wire::{Answer, Have, Heard, News, Question};
 use starlinghill_runtime::frame;
