--- a/crates/starlinghill-mockup/tests/control.rs
+++ b/crates/starlinghill-simulator/tests/control.rs
@@ -1,18 +1,18 @@
 //! One control side, simulated: many seeds, each of which plays the same again, and faults that must be found.
 //!
 //! A seed that fails is played again with its troubles printed by
-//! `SEED=n cargo test -p starlinghill-mockup --test control one_seed -- --ignored --nocapture`; a long hunt is
-//! `SEEDS=1000 cargo test --profile measure -p starlinghill-mockup --test control long_hunt -- --ignored --nocapture`
+//! `SEED=n cargo test -p starlinghill-simulator --test control one_seed -- --ignored --nocapture`; a long hunt is
+//! `SEEDS=1000 cargo test --profile measure -p starlinghill-simulator --test control long_hunt -- --ignored --nocapture`
 //! (`SEED` is the first; with `LONG=1` both play long days).
 
 use hyper::Method;
 use starlinghill_catalog::State;
-use starlinghill_mockup::backends::beat;
-use starlinghill_mockup::check::{Attempt, Held, History, InForce, Items, Order, Read, APPLY};
-use starlinghill_mockup::play::{call, play, Play};
-use starlinghill_mockup::world::{ip, World};
 use starlinghill_registry::wire::{Answer, Question};
 use starlinghill_runtime::call::Caller;
+use starlinghill_simulator::backends::beat;
+use starlinghill_simulator::check::{Attempt, Held, History, InForce, Items, Order, Read, APPLY};
+use starlinghill_simulator::play::{call, play, Play};
+use starlinghill_simulator::world::{ip, World};
 use std::collections::BTreeSet;
 use std::future::Future;
 use std::net::IpAddr;
@@ -68,7 +68,7 @@
 fn print(bad: &[(u64, Vec<String>)]) {
     for (seed, faults) in bad {
         println!(
-            "SEED={seed} cargo test -p starlinghill-mockup --test control one_seed -- --ignored --nocapture"
+            "SEED={seed} cargo test -p starlinghill-simulator --test control one_seed -- --ignored --nocapture"
         );
         faults.iter().for_each(|fault| println!("    {fault}"));
     }
--- a/crates/starlinghill-mockup/tests/quota.rs
+++ b/crates/starlinghill-simulator/tests/quota.rs
@@ -1,6 +1,6 @@
 //! Quotas over a whole fleet, with the real decisions of its gateways and the real counter.
 
-use starlinghill_mockup::fleet::{allowed, troubled, Fleet, Play, BURST, RATE};
+use starlinghill_simulator::fleet::{allowed, troubled, Fleet, Play, BURST, RATE};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::time::Duration;
