--- a/crates/starlinghill-control/tests/clocks.rs
+++ b/crates/starlinghill-control/tests/clocks.rs
@@ -5,9 +5,9 @@
 use starlinghill_accord::bounds::Timing;
 use starlinghill_accord::Micros;
 use starlinghill_follow::wall;
-use starlinghill_rig::failover::{Fault, Fleet};
-use starlinghill_rig::group::LIMIT;
-use starlinghill_rig::history::wrongs;
+use starlinghill_testkit::failover::{Fault, Fleet};
+use starlinghill_testkit::group::LIMIT;
+use starlinghill_testkit::history::wrongs;
 use std::process::ExitCode;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
--- a/crates/starlinghill-control/tests/failover.rs
+++ b/crates/starlinghill-control/tests/failover.rs
@@ -3,13 +3,13 @@
 
 use starlinghill_accord::bounds::Timing;
 use starlinghill_accord::Micros;
-use starlinghill_rig::failover::{Fault, Fleet};
-use starlinghill_rig::group::{Group, LIMIT};
-use starlinghill_rig::history::{wrongs, Ordered};
-use starlinghill_rig::nodes::SaveNode;
-use starlinghill_rig::processes::Process;
-use starlinghill_rig::proxy::{Flavour, Proxy, Settings};
-use starlinghill_rig::world::{control_file, list, member, Discovery};
+use starlinghill_testkit::failover::{Fault, Fleet};
+use starlinghill_testkit::group::{Group, LIMIT};
+use starlinghill_testkit::history::{wrongs, Ordered};
+use starlinghill_testkit::nodes::SaveNode;
+use starlinghill_testkit::processes::Process;
+use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
+use starlinghill_testkit::world::{control_file, list, member, Discovery};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
--- a/crates/starlinghill-control/tests/program.rs
+++ b/crates/starlinghill-control/tests/program.rs
@@ -4,8 +4,8 @@
 
 use common::{file, nodes};
 use starlinghill_control::{prepare, start};
-use starlinghill_rig::proxy::{Flavour, Proxy, Settings};
-use starlinghill_rig::world::{self, Node};
+use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
+use starlinghill_testkit::world::{self, Node};
 use std::process::{Command, Output};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_starlinghill-control");
@@ -122,7 +122,7 @@
         let endpoint = tonic::transport::Endpoint::from_shared(url.clone()).expect("an address");
         let channel = endpoint.tls_config(config).expect("sound").connect().await;
         let answer = match channel {
-            Ok(channel) => starlinghill_rig::proxy::ask_clusters(channel, "whole").await,
+            Ok(channel) => starlinghill_testkit::proxy::ask_clusters(channel, "whole").await,
             Err(e) => Err(tonic::Status::unavailable(e.to_string())),
         };
         assert_eq!(answer.is_ok(), welcome, "{answer:?}");
--- a/crates/starlinghill-control/tests/proxies.rs
+++ b/crates/starlinghill-control/tests/proxies.rs
@@ -4,9 +4,9 @@
 
 use common::{file, member, nodes, service, until};
 use starlinghill_control::{prepare, Running};
-use starlinghill_rig::nodes::SaveNode;
-use starlinghill_rig::proxy::{Flavour, Proxy, Settings};
-use starlinghill_rig::world::{list, Discovery};
+use starlinghill_testkit::nodes::SaveNode;
+use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
+use starlinghill_testkit::world::{list, Discovery};
 use std::time::{Duration, Instant};
 
 const BOTH: [Flavour; 2] = [Flavour::Whole, Flavour::Delta];
@@ -24,7 +24,7 @@
     Proxy::start(Settings::new(running.address, name(flavour), flavour))
 }
 
-fn has(mirror: &starlinghill_rig::proxy::Mirror, id: &str) -> Option<bool> {
+fn has(mirror: &starlinghill_testkit::proxy::Mirror, id: &str) -> Option<bool> {
     mirror.targets.iter().find(|t| t.id == id).map(|t| t.healthy)
 }
 
@@ -218,7 +218,7 @@
     idle.wait_for("the ejection", |m| has(m, "s-1") == Some(false)).await;
     assert_eq!(has(&idle.mirror(), "s-0"), Some(true));
     nodes[1].fail(false);
-    let whole = |m: &starlinghill_rig::proxy::Mirror| {
+    let whole = |m: &starlinghill_testkit::proxy::Mirror| {
         let weights: Vec<u32> = m.targets.iter().filter(|t| t.healthy).map(|t| t.weight).collect();
         weights.len() == 3 && weights.iter().all(|w| *w == weights[0])
     };
--- a/crates/starlinghill-gateway/tests/outage.rs
+++ b/crates/starlinghill-gateway/tests/outage.rs
@@ -1,8 +1,8 @@
 //! Short fleets of real gateways round a counter in trouble. How much is refused depends on the machine and is measured by the
 //! example `outage`; what must never happen is tested here.
 
-use starlinghill_rig::counter::Mode;
-use starlinghill_rig::outage::{play, Fault, Scenario};
+use starlinghill_testkit::counter::Mode;
+use starlinghill_testkit::outage::{play, Fault, Scenario};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_starlinghill");
 
--- a/crates/starlinghill-signals/src/lib.rs
+++ b/crates/starlinghill-signals/src/lib.rs
@@ -1,5 +1,5 @@
 //! What a signal does to a process, the same for all programs that run until they are told to end. The whole table is in
-//! `docs/operate/system.md`; `starlinghill-rig/tests/signals.rs` plays it.
+//! `docs/operate/system.md`; `starlinghill-testkit/tests/signals.rs` plays it.
 
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
--- a/crates/starlinghill-rig/examples/catch_up.rs
+++ b/crates/starlinghill-testkit/examples/catch_up.rs
@@ -1,9 +1,9 @@
 //! A core machine that is away, or loses its disk, during many changes, and then has all again while changes go on.
-//! `cargo run --release -p starlinghill-rig --example catch_up`. Called with the name of a part, it is that part.
+//! `cargo run --release -p starlinghill-testkit --example catch_up`. Called with the name of a part, it is that part.
 
-use starlinghill_rig::catch_up::{catch_up, Changes};
-use starlinghill_rig::system::System;
 use starlinghill_runtime::program;
+use starlinghill_testkit::catch_up::{catch_up, Changes};
+use starlinghill_testkit::system::System;
 use std::process::ExitCode;
 use tokio::task::LocalSet;
 
--- a/crates/starlinghill-rig/examples/common/mod.rs
+++ b/crates/starlinghill-testkit/examples/common/mod.rs
@@ -2,10 +2,10 @@
 #![allow(dead_code, unused_imports)]
 
 use starlinghill_control::{prepare, start, Running};
-use starlinghill_rig::world::{self, Discovery};
+use starlinghill_testkit::world::{self, Discovery};
 use std::time::Duration;
 
-pub use starlinghill_rig::nodes::listed as nodes;
+pub use starlinghill_testkit::nodes::listed as nodes;
 
 /// A control service before this discovery.
 pub async fn service(discovery: &Discovery, proxies: &[&str], plans: &str, more: &str) -> Running {
--- a/crates/starlinghill-rig/examples/cost.rs
+++ b/crates/starlinghill-testkit/examples/cost.rs
@@ -4,11 +4,11 @@
 //! `cost [--per-s N] [--seconds N] [--rounds N] PROGRAM...`
 
 use clap::Parser;
-use starlinghill_rig::group::{free_address, LIMIT};
-use starlinghill_rig::load::Load;
-use starlinghill_rig::nodes;
-use starlinghill_rig::processes::{used, Process, Used};
-use starlinghill_rig::world::{self, told_by};
+use starlinghill_testkit::group::{free_address, LIMIT};
+use starlinghill_testkit::load::Load;
+use starlinghill_testkit::nodes;
+use starlinghill_testkit::processes::{used, Process, Used};
+use starlinghill_testkit::world::{self, told_by};
 use std::error::Error;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/starlinghill-rig/examples/drain.rs
+++ b/crates/starlinghill-testkit/examples/drain.rs
@@ -1,13 +1,13 @@
 //! Measures the rule on drains at proxies: three of them, of both flavours, forward to save nodes; one node drains
 //! under load, with a fault at random; for each proxy, the time of its last new request at that node, from when
-//! the service was told. `cargo run --release -p starlinghill-rig --example drain [runs] [seed]`.
+//! the service was told. `cargo run --release -p starlinghill-testkit --example drain [runs] [seed]`.
 
 mod common;
 
 use common::{argument, cores, ms, nodes, service};
 use hdrhistogram::Histogram;
-use starlinghill_rig::proxy::{Flavour, Proxy, Settings};
-use starlinghill_rig::world;
+use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
+use starlinghill_testkit::world;
 use std::time::{Duration, Instant};
 
 const NAMES: [&str; 3] = ["whole", "delta", "late"];
--- a/crates/starlinghill-rig/examples/fleet.rs
+++ b/crates/starlinghill-testkit/examples/fleet.rs
@@ -1,16 +1,16 @@
 //! A small fleet on loopback, to be looked at: save nodes, a counter, discovery, three gateway processes, and the control
 //! service with two proxies. Prints the addresses, a `curl` line that works, and what each studio used, until
-//! Ctrl-C. `cargo run --profile demo -p starlinghill-rig --example fleet`; with `-- --zones` six gateways in three zones
+//! Ctrl-C. `cargo run --profile demo -p starlinghill-testkit --example fleet`; with `-- --zones` six gateways in three zones
 //! that follow a group, and the orders to try on them.
 
 mod common;
 
 use common::{nodes, service};
-use starlinghill_rig::failover::{Fleet, ZONES};
-use starlinghill_rig::group::free_address;
-use starlinghill_rig::processes::Process;
-use starlinghill_rig::proxy::{Flavour, Proxy, Settings};
-use starlinghill_rig::world::{self, config, counter, Stub};
+use starlinghill_testkit::failover::{Fleet, ZONES};
+use starlinghill_testkit::group::free_address;
+use starlinghill_testkit::processes::Process;
+use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
+use starlinghill_testkit::world::{self, config, counter, Stub};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::process::{Command, ExitCode};
--- a/crates/starlinghill-rig/examples/outage.rs
+++ b/crates/starlinghill-testkit/examples/outage.rs
@@ -1,9 +1,9 @@
 //! Plays every kind of counter trouble against fleets of real gateways and prints, for each scenario, what the worst
 //! studio was sent on beyond its allowance and what was refused with room; each studio with `--studios`. With
 //! `--messages` gateways may tell each other something.
-//! `cargo run --release -p starlinghill-rig --example outage PROGRAM [seeds] [at once] [--messages] [--studios]`.
+//! `cargo run --release -p starlinghill-testkit --example outage PROGRAM [seeds] [at once] [--messages] [--studios]`.
 
-use starlinghill_rig::outage::{play, scenarios, Outcome};
+use starlinghill_testkit::outage::{play, scenarios, Outcome};
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
--- a/crates/starlinghill-rig/examples/propagation.rs
+++ b/crates/starlinghill-testkit/examples/propagation.rs
@@ -1,6 +1,6 @@
 //! Measures how one drain reaches many streams: 500 endpoints; latency from when the service was told, bytes,
 //! memory and CPU a stream, state-of-the-world beside incremental.
-//! `cargo run --release -p starlinghill-rig --example propagation [drains] [streams...]`.
+//! `cargo run --release -p starlinghill-testkit --example propagation [drains] [streams...]`.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use envoy_types::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 use hdrhistogram::Histogram;
 use prost::Message;
-use starlinghill_rig::world::{self, Discovery};
+use starlinghill_testkit::world::{self, Discovery};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
--- a/crates/starlinghill-rig/examples/scale/machines.rs
+++ b/crates/starlinghill-testkit/examples/scale/machines.rs
@@ -1,6 +1,6 @@
 //! The real part: three core machines with a registry and a store each, and some proxies. Every machine is a loopback address.
 
-use starlinghill_rig::processes::Process;
+use starlinghill_testkit::processes::Process;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::Path;
 use std::process::Command;
--- a/crates/starlinghill-rig/examples/scale/main.rs
+++ b/crates/starlinghill-testkit/examples/scale/main.rs
@@ -3,7 +3,7 @@
 //! all gateways, and how long it takes after all of the core was killed; then the power by which each figure grows, and
 //! writes a plot. `scale pieces` prints what single messages and acts cost.
 //!
-//! `cargo run --release -p starlinghill-rig --example scale -- [--sizes 100,300,1000] [--plot FOLDER]`. Nothing else should
+//! `cargo run --release -p starlinghill-testkit --example scale -- [--sizes 100,300,1000] [--plot FOLDER]`. Nothing else should
 //! run beside it. Called with the name of a part, it is that part.
 
 mod hollow;
@@ -17,8 +17,8 @@
 use machines::{Machines, Net, Role, CORES};
 use measured::Sample;
 use report::{Row, Size};
-use starlinghill_rig::system::call;
 use starlinghill_runtime::program;
+use starlinghill_testkit::system::call;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::atomic::Ordering;
--- a/crates/starlinghill-rig/examples/scale/measured.rs
+++ b/crates/starlinghill-testkit/examples/scale/measured.rs
@@ -1,7 +1,7 @@
 //! What processes use, read from outside: `/proc`, and `ss` for the bytes of each connection. Where `ss` is missing, bytes,
 //! messages and connections are left out.
 
-use starlinghill_rig::processes::used;
+use starlinghill_testkit::processes::used;
 use std::collections::HashMap;
 use std::process::Command;
 use std::time::Instant;
--- a/crates/starlinghill-rig/examples/slices.rs
+++ b/crates/starlinghill-testkit/examples/slices.rs
@@ -1,12 +1,12 @@
 //! Measures quota slices at three proxies: `publisher` customers surge and move about, one proxy is killed, one is
 //! cut off; what all sent on against quota and ceiling, and refusals that had room, beside an even split of the
-//! same traffic. `cargo run --release -p starlinghill-rig --example slices [customers] [seconds] [seed]`.
+//! same traffic. `cargo run --release -p starlinghill-testkit --example slices [customers] [seconds] [seed]`.
 
 mod common;
 
 use common::{argument, cores, nodes, service};
-use starlinghill_rig::proxy::{Flavour, Proxy, Settings};
-use starlinghill_rig::quota::Key;
+use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
+use starlinghill_testkit::quota::Key;
 use std::time::{Duration, Instant};
 
 const NAMES: [&str; 3] = ["p-0", "p-1", "p-2"];
--- a/crates/starlinghill-rig/examples/system.rs
+++ b/crates/starlinghill-testkit/examples/system.rs
@@ -1,9 +1,9 @@
 //! A small whole system on loopback, to be looked at: three core machines with a registry and a store each, two proxies, four
-//! backends, a configuration, and a client that goes on asking. `cargo run --profile demo -p starlinghill-rig --example
+//! backends, a configuration, and a client that goes on asking. `cargo run --profile demo -p starlinghill-testkit --example
 //! system`. Called with the name of a part, it is that part: tests start their processes so.
 
-use starlinghill_rig::system::{cut_net, first_items, Backend, Client, System};
 use starlinghill_runtime::program;
+use starlinghill_testkit::system::{cut_net, first_items, Backend, Client, System};
 use std::process::ExitCode;
 use std::time::Duration;
 
--- a/crates/starlinghill-rig/tests/catch_up.rs
+++ b/crates/starlinghill-testkit/tests/catch_up.rs
@@ -1,7 +1,7 @@
 //! A core machine that missed hundreds of changes has them all soon, though changes go on, and its voice counts again.
 
-use starlinghill_rig::catch_up::{catch_up, Changes};
-use starlinghill_rig::system::{program, System};
+use starlinghill_testkit::catch_up::{catch_up, Changes};
+use starlinghill_testkit::system::{program, System};
 use std::time::Duration;
 use test_case::test_case;
 use tokio::task::LocalSet;
--- a/crates/starlinghill-rig/tests/contact.rs
+++ b/crates/starlinghill-testkit/tests/contact.rs
@@ -1,7 +1,7 @@
 //! Core machines without a majority, as real processes: what one of them still says, and what it does not.
 
-use starlinghill_rig::processes::Process;
-use starlinghill_rig::system::{
+use starlinghill_testkit::processes::Process;
+use starlinghill_testkit::system::{
     call, change, eventually, first_items, program, rule, Backend, Client, System,
 };
 use std::time::{Duration, Instant};
--- a/crates/starlinghill-rig/tests/counter.rs
+++ b/crates/starlinghill-testkit/tests/counter.rs
@@ -1,6 +1,6 @@
 //! The stand-in counter does what the faults say, so that tests which lean on it mean something.
 
-use starlinghill_rig::counter::{Counter, Mode, Totals};
+use starlinghill_testkit::counter::{Counter, Mode, Totals};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
--- a/crates/starlinghill-rig/tests/endings.rs
+++ b/crates/starlinghill-testkit/tests/endings.rs
@@ -1,6 +1,6 @@
 //! How sends end, over real processes: what clients are told of it, and on how many backends a try runs.
 
-use starlinghill_rig::system::{first_items, program, Backend, Client, Does, System};
+use starlinghill_testkit::system::{first_items, program, Backend, Client, Does, System};
 use test_case::test_case;
 
 async fn serving(backends: usize) -> (System, Vec<Backend>) {
--- a/crates/starlinghill-rig/tests/links.rs
+++ b/crates/starlinghill-testkit/tests/links.rs
@@ -1,6 +1,6 @@
 //! Links between processes do what scripts ask of them, one way alone, and heal.
 
-use starlinghill_rig::links::Net;
+use starlinghill_testkit::links::Net;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/starlinghill-rig/tests/members.rs
+++ b/crates/starlinghill-testkit/tests/members.rs
@@ -3,8 +3,8 @@
 use starlinghill_config_store::wire::CoreOrder;
 use starlinghill_console::ask::Places;
 use starlinghill_console::membership::{list, why};
-use starlinghill_rig::system::{change, eventually, first_items, program, rule, System};
 use starlinghill_runtime::settings::Node;
+use starlinghill_testkit::system::{change, eventually, first_items, program, rule, System};
 use std::net::IpAddr;
 use std::time::Duration;
 
--- a/crates/starlinghill-rig/tests/signals.rs
+++ b/crates/starlinghill-testkit/tests/signals.rs
@@ -1,7 +1,7 @@
 //! Every program against every signal that may come: who ends and how, who goes on, who reads its settings again.
 
-use starlinghill_rig::processes::{state, Process};
-use starlinghill_rig::system::{
+use starlinghill_testkit::processes::{state, Process};
+use starlinghill_testkit::system::{
     call, change, eventually, first_items, patch, program, rule, Backend, Client, System,
 };
 use std::os::unix::process::ExitStatusExt;
--- a/crates/starlinghill-rig/tests/soak.rs
+++ b/crates/starlinghill-testkit/tests/soak.rs
@@ -1,7 +1,7 @@
 //! Real processes under troubles by seed. `SOAK_SEEDS=20` plays more seeds than CI does, `SOAK_FROM=100` others; with
 //! `SOAK_STORY=1` each tells what befell.
 
-use starlinghill_rig::soak::{soak, Soaked};
+use starlinghill_testkit::soak::{soak, Soaked};
 
 /// In CI: two of some seconds, and one with a cut that outlasts what registries wait for.
 const IN_CI: [u64; 3] = [0, 1, 4];
--- a/crates/starlinghill-rig/tests/system.rs
+++ b/crates/starlinghill-testkit/tests/system.rs
@@ -2,7 +2,7 @@
 //! killed, disks are lost and backends misbehave. Histories are checked after the fact.
 
 use starlinghill_quota_counter::{most_in, Allowance, Quota, Troubles};
-use starlinghill_rig::system::{
+use starlinghill_testkit::system::{
     call, change, eventually, first_items, patch, program, rule, Backend, Client, Does, System,
 };
 use std::collections::HashMap;
@@ -361,7 +361,7 @@
     while begun.elapsed() < Duration::from_secs(7) {
         if !killed && begun.elapsed() > Duration::from_secs(3) {
             killed = true;
-            let holds = |process: &starlinghill_rig::processes::Process| {
+            let holds = |process: &starlinghill_testkit::processes::Process| {
                 process.log().iter().any(|line| line.contains("event=count_held"))
             };
             let holder = system.cores.iter().position(|core| holds(&core.processes[0]));
@@ -393,7 +393,7 @@
 /// What came of tries made at the same time.
 async fn futures_join<F>(tries: Vec<F>) -> Vec<Option<u16>>
 where
-    F: std::future::Future<Output = (String, Option<starlinghill_rig::system::Answer>)>,
+    F: std::future::Future<Output = (String, Option<starlinghill_testkit::system::Answer>)>,
 {
     let mut tries: Vec<_> = tries.into_iter().map(|one| (Box::pin(one), None)).collect();
     std::future::poll_fn(|cx| {
