--- a/crates/starlinghill-control/src/following.rs
+++ b/crates/starlinghill-control/src/following.rs
@@ -1,10 +1,10 @@
 //! What follows the group inside this program: gateways, and the control service for other proxies. Both are told the
 //! parts of their work that zones get.
 
-use starlinghill_accord::follower::View;
-use starlinghill_accord::map::{is_name, MapProblem};
-use starlinghill_accord::WHOLE;
 use starlinghill_decision::api::ZonePart;
+use starlinghill_failover::follower::View;
+use starlinghill_failover::map::{is_name, MapProblem};
+use starlinghill_failover::WHOLE;
 use starlinghill_follow::link::{follow, Evidence, Settings};
 use starlinghill_gateway::Parts;
 use starlinghill_operators::Group;
--- a/crates/starlinghill-control/src/lib.rs
+++ b/crates/starlinghill-control/src/lib.rs
@@ -4,8 +4,8 @@
 pub mod following;
 pub mod program;
 
-use starlinghill_accord::map::{Map, MapProblem, Zone};
 use starlinghill_decision::api::{Micros, PlanId, SettingsError};
+use starlinghill_failover::map::{Map, MapProblem, Zone};
 use starlinghill_gateway::config::{Config, Upstreams};
 use starlinghill_gateway::discovery::{self, Follower, Source};
 use starlinghill_operators::{Control, Group, Problem, Quotas};
--- a/crates/starlinghill-control/src/program.rs
+++ b/crates/starlinghill-control/src/program.rs
@@ -167,7 +167,7 @@
     }
     println!("{}: good", file.display());
     if let Some(group) = operators.group {
-        let ms = |m: starlinghill_accord::Micros| m.0.div_ceil(1_000);
+        let ms = |m: starlinghill_failover::Micros| m.0.div_ceil(1_000);
         let t = group.timing;
         println!("a change reaches every connected gateway within {} ms", ms(t.reaches_within()));
         println!("the same where a member dies meanwhile: {} ms", ms(t.reaches_within_after_a_death()));
--- a/crates/starlinghill-control/src/program/group.rs
+++ b/crates/starlinghill-control/src/program/group.rs
@@ -3,8 +3,8 @@
 use crate::program::zones::{newest, print_json, runtime, usage, Exit};
 use clap::Subcommand;
 use serde_json::json;
-use starlinghill_accord::order::{Order, What};
-use starlinghill_accord::state::Outcome;
+use starlinghill_failover::order::{Order, What};
+use starlinghill_failover::state::Outcome;
 use starlinghill_follow::client::{give, look_at_all, manage, NotDone};
 use starlinghill_follow::report::{Manage, Managed, Report};
 use starlinghill_group::member::Settings;
@@ -185,7 +185,7 @@
     managed(runtime()?.block_on(manage(&addresses(&group), change, PATIENCE)))
 }
 
-fn init(file: &Path, restored: Option<Box<starlinghill_accord::state::State>>) -> Result<(), Exit> {
+fn init(file: &Path, restored: Option<Box<starlinghill_failover::state::State>>) -> Result<(), Exit> {
     let group = read(file).map_err(usage)?;
     let members = group.members.iter().map(|m| (m.id, m.listen)).collect();
     let begin = Manage::Init { members, restored };
--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -2,10 +2,10 @@
 //! SIGHUP it reads the operators' file again, beside the platform's settings.
 
 use crate::following::{begin, Following, Renew};
-use starlinghill_accord::Micros;
 use starlinghill_decision::api::Outcome;
 use starlinghill_evidence::sums::Became;
 use starlinghill_evidence::watch::Watch;
+use starlinghill_failover::Micros;
 use starlinghill_gateway::config::Config;
 use starlinghill_gateway::process::{self, Beside};
 use starlinghill_gateway::watched::Attempted;
--- a/crates/starlinghill-control/tests/clocks.rs
+++ b/crates/starlinghill-control/tests/clocks.rs
@@ -2,8 +2,8 @@
 //! this test starts are itself again, which runs the operators' program on a clock of its own when it is called
 //! like that.
 
-use starlinghill_accord::bounds::Timing;
-use starlinghill_accord::Micros;
+use starlinghill_failover::bounds::Timing;
+use starlinghill_failover::Micros;
 use starlinghill_follow::wall;
 use starlinghill_testkit::failover::{Fault, Fleet};
 use starlinghill_testkit::group::LIMIT;
--- a/crates/starlinghill-control/tests/failover.rs
+++ b/crates/starlinghill-control/tests/failover.rs
@@ -1,8 +1,8 @@
 //! Real gateways that follow a group of real members, under load, while links are cut and processes killed, stopped and
 //! started again.
 
-use starlinghill_accord::bounds::Timing;
-use starlinghill_accord::Micros;
+use starlinghill_failover::bounds::Timing;
+use starlinghill_failover::Micros;
 use starlinghill_testkit::failover::{Fault, Fleet};
 use starlinghill_testkit::group::{Group, LIMIT};
 use starlinghill_testkit::history::{wrongs, Ordered};
--- a/crates/starlinghill-control/tests/group.rs
+++ b/crates/starlinghill-control/tests/group.rs
@@ -1,8 +1,8 @@
 //! Groups of real member processes: they are killed, stopped, cut from each other and lose their disks.
 
-use starlinghill_accord::follower::{Mode, View};
 use starlinghill_evidence::report::Report;
 use starlinghill_evidence::sums::Sums;
+use starlinghill_failover::follower::{Mode, View};
 use starlinghill_follow::client::look;
 use starlinghill_follow::link::{follow, Evidence};
 use starlinghill_testkit::group::{Group, LIMIT};
--- a/crates/starlinghill-evidence/src/finding.rs
+++ b/crates/starlinghill-evidence/src/finding.rs
@@ -7,7 +7,7 @@
 
 use crate::report::Report;
 use crate::sums::Sight;
-use starlinghill_accord::Micros;
+use starlinghill_failover::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
--- a/crates/starlinghill-evidence/src/report.rs
+++ b/crates/starlinghill-evidence/src/report.rs
@@ -2,8 +2,8 @@
 
 use crate::sums::Sums;
 use serde::{Deserialize, Serialize};
-use starlinghill_accord::map::{is_name, MOST_ZONES};
-use starlinghill_accord::wire::Message;
+use starlinghill_failover::map::{is_name, MOST_ZONES};
+use starlinghill_failover::wire::Message;
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/crates/starlinghill-evidence/src/watch.rs
+++ b/crates/starlinghill-evidence/src/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::report::{Report, SPAN_MS};
 use crate::sums::{Became, Sight, Sums, FLOOR};
-use starlinghill_accord::Micros;
+use starlinghill_failover::Micros;
 use std::collections::BTreeMap;
 
 /// Slots that make the span of a report; one that is full goes as a whole.
--- a/crates/starlinghill-accord/tests/follower.rs
+++ b/crates/starlinghill-failover/tests/follower.rs
@@ -1,13 +1,13 @@
 //! A gateway's follower among members that lag, sleep and answer late, on clocks that differ and run false.
 
-use starlinghill_accord::bounds::Timing;
-use starlinghill_accord::certainty::Certainty;
-use starlinghill_accord::directive::{Directives, Told};
-use starlinghill_accord::follower::{Action, Event, Follower, Mode, Why};
-use starlinghill_accord::map::{Map, Zone};
-use starlinghill_accord::order::{Change, Order, Ramp, What, ZoneOrder};
-use starlinghill_accord::state::{Outcome, State};
-use starlinghill_accord::{Micros, Position, WHOLE};
+use starlinghill_failover::bounds::Timing;
+use starlinghill_failover::certainty::Certainty;
+use starlinghill_failover::directive::{Directives, Told};
+use starlinghill_failover::follower::{Action, Event, Follower, Mode, Why};
+use starlinghill_failover::map::{Map, Zone};
+use starlinghill_failover::order::{Change, Order, Ramp, What, ZoneOrder};
+use starlinghill_failover::state::{Outcome, State};
+use starlinghill_failover::{Micros, Position, WHOLE};
 use std::collections::VecDeque;
 
 fn ms(n: u64) -> Micros {
--- a/crates/starlinghill-accord/tests/model.rs
+++ b/crates/starlinghill-failover/tests/model.rs
@@ -2,11 +2,11 @@
 //! of events, to a stated depth. The same model with a follower that does not check positions is found out, which
 //! shows that the check is looked at.
 
-use starlinghill_accord::bounds::Timing;
-use starlinghill_accord::certainty::Certainty;
-use starlinghill_accord::directive::{Directives, Told};
-use starlinghill_accord::follower::{Event, Follower, Mode};
-use starlinghill_accord::{Micros, Position};
+use starlinghill_failover::bounds::Timing;
+use starlinghill_failover::certainty::Certainty;
+use starlinghill_failover::directive::{Directives, Told};
+use starlinghill_failover::follower::{Event, Follower, Mode};
+use starlinghill_failover::{Micros, Position};
 use stateright::{Checker, Model, Property};
 
 /// Steps that every order of events is followed to.
--- a/crates/starlinghill-accord/tests/state.rs
+++ b/crates/starlinghill-failover/tests/state.rs
@@ -1,12 +1,12 @@
 //! The group's state machine under orders of every kind.
 
 use proptest::prelude::*;
-use starlinghill_accord::map::{Map, Zone};
-use starlinghill_accord::order::{Change, Order, Ramp, What, ZoneOrder};
-use starlinghill_accord::pacer::Pacer;
-use starlinghill_accord::refusal::Cause;
-use starlinghill_accord::state::{Outcome, Phase, State, REMEMBERED};
-use starlinghill_accord::{wire, Micros, Position, WHOLE};
+use starlinghill_failover::map::{Map, Zone};
+use starlinghill_failover::order::{Change, Order, Ramp, What, ZoneOrder};
+use starlinghill_failover::pacer::Pacer;
+use starlinghill_failover::refusal::Cause;
+use starlinghill_failover::state::{Outcome, Phase, State, REMEMBERED};
+use starlinghill_failover::{wire, Micros, Position, WHOLE};
 
 const RAMP: Ramp = Ramp { step: 250, every_ms: 1_000 };
 
@@ -165,7 +165,7 @@
     assert_eq!(due.len(), 1);
     // Another leads from here on, its clock an hour ahead: it waits for the whole time again.
     assert!(other.handle(at(3_600.0), &state, true).is_empty());
-    let step = |d: &starlinghill_accord::pacer::Due| Order {
+    let step = |d: &starlinghill_failover::pacer::Due| Order {
         id: String::new(),
         ..order("", What::Step { zone: d.zone.clone(), of: d.of })
     };
--- a/crates/starlinghill-follow/src/client.rs
+++ b/crates/starlinghill-follow/src/client.rs
@@ -4,9 +4,9 @@
 use crate::proto::group_client::GroupClient;
 use crate::proto::{LookRequest, Sealed};
 use crate::report::{Manage, Managed, Report};
-use starlinghill_accord::order::Order;
-use starlinghill_accord::state::Outcome;
-use starlinghill_accord::wire::{decode, encode, Message, LONGEST};
+use starlinghill_failover::order::Order;
+use starlinghill_failover::state::Outcome;
+use starlinghill_failover::wire::{decode, encode, Message, LONGEST};
 use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/starlinghill-follow/src/lib.rs
+++ b/crates/starlinghill-follow/src/lib.rs
@@ -12,7 +12,7 @@
     tonic::include_proto!("starlinghill.group.v1");
 }
 
-use starlinghill_accord::Position;
+use starlinghill_failover::Position;
 
 impl From<Position> for proto::At {
     fn from(p: Position) -> proto::At {
--- a/crates/starlinghill-group/src/lib.rs
+++ b/crates/starlinghill-group/src/lib.rs
@@ -1,5 +1,5 @@
 //! The group on sockets and disk: one replicated log of decisions. Elections and log matching are `openraft`'s, the
-//! disk is `redb`'s; what is decided, and whether it may be, is `starlinghill-accord`'s.
+//! disk is `redb`'s; what is decided, and whether it may be, is `starlinghill-failover`'s.
 //!
 //! - [`store`]: a member's file: its identity, vote, log and snapshot, each record with a checksum.
 //! - [`machine`]: the state machine that the log drives.
@@ -14,9 +14,9 @@
 pub mod store;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
-use starlinghill_accord::order::Order;
-use starlinghill_accord::state::{Outcome, State};
-use starlinghill_accord::wire::{Message, Sealed};
+use starlinghill_failover::order::Order;
+use starlinghill_failover::state::{Outcome, State};
+use starlinghill_failover::wire::{Message, Sealed};
 use std::io::Cursor;
 
 /// What stands in the log.
--- a/crates/starlinghill-group/src/machine.rs
+++ b/crates/starlinghill-group/src/machine.rs
@@ -9,9 +9,9 @@
     StorageError, StorageIOError, StoredMembership,
 };
 use serde::{Deserialize, Serialize};
-use starlinghill_accord::directive::{Directives, Told};
-use starlinghill_accord::state::State;
-use starlinghill_accord::wire::{decode, encode};
+use starlinghill_failover::directive::{Directives, Told};
+use starlinghill_failover::state::State;
+use starlinghill_failover::wire::{decode, encode};
 use std::io::Cursor;
 use std::sync::Arc;
 use tokio::sync::watch;
@@ -29,7 +29,7 @@
     /// The same, whole, encoded.
     pub whole: Vec<u8>,
     /// The change that led to it, with the position before, encoded.
-    pub change: Option<(starlinghill_accord::Position, Vec<u8>)>,
+    pub change: Option<(starlinghill_failover::Position, Vec<u8>)>,
 }
 
 /// A snapshot as it is kept.
--- a/crates/starlinghill-group/src/network.rs
+++ b/crates/starlinghill-group/src/network.rs
@@ -13,7 +13,7 @@
 use openraft::{BasicNode, RPCTypes, RaftNetwork, RaftNetworkFactory};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use starlinghill_accord::wire::LONGEST;
+use starlinghill_failover::wire::LONGEST;
 use starlinghill_follow::client::channel;
 use starlinghill_follow::proto::members_client::MembersClient;
 use starlinghill_follow::proto::Frame;
--- a/crates/starlinghill-group/src/store.rs
+++ b/crates/starlinghill-group/src/store.rs
@@ -13,7 +13,7 @@
 use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use starlinghill_accord::state::State;
+use starlinghill_failover::state::State;
 use std::fmt;
 use std::fs::File;
 use std::io;
--- a/crates/starlinghill-group/tests/store.rs
+++ b/crates/starlinghill-group/tests/store.rs
@@ -6,7 +6,7 @@
 use openraft::{RaftLogReader, StorageError, Vote};
 use redb::backends::InMemoryBackend;
 use redb::StorageBackend;
-use starlinghill_accord::order::{Change, Order, What, ZoneOrder};
+use starlinghill_failover::order::{Change, Order, What, ZoneOrder};
 use starlinghill_group::machine::Machine;
 use starlinghill_group::store::{Ident, Store};
 use starlinghill_group::{Record, Recorded, Types};
--- a/crates/starlinghill-operators/tests/group.rs
+++ b/crates/starlinghill-operators/tests/group.rs
@@ -1,6 +1,6 @@
 //! Good and bad sections `[group]`.
 
-use starlinghill_accord::bounds::Timing;
+use starlinghill_failover::bounds::Timing;
 use starlinghill_operators::{parse, Group, Problem};
 use std::path::Path;
 
--- a/crates/starlinghill-testkit/examples/followers.rs
+++ b/crates/starlinghill-testkit/examples/followers.rs
@@ -6,13 +6,13 @@
 
 use clap::Parser;
 use hdrhistogram::Histogram;
-use starlinghill_accord::follower::{Mode, View};
-use starlinghill_accord::order::{Change, Order, Ramp, What, ZoneOrder};
-use starlinghill_accord::state::Outcome;
-use starlinghill_accord::{Position, WHOLE};
 use starlinghill_control::following;
 use starlinghill_evidence::report::Report;
 use starlinghill_evidence::sums::Sums;
+use starlinghill_failover::follower::{Mode, View};
+use starlinghill_failover::order::{Change, Order, Ramp, What, ZoneOrder};
+use starlinghill_failover::state::Outcome;
+use starlinghill_failover::{Position, WHOLE};
 use starlinghill_follow::client::give;
 use starlinghill_follow::link::{follow, Evidence};
 use starlinghill_testkit::group::Group;
