--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -3,13 +3,13 @@
 
 use crate::following::{begin, Following, Renew};
 use starlinghill_decision::api::Outcome;
-use starlinghill_evidence::sums::Became;
-use starlinghill_evidence::watch::Watch;
 use starlinghill_failover::Micros;
 use starlinghill_gateway::config::Config;
 use starlinghill_gateway::process::{self, Beside};
 use starlinghill_gateway::watched::Attempted;
 use starlinghill_operators::Group;
+use starlinghill_zone_health::sums::Became;
+use starlinghill_zone_health::watch::Watch;
 use std::error::Error;
 use std::path::Path;
 use std::path::PathBuf;
--- a/crates/starlinghill-control/tests/group.rs
+++ b/crates/starlinghill-control/tests/group.rs
@@ -1,12 +1,12 @@
 //! Groups of real member processes: they are killed, stopped, cut from each other and lose their disks.
 
-use starlinghill_evidence::report::Report;
-use starlinghill_evidence::sums::Sums;
 use starlinghill_failover::follower::{Mode, View};
 use starlinghill_follow::client::look;
 use starlinghill_follow::link::{follow, Evidence};
 use starlinghill_testkit::group::{Group, LIMIT};
 use starlinghill_testkit::processes::Process;
+use starlinghill_zone_health::report::Report;
+use starlinghill_zone_health::sums::Sums;
 use std::path::Path;
 use std::process::Output;
 use std::time::Duration;
--- a/crates/starlinghill-follow/src/link.rs
+++ b/crates/starlinghill-follow/src/link.rs
@@ -4,12 +4,12 @@
 
 use crate::proto::group_client::GroupClient;
 use crate::proto::{down, up, At, Hello, Question, Up};
-use starlinghill_evidence::report::Report;
 use starlinghill_failover::bounds::Timing;
 use starlinghill_failover::directive::Told;
 use starlinghill_failover::follower::{Action, Event, Follower, View};
 use starlinghill_failover::wire::{decode, encode, LONGEST};
 use starlinghill_failover::{Micros, Position};
+use starlinghill_zone_health::report::Report;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/starlinghill-follow/src/report.rs
+++ b/crates/starlinghill-follow/src/report.rs
@@ -1,10 +1,10 @@
 //! What a member tells operators, and what operators may change of the group itself.
 
 use serde::{Deserialize, Serialize};
-use starlinghill_evidence::report::Report as Evidence;
 use starlinghill_failover::state::State;
 use starlinghill_failover::wire::Message;
 use starlinghill_failover::Position;
+use starlinghill_zone_health::report::Report as Evidence;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/starlinghill-testkit/examples/followers.rs
+++ b/crates/starlinghill-testkit/examples/followers.rs
@@ -7,8 +7,6 @@
 use clap::Parser;
 use hdrhistogram::Histogram;
 use starlinghill_control::following;
-use starlinghill_evidence::report::Report;
-use starlinghill_evidence::sums::Sums;
 use starlinghill_failover::follower::{Mode, View};
 use starlinghill_failover::order::{Change, Order, Ramp, What, ZoneOrder};
 use starlinghill_failover::state::Outcome;
@@ -17,6 +15,8 @@
 use starlinghill_follow::link::{follow, Evidence};
 use starlinghill_testkit::group::Group;
 use starlinghill_testkit::processes::used;
+use starlinghill_zone_health::report::Report;
+use starlinghill_zone_health::sums::Sums;
 use std::error::Error;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/starlinghill-evidence/tests/watch.rs
+++ b/crates/starlinghill-zone-health/tests/watch.rs
@@ -1,9 +1,9 @@
 //! One gateway's counts over time.
 
-use starlinghill_evidence::report::{Report, Unusable};
-use starlinghill_evidence::sums::{Became, Sight, Sums};
-use starlinghill_evidence::watch::Watch;
 use starlinghill_failover::Micros;
+use starlinghill_zone_health::report::{Report, Unusable};
+use starlinghill_zone_health::sums::{Became, Sight, Sums};
+use starlinghill_zone_health::watch::Watch;
 
 fn secs(s: f64) -> Micros {
     Micros((s * 1e6) as u64)
