--- a/crates/starlinghill-control/src/following.rs
+++ b/crates/starlinghill-control/src/following.rs
@@ -5,7 +5,7 @@
 use starlinghill_failover::follower::View;
 use starlinghill_failover::map::{is_name, MapProblem};
 use starlinghill_failover::WHOLE;
-use starlinghill_follow::link::{follow, Evidence, Settings};
+use starlinghill_failover_client::link::{follow, Evidence, Settings};
 use starlinghill_gateway::Parts;
 use starlinghill_operators::Group;
 use tokio::sync::watch;
--- a/crates/starlinghill-control/tests/clocks.rs
+++ b/crates/starlinghill-control/tests/clocks.rs
@@ -4,7 +4,7 @@
 
 use starlinghill_failover::bounds::Timing;
 use starlinghill_failover::Micros;
-use starlinghill_follow::wall;
+use starlinghill_failover_client::wall;
 use starlinghill_testkit::failover::{Fault, Fleet};
 use starlinghill_testkit::group::LIMIT;
 use starlinghill_testkit::history::wrongs;
--- a/crates/starlinghill-control/tests/group.rs
+++ b/crates/starlinghill-control/tests/group.rs
@@ -1,8 +1,8 @@
 //! Groups of real member processes: they are killed, stopped, cut from each other and lose their disks.
 
 use starlinghill_failover::follower::{Mode, View};
-use starlinghill_follow::client::look;
-use starlinghill_follow::link::{follow, Evidence};
+use starlinghill_failover_client::client::look;
+use starlinghill_failover_client::link::{follow, Evidence};
 use starlinghill_testkit::group::{Group, LIMIT};
 use starlinghill_testkit::processes::Process;
 use starlinghill_zone_health::report::Report;
--- a/crates/starlinghill-group/src/serve.rs
+++ b/crates/starlinghill-group/src/serve.rs
@@ -8,10 +8,12 @@
 use starlinghill_failover::order::Order;
 use starlinghill_failover::wire::{decode, encode, LONGEST, LONGEST_ORDER};
 use starlinghill_failover::Position;
-use starlinghill_follow::proto::group_server::{Group, GroupServer};
-use starlinghill_follow::proto::members_server::{Members, MembersServer};
-use starlinghill_follow::proto::{down, up, Answer, Down, Frame, Hello, LookRequest, Question, Sealed, Up};
-use starlinghill_follow::report::{Manage, Report, Subscriber, PAGE};
+use starlinghill_failover_client::proto::group_server::{Group, GroupServer};
+use starlinghill_failover_client::proto::members_server::{Members, MembersServer};
+use starlinghill_failover_client::proto::{
+    down, up, Answer, Down, Frame, Hello, LookRequest, Question, Sealed, Up,
+};
+use starlinghill_failover_client::report::{Manage, Report, Subscriber, PAGE};
 use starlinghill_zone_health::report::Report as Evidence;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -369,7 +371,9 @@
         {
             let mut known = self.service.known();
             let mode: String = question.mode.chars().take(16).collect();
-            let at = |at: Option<starlinghill_follow::proto::At>| at.map(Position::from).unwrap_or_default();
+            let at = |at: Option<starlinghill_failover_client::proto::At>| {
+                at.map(Position::from).unwrap_or_default()
+            };
             let own = known.get(&self.hello.name).filter(|k| k.serial == self.serial);
             let evidence = evidence.or_else(|| own.and_then(|k| k.evidence.clone()));
             let new = Known {
--- a/crates/starlinghill-testkit/src/failover.rs
+++ b/crates/starlinghill-testkit/src/failover.rs
@@ -8,7 +8,7 @@
 use crate::processes::Process;
 use crate::world::{self, Discovery, Stub};
 use serde::{Deserialize, Serialize};
-use starlinghill_follow::wall;
+use starlinghill_failover_client::wall;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
