--- a/crates/starlinghill-decision/src/admission.rs
+++ b/crates/starlinghill-decision/src/admission.rs
@@ -8,8 +8,8 @@
 use crate::customer::{quota_of, span, Customer};
 use crate::repeats::{Refusal, Repeats};
 use starlinghill_estimate::asking::Asking;
-use starlinghill_ledger::shares::Exchange;
-use starlinghill_ledger::usual::Usual;
+use starlinghill_rate_limit::shares::Exchange;
+use starlinghill_rate_limit::usual::Usual;
 use std::collections::{BTreeMap, VecDeque};
 
 /// The share of repeats that ask is the share of first tries to this power.
--- a/crates/starlinghill-decision/src/api.rs
+++ b/crates/starlinghill-decision/src/api.rs
@@ -2,7 +2,7 @@
 //!
 //! Nothing here decides. Ids carry no meaning beyond equality and order.
 
-pub use starlinghill_ledger::{Allowance, Micros};
+pub use starlinghill_rate_limit::{Allowance, Micros};
 
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident, $inner:ty) => {
--- a/crates/starlinghill-decision/src/calls.rs
+++ b/crates/starlinghill-decision/src/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the counter whose answers are still to come. Nothing here decides.
 
 use crate::api::*;
-use starlinghill_ledger::tally::{Fate, Post};
+use starlinghill_rate_limit::tally::{Fate, Post};
 
 /// What a count is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/starlinghill-decision/src/counter.rs
+++ b/crates/starlinghill-decision/src/counter.rs
@@ -7,7 +7,7 @@
 use crate::calls::{fate, Call, Purpose};
 use crate::context::Context;
 use crate::customer::{demand_span, quota_of, span, split, store_name, window, EPOCH, WINDOW};
-use starlinghill_ledger::account::Total;
+use starlinghill_rate_limit::account::Total;
 
 /// A gateway that heard nothing of a customer for this long is one of those that let it through unasked.
 const STRANGER: Micros = Micros(5_000_000);
--- a/crates/starlinghill-decision/src/customer.rs
+++ b/crates/starlinghill-decision/src/customer.rs
@@ -7,13 +7,13 @@
 use crate::context::Context;
 use crate::repeats::Refusal;
 use starlinghill_estimate::asking::Asking;
-use starlinghill_ledger::account::Account;
-use starlinghill_ledger::allowance::UNTOLD_SHARE;
-use starlinghill_ledger::ceiling::{Split, Turns};
-use starlinghill_ledger::demand::{Demand, SPAN};
-use starlinghill_ledger::flow::Flow;
-use starlinghill_ledger::shares::Shares;
-use starlinghill_ledger::Quota;
+use starlinghill_rate_limit::account::Account;
+use starlinghill_rate_limit::allowance::UNTOLD_SHARE;
+use starlinghill_rate_limit::ceiling::{Split, Turns};
+use starlinghill_rate_limit::demand::{Demand, SPAN};
+use starlinghill_rate_limit::flow::Flow;
+use starlinghill_rate_limit::shares::Shares;
+use starlinghill_rate_limit::Quota;
 
 /// Life of one count of attempts out, so that what a killed gateway held is forgotten.
 pub(crate) const EPOCH: Micros = Micros(5_000_000);
--- a/crates/starlinghill-decision/src/lib.rs
+++ b/crates/starlinghill-decision/src/lib.rs
@@ -6,7 +6,7 @@
 //! `guards`, `health`, `zones`, `thin`, `choice`, `admission`, `sharing`, `scattered`, `attempts`. The others keep
 //! the books: `api` (the interface), `bucket`, `calls`, `repeats`, `server`, `context`, `customer`, `request`,
 //! `roster`, `services`, `counter`, `messages`, `lifecycle`, `learned`, `fleet_view`. Estimates stand in
-//! `starlinghill_estimate`, quotas' stores, tallies and ceilings in `starlinghill_ledger`.
+//! `starlinghill_estimate`, quotas' stores, tallies and ceilings in `starlinghill_rate_limit`.
 
 pub mod api;
 
--- a/crates/starlinghill-decision/src/messages.rs
+++ b/crates/starlinghill-decision/src/messages.rs
@@ -6,7 +6,7 @@
 use crate::api::*;
 use crate::context::Context;
 use crate::customer::{others, set_beyond, settle, span, Customer, WINDOW};
-use starlinghill_ledger::shares::{decode, spare, Given, Said, WHOLE};
+use starlinghill_rate_limit::shares::{decode, spare, Given, Said, WHOLE};
 
 /// Part of what the others take in that one gateway sends.
 const BUDGET: f64 = 0.8;
--- a/crates/starlinghill-decision/src/scattered.rs
+++ b/crates/starlinghill-decision/src/scattered.rs
@@ -1,6 +1,6 @@
 //! Customers that come through many gateways. None of these sees enough of a customer to follow its store,
 //! and all of them together ask more often than a counter answers: what is asked for is counted by samples,
-//! and each gateway lets through the part of it that the quota bears (`starlinghill_ledger::demand`).
+//! and each gateway lets through the part of it that the quota bears (`starlinghill_rate_limit::demand`).
 //!
 //! A hard ceiling does not rest on samples. A part of it is split evenly over the customer's gateways; what
 //! a gateway lacks it may take from the rest, of which so much may be taken in each short turn, by a count
@@ -14,9 +14,9 @@
 use crate::context::Context;
 use crate::customer::{demand_span, name_of, quota_of, split};
 use starlinghill_estimate::LEAST_PART;
-use starlinghill_ledger::ceiling::Split;
-use starlinghill_ledger::demand::SPAN;
-use starlinghill_ledger::usual::Usual;
+use starlinghill_rate_limit::ceiling::Split;
+use starlinghill_rate_limit::demand::SPAN;
+use starlinghill_rate_limit::usual::Usual;
 
 /// Gateways of a fleet in which customers are counted so. Not by a customer's own spread: what one counter
 /// bears is shared by all.
--- a/crates/starlinghill-decision/src/sharing.rs
+++ b/crates/starlinghill-decision/src/sharing.rs
@@ -6,7 +6,7 @@
 use crate::bucket::TokenBucket;
 use crate::context::Context;
 use crate::customer::{others, quota_of, set_beyond, settle};
-use starlinghill_ledger::shares::by_flows;
+use starlinghill_rate_limit::shares::by_flows;
 
 /// Part of its quota that a customer is taken to use elsewhere before anything was heard of it, while the
 /// counter does not say nothing altogether, and how many times what other gateways were seen to need is
--- a/crates/starlinghill-estimate/src/asking.rs
+++ b/crates/starlinghill-estimate/src/asking.rs
@@ -1,7 +1,7 @@
 //! How many requests ask the shared counter: all where it bears that, a part where calls fail or queue.
 
 use crate::LEAST_PART;
-use starlinghill_ledger::Micros;
+use starlinghill_rate_limit::Micros;
 
 /// The share is cut by a failed call and a little by an answer that queued for more than half of the time there is, raised by each
 /// other answer, and never below `LEAST_PART`. Raised by as much whatever it is, so that gateways come to equal shares of a
--- a/crates/starlinghill-estimate/src/borne.rs
+++ b/crates/starlinghill-estimate/src/borne.rs
@@ -1,6 +1,6 @@
 //! What servers were seen to bear from this gateway, which is the measure for cold ones.
 
-use starlinghill_ledger::Micros;
+use starlinghill_rate_limit::Micros;
 
 /// Time over which what warm servers bear is averaged.
 const SPAN: f64 = 10.0;
--- a/crates/starlinghill-estimate/src/throttle.rs
+++ b/crates/starlinghill-estimate/src/throttle.rs
@@ -2,7 +2,7 @@
 //! little more goes on than came back in time of late.
 
 use crate::LEAST_PART;
-use starlinghill_ledger::Micros;
+use starlinghill_rate_limit::Micros;
 
 /// Time over which requests are counted, in seconds. Shorter forgets overload between two of its answers.
 const SPAN: f64 = 5.0;
--- a/crates/starlinghill-estimate/tests/estimates.rs
+++ b/crates/starlinghill-estimate/tests/estimates.rs
@@ -4,7 +4,7 @@
 use starlinghill_estimate::borne::Borne;
 use starlinghill_estimate::throttle::Throttle;
 use starlinghill_estimate::LEAST_PART;
-use starlinghill_ledger::Micros;
+use starlinghill_rate_limit::Micros;
 
 fn ms(n: u64) -> Micros {
     Micros(n * 1_000)
--- a/crates/starlinghill-maintenance/src/book.rs
+++ b/crates/starlinghill-maintenance/src/book.rs
@@ -1,7 +1,7 @@
 //! The book of orders: which backends staff took out, which they called back, and when.
 
 use serde::{Deserialize, Serialize};
-use starlinghill_ledger::Micros;
+use starlinghill_rate_limit::Micros;
 use std::collections::BTreeMap;
 
 /// The most orders a book holds. Guards memory against calls without end; backends called back longest ago give way.
--- a/crates/starlinghill-maintenance/tests/book.rs
+++ b/crates/starlinghill-maintenance/tests/book.rs
@@ -1,7 +1,7 @@
 //! The book of orders and the list under it, by seeded histories.
 
-use starlinghill_ledger::Micros;
 use starlinghill_maintenance::{Book, BookError, Roster, LONGEST_ID, MOST_ORDERS};
+use starlinghill_rate_limit::Micros;
 use starlinghill_settings::members::{Member, MemberList, Phase};
 
 fn member(id: &str, phase: Phase, up_since_ms: u64) -> Member {
--- a/crates/starlinghill-quota-counter/src/audit.rs
+++ b/crates/starlinghill-quota-counter/src/audit.rs
@@ -5,7 +5,7 @@
 //! allow in eleven tenths of a window, so that a violation that is counted is one. What gateways that are cut off use by
 //! their shares is not seen here, but kept free for them (`Store::reserve`).
 
-use starlinghill_ledger::{Allowance, Quota};
+use starlinghill_rate_limit::{Allowance, Quota};
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/starlinghill-quota-counter/src/bound.rs
+++ b/crates/starlinghill-quota-counter/src/bound.rs
@@ -1,7 +1,7 @@
 //! What can go on in all, as a function of the settings: what tests and pages go by.
 
-use starlinghill_ledger::allowance::UNTOLD_SHARE;
-use starlinghill_ledger::{Allowance, Quota};
+use starlinghill_rate_limit::allowance::UNTOLD_SHARE;
+use starlinghill_rate_limit::{Allowance, Quota};
 
 /// The part of the rates at which stores fill while so many of all gateways are silent: each of those may be deciding by
 /// itself, by its share.
--- a/crates/starlinghill-quota-counter/src/lib.rs
+++ b/crates/starlinghill-quota-counter/src/lib.rs
@@ -30,7 +30,7 @@
 pub use debts::{Debts, DrawEnd};
 pub use loads::{Listed, Loads, Room, Seen, Word};
 pub use readings::Readings;
-pub use starlinghill_ledger::{Allowance, Quota};
+pub use starlinghill_rate_limit::{Allowance, Quota};
 
 use bitcode::{Decode, Encode};
 use recalled::RecalledShares;
--- a/crates/starlinghill-quota-counter/src/store.rs
+++ b/crates/starlinghill-quota-counter/src/store.rs
@@ -3,7 +3,7 @@
 use crate::audit::Audit;
 use crate::bound::{even_share, fill_part_of, own_share, untold_share};
 use crate::Draw;
-use starlinghill_ledger::{Allowance, Quota};
+use starlinghill_rate_limit::{Allowance, Quota};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
--- a/crates/starlinghill-quota-counter/tests/quota.rs
+++ b/crates/starlinghill-quota-counter/tests/quota.rs
@@ -1,10 +1,10 @@
 //! Tenants' requests over gateways that reach the counter or do not, while that moves: histories checked against the bound.
 
-use starlinghill_ledger::{Allowance, Quota};
 use starlinghill_quota_counter::{
     fill_part, most_after_losses, most_in, own_share, Debts, Draw, Gauge, Reading, Readings, Troubles,
     RECALL, SILENT,
 };
+use starlinghill_rate_limit::{Allowance, Quota};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use test_case::test_case;
--- a/crates/starlinghill-ledger/tests/account.rs
+++ b/crates/starlinghill-rate-limit/tests/account.rs
@@ -1,8 +1,8 @@
 //! One customer's account: calls that come back in time, after their window, or to a counter that has lost what it held.
 
-use starlinghill_ledger::account::{Account, Heard, Total};
-use starlinghill_ledger::tally::Fate;
-use starlinghill_ledger::{Micros, Quota};
+use starlinghill_rate_limit::account::{Account, Heard, Total};
+use starlinghill_rate_limit::tally::Fate;
+use starlinghill_rate_limit::{Micros, Quota};
 
 const QUOTA: Quota = Quota { rate: 10.0, burst: 50.0 };
 
@@ -74,5 +74,5 @@
     assert_eq!(post.amount, 3.0);
     account.places.spend(1.0);
     assert_eq!(account.places_counted(&post, 7.0), 8.0);
-    assert!(!account.places.came_back(&starlinghill_ledger::tally::Post::of(9, 1.0), Fate::Counted));
+    assert!(!account.places.came_back(&starlinghill_rate_limit::tally::Post::of(9, 1.0), Fate::Counted));
 }
--- a/crates/starlinghill-ledger/tests/ceiling.rs
+++ b/crates/starlinghill-rate-limit/tests/ceiling.rs
@@ -1,7 +1,7 @@
 //! A hard ceiling over many gateways, by parts and turns, with calls that come late or get lost.
 
-use starlinghill_ledger::ceiling::{Split, Turns};
-use starlinghill_ledger::{Micros, Quota};
+use starlinghill_rate_limit::ceiling::{Split, Turns};
+use starlinghill_rate_limit::{Micros, Quota};
 use std::collections::BTreeMap;
 
 /// How long a call may take.
--- a/crates/starlinghill-ledger/tests/demand.rs
+++ b/crates/starlinghill-rate-limit/tests/demand.rs
@@ -1,7 +1,7 @@
 //! What follows from totals of demand, heard once or one after another.
 
-use starlinghill_ledger::demand::{Demand, SPAN};
-use starlinghill_ledger::{Micros, Quota};
+use starlinghill_rate_limit::demand::{Demand, SPAN};
+use starlinghill_rate_limit::{Micros, Quota};
 
 const MS: u64 = 1_000;
 const QUOTA: Quota = Quota { rate: 10.0, burst: 20.0 };
--- a/crates/starlinghill-ledger/tests/shares.rs
+++ b/crates/starlinghill-rate-limit/tests/shares.rs
@@ -1,8 +1,8 @@
 //! Parts of a quota that move between gateways: whatever happens to messages and gateways, all of them together never hold
 //! more than the whole, nor spend more than its rate and burst.
 
-use starlinghill_ledger::shares::*;
-use starlinghill_ledger::Micros;
+use starlinghill_rate_limit::shares::*;
+use starlinghill_rate_limit::Micros;
 
 const RATE: f64 = 10.0;
 const BURST: f64 = 20.0;
@@ -184,7 +184,7 @@
     world
 }
 
-/// How many histories are played; a longer run by `HISTORIES=1000000 cargo test --release -p starlinghill-ledger`.
+/// How many histories are played; a longer run by `HISTORIES=1000000 cargo test --release -p starlinghill-rate-limit`.
 fn histories() -> u64 {
     std::env::var("HISTORIES").ok().and_then(|n| n.parse().ok()).unwrap_or(100_000)
 }
--- a/crates/starlinghill-ledger/tests/store.rs
+++ b/crates/starlinghill-rate-limit/tests/store.rs
@@ -1,6 +1,6 @@
 //! A store followed by several gateways at once, over all interleavings, edges, kills and give-backs.
 
-use starlinghill_ledger::{Micros, Quota, Store, Told};
+use starlinghill_rate_limit::{Micros, Quota, Store, Told};
 
 /// A total whose call was made after all that was heard.
 fn told(span: (u64, Micros), now: Micros, total: f64, own: f64, fresh: f64) -> Told {
--- a/crates/starlinghill-ledger/tests/tally.rs
+++ b/crates/starlinghill-rate-limit/tests/tally.rs
@@ -1,7 +1,7 @@
 //! A gateway's side of a shared count, against a counter that loses, delays and forgets calls.
 
-use starlinghill_ledger::tally::{Fate, Post, Tally};
-use starlinghill_ledger::Micros;
+use starlinghill_rate_limit::tally::{Fate, Post, Tally};
+use starlinghill_rate_limit::Micros;
 
 #[test]
 fn each_unit_is_told_once_whatever_becomes_of_the_calls() {
--- a/crates/starlinghill-runtime/src/settings.rs
+++ b/crates/starlinghill-runtime/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::check::{At, Fault, Faults};
 use simd_json::OwnedValue;
 use snafu::{ResultExt, Snafu};
-use starlinghill_ledger::Allowance;
+use starlinghill_rate_limit::Allowance;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
