--- a/crates/starlinghill-view/tests/fleet.rs
+++ b/crates/starlinghill-control-state/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! The picture of the fleet: what news, silence, time and reports make of it.
 
+use starlinghill_control_state::fleet::*;
+use starlinghill_control_state::routes::{routes, RetryOn};
 use starlinghill_decision::api::*;
 use starlinghill_settings::members::{Member, MemberList, Phase};
 use starlinghill_settings::Site;
-use starlinghill_view::fleet::*;
-use starlinghill_view::routes::{routes, RetryOn};
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
--- a/crates/starlinghill-view/tests/ledger.rs
+++ b/crates/starlinghill-control-state/tests/ledger.rs
@@ -1,8 +1,8 @@
 //! The ledger against holders that use all they can, over a network that loses, delays and cuts, and a service
 //! that is killed: whatever happens, no customer gets more through than its quota's own bucket lets pass.
 
+use starlinghill_control_state::ledger::*;
 use starlinghill_decision::api::*;
-use starlinghill_view::ledger::*;
 use std::collections::BTreeMap;
 
 const MS: u64 = 1_000;
--- a/crates/starlinghill-control/src/lib.rs
+++ b/crates/starlinghill-control/src/lib.rs
@@ -4,14 +4,14 @@
 pub mod following;
 pub mod program;
 
+use starlinghill_control_state::fleet::Place;
+use starlinghill_control_state::ledger::LedgerSettings;
 use starlinghill_decision::api::{Micros, PlanId, SettingsError};
 use starlinghill_failover::map::{Map, MapProblem, Zone};
 use starlinghill_gateway::config::{Config, Upstreams};
 use starlinghill_gateway::discovery::{self, Follower, Source};
 use starlinghill_operators::{Control, Group, Problem, Quotas};
 use starlinghill_settings::Site;
-use starlinghill_view::fleet::Place;
-use starlinghill_view::ledger::LedgerSettings;
 use starlinghill_xds::hub::{self, Hub, News};
 use starlinghill_xds::resources::{QuotaWiring, Wiring};
 use starlinghill_xds::server::{Limits, Service};
--- a/crates/starlinghill-xds/src/hub.rs
+++ b/crates/starlinghill-xds/src/hub.rs
@@ -2,12 +2,12 @@
 //! moment. Streams take the newest state when they have room, so no slow one keeps others from it.
 
 use crate::resources::{self, Kind, ResourceSet, TypeSet, Wiring, KINDS};
+use starlinghill_control_state::fleet::{Fleet, Observed, Picture, Place};
+use starlinghill_control_state::ledger::{Ledger, LedgerSettings};
+use starlinghill_control_state::routes::routes;
 use starlinghill_decision::api::{Micros, PlanId, SettingsError, ZonePart};
 use starlinghill_settings::members::MemberList;
 use starlinghill_settings::Site;
-use starlinghill_view::fleet::{Fleet, Observed, Picture, Place};
-use starlinghill_view::ledger::{Ledger, LedgerSettings};
-use starlinghill_view::routes::routes;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/starlinghill-xds/src/server.rs
+++ b/crates/starlinghill-xds/src/server.rs
@@ -21,9 +21,9 @@
 use envoy_types::pb::envoy::service::rate_limit_quota::v3 as rlqs;
 use envoy_types::pb::google::protobuf::{Duration as ProtoDuration, UInt32Value};
 use rlqs::rate_limit_quota_service_server::{RateLimitQuotaService, RateLimitQuotaServiceServer};
+use starlinghill_control_state::fleet::Observed;
+use starlinghill_control_state::ledger::{Assignment, BucketKey, HolderId, Usage};
 use starlinghill_decision::api::{CustomerId, Micros, PlanId};
-use starlinghill_view::fleet::Observed;
-use starlinghill_view::ledger::{Assignment, BucketKey, HolderId, Usage};
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/starlinghill-xds/tests/resources.rs
+++ b/crates/starlinghill-xds/tests/resources.rs
@@ -13,9 +13,9 @@
 };
 use envoy_types::pb::xds::r#type::matcher::v3::matcher::on_match::OnMatch;
 use prost::Message;
+use starlinghill_control_state::fleet::{Endpoint, Picture, Use};
+use starlinghill_control_state::routes::{ClassRoute, RetryOn};
 use starlinghill_decision::api::Micros;
-use starlinghill_view::fleet::{Endpoint, Picture, Use};
-use starlinghill_view::routes::{ClassRoute, RetryOn};
 use starlinghill_xds::resources::*;
 
 fn wiring(quotas: bool) -> Wiring {
