--- a/crates/starlinghill-control/src/following.rs
+++ b/crates/starlinghill-control/src/following.rs
@@ -7,7 +7,7 @@
 use starlinghill_failover::WHOLE;
 use starlinghill_failover_client::link::{follow, Evidence, Settings};
 use starlinghill_gateway::Parts;
-use starlinghill_operators::Group;
+use starlinghill_operator_config::Group;
 use tokio::sync::watch;
 use tracing::{info, warn};
 
--- a/crates/starlinghill-control/src/lib.rs
+++ b/crates/starlinghill-control/src/lib.rs
@@ -10,7 +10,7 @@
 use starlinghill_failover::map::{Map, MapProblem, Zone};
 use starlinghill_gateway::config::{Config, Upstreams};
 use starlinghill_gateway::discovery::{self, Follower, Source};
-use starlinghill_operators::{Control, Group, Problem, Quotas};
+use starlinghill_operator_config::{Control, Group, Problem, Quotas};
 use starlinghill_settings::Site;
 use starlinghill_xds::hub::{self, Hub, News};
 use starlinghill_xds::resources::{QuotaWiring, Wiring};
@@ -78,7 +78,7 @@
 pub fn prepare(path: &Path) -> Result<Prepared, Vec<Problem>> {
     let file = path.display().to_string();
     let problem = |line, key: &str, what: String| Problem { file: file.clone(), line, key: key.into(), what };
-    let operators = starlinghill_operators::read(path)?;
+    let operators = starlinghill_operator_config::read(path)?;
     let Some(control) = operators.control else {
         return Err(vec![problem(0, "control", "expected a section [control], found nothing".into())]);
     };
@@ -143,7 +143,7 @@
         units_header: q.units_header.clone(),
         interval: micros(q.interval),
     };
-    let proxy = |p: &starlinghill_operators::Proxy| hub::Proxy { id: p.id.clone(), listen: p.listen };
+    let proxy = |p: &starlinghill_operator_config::Proxy| hub::Proxy { id: p.id.clone(), listen: p.listen };
     let rank = |map: &Map, region: &String| map.regions.iter().position(|r| r == region).unwrap_or(0) as u32;
     let places = group.map(|group| {
         let zones = group.map.zones.iter();
--- a/crates/starlinghill-control/src/program.rs
+++ b/crates/starlinghill-control/src/program.rs
@@ -15,7 +15,7 @@
 use starlinghill_control_state::routes::routes;
 use starlinghill_gateway::config::Upstreams;
 use starlinghill_gateway::discovery::{self, Follower, Source};
-use starlinghill_operators::Problem;
+use starlinghill_operator_config::Problem;
 use starlinghill_settings::members::MemberList;
 use starlinghill_signals::{Signals, Told};
 use starlinghill_xds::hub::{publish, Clock};
@@ -161,7 +161,7 @@
 
 /// Checks each section that there is, and prints the bounds that follow from the group's times.
 fn check(file: &Path) -> Result<(), Box<dyn Error>> {
-    let operators = starlinghill_operators::read(file).map_err(told)?;
+    let operators = starlinghill_operator_config::read(file).map_err(told)?;
     if operators.control.is_some() || operators.group.is_none() {
         prepare(file).map_err(told)?;
     }
--- a/crates/starlinghill-control/src/program/group.rs
+++ b/crates/starlinghill-control/src/program/group.rs
@@ -7,7 +7,7 @@
 use starlinghill_failover::state::Outcome;
 use starlinghill_failover_client::client::{give, look_at_all, manage, NotDone};
 use starlinghill_failover_client::report::{Manage, Managed, Report};
-use starlinghill_operators::Group;
+use starlinghill_operator_config::Group;
 use starlinghill_raft::member::Settings;
 use starlinghill_raft::serve::Running;
 use starlinghill_raft::store::Store;
@@ -89,7 +89,7 @@
 
 /// Reads the file, which has to have a group.
 pub fn read(file: &Path) -> Result<Group, String> {
-    let operators = starlinghill_operators::read(file)
+    let operators = starlinghill_operator_config::read(file)
         .map_err(|problems| problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))?;
     let nothing = || format!("{}: group: expected a section [group], found nothing", file.display());
     operators.group.ok_or_else(nothing)
--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -7,7 +7,7 @@
 use starlinghill_gateway::config::Config;
 use starlinghill_gateway::process::{self, Beside};
 use starlinghill_gateway::watched::Attempted;
-use starlinghill_operators::Group;
+use starlinghill_operator_config::Group;
 use starlinghill_zone_health::sums::Became;
 use starlinghill_zone_health::watch::Watch;
 use std::error::Error;
@@ -21,7 +21,7 @@
 
 async fn read_again(file: PathBuf, mut hang_up: Signal, renew: Renew, watch: Arc<Mutex<Watch>>) {
     while hang_up.recv().await.is_some() {
-        match starlinghill_operators::read(&file) {
+        match starlinghill_operator_config::read(&file) {
             Ok(operators) => {
                 renew.renew(operators.group.as_ref());
                 let zones = operators.group.map(|group| group.map.zones.into_keys());
@@ -75,7 +75,7 @@
 /// Runs the gateway until SIGTERM.
 pub fn run(file: &Path) -> ExitCode {
     let done = process::run(|config| {
-        let group = starlinghill_operators::read(file).map_err(super::told)?.group;
+        let group = starlinghill_operator_config::read(file).map_err(super::told)?.group;
         group.map(|group| beside(file, &group, config)).transpose()
     });
     match done {
--- a/crates/starlinghill-control/tests/group.rs
+++ b/crates/starlinghill-control/tests/group.rs
@@ -341,7 +341,8 @@
 async fn when_a_leader_dies_its_followers_come_to_the_others_spread_out_and_miss_nothing() {
     const FOLLOWERS: usize = 1_000;
     let mut group = group(&["a", "b", "c"]).await;
-    let file = starlinghill_operators::read(&group.operators()).expect("a file").group.expect("a group");
+    let file =
+        starlinghill_operator_config::read(&group.operators()).expect("a file").group.expect("a group");
     let mut views = Vec::new();
     for i in 0..FOLLOWERS {
         let (tx, rx) = tokio::sync::watch::channel(View::of_own_sight());
@@ -449,7 +450,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn what_a_gateway_says_of_zones_is_kept_within_bounds_and_nonsense_ends_no_stream() {
     let group = group(&["a"]).await;
-    let file = starlinghill_operators::read(&group.operators()).expect("a file").group.expect("a group");
+    let file =
+        starlinghill_operator_config::read(&group.operators()).expect("a file").group.expect("a group");
     let good = Sums { answered: 90, late: 2, ..Sums::default() };
     let absurd = Sums { answered: 1, late: 2, ..Sums::default() };
     let said = [
--- a/crates/starlinghill-operators/tests/control.rs
+++ b/crates/starlinghill-operator-config/tests/control.rs
@@ -1,6 +1,6 @@
 //! Good and bad operators' files.
 
-use starlinghill_operators::{parse, Operators, Problem};
+use starlinghill_operator_config::{parse, Operators, Problem};
 use std::path::Path;
 use std::time::Duration;
 
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_file_that_is_not_there_is_told_by_its_name() {
-    let problems = starlinghill_operators::read(Path::new("no/such/file.toml")).expect_err("not there");
+    let problems = starlinghill_operator_config::read(Path::new("no/such/file.toml")).expect_err("not there");
     assert!(problems[0].to_string().starts_with("no/such/file.toml: "), "{}", problems[0]);
 }
 
--- a/crates/starlinghill-operators/tests/group.rs
+++ b/crates/starlinghill-operator-config/tests/group.rs
@@ -1,7 +1,7 @@
 //! Good and bad sections `[group]`.
 
 use starlinghill_failover::bounds::Timing;
-use starlinghill_operators::{parse, Group, Problem};
+use starlinghill_operator_config::{parse, Group, Problem};
 use std::path::Path;
 
 const GOOD: &str = "[group]\nname = \"campus\"\nregions = [\"east\"]\nmembers = [\n  \
--- a/crates/starlinghill-testkit/examples/followers.rs
+++ b/crates/starlinghill-testkit/examples/followers.rs
@@ -91,7 +91,7 @@
     let program: PathBuf = std::env::current_exe()?;
     let mut group = Group::new(&program, &["a", "b", "c"], 1).await;
     tokio::task::block_in_place(|| group.begin());
-    let file = starlinghill_operators::read(&group.operators()).map_err(|p| format!("{p:?}"))?;
+    let file = starlinghill_operator_config::read(&group.operators()).map_err(|p| format!("{p:?}"))?;
     let settings = file.group.ok_or("no group")?;
     let members = group.listen.clone();
     let pids: Vec<u32> = group.members.iter().filter_map(|m| m.pid()).collect();
