--- a/crates/starlinghill-consensus/src/lib.rs
+++ b/crates/starlinghill-consensus/src/lib.rs
@@ -14,11 +14,11 @@
 //! No I/O and no clock: [`Voter`] answers questions and says what must be on disk first, [`Round`] is one attempt to agree.
 
 mod members;
-mod round;
+mod proposer;
 mod voter;
 
 pub use members::{has_majority, Member, MemberChange, Members, MembersRefusal};
-pub use round::{Round, Step};
+pub use proposer::{Round, Step};
 pub use voter::{Kept, Save, Voter};
 
 use bitcode::{Decode, Encode};
