--- a/crates/starlinghill-consensus/src/lib.rs
+++ b/crates/starlinghill-consensus/src/lib.rs
@@ -13,13 +13,13 @@
 //!
 //! No I/O and no clock: [`Voter`] answers questions and says what must be on disk first, [`Round`] is one attempt to agree.
 
+mod acceptor;
 mod members;
 mod proposer;
-mod voter;
 
+pub use acceptor::{Kept, Save, Voter};
 pub use members::{has_majority, Member, MemberChange, Members, MembersRefusal};
 pub use proposer::{Round, Step};
-pub use voter::{Kept, Save, Voter};
 
 use bitcode::{Decode, Encode};
 
