--- a/crates/starlinghill-config-store/src/keeper.rs
+++ b/crates/starlinghill-config-store/src/keeper.rs
@@ -1,7 +1,7 @@
 //! The owner of this store's vote: one task, which works through a queue of questions and has all on disk that must be
 //! there before it answers.
 
-use crate::shelf::{Disk, Order};
+use crate::disk::{Disk, Order};
 use crate::wire::Value;
 use starlinghill_consensus::{Ask, Ballot, Kept, Member, Members, Save, Tell, Voter};
 use starlinghill_runtime::essential::Essentials;
--- a/crates/starlinghill-config-store/src/lib.rs
+++ b/crates/starlinghill-config-store/src/lib.rs
@@ -3,12 +3,12 @@
 
 pub mod admission;
 pub mod agree;
+pub mod disk;
 pub mod keeper;
 pub mod orders;
 pub mod program;
 pub mod recent;
 pub mod records;
 pub mod rules;
-pub mod shelf;
 pub mod usual;
 pub mod wire;
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -1,9 +1,9 @@
 //! The store as a process.
 
 use crate::agree::Stores;
+use crate::disk::{self, Disk, Found, Order, Shelf, ShelfError};
 use crate::keeper::Keeper;
 use crate::rules::Times;
-use crate::shelf::{self, Disk, Found, Order, Shelf, ShelfError};
 use crate::wire::{Answer, Question, Value};
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_config_model::Item;
@@ -85,7 +85,7 @@
     };
     // A store whose files are spoilt has lost them, also at the first start of all.
     let node = Node { first_start: node.first_start && !shelf.is_spoilt(), ..node };
-    store(&node, &net, reread, found, shelf::run(shelf), end).await
+    store(&node, &net, reread, found, disk::run(shelf), end).await
 }
 
 /// Waits for a disk that refuses: to end would change nothing.
--- a/crates/starlinghill-config-store/src/records.rs
+++ b/crates/starlinghill-config-store/src/records.rs
@@ -8,7 +8,7 @@
 //! Each batch ends with a seal: its number, and a digest of all records. A journal whose last batch is torn is read
 //! without it, as nobody was told of that. Where more is missing, or the digest differs, the disk counts as lost.
 
-use crate::shelf::{DiskSnafu, FolderSnafu, ShelfError};
+use crate::disk::{DiskSnafu, FolderSnafu, ShelfError};
 use fjall::{Database, Keyspace, KeyspaceCreateOptions, PersistMode};
 use snafu::ResultExt;
 use std::collections::BTreeMap;
--- a/crates/starlinghill-config-store/tests/shelf.rs
+++ b/crates/starlinghill-config-store/tests/disk.rs
@@ -1,7 +1,7 @@
 //! What is on disk after writes, kills of the process, and files that were cut short.
 
 use starlinghill_config_model::{History, Item, Kind};
-use starlinghill_config_store::shelf::Shelf;
+use starlinghill_config_store::disk::Shelf;
 use starlinghill_config_store::wire::State;
 use starlinghill_consensus::{Ballot, Kept, Member, Members};
 use std::net::IpAddr;
@@ -32,7 +32,7 @@
     State { members: members(), value }
 }
 
-fn open(folder: &Path) -> (Shelf, Option<starlinghill_config_store::shelf::Found>) {
+fn open(folder: &Path) -> (Shelf, Option<starlinghill_config_store::disk::Found>) {
     Shelf::open(folder, members().voters[2].ip).unwrap_or_else(|error| panic!("{error}"))
 }
 
--- a/crates/starlinghill-config-store/tests/records.rs
+++ b/crates/starlinghill-config-store/tests/records.rs
@@ -1,8 +1,8 @@
 //! Disks that refuse, tear, rot, and fill: what a store finds on them afterwards is all that was told, or nothing.
 
 use starlinghill_config_model::{History, Item, Kind};
+use starlinghill_config_store::disk::{self, Found, Order, Shelf};
 use starlinghill_config_store::records::REPLACED_AT;
-use starlinghill_config_store::shelf::{self, Found, Order, Shelf};
 use starlinghill_config_store::wire::State;
 use starlinghill_consensus::{Ballot, Kept, Members};
 use std::fs;
--- a/crates/starlinghill-simulator/src/lives.rs
+++ b/crates/starlinghill-simulator/src/lives.rs
@@ -1,7 +1,7 @@
 //! Processes and disks that are played: a process is one future with all of its tasks inside, so that it can be dropped as
 //! by a kill, or not be looked at as while it is frozen.
 
-use starlinghill_config_store::shelf::{Disk, Found, Order};
+use starlinghill_config_store::disk::{Disk, Found, Order};
 use starlinghill_consensus::Kept;
 use std::cell::RefCell;
 use std::future::Future;
