--- a/crates/starlinghill-config-store/src/agree.rs
+++ b/crates/starlinghill-config-store/src/agree.rs
@@ -1,6 +1,6 @@
 //! Rounds over all members: changes, reads, settling what was left half done, and following what others agree on.
 
-use crate::keeper::Keeper;
+use crate::acceptor::Keeper;
 use crate::orders;
 use crate::recent::Recent;
 use crate::rules::{Sight, Times};
--- a/crates/starlinghill-config-store/src/lib.rs
+++ b/crates/starlinghill-config-store/src/lib.rs
@@ -1,10 +1,10 @@
 //! Foundry: the pattern book holds the patterns that all castings are made from. Here it is the store of configuration:
 //! each core machine keeps all items on its disk, and a majority has a change synced before anybody says that it is taken.
 
+pub mod acceptor;
 pub mod admission;
 pub mod agree;
 pub mod disk;
-pub mod keeper;
 pub mod orders;
 pub mod program;
 pub mod recent;
--- a/crates/starlinghill-config-store/tests/keeper.rs
+++ b/crates/starlinghill-config-store/tests/acceptor.rs
@@ -1,7 +1,7 @@
 //! A disk that refuses, or hangs: what was not kept is not told.
 
+use starlinghill_config_store::acceptor::Keeper;
 use starlinghill_config_store::disk::{Order, ShelfError};
-use starlinghill_config_store::keeper::Keeper;
 use starlinghill_consensus::{Ask, Ballot, Members, State, Tell, Voter};
 use starlinghill_runtime::essential::Essentials;
 use std::net::IpAddr;
