--- a/crates/starlinghill-config-store/src/lib.rs
+++ b/crates/starlinghill-config-store/src/lib.rs
@@ -3,10 +3,10 @@
 
 pub mod acceptor;
 pub mod admission;
-pub mod agree;
 pub mod disk;
 pub mod orders;
 pub mod program;
+pub mod proposer;
 pub mod recent;
 pub mod records;
 pub mod rules;
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -1,8 +1,8 @@
 //! The store as a process.
 
 use crate::acceptor::Keeper;
-use crate::agree::Stores;
 use crate::disk::{self, Disk, Found, Order, Shelf, ShelfError};
+use crate::proposer::Stores;
 use crate::rules::Times;
 use crate::wire::{Answer, Question, Value};
 use snafu::{OptionExt, ResultExt, Snafu};
