--- a/crates/starlinghill-config-store/src/disk.rs
+++ b/crates/starlinghill-config-store/src/disk.rs
@@ -1,7 +1,7 @@
 //! What is on disk: a thread of its own waits for it, so that a disk that hangs holds up nobody but who needs it.
 
+use crate::disk_latency::Usual;
 use crate::records::{Changes, Records};
-use crate::usual::Usual;
 use crate::wire::{State, Value};
 use bitcode::{Decode, Encode};
 use snafu::Snafu;
--- a/crates/starlinghill-config-store/src/lib.rs
+++ b/crates/starlinghill-config-store/src/lib.rs
@@ -4,11 +4,11 @@
 pub mod acceptor;
 pub mod admission;
 pub mod disk;
+pub mod disk_latency;
 pub mod orders;
 pub mod program;
 pub mod proposer;
 pub mod recent;
 pub mod records;
 pub mod rules;
-pub mod usual;
 pub mod wire;
