--- a/crates/starlinghill-config-store/src/lib.rs
+++ b/crates/starlinghill-config-store/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod orders;
 pub mod program;
 pub mod proposer;
-pub mod recent;
+pub mod recent_changes;
 pub mod records;
 pub mod rules;
 pub mod wire;
--- a/crates/starlinghill-config-store/src/proposer.rs
+++ b/crates/starlinghill-config-store/src/proposer.rs
@@ -2,7 +2,7 @@
 
 use crate::acceptor::Keeper;
 use crate::orders;
-use crate::recent::Recent;
+use crate::recent_changes::Recent;
 use crate::rules::{Sight, Times};
 use crate::wire::{Answer, Outcome, Question, State, Value};
 use starlinghill_config_model::Change;
--- a/crates/starlinghill-config-store/tests/recent.rs
+++ b/crates/starlinghill-config-store/tests/recent_changes.rs
@@ -1,7 +1,7 @@
 //! Whoever is told only what changed has all that stands.
 
 use starlinghill_config_model::{Book, History, Item, Kind};
-use starlinghill_config_store::recent::Recent;
+use starlinghill_config_store::recent_changes::Recent;
 use starlinghill_config_store::wire::Value;
 use starlinghill_consensus::Ballot;
 use std::collections::BTreeMap;
