--- a/crates/starlinghill-config-store/src/admission.rs
+++ b/crates/starlinghill-config-store/src/admission.rs
@@ -1,7 +1,7 @@
 //! Who becomes a member: a store that does not vote asks for it, members decide by the rules and agree.
 
+use crate::member_replacement::{decide, Sight};
 use crate::proposer::Stores;
-use crate::rules::{decide, Sight};
 use crate::wire::{Admission, Answer, CoreOrder, Question, Standing, State, Wait};
 use starlinghill_consensus::{Ask, Member, MemberChange, Members, Tell};
 use starlinghill_lease::contact::ORDER_TRIED;
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -2,8 +2,8 @@
 
 use crate::acceptor::Keeper;
 use crate::disk::{self, Disk, Found, Order, Shelf, ShelfError};
+use crate::member_replacement::Times;
 use crate::proposer::Stores;
-use crate::rules::Times;
 use crate::wire::{Answer, Question, Value};
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_config_model::Item;
--- a/crates/starlinghill-config-store/src/proposer.rs
+++ b/crates/starlinghill-config-store/src/proposer.rs
@@ -1,9 +1,9 @@
 //! Rounds over all members: changes, reads, settling what was left half done, and following what others agree on.
 
 use crate::acceptor::Keeper;
+use crate::member_replacement::{Sight, Times};
 use crate::orders;
 use crate::recent_changes::Recent;
-use crate::rules::{Sight, Times};
 use crate::wire::{Answer, Outcome, Question, State, Value};
 use starlinghill_config_model::Change;
 use starlinghill_consensus::{Ask, Ballot, Member, Members, Round, Step, Tell};
