--- a/crates/starlinghill-config-store/src/lib.rs
+++ b/crates/starlinghill-config-store/src/lib.rs
@@ -3,10 +3,10 @@
 
 pub mod acceptor;
 pub mod admission;
+pub mod apply_change;
 pub mod disk;
 pub mod disk_latency;
 pub mod member_replacement;
-pub mod orders;
 pub mod program;
 pub mod proposer;
 pub mod recent_changes;
--- a/crates/starlinghill-config-store/src/proposer.rs
+++ b/crates/starlinghill-config-store/src/proposer.rs
@@ -1,8 +1,8 @@
 //! Rounds over all members: changes, reads, settling what was left half done, and following what others agree on.
 
 use crate::acceptor::Keeper;
+use crate::apply_change;
 use crate::member_replacement::{Sight, Times};
-use crate::orders;
 use crate::recent_changes::Recent;
 use crate::wire::{Answer, Outcome, Question, State, Value};
 use starlinghill_config_model::Change;
@@ -322,11 +322,11 @@
     pub async fn change(self: &Rc<Self>, body: &[u8]) -> Outcome {
         let change = match Change::read(body) {
             Ok(change) => change,
-            Err(refusal) => return orders::refused(refusal),
+            Err(refusal) => return apply_change::refused(refusal),
         };
         let by = Instant::now() + ORDER_TRIED;
         let made = self.agree(by, |base| {
-            let (value, outcome) = orders::take(&base.value, &change);
+            let (value, outcome) = apply_change::take(&base.value, &change);
             (value.map(|value| State { members: base.members.clone(), value }), outcome)
         });
         made.await.unwrap_or(Outcome::Unclear)
--- a/crates/starlinghill-config-store/tests/numbers.rs
+++ b/crates/starlinghill-config-store/tests/numbers.rs
@@ -3,7 +3,7 @@
 //! each number that was ever confirmed, no repeat refused, and in the end what was confirmed is read back.
 
 use starlinghill_config_model::Change;
-use starlinghill_config_store::orders;
+use starlinghill_config_store::apply_change;
 use starlinghill_config_store::wire::{Outcome, State, Value};
 use starlinghill_consensus::{
     Ask, Ballot, Kept, Member, MemberChange, Members, Round, Save, Step, Tell, Voter,
@@ -192,7 +192,7 @@
                 more.into_iter().for_each(|to| self.mail.push_back((to, s, ballot, ask.clone())));
             }
             Step::Base(base, known) => {
-                let (next, outcome) = orders::take(&base.value, &sending.change);
+                let (next, outcome) = apply_change::take(&base.value, &sending.change);
                 if next.is_none() && known {
                     return self.end(s, outcome);
                 }
