--- a/crates/starlinghill-config-store/src/acceptor.rs
+++ b/crates/starlinghill-config-store/src/acceptor.rs
@@ -4,7 +4,7 @@
 use crate::disk::{Disk, Order};
 use crate::wire::Value;
 use starlinghill_consensus::{Ask, Ballot, Kept, Member, Members, Save, Tell, Voter};
-use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::queue::Fill;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -10,7 +10,7 @@
 use starlinghill_consensus::{Member, Members, Voter};
 use starlinghill_lease::contact::Chain;
 use starlinghill_runtime::call::serve;
-use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::net::{self, Net};
 use starlinghill_runtime::settings::{Node, SettingsError};
 use starlinghill_runtime::signals::{Reread, Signals};
--- a/crates/starlinghill-config-store/tests/acceptor.rs
+++ b/crates/starlinghill-config-store/tests/acceptor.rs
@@ -3,7 +3,7 @@
 use starlinghill_config_store::acceptor::Keeper;
 use starlinghill_config_store::disk::{Order, ShelfError};
 use starlinghill_consensus::{Ask, Ballot, Members, State, Tell, Voter};
-use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::essential_tasks::Essentials;
 use std::net::IpAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- a/crates/starlinghill-proxy/src/count.rs
+++ b/crates/starlinghill-proxy/src/count.rs
@@ -6,7 +6,7 @@
 use starlinghill_gateway::inbox::Counted;
 use starlinghill_quota_counter::{Client, Draw, Level, Room, Word, KEEP_IN_TOUCH};
 use starlinghill_registry::wire::{Answer, Question};
-use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::frame::{self, Reader};
 use starlinghill_runtime::net::Net;
 use std::cell::{Cell, RefCell};
--- a/crates/starlinghill-proxy/src/news.rs
+++ b/crates/starlinghill-proxy/src/news.rs
@@ -15,7 +15,7 @@
 use starlinghill_lease::contact::{Chain, LastContact};
 use starlinghill_registry::wire::{Answer, Have, News, Question};
 use starlinghill_runtime::call::Caller;
-use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::net::Net;
 use starlinghill_runtime::settings::Node;
 use starlinghill_runtime::TOOLRACK;
--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -15,7 +15,7 @@
 use starlinghill_gateway::driver::Driver;
 use starlinghill_gateway::inbox::{Clock, Input};
 use starlinghill_gateway::server::{serve, Desk, Intake};
-use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::net::{self, Net};
 use starlinghill_runtime::settings::{Node, SettingsError};
 use starlinghill_runtime::signals::Signals;
--- a/crates/starlinghill-proxy/tests/count.rs
+++ b/crates/starlinghill-proxy/tests/count.rs
@@ -8,7 +8,7 @@
 use starlinghill_proxy::news::nowhere;
 use starlinghill_quota_counter::{Draw, Level, Room};
 use starlinghill_registry::wire::{Answer, Question};
-use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::frame::{self, Reader};
 use starlinghill_runtime::net::tcp;
 use std::cell::Cell;
--- a/crates/starlinghill-registry/src/owner.rs
+++ b/crates/starlinghill-registry/src/owner.rs
@@ -12,7 +12,7 @@
 use starlinghill_lease::{self as holdfast, Holdfast};
 use starlinghill_quota_counter::{Gauge, Listed};
 use starlinghill_rate_limit::Allowance;
-use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::queue::Fill;
 use starlinghill_runtime::settings::Node;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/starlinghill-registry/src/program.rs
+++ b/crates/starlinghill-registry/src/program.rs
@@ -8,7 +8,7 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_lease::contact::Chain;
 use starlinghill_runtime::call;
-use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::net::{self, Listener, Net};
 use starlinghill_runtime::settings::{Node, SettingsError};
 use starlinghill_runtime::signals::Signals;
--- a/crates/starlinghill-runtime/src/lib.rs
+++ b/crates/starlinghill-runtime/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod call;
 pub mod check;
-pub mod essential;
+pub mod essential_tasks;
 pub mod frame;
 pub mod logs;
 pub mod net;
--- a/crates/starlinghill-runtime/tests/essential.rs
+++ b/crates/starlinghill-runtime/tests/essential_tasks.rs
@@ -1,6 +1,6 @@
 //! Tasks that a process can't do without.
 
-use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::essential_tasks::Essentials;
 use std::time::Duration;
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout};
--- a/crates/starlinghill-simulator/src/world.rs
+++ b/crates/starlinghill-simulator/src/world.rs
@@ -9,7 +9,7 @@
 use starlinghill_decision::store_name;
 use starlinghill_gateway::counter::Count;
 use starlinghill_gateway::inbox::{Clock, Input, Listing};
-use starlinghill_runtime::essential::Essentials;
+use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::net::Net;
 use starlinghill_runtime::settings::{Bounds, Node};
 use starlinghill_runtime::{PATTERNBOOK, TOOLRACK, WORKBENCH};
