--- a/crates/starlinghill-console/src/membership.rs
+++ b/crates/starlinghill-console/src/membership.rs
@@ -3,8 +3,8 @@
 use crate::ask::{AskError, Places, PATIENCE};
 use starlinghill_config_store::wire::{Admission, Answer, CoreOrder, Question, Standing, Wait};
 use starlinghill_consensus::{Member, Members};
-use starlinghill_runtime::call::Caller;
 use starlinghill_runtime::net;
+use starlinghill_runtime::rpc::Caller;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 
--- a/crates/starlinghill-registry/src/program.rs
+++ b/crates/starlinghill-registry/src/program.rs
@@ -7,9 +7,9 @@
 use crate::wire::Answer;
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_lease::contact::Chain;
-use starlinghill_runtime::call;
 use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::net::{self, Listener, Net};
+use starlinghill_runtime::rpc;
 use starlinghill_runtime::settings::{Node, SettingsError};
 use starlinghill_runtime::signals::Signals;
 use starlinghill_runtime::{PATTERNBOOK, TOOLRACK};
@@ -98,7 +98,7 @@
             answer.await.unwrap_or(Answer::NotMine(0))
         }
     };
-    essentials.spawn("calls", call::serve(own, node.most_peers(), |_| false, answer));
+    essentials.spawn("calls", rpc::serve(own, node.most_peers(), |_| false, answer));
     tokio::select! {
         biased;
         () = end => {}
--- a/crates/starlinghill-runtime/src/lib.rs
+++ b/crates/starlinghill-runtime/src/lib.rs
@@ -1,7 +1,6 @@
 //! Joinery: a dovetail holds two boards together without glue. Here it is what joins the system's processes: the settings
 //! that each is started with, framed calls between them, and the log lines that all of them write.
 
-pub mod call;
 pub mod check;
 pub mod essential_tasks;
 pub mod frame;
@@ -9,6 +8,7 @@
 pub mod net;
 pub mod program;
 pub mod queue;
+pub mod rpc;
 pub mod settings;
 pub mod signals;
 
--- a/crates/starlinghill-runtime/tests/call.rs
+++ b/crates/starlinghill-runtime/tests/rpc.rs
@@ -1,7 +1,7 @@
 //! How many callers a port takes.
 
-use starlinghill_runtime::call::{serve, Caller};
 use starlinghill_runtime::net::{tcp, Listener};
+use starlinghill_runtime::rpc::{serve, Caller};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, yield_now, LocalSet};
--- a/crates/starlinghill-simulator/src/trouble.rs
+++ b/crates/starlinghill-simulator/src/trouble.rs
@@ -3,7 +3,7 @@
 use crate::play::Run;
 use crate::world::ip;
 use starlinghill_config_store::wire::{Admission, Answer, CoreOrder, Question};
-use starlinghill_runtime::call::Caller;
+use starlinghill_runtime::rpc::Caller;
 use std::net::IpAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/starlinghill-simulator/tests/control.rs
+++ b/crates/starlinghill-simulator/tests/control.rs
@@ -8,7 +8,7 @@
 use hyper::Method;
 use starlinghill_catalog::State;
 use starlinghill_registry::wire::{Answer, Question};
-use starlinghill_runtime::call::Caller;
+use starlinghill_runtime::rpc::Caller;
 use starlinghill_simulator::backends::beat;
 use starlinghill_simulator::check::{Attempt, Held, History, InForce, Items, Order, Read, APPLY};
 use starlinghill_simulator::play::{call, play, Play};
--- a/crates/starlinghill-testkit/src/catch_up.rs
+++ b/crates/starlinghill-testkit/src/catch_up.rs
@@ -3,8 +3,8 @@
 use crate::processes::Process;
 use crate::system::{change, first_items, patch, rule, Machine, System};
 use starlinghill_registry::wire::{Answer, Question};
-use starlinghill_runtime::call::Caller;
 use starlinghill_runtime::net;
+use starlinghill_runtime::rpc::Caller;
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
