--- a/crates/starlinghill-runtime/src/lib.rs
+++ b/crates/starlinghill-runtime/src/lib.rs
@@ -1,7 +1,6 @@
 //! Joinery: a dovetail holds two boards together without glue. Here it is what joins the system's processes: the settings
 //! that each is started with, framed calls between them, and the log lines that all of them write.
 
-pub mod check;
 pub mod essential_tasks;
 pub mod frame;
 pub mod logs;
@@ -11,6 +10,7 @@
 pub mod rpc;
 pub mod settings;
 pub mod signals;
+pub mod validation;
 
 /// The port of the registry for the system's own processes, counted from the first of `local_ports`.
 pub const TOOLRACK: u16 = 0;
--- a/crates/starlinghill-runtime/src/settings.rs
+++ b/crates/starlinghill-runtime/src/settings.rs
@@ -1,6 +1,6 @@
 //! What a process is told at its start: the settings file that `STARLINGHILL_CONFIG` names.
 
-use crate::check::{At, Fault, Faults};
+use crate::validation::{At, Fault, Faults};
 use simd_json::OwnedValue;
 use snafu::{ResultExt, Snafu};
 use starlinghill_rate_limit::Allowance;
