--- a/crates/starlinghill-config-model/src/history.rs
+++ b/crates/starlinghill-config-model/src/history.rs
@@ -8,7 +8,7 @@
 /// The most that all items together remember: at 7,300 changes a day nine days, in 1 MiB of the 8 that a message holds.
 /// Three for each item where there are as many items as there may be.
 pub const MOST_IN_ALL: usize = 65_536;
-const _: () = assert!(MOST_IN_ALL >= 3 * crate::book::MOST_ITEMS);
+const _: () = assert!(MOST_IN_ALL >= 3 * crate::items::MOST_ITEMS);
 
 /// A number that was confirmed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
--- a/crates/starlinghill-config-model/src/lib.rs
+++ b/crates/starlinghill-config-model/src/lib.rs
@@ -1,17 +1,17 @@
 //! Joinery: a template is the pattern that every piece is cut by. Here it is the configuration: named items, each with a
 //! version of its own, and what they come to once they are merged: routes, tenants, services, limits.
 //!
-//! No I/O and no clock. [`change`] reads what an operator sends, [`book`] holds the items and says whether they make sense
+//! No I/O and no clock. [`change`] reads what an operator sends, [`items`] holds the items and says whether they make sense
 //! together, [`history`] which numbers were confirmed before, [`content`] what is the same content, [`table`] is what a
 //! proxy decides by.
 
-pub mod book;
 pub mod change;
 pub mod content;
 pub mod history;
+pub mod items;
 pub mod table;
 
-pub use book::{Book, Item, Kind, Refusal};
 pub use change::Change;
 pub use history::History;
+pub use items::{Book, Item, Kind, Refusal};
 pub use table::Table;
--- a/crates/starlinghill-config-model/src/table.rs
+++ b/crates/starlinghill-config-model/src/table.rs
@@ -1,6 +1,6 @@
 //! What the items mean: routes by host and prefix, tenants by key, services, limits.
 
-use crate::book::{Book, Kind};
+use crate::items::{Book, Kind};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use std::collections::HashMap;
--- a/crates/starlinghill-console/tests/words.rs
+++ b/crates/starlinghill-console/tests/words.rs
@@ -1,7 +1,7 @@
 //! What the console says of how things stand.
 
 use starlinghill_catalog::{Gateway, Instance, Liveness, Observation, State};
-use starlinghill_config_model::book::digest;
+use starlinghill_config_model::items::digest;
 use starlinghill_config_model::{Change, History, Item, Kind};
 use starlinghill_console::explain::{book, differences, explain, Asked};
 use starlinghill_console::picture::Picture;
--- a/crates/starlinghill-registry/src/owner.rs
+++ b/crates/starlinghill-registry/src/owner.rs
@@ -3,7 +3,7 @@
 use crate::members::Sets;
 use crate::wire::{Answer, Count, Have, Heard, News, Question, Status};
 use starlinghill_catalog::{number, service_number, Catalog, Instance, Liveness, Observation, State};
-use starlinghill_config_model::book::digest;
+use starlinghill_config_model::items::digest;
 use starlinghill_config_model::{Item, Kind};
 use starlinghill_config_store::wire::Value;
 use starlinghill_consensus::Members;
