--- a/crates/starlinghill-config-model/src/items.rs
+++ b/crates/starlinghill-config-model/src/items.rs
@@ -1,7 +1,7 @@
 //! The items as they stand. Copies merge item by item: of one name the highest version prevails, set or dropped.
 
 use crate::change::Change;
-use crate::content;
+use crate::content_digest;
 use crate::history::{self, History, Known};
 use crate::table::{self, Parsed};
 use bitcode::{Decode, Encode};
@@ -122,7 +122,7 @@
 
     /// The digest of its content.
     pub fn content(&self) -> u64 {
-        content::digest(&self.item.host, self.value.as_ref())
+        content_digest::digest(&self.item.host, self.value.as_ref())
     }
 
     /// What is known of a number of this name.
