--- a/crates/starlinghill-config-model/src/items.rs
+++ b/crates/starlinghill-config-model/src/items.rs
@@ -3,7 +3,7 @@
 use crate::change::Change;
 use crate::content_digest;
 use crate::history::{self, History, Known};
-use crate::table::{self, Parsed};
+use crate::routing::{self, Parsed};
 use bitcode::{Decode, Encode};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
@@ -116,7 +116,7 @@
         let invalid = |problem| Refusal::Invalid { problem };
         let value = simd_json::to_owned_value(&mut body.clone().into_bytes())
             .map_err(|e| invalid(format!("{}: {e}", item.name)))?;
-        let parsed = table::parse(item.kind, &item.name, &item.host, &value).map_err(invalid)?;
+        let parsed = routing::parse(item.kind, &item.name, &item.host, &value).map_err(invalid)?;
         Ok(Held { value: Some(value), parsed: Some(parsed), item })
     }
 
--- a/crates/starlinghill-proxy/src/desk.rs
+++ b/crates/starlinghill-proxy/src/desk.rs
@@ -8,7 +8,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 use starlinghill_catalog::number;
-use starlinghill_config_model::table::Route;
+use starlinghill_config_model::routing::Route;
 use starlinghill_decision::api::*;
 use starlinghill_gateway::answer::AnswerBody;
 use starlinghill_gateway::idle::Reuse;
--- a/crates/starlinghill-proxy/src/news.rs
+++ b/crates/starlinghill-proxy/src/news.rs
@@ -6,7 +6,7 @@
 use hyper::header::HeaderValue;
 use starlinghill_catalog::{number, service_number, Change, Gateway, Liveness, MergedView, State};
 use starlinghill_config_model::items::digest;
-use starlinghill_config_model::table::Tenant;
+use starlinghill_config_model::routing::Tenant;
 use starlinghill_config_model::{Book, Table};
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::*;
--- a/crates/starlinghill-proxy/src/rules.rs
+++ b/crates/starlinghill-proxy/src/rules.rs
@@ -1,7 +1,7 @@
 //! What the configuration comes to in the decision module's terms: classes of requests and plans, each of which keeps its
 //! place for as long as the process lives, since requests that are open go by it.
 
-use starlinghill_config_model::table::{Route, Tenant};
+use starlinghill_config_model::routing::{Route, Tenant};
 use starlinghill_config_model::Table;
 use starlinghill_decision::api::*;
 use starlinghill_runtime::settings::Bounds;
--- a/crates/starlinghill-runtime/src/validation.rs
+++ b/crates/starlinghill-runtime/src/validation.rs
@@ -3,7 +3,7 @@
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use starlinghill_config_model::table::time;
+use starlinghill_config_model::routing::time;
 use std::time::Duration;
 
 /// The most faults that are named of one document.
--- a/crates/starlinghill-simulator/src/world.rs
+++ b/crates/starlinghill-simulator/src/world.rs
@@ -387,7 +387,7 @@
         let shared = gateway.shared.borrow();
         let shared = shared.as_ref()?;
         let view = shared.view.borrow();
-        let item = |tenant: &Rc<starlinghill_config_model::table::Tenant>| {
+        let item = |tenant: &Rc<starlinghill_config_model::routing::Tenant>| {
             (tenant.name.clone(), (tenant.burst as u64, tenant.rate as u64))
         };
         let ready = *shared.ready.borrow();
