--- a/crates/starlinghill-config-model/src/change.rs
+++ b/crates/starlinghill-config-model/src/change.rs
@@ -1,7 +1,7 @@
 //! What an operator sends: items to set and items to drop, all or none of them.
 
-use crate::history::History;
 use crate::items::{Held, Item, Kind, Refusal};
+use crate::version_history::History;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use std::collections::btree_map::Entry;
--- a/crates/starlinghill-config-model/src/items.rs
+++ b/crates/starlinghill-config-model/src/items.rs
@@ -2,8 +2,8 @@
 
 use crate::change::Change;
 use crate::content_digest;
-use crate::history::{self, History, Known};
 use crate::routing::{self, Parsed};
+use crate::version_history::{self, History, Known};
 use bitcode::{Decode, Encode};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
@@ -199,7 +199,7 @@
             }
         }
         next.check()?;
-        next.forget(history::MOST_IN_ALL);
+        next.forget(version_history::MOST_IN_ALL);
         Ok(next)
     }
 
@@ -228,7 +228,7 @@
         if lens.clone().sum::<usize>() <= most {
             return;
         }
-        let level = history::level(lens, most);
+        let level = version_history::level(lens, most);
         for held in self.items.values_mut().filter(|held| held.item.history.len() > level) {
             Rc::make_mut(held).item.history.keep(level);
         }
--- a/crates/starlinghill-config-model/src/lib.rs
+++ b/crates/starlinghill-config-model/src/lib.rs
@@ -2,16 +2,16 @@
 //! version of its own, and what they come to once they are merged: routes, tenants, services, limits.
 //!
 //! No I/O and no clock. [`change`] reads what an operator sends, [`items`] holds the items and says whether they make sense
-//! together, [`history`] which numbers were confirmed before, [`content_digest`] what is the same content, [`routing`] is what a
+//! together, [`version_history`] which numbers were confirmed before, [`content_digest`] what is the same content, [`routing`] is what a
 //! proxy decides by.
 
 pub mod change;
 pub mod content_digest;
-pub mod history;
 pub mod items;
 pub mod routing;
+pub mod version_history;
 
 pub use change::Change;
-pub use history::History;
 pub use items::{Book, Item, Kind, Refusal};
 pub use routing::Table;
+pub use version_history::History;
--- a/crates/starlinghill-config-model/tests/numbers.rs
+++ b/crates/starlinghill-config-model/tests/numbers.rs
@@ -1,6 +1,6 @@
 //! What was confirmed under a number: the same again is taken, another content never is, and what is forgotten is neither.
 
-use starlinghill_config_model::history::{level, Known, MOST_IN_ALL, MOST_OF_ITEM};
+use starlinghill_config_model::version_history::{level, Known, MOST_IN_ALL, MOST_OF_ITEM};
 use starlinghill_config_model::{Book, Change, History, Item, Kind, Refusal};
 use test_case::test_case;
 
