--- a/crates/starlinghill-quota-counter/src/lib.rs
+++ b/crates/starlinghill-quota-counter/src/lib.rs
@@ -16,19 +16,19 @@
 //! No I/O and no clock.
 
 mod audit;
+mod backend_load;
 mod bound;
 mod client;
 mod debts;
-mod loads;
 mod readings;
 mod recalled;
 mod store;
 
+pub use backend_load::{Listed, Loads, Room, Seen, Word};
 use bound::even_share;
 pub use bound::{fill_part, most_after_losses, most_in, own_share, untold_share, Troubles};
 pub use client::Client;
 pub use debts::{Debts, DrawEnd};
-pub use loads::{Listed, Loads, Room, Seen, Word};
 pub use readings::Readings;
 pub use starlinghill_rate_limit::{Allowance, Quota};
 
