--- a/crates/starlinghill-quota-counter/src/lib.rs
+++ b/crates/starlinghill-quota-counter/src/lib.rs
@@ -19,18 +19,18 @@
 mod backend_load;
 mod bound;
 mod client;
-mod debts;
 mod readings;
 mod recalled;
 mod store;
+mod unreported_usage;
 
 pub use backend_load::{Listed, Loads, Room, Seen, Word};
 use bound::even_share;
 pub use bound::{fill_part, most_after_losses, most_in, own_share, untold_share, Troubles};
 pub use client::Client;
-pub use debts::{Debts, DrawEnd};
 pub use readings::Readings;
 pub use starlinghill_rate_limit::{Allowance, Quota};
+pub use unreported_usage::{Debts, DrawEnd};
 
 use bitcode::{Decode, Encode};
 use recalled::RecalledShares;
