--- a/crates/starlinghill-quota-counter/src/lib.rs
+++ b/crates/starlinghill-quota-counter/src/lib.rs
@@ -20,7 +20,7 @@
 mod bound;
 mod client;
 mod readings;
-mod recalled;
+mod recalled_shares;
 mod store;
 mod unreported_usage;
 
@@ -33,7 +33,7 @@
 pub use unreported_usage::{Debts, DrawEnd};
 
 use bitcode::{Decode, Encode};
-use recalled::RecalledShares;
+use recalled_shares::RecalledShares;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 use store::{Gateways, Silence, Store};
