--- a/crates/starlinghill-quota-counter/src/lib.rs
+++ b/crates/starlinghill-quota-counter/src/lib.rs
@@ -19,7 +19,7 @@
 mod backend_load;
 mod bound;
 mod client;
-mod readings;
+mod level_readings;
 mod recalled_shares;
 mod store;
 mod unreported_usage;
@@ -28,7 +28,7 @@
 use bound::even_share;
 pub use bound::{fill_part, most_after_losses, most_in, own_share, untold_share, Troubles};
 pub use client::Client;
-pub use readings::Readings;
+pub use level_readings::Readings;
 pub use starlinghill_rate_limit::{Allowance, Quota};
 pub use unreported_usage::{Debts, DrawEnd};
 
