--- a/crates/starlinghill-quota-counter/src/client.rs
+++ b/crates/starlinghill-quota-counter/src/client.rs
@@ -1,7 +1,7 @@
 //! A gateway's side of the count: what it last heard of stores, what it owes, and when it and a counter last spoke. Whoever
 //! owns the connection tells it what was sent and what came back. No I/O and no clock: times are since any one moment.
 
-use crate::bound::untold_share;
+use crate::bounds::untold_share;
 use crate::{Debts, Draw, DrawEnd, Level, Reading, Readings};
 use std::time::Duration;
 
--- a/crates/starlinghill-quota-counter/src/lib.rs
+++ b/crates/starlinghill-quota-counter/src/lib.rs
@@ -17,7 +17,7 @@
 
 mod audit;
 mod backend_load;
-mod bound;
+mod bounds;
 mod client;
 mod level_readings;
 mod recalled_shares;
@@ -25,8 +25,8 @@
 mod unreported_usage;
 
 pub use backend_load::{Listed, Loads, Room, Seen, Word};
-use bound::even_share;
-pub use bound::{fill_part, most_after_losses, most_in, own_share, untold_share, Troubles};
+use bounds::even_share;
+pub use bounds::{fill_part, most_after_losses, most_in, own_share, untold_share, Troubles};
 pub use client::Client;
 pub use level_readings::Readings;
 pub use starlinghill_rate_limit::{Allowance, Quota};
--- a/crates/starlinghill-quota-counter/src/store.rs
+++ b/crates/starlinghill-quota-counter/src/store.rs
@@ -1,7 +1,7 @@
 //! One tenant's store at the counter.
 
 use crate::audit::Audit;
-use crate::bound::{even_share, fill_part_of, own_share, untold_share};
+use crate::bounds::{even_share, fill_part_of, own_share, untold_share};
 use crate::Draw;
 use starlinghill_rate_limit::{Allowance, Quota};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
