--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -8,7 +8,7 @@
 use starlinghill_gateway::process::{self, Beside};
 use starlinghill_gateway::watched::Attempted;
 use starlinghill_operator_config::Group;
-use starlinghill_zone_health::sums::Became;
+use starlinghill_zone_health::attempt_counts::Became;
 use starlinghill_zone_health::watch::Watch;
 use std::error::Error;
 use std::path::Path;
--- a/crates/starlinghill-zone-health/src/finding.rs
+++ b/crates/starlinghill-zone-health/src/finding.rs
@@ -5,8 +5,8 @@
 //! What looks alike from one place differs from several: a zone that is dark to some and well to others is not cut
 //! off, a link is; a gateway to which everything is dark is cut off itself; trouble everywhere is no zone's trouble.
 
+use crate::attempt_counts::Sight;
 use crate::report::Report;
-use crate::sums::Sight;
 use starlinghill_failover::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
--- a/crates/starlinghill-zone-health/src/report.rs
+++ b/crates/starlinghill-zone-health/src/report.rs
@@ -1,6 +1,6 @@
 //! What a gateway tells of what it sees. Whatever a peer puts in has a bound.
 
-use crate::sums::Sums;
+use crate::attempt_counts::Sums;
 use serde::{Deserialize, Serialize};
 use starlinghill_failover::map::{is_name, MOST_ZONES};
 use starlinghill_failover::wire::Message;
--- a/crates/starlinghill-zone-health/src/watch.rs
+++ b/crates/starlinghill-zone-health/src/watch.rs
@@ -1,7 +1,7 @@
 //! One gateway's counts of each zone over the last seconds. Memory is bounded by the zones of the map, whatever comes.
 
+use crate::attempt_counts::{Became, Sight, Sums, FLOOR};
 use crate::report::{Report, SPAN_MS};
-use crate::sums::{Became, Sight, Sums, FLOOR};
 use starlinghill_failover::Micros;
 use std::collections::BTreeMap;
 
--- a/crates/starlinghill-zone-health/tests/findings.rs
+++ b/crates/starlinghill-zone-health/tests/findings.rs
@@ -1,9 +1,9 @@
 //! Findings in worlds with one trouble each, as many gateways see them by chance.
 
 use starlinghill_failover::Micros;
+use starlinghill_zone_health::attempt_counts::{Became, Sums};
 use starlinghill_zone_health::finding::{find, Finding, Findings, Observer, OLDEST};
 use starlinghill_zone_health::report::Report;
-use starlinghill_zone_health::sums::{Became, Sums};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What becomes of attempts: parts of the whole, in the order of [`KINDS`].
--- a/crates/starlinghill-zone-health/tests/watch.rs
+++ b/crates/starlinghill-zone-health/tests/watch.rs
@@ -1,8 +1,8 @@
 //! One gateway's counts over time.
 
 use starlinghill_failover::Micros;
+use starlinghill_zone_health::attempt_counts::{Became, Sight, Sums};
 use starlinghill_zone_health::report::{Report, Unusable};
-use starlinghill_zone_health::sums::{Became, Sight, Sums};
 use starlinghill_zone_health::watch::Watch;
 
 fn secs(s: f64) -> Micros {
