--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -9,7 +9,7 @@
 use starlinghill_gateway::watched::Attempted;
 use starlinghill_operator_config::Group;
 use starlinghill_zone_health::attempt_counts::Became;
-use starlinghill_zone_health::watch::Watch;
+use starlinghill_zone_health::attempt_window::Watch;
 use std::error::Error;
 use std::path::Path;
 use std::path::PathBuf;
--- a/crates/starlinghill-zone-health/tests/watch.rs
+++ b/crates/starlinghill-zone-health/tests/attempt_window.rs
@@ -2,8 +2,8 @@
 
 use starlinghill_failover::Micros;
 use starlinghill_zone_health::attempt_counts::{Became, Sight, Sums};
+use starlinghill_zone_health::attempt_window::Watch;
 use starlinghill_zone_health::report::{Report, Unusable};
-use starlinghill_zone_health::watch::Watch;
 
 fn secs(s: f64) -> Micros {
     Micros((s * 1e6) as u64)
