--- a/crates/starlinghill-control/src/program/why.rs
+++ b/crates/starlinghill-control/src/program/why.rs
@@ -4,7 +4,7 @@
 use super::zones::{newest, print_json, runtime, usage, Exit};
 use serde_json::json;
 use starlinghill_failover::Micros;
-use starlinghill_zone_health::finding::{find, Found, Observer};
+use starlinghill_zone_health::findings::{find, Found, Observer};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/starlinghill-zone-health/src/lib.rs
+++ b/crates/starlinghill-zone-health/src/lib.rs
@@ -4,9 +4,9 @@
 //! - [`attempt_counts`]: counts of what became of attempts at a zone, and what they look like from one place.
 //! - [`attempt_window`]: one gateway's counts over the last seconds.
 //! - [`report`]: what a gateway tells, and its bounds.
-//! - [`finding`]: what all reports together say of each zone, and why.
+//! - [`findings`]: what all reports together say of each zone, and why.
 
 pub mod attempt_counts;
 pub mod attempt_window;
-pub mod finding;
+pub mod findings;
 pub mod report;
--- a/crates/starlinghill-zone-health/tests/findings.rs
+++ b/crates/starlinghill-zone-health/tests/findings.rs
@@ -2,7 +2,7 @@
 
 use starlinghill_failover::Micros;
 use starlinghill_zone_health::attempt_counts::{Became, Sums};
-use starlinghill_zone_health::finding::{find, Finding, Findings, Observer, OLDEST};
+use starlinghill_zone_health::findings::{find, Finding, Findings, Observer, OLDEST};
 use starlinghill_zone_health::report::Report;
 use std::collections::{BTreeMap, BTreeSet};
 
