--- a/crates/starlinghill-failover/src/lib.rs
+++ b/crates/starlinghill-failover/src/lib.rs
@@ -6,20 +6,20 @@
 //! - [`pacer`]: when the leader makes the next step of a ramp.
 //! - [`refusal`]: why an order is refused; all causes at once.
 //! - [`state`]: the state machine of the group.
-//! - [`certainty`]: how old a member's own knowledge is.
+//! - [`staleness`]: how old a member's own knowledge is.
 //! - [`directive`]: what gateways are told of the state.
 //! - [`follower`]: what a gateway makes of what it is told, by its age.
 //! - [`bounds`]: how late and how old at the most, as functions of the settings.
 //! - [`wire`]: the versioned form of all of these. What is not known is refused, never guessed.
 
 pub mod bounds;
-pub mod certainty;
 pub mod directive;
 pub mod follower;
 pub mod map;
 pub mod order;
 pub mod pacer;
 pub mod refusal;
+pub mod staleness;
 pub mod state;
 pub mod wire;
 
--- a/crates/starlinghill-failover/tests/follower.rs
+++ b/crates/starlinghill-failover/tests/follower.rs
@@ -1,11 +1,11 @@
 //! A gateway's follower among members that lag, sleep and answer late, on clocks that differ and run false.
 
 use starlinghill_failover::bounds::Timing;
-use starlinghill_failover::certainty::Certainty;
 use starlinghill_failover::directive::{Directives, Told};
 use starlinghill_failover::follower::{Action, Event, Follower, Mode, Why};
 use starlinghill_failover::map::{Map, Zone};
 use starlinghill_failover::order::{Change, Order, Ramp, What, ZoneOrder};
+use starlinghill_failover::staleness::Certainty;
 use starlinghill_failover::state::{Outcome, State};
 use starlinghill_failover::{Micros, Position, WHOLE};
 use std::collections::VecDeque;
--- a/crates/starlinghill-failover/tests/model.rs
+++ b/crates/starlinghill-failover/tests/model.rs
@@ -3,9 +3,9 @@
 //! shows that the check is looked at.
 
 use starlinghill_failover::bounds::Timing;
-use starlinghill_failover::certainty::Certainty;
 use starlinghill_failover::directive::{Directives, Told};
 use starlinghill_failover::follower::{Event, Follower, Mode};
+use starlinghill_failover::staleness::Certainty;
 use starlinghill_failover::{Micros, Position};
 use stateright::{Checker, Model, Property};
 
