--- a/crates/starlinghill-failover/src/lib.rs
+++ b/crates/starlinghill-failover/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`map`]: regions and zones, as the operators' file has them.
 //! - [`order`]: what may be ordered, as it stands in the log.
 //! - [`pacer`]: when the leader makes the next step of a ramp.
-//! - [`refusal`]: why an order is refused; all causes at once.
+//! - [`rejection`]: why an order is refused; all causes at once.
 //! - [`state`]: the state machine of the group.
 //! - [`staleness`]: how old a member's own knowledge is.
 //! - [`directive`]: what gateways are told of the state.
@@ -18,7 +18,7 @@
 pub mod map;
 pub mod order;
 pub mod pacer;
-pub mod refusal;
+pub mod rejection;
 pub mod staleness;
 pub mod state;
 pub mod wire;
--- a/crates/starlinghill-failover/src/state.rs
+++ b/crates/starlinghill-failover/src/state.rs
@@ -6,7 +6,7 @@
 use crate::order::{
     Change, Order, Ramp, What, ZoneOrder, LONGEST_ID, LONGEST_PACE, LONGEST_WORDS, SHORTEST_PACE,
 };
-use crate::refusal::Cause;
+use crate::rejection::Cause;
 use crate::{Permille, Position, WHOLE};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/starlinghill-failover/tests/state.rs
+++ b/crates/starlinghill-failover/tests/state.rs
@@ -4,7 +4,7 @@
 use starlinghill_failover::map::{Map, Zone};
 use starlinghill_failover::order::{Change, Order, Ramp, What, ZoneOrder};
 use starlinghill_failover::pacer::Pacer;
-use starlinghill_failover::refusal::Cause;
+use starlinghill_failover::rejection::Cause;
 use starlinghill_failover::state::{Outcome, Phase, State, REMEMBERED};
 use starlinghill_failover::{wire, Micros, Position, WHOLE};
 
