--- a/crates/starlinghill-control/src/lib.rs
+++ b/crates/starlinghill-control/src/lib.rs
@@ -7,7 +7,7 @@
 use starlinghill_control_state::fleet::Place;
 use starlinghill_control_state::ledger::LedgerSettings;
 use starlinghill_decision::api::{Micros, PlanId, SettingsError};
-use starlinghill_failover::map::{Map, MapProblem, Zone};
+use starlinghill_failover::topology::{Map, MapProblem, Zone};
 use starlinghill_gateway::config::{Config, Upstreams};
 use starlinghill_gateway::discovery::{self, Follower, Source};
 use starlinghill_operator_config::{Control, Group, Problem, Quotas};
--- a/crates/starlinghill-failover/src/directive.rs
+++ b/crates/starlinghill-failover/src/directive.rs
@@ -1,8 +1,8 @@
 //! What gateways are told of the state: a whole picture first, then changes, each with the positions that it leads
 //! from and to, so that one that got lost is noticed.
 
-use crate::map::{is_name, MOST_ZONES};
 use crate::state::{Phase, State};
+use crate::topology::{is_name, MOST_ZONES};
 use crate::{Permille, Position, WHOLE};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/starlinghill-failover/src/lib.rs
+++ b/crates/starlinghill-failover/src/lib.rs
@@ -1,7 +1,7 @@
 //! What the group decides in common, and what a gateway follows of it. Pure: time is an argument, there is no
 //! clock, no input or output and no randomness, so that every member comes to the same state from the same orders.
 //!
-//! - [`map`]: regions and zones, as the operators' file has them.
+//! - [`topology`]: regions and zones, as the operators' file has them.
 //! - [`order`]: what may be ordered, as it stands in the log.
 //! - [`pacer`]: when the leader makes the next step of a ramp.
 //! - [`rejection`]: why an order is refused; all causes at once.
@@ -15,12 +15,12 @@
 pub mod bounds;
 pub mod directive;
 pub mod follower;
-pub mod map;
 pub mod order;
 pub mod pacer;
 pub mod rejection;
 pub mod staleness;
 pub mod state;
+pub mod topology;
 pub mod wire;
 
 /// Parts in a thousand, as weights of zones are given.
--- a/crates/starlinghill-failover/src/order.rs
+++ b/crates/starlinghill-failover/src/order.rs
@@ -1,7 +1,7 @@
 //! Orders, as they stand in the group's log. An order says who gives it and why, and carries an id: the same order
 //! sent again, after an answer that got lost, counts once.
 
-use crate::map::Map;
+use crate::topology::Map;
 use crate::Permille;
 use serde::{Deserialize, Serialize};
 
--- a/crates/starlinghill-failover/src/rejection.rs
+++ b/crates/starlinghill-failover/src/rejection.rs
@@ -1,8 +1,8 @@
 //! Why an order is refused. A refusal names every cause, so that an order is not mended one cause at a time.
 
-use crate::map::MapProblem;
 use crate::order::{LONGEST_ID, LONGEST_PACE, LONGEST_WORDS, SHORTEST_PACE};
 use crate::state::Phase;
+use crate::topology::MapProblem;
 use crate::Permille;
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/crates/starlinghill-failover/src/state.rs
+++ b/crates/starlinghill-failover/src/state.rs
@@ -2,11 +2,11 @@
 //! on the whole state, where the order is applied, not where it is given: two orders that were each right alone
 //! may not be so one after the other.
 
-use crate::map::{clipped, Map, Zone};
 use crate::order::{
     Change, Order, Ramp, What, ZoneOrder, LONGEST_ID, LONGEST_PACE, LONGEST_WORDS, SHORTEST_PACE,
 };
 use crate::rejection::Cause;
+use crate::topology::{clipped, Map, Zone};
 use crate::{Permille, Position, WHOLE};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/starlinghill-failover/tests/follower.rs
+++ b/crates/starlinghill-failover/tests/follower.rs
@@ -3,10 +3,10 @@
 use starlinghill_failover::bounds::Timing;
 use starlinghill_failover::directive::{Directives, Told};
 use starlinghill_failover::follower::{Action, Event, Follower, Mode, Why};
-use starlinghill_failover::map::{Map, Zone};
 use starlinghill_failover::order::{Change, Order, Ramp, What, ZoneOrder};
 use starlinghill_failover::staleness::Certainty;
 use starlinghill_failover::state::{Outcome, State};
+use starlinghill_failover::topology::{Map, Zone};
 use starlinghill_failover::{Micros, Position, WHOLE};
 use std::collections::VecDeque;
 
--- a/crates/starlinghill-failover/tests/state.rs
+++ b/crates/starlinghill-failover/tests/state.rs
@@ -1,11 +1,11 @@
 //! The group's state machine under orders of every kind.
 
 use proptest::prelude::*;
-use starlinghill_failover::map::{Map, Zone};
 use starlinghill_failover::order::{Change, Order, Ramp, What, ZoneOrder};
 use starlinghill_failover::pacer::Pacer;
 use starlinghill_failover::rejection::Cause;
 use starlinghill_failover::state::{Outcome, Phase, State, REMEMBERED};
+use starlinghill_failover::topology::{Map, Zone};
 use starlinghill_failover::{wire, Micros, Position, WHOLE};
 
 const RAMP: Ramp = Ramp { step: 250, every_ms: 1_000 };
--- a/crates/starlinghill-operator-config/src/group.rs
+++ b/crates/starlinghill-operator-config/src/group.rs
@@ -4,7 +4,7 @@
 use crate::problem::{Problem, Source};
 use serde::Deserialize;
 use starlinghill_failover::bounds::{Misfit, Timing, MOST_DRIFT_PPM};
-use starlinghill_failover::map::{is_name, Map, MapProblem, Zone, LARGEST_CAPACITY};
+use starlinghill_failover::topology::{is_name, Map, MapProblem, Zone, LARGEST_CAPACITY};
 use starlinghill_failover::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/starlinghill-zone-health/src/report.rs
+++ b/crates/starlinghill-zone-health/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::attempt_counts::Sums;
 use serde::{Deserialize, Serialize};
-use starlinghill_failover::map::{is_name, MOST_ZONES};
+use starlinghill_failover::topology::{is_name, MOST_ZONES};
 use starlinghill_failover::wire::Message;
 use std::collections::BTreeMap;
 use std::fmt;
