--- a/crates/starlinghill-control/src/program/zones.rs
+++ b/crates/starlinghill-control/src/program/zones.rs
@@ -9,7 +9,7 @@
 use starlinghill_failover::{Position, WHOLE};
 use starlinghill_failover_client::client::{give, look_at_all, NotDone};
 use starlinghill_failover_client::report::{Report, Subscriber};
-use starlinghill_failover_client::wall;
+use starlinghill_failover_client::wall_clock;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::SocketAddr;
@@ -210,7 +210,7 @@
     let id = id.unwrap_or_else(|| format!("{:016x}", fastrand::u64(..)));
     // What is ordered is filled in by the caller; a step of nothing is refused by every group.
     let what = What::Step { zone: String::new(), of: 0 };
-    Order { id, author, reason, at_ms: wall::now_ms(), what }
+    Order { id, author, reason, at_ms: wall_clock::now_ms(), what }
 }
 
 fn part(z: &ZoneState) -> String {
@@ -222,7 +222,7 @@
 }
 
 fn ago(at_ms: u64) -> String {
-    match wall::now_ms().saturating_sub(at_ms) / 1_000 {
+    match wall_clock::now_ms().saturating_sub(at_ms) / 1_000 {
         _ if at_ms == 0 => "-".into(),
         s @ 0..=119 => format!("{s} s"),
         s @ 120..=7_199 => format!("{} min", s / 60),
--- a/crates/starlinghill-control/tests/clocks.rs
+++ b/crates/starlinghill-control/tests/clocks.rs
@@ -4,7 +4,7 @@
 
 use starlinghill_failover::bounds::Timing;
 use starlinghill_failover::Micros;
-use starlinghill_failover_client::wall;
+use starlinghill_failover_client::wall_clock;
 use starlinghill_testkit::failover::{Fault, Fleet};
 use starlinghill_testkit::group::LIMIT;
 use starlinghill_testkit::history::wrongs;
@@ -33,7 +33,7 @@
     let off = member.and_then(|m| OFF.get(m)).copied().unwrap_or(30_000);
     let aged = BEGUN.get().is_some_and(|begun| begun.elapsed() > BACK_AFTER);
     let back = if aged && member == Some(0) { BACK } else { 0 };
-    wall::system().saturating_add_signed(off - back)
+    wall_clock::system().saturating_add_signed(off - back)
 }
 
 fn main() -> ExitCode {
@@ -45,7 +45,7 @@
         if let Some(number) = member.and_then(|number| number.parse::<usize>().ok()) {
             MEMBER.get_or_init(|| number.saturating_sub(1));
         }
-        assert!(wall::set(wrong), "before anybody asks");
+        assert!(wall_clock::set(wrong), "before anybody asks");
         return starlinghill_control::program::main();
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build();
@@ -72,7 +72,7 @@
             let number = |key: &str| b[key].as_u64().unwrap_or(0);
             if number("epoch") > seen {
                 seen = number("epoch");
-                stamps.push(number("at_ms") as i64 - wall::system() as i64);
+                stamps.push(number("at_ms") as i64 - wall_clock::system() as i64);
                 if changes < 2 {
                     changes += 1;
                     let leader = fleet.group.wait_for_leader();
--- a/crates/starlinghill-control/tests/proxies.rs
+++ b/crates/starlinghill-control/tests/proxies.rs
@@ -65,7 +65,7 @@
     for p in &proxies {
         p.wait_for("both", |m| m.targets.len() == 2).await;
     }
-    let now_ms = starlinghill_failover_client::wall::system();
+    let now_ms = starlinghill_failover_client::wall_clock::system();
     let told = Instant::now();
     let news =
         [member("s-9", nodes[1].address, "ready", now_ms), member("s-1", nodes[1].address, "draining", 0)];
--- a/crates/starlinghill-failover-client/src/lib.rs
+++ b/crates/starlinghill-failover-client/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod client;
 pub mod link;
 pub mod report;
-pub mod wall;
+pub mod wall_clock;
 
 /// The types of `proto/group.proto`.
 #[allow(missing_docs, clippy::doc_markdown)]
--- a/crates/starlinghill-raft/src/member.rs
+++ b/crates/starlinghill-raft/src/member.rs
@@ -17,7 +17,7 @@
 use starlinghill_failover::wire::{decode, encode};
 use starlinghill_failover::Micros;
 use starlinghill_failover_client::report::{Manage, Managed};
-use starlinghill_failover_client::wall;
+use starlinghill_failover_client::wall_clock;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::SocketAddr;
@@ -506,7 +506,7 @@
                     id: String::new(),
                     author: format!("member {}", self.speaker.id),
                     reason: "the next step".into(),
-                    at_ms: wall::now_ms(),
+                    at_ms: wall_clock::now_ms(),
                     what: What::Step { zone: due.zone.clone(), of: due.of },
                 };
                 if let Err(e) = self.write(Record::Order(order)).await {
--- a/crates/starlinghill-testkit/src/failover.rs
+++ b/crates/starlinghill-testkit/src/failover.rs
@@ -8,7 +8,7 @@
 use crate::processes::Process;
 use crate::world::{self, Discovery, Stub};
 use serde::{Deserialize, Serialize};
-use starlinghill_failover_client::wall;
+use starlinghill_failover_client::wall_clock;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -258,7 +258,7 @@
     }
 
     fn start_again(&mut self, zone: &str) {
-        let wall = wall::system();
+        let wall = wall_clock::system();
         for (i, (there, _)) in self.nodes.iter().enumerate() {
             if *there == zone {
                 self.cold[i] = Some((Instant::now(), wall));
