--- a/crates/starlinghill-control/src/following.rs
+++ b/crates/starlinghill-control/src/following.rs
@@ -5,7 +5,7 @@
 use starlinghill_failover::follower::View;
 use starlinghill_failover::topology::{is_name, MapProblem};
 use starlinghill_failover::WHOLE;
-use starlinghill_failover_client::link::{follow, Evidence, Settings};
+use starlinghill_failover_client::subscription::{follow, Evidence, Settings};
 use starlinghill_gateway::Parts;
 use starlinghill_operator_config::Group;
 use tokio::sync::watch;
--- a/crates/starlinghill-control/tests/group.rs
+++ b/crates/starlinghill-control/tests/group.rs
@@ -2,7 +2,7 @@
 
 use starlinghill_failover::follower::{Mode, View};
 use starlinghill_failover_client::client::look;
-use starlinghill_failover_client::link::{follow, Evidence};
+use starlinghill_failover_client::subscription::{follow, Evidence};
 use starlinghill_testkit::group::{Group, LIMIT};
 use starlinghill_testkit::processes::Process;
 use starlinghill_zone_health::attempt_counts::Sums;
--- a/crates/starlinghill-failover-client/src/lib.rs
+++ b/crates/starlinghill-failover-client/src/lib.rs
@@ -1,9 +1,9 @@
-//! The group's protocol and its clients: [`link`] is how a gateway follows, [`client`] how operators give orders.
+//! The group's protocol and its clients: [`subscription`] is how a gateway follows, [`client`] how operators give orders.
 //! Whoever links this needs nothing of the replicated log.
 
 pub mod client;
-pub mod link;
 pub mod report;
+pub mod subscription;
 pub mod wall_clock;
 
 /// The types of `proto/group.proto`.
--- a/crates/starlinghill-testkit/examples/followers.rs
+++ b/crates/starlinghill-testkit/examples/followers.rs
@@ -12,7 +12,7 @@
 use starlinghill_failover::state::Outcome;
 use starlinghill_failover::{Position, WHOLE};
 use starlinghill_failover_client::client::give;
-use starlinghill_failover_client::link::{follow, Evidence};
+use starlinghill_failover_client::subscription::{follow, Evidence};
 use starlinghill_testkit::group::Group;
 use starlinghill_testkit::processes::used;
 use starlinghill_zone_health::attempt_counts::Sums;
