--- a/crates/starlinghill-decision/src/admission.rs
+++ b/crates/starlinghill-decision/src/admission.rs
@@ -7,7 +7,7 @@
 use crate::context::{Context, SMOOTH};
 use crate::customer::{quota_of, span, Customer};
 use crate::repeats::{Refusal, Repeats};
-use starlinghill_estimate::asking::Asking;
+use starlinghill_estimate::counter_sampling::Asking;
 use starlinghill_rate_limit::shares::Exchange;
 use starlinghill_rate_limit::usual::Usual;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/starlinghill-decision/src/customer.rs
+++ b/crates/starlinghill-decision/src/customer.rs
@@ -6,7 +6,7 @@
 use crate::bucket::{mix, TokenBucket};
 use crate::context::Context;
 use crate::repeats::Refusal;
-use starlinghill_estimate::asking::Asking;
+use starlinghill_estimate::counter_sampling::Asking;
 use starlinghill_rate_limit::account::Account;
 use starlinghill_rate_limit::allowance::UNTOLD_SHARE;
 use starlinghill_rate_limit::ceiling::{Split, Turns};
--- a/crates/starlinghill-estimate/src/lib.rs
+++ b/crates/starlinghill-estimate/src/lib.rs
@@ -1,12 +1,12 @@
 //! Estimates that a gateway adapts to what it sees. None of them chooses a server, a retry or a refusal: the decision module
 //! asks them and decides. Pure: time is an argument, chance stays with the caller.
 //!
-//! - [`asking`]: what part of the requests the shared counter bears to be asked for.
+//! - [`counter_sampling`]: what part of the requests the shared counter bears to be asked for.
 //! - [`borne`]: what a server's weight was seen to bear from this gateway.
 //! - [`throttle`]: what part of the work comes back in time.
 
-pub mod asking;
 pub mod borne;
+pub mod counter_sampling;
 pub mod throttle;
 
 /// Parts that adapt never fall below this: what is never tried is never seen to work again.
