--- a/crates/starlinghill-decision/src/learned.rs
+++ b/crates/starlinghill-decision/src/learned.rs
@@ -2,7 +2,7 @@
 
 use crate::api::*;
 use crate::attempts::Gateway;
-use starlinghill_estimate::borne::Borne;
+use starlinghill_estimate::server_capacity::Borne;
 
 /// What is older counts for nothing; what is younger loses weight evenly.
 const OLDEST: Micros = Micros(10_000_000);
--- a/crates/starlinghill-decision/src/roster.rs
+++ b/crates/starlinghill-decision/src/roster.rs
@@ -7,7 +7,7 @@
 use crate::fleet::LIMIT_START;
 use crate::server::Server;
 use crate::zones::Zones;
-use starlinghill_estimate::borne::Borne;
+use starlinghill_estimate::server_capacity::Borne;
 use starlinghill_estimate::throttle::Throttle;
 use std::collections::BTreeMap;
 
--- a/crates/starlinghill-estimate/tests/estimates.rs
+++ b/crates/starlinghill-estimate/tests/estimates.rs
@@ -1,7 +1,7 @@
 //! Estimates against simple worlds: a counter with a capacity, servers in and out of overload.
 
-use starlinghill_estimate::borne::Borne;
 use starlinghill_estimate::counter_sampling::Asking;
+use starlinghill_estimate::server_capacity::Borne;
 use starlinghill_estimate::throttle::Throttle;
 use starlinghill_estimate::LEAST_PART;
 use starlinghill_rate_limit::Micros;
