--- a/crates/starlinghill-decision/src/admission.rs
+++ b/crates/starlinghill-decision/src/admission.rs
@@ -9,7 +9,7 @@
 use crate::repeats::{Refusal, Repeats};
 use starlinghill_estimate::counter_sampling::Asking;
 use starlinghill_rate_limit::shares::Exchange;
-use starlinghill_rate_limit::usual::Usual;
+use starlinghill_rate_limit::unknown_customers::Usual;
 use std::collections::{BTreeMap, VecDeque};
 
 /// The share of repeats that ask is the share of first tries to this power.
--- a/crates/starlinghill-decision/src/scattered.rs
+++ b/crates/starlinghill-decision/src/scattered.rs
@@ -16,7 +16,7 @@
 use starlinghill_estimate::LEAST_PART;
 use starlinghill_rate_limit::ceiling::Split;
 use starlinghill_rate_limit::demand::SPAN;
-use starlinghill_rate_limit::usual::Usual;
+use starlinghill_rate_limit::unknown_customers::Usual;
 
 /// Gateways of a fleet in which customers are counted so. Not by a customer's own spread: what one counter
 /// bears is shared by all.
--- a/crates/starlinghill-rate-limit/src/lib.rs
+++ b/crates/starlinghill-rate-limit/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod store;
 pub mod tally;
 pub mod time;
-pub mod usual;
+pub mod unknown_customers;
 
 pub use allowance::Allowance;
 pub use store::{Quota, Store, Told};
--- a/crates/starlinghill-rate-limit/tests/usual.rs
+++ b/crates/starlinghill-rate-limit/tests/unknown_customers.rs
@@ -1,6 +1,6 @@
 //! What is let through of customers of whom nothing is heard.
 
-use starlinghill_rate_limit::usual::Usual;
+use starlinghill_rate_limit::unknown_customers::Usual;
 
 fn after(parts: &[f64]) -> Usual {
     let mut usual = Usual::default();
