--- a/crates/starlinghill-decision/src/customer.rs
+++ b/crates/starlinghill-decision/src/customer.rs
@@ -11,7 +11,7 @@
 use starlinghill_rate_limit::allowance::UNTOLD_SHARE;
 use starlinghill_rate_limit::ceiling::{Split, Turns};
 use starlinghill_rate_limit::demand::{Demand, SPAN};
-use starlinghill_rate_limit::flow::Flow;
+use starlinghill_rate_limit::rate::Flow;
 use starlinghill_rate_limit::shares::Shares;
 use starlinghill_rate_limit::Quota;
 
--- a/crates/starlinghill-rate-limit/src/lib.rs
+++ b/crates/starlinghill-rate-limit/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`allowance`]: what the rules allow beyond a quota, and for what.
 //! - [`account`]: one customer's quota as a gateway keeps it.
 //! - [`ceiling`]: a hard ceiling split over gateways, and the turns by which they share the rest.
-//! - [`flow`]: how fast units pass.
+//! - [`rate`]: how fast units pass.
 //! - [`shares`]: parts of a quota that move between gateways while the counter is away, and their messages.
 //! - [`store`]: follows a quota's store of units from the totals that the counter tells.
 //! - [`tally`]: one gateway's side of a shared count.
@@ -14,7 +14,7 @@
 pub mod allowance;
 pub mod ceiling;
 pub mod demand;
-pub mod flow;
+pub mod rate;
 pub mod shares;
 pub mod store;
 pub mod tally;
--- a/crates/starlinghill-rate-limit/src/store.rs
+++ b/crates/starlinghill-rate-limit/src/store.rs
@@ -18,7 +18,7 @@
 //! between this gateway's last total and the edge stays unknown: `level` reckons with what they took of late, `floor`
 //! begins anew with what the store must have been filled with since the edge.
 
-use crate::flow::Flow;
+use crate::rate::Flow;
 use crate::time::Micros;
 
 /// Where between `high` and `low` the level is taken to be.
