--- a/crates/starlinghill-config-store/tests/records.rs
+++ b/crates/starlinghill-config-store/tests/records.rs
@@ -124,7 +124,7 @@
     let value = vec![item("r-1", 4, 4_000), item("r-2", 4, 10)];
     assert_eq!(found, Some(Found { kept: kept(4), state: state(value) }));
     // Through the thread that writes: silent while the disk refuses, and done when it is back.
-    let disk = shelf::run(shelf);
+    let disk = disk::run(shelf);
     longest_file("1000");
     let (done, mut saved) = oneshot::channel();
     let order = Order { kept: kept(5), state: Some(state(vec![item("r-1", 5, 4_000)])), done };
