--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -2,9 +2,9 @@
 
 use crate::answers::System;
 use crate::count::{Counter, DrawCounts};
-use crate::desk::Front;
 use crate::news::{self, Shared, View, Ways};
 use crate::refusals::Refusals;
+use crate::request_handler::Front;
 use crate::ring::Ring;
 use crate::rules::{self, Places};
 use snafu::{OptionExt, ResultExt, Snafu};
