--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -2,8 +2,8 @@
 
 use crate::answers::System;
 use crate::count::{Counter, DrawCounts};
-use crate::news::{self, Shared, View, Ways};
 use crate::refusals::Refusals;
+use crate::registry_client::{self, Shared, View, Ways};
 use crate::request_handler::Front;
 use crate::ring::Ring;
 use crate::rules::{self, Places};
@@ -137,13 +137,13 @@
     let view = View { table: Table::default(), places: Places::default(), gateways: 1 };
     let shared = Rc::new(Shared { view: RefCell::new(view), ready, stopping });
     let life = fastrand::u64(1..);
-    let (holder, held) = news::nowhere();
+    let (holder, held) = registry_client::nowhere();
     let (essentials, mut first_end) = Essentials::new();
     let counter = Counter::start(net.clone(), life, held, &essentials);
     let clock = Clock::from(BEGINNING);
     let sockets = node.open_files.saturating_sub(OTHERS).max(16) as usize;
     let pool = Pool::new(sockets / 3, DIAL, KEPT, Rc::new(System));
-    let settings = rules::settings(news::zone(&node.zone), &node.bounds);
+    let settings = rules::settings(registry_client::zone(&node.zone), &node.bounds);
     let driver = Driver::hosted(settings, life, clock, pool, counter.clone()).context(ModuleSnafu)?;
     let inbox = driver.inbox();
     spawn_local(tell_connections(driver.pool()));
@@ -155,7 +155,7 @@
     let ring = Rc::new(Ring::new(at, life));
     essentials.spawn("ring", ring.clone().run(socket));
     let ways = Ways { net, driver: inbox.clone(), clock, counter, holder, ring };
-    news::start(&node, shared.clone(), ways, life, &essentials);
+    registry_client::start(&node, shared.clone(), ways, life, &essentials);
     essentials.spawn("ready", crate::ready::serve(asked, shared.clone()));
     let bodies = (node.memory_mb << 20) / BODIES_PART;
     let intake = Intake {
--- a/crates/starlinghill-proxy/src/ready.rs
+++ b/crates/starlinghill-proxy/src/ready.rs
@@ -1,6 +1,6 @@
 //! Where the platform asks whether this gateway is ready.
 
-use crate::news::Shared;
+use crate::registry_client::Shared;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Request, StatusCode};
--- a/crates/starlinghill-simulator/src/world.rs
+++ b/crates/starlinghill-simulator/src/world.rs
@@ -17,7 +17,7 @@
 use starlinghill_config_model::Table;
 use starlinghill_config_store::program::store;
 use starlinghill_proxy::count::Counter;
-use starlinghill_proxy::news::{self, Shared, View, Ways};
+use starlinghill_proxy::registry_client::{self, Shared, View, Ways};
 use starlinghill_proxy::ring::Ring;
 use starlinghill_proxy::rules::Places;
 use starlinghill_registry::program::registry;
