--- a/crates/starlinghill-proxy/src/lib.rs
+++ b/crates/starlinghill-proxy/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod answers;
 pub mod count;
 pub mod program;
-pub mod ready;
+pub mod readiness;
 pub mod refusals;
 pub mod registry_client;
 pub mod request_handler;
--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -156,7 +156,7 @@
     essentials.spawn("ring", ring.clone().run(socket));
     let ways = Ways { net, driver: inbox.clone(), clock, counter, holder, ring };
     registry_client::start(&node, shared.clone(), ways, life, &essentials);
-    essentials.spawn("ready", crate::ready::serve(asked, shared.clone()));
+    essentials.spawn("ready", crate::readiness::serve(asked, shared.clone()));
     let bodies = (node.memory_mb << 20) / BODIES_PART;
     let intake = Intake {
         inbox: inbox.clone(),
