--- a/crates/starlinghill-proxy/src/lib.rs
+++ b/crates/starlinghill-proxy/src/lib.rs
@@ -3,10 +3,10 @@
 
 pub mod answers;
 pub mod count;
+pub mod heartbeat;
 pub mod program;
 pub mod readiness;
 pub mod refusals;
 pub mod registry_client;
 pub mod request_handler;
-pub mod ring;
 pub mod rules;
--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -2,10 +2,10 @@
 
 use crate::answers::System;
 use crate::count::{Counter, DrawCounts};
+use crate::heartbeat::Ring;
 use crate::refusals::Refusals;
 use crate::registry_client::{self, Shared, View, Ways};
 use crate::request_handler::Front;
-use crate::ring::Ring;
 use crate::rules::{self, Places};
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_config_model::Table;
