--- a/crates/starlinghill-proxy/src/lib.rs
+++ b/crates/starlinghill-proxy/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod heartbeat;
 pub mod program;
 pub mod readiness;
-pub mod refusals;
 pub mod registry_client;
+pub mod rejections;
 pub mod request_handler;
 pub mod rules;
--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -3,8 +3,8 @@
 use crate::answers::System;
 use crate::count::{Counter, DrawCounts};
 use crate::heartbeat::Ring;
-use crate::refusals::Refusals;
 use crate::registry_client::{self, Shared, View, Ways};
+use crate::rejections::Refusals;
 use crate::request_handler::Front;
 use crate::rules::{self, Places};
 use snafu::{OptionExt, ResultExt, Snafu};
