--- a/crates/starlinghill-proxy/src/lib.rs
+++ b/crates/starlinghill-proxy/src/lib.rs
@@ -3,10 +3,10 @@
 
 pub mod answers;
 pub mod count;
+pub mod decision_settings;
 pub mod heartbeat;
 pub mod program;
 pub mod readiness;
 pub mod registry_client;
 pub mod rejections;
 pub mod request_handler;
-pub mod rules;
--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -2,11 +2,11 @@
 
 use crate::answers::System;
 use crate::count::{Counter, DrawCounts};
+use crate::decision_settings::{self, Places};
 use crate::heartbeat::Ring;
 use crate::registry_client::{self, Shared, View, Ways};
 use crate::rejections::Refusals;
 use crate::request_handler::Front;
-use crate::rules::{self, Places};
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_config_model::Table;
 use starlinghill_decision::api::Micros;
@@ -143,7 +143,7 @@
     let clock = Clock::from(BEGINNING);
     let sockets = node.open_files.saturating_sub(OTHERS).max(16) as usize;
     let pool = Pool::new(sockets / 3, DIAL, KEPT, Rc::new(System));
-    let settings = rules::settings(registry_client::zone(&node.zone), &node.bounds);
+    let settings = decision_settings::settings(registry_client::zone(&node.zone), &node.bounds);
     let driver = Driver::hosted(settings, life, clock, pool, counter.clone()).context(ModuleSnafu)?;
     let inbox = driver.inbox();
     spawn_local(tell_connections(driver.pool()));
--- a/crates/starlinghill-proxy/src/request_handler.rs
+++ b/crates/starlinghill-proxy/src/request_handler.rs
@@ -1,9 +1,9 @@
 //! Clients' requests: the route by host and path, the tenant by key, then the module's decision.
 
 use crate::answers::{ATTEMPT, CUSTOMER, TARGET, TIME_LEFT};
+use crate::decision_settings::NOBODY;
 use crate::registry_client::{service, Shared};
 use crate::rejections::{Cause, Refusals};
-use crate::rules::NOBODY;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
--- a/crates/starlinghill-simulator/src/fleet.rs
+++ b/crates/starlinghill-simulator/src/fleet.rs
@@ -6,7 +6,7 @@
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
 use starlinghill_proxy::count::PATIENCE;
-use starlinghill_proxy::rules;
+use starlinghill_proxy::decision_settings;
 use starlinghill_quota_counter::{Client, Draw, Gauge, Level, KEEP_IN_TOUCH};
 use starlinghill_runtime::settings::Bounds;
 use std::cmp::Reverse;
@@ -137,7 +137,7 @@
         window: Micros(0),
         stream: false,
     };
-    let nobody = rules::settings(ZoneId(0), &bounds()).plans.remove(0);
+    let nobody = decision_settings::settings(ZoneId(0), &bounds()).plans.remove(0);
     let plans = vec![nobody.clone(), Plan { rate: RATE, burst: BURST, ..nobody }];
     let settings =
         Settings { gateways, me, plans, classes: vec![class], ..rules::settings(ZoneId(0), &bounds()) };
