--- a/crates/starlinghill-proxy/src/decision_settings.rs
+++ b/crates/starlinghill-proxy/src/decision_settings.rs
@@ -171,7 +171,7 @@
         retry_after: true,
         max_retry_after: Micros(10_000_000),
         counter: true,
-        count_timeout: micros(crate::count::PATIENCE),
+        count_timeout: micros(crate::quota_client::PATIENCE),
         peers_per_s: 0.0,
         most_units: 1.0,
         must_subscribe: false,
--- a/crates/starlinghill-proxy/src/lib.rs
+++ b/crates/starlinghill-proxy/src/lib.rs
@@ -2,10 +2,10 @@
 //! with routes, keys and tenants round them, and news from the registries that all of it goes by.
 
 pub mod answers;
-pub mod count;
 pub mod decision_settings;
 pub mod heartbeat;
 pub mod program;
+pub mod quota_client;
 pub mod readiness;
 pub mod registry_client;
 pub mod rejections;
--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -1,9 +1,9 @@
 //! The proxy as a process.
 
 use crate::answers::System;
-use crate::count::{Counter, DrawCounts};
 use crate::decision_settings::{self, Places};
 use crate::heartbeat::Ring;
+use crate::quota_client::{Counter, DrawCounts};
 use crate::registry_client::{self, Shared, View, Ways};
 use crate::rejections::Refusals;
 use crate::request_handler::Front;
--- a/crates/starlinghill-proxy/src/registry_client.rs
+++ b/crates/starlinghill-proxy/src/registry_client.rs
@@ -1,8 +1,8 @@
 //! What the registries tell, and the owner of what this gateway makes of it: one task, which works through a queue.
 
-use crate::count::{Counter, Holder};
 use crate::decision_settings::{Fleet, Places, COLD};
 use crate::heartbeat::Ring;
+use crate::quota_client::{Counter, Holder};
 use hyper::header::HeaderValue;
 use starlinghill_catalog::{number, service_number, Change, Gateway, Liveness, MergedView, State};
 use starlinghill_config_model::items::digest;
--- a/crates/starlinghill-proxy/src/rejections.rs
+++ b/crates/starlinghill-proxy/src/rejections.rs
@@ -1,6 +1,6 @@
 //! Requests that got no answer of a backend, counted by cause for the log.
 
-use crate::count::{Counter, DrawCounts};
+use crate::quota_client::{Counter, DrawCounts};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/starlinghill-proxy/tests/count.rs
+++ b/crates/starlinghill-proxy/tests/quota_client.rs
@@ -4,7 +4,7 @@
 use starlinghill_decision::api::{CountName, Micros, Outcome, ServerId, ServiceId};
 use starlinghill_gateway::counter::Count;
 use starlinghill_gateway::inbox::Counted;
-use starlinghill_proxy::count::{Counter, DrawCounts, PATIENCE};
+use starlinghill_proxy::quota_client::{Counter, DrawCounts, PATIENCE};
 use starlinghill_proxy::registry_client::nowhere;
 use starlinghill_quota_counter::{Draw, Level, Room};
 use starlinghill_registry::wire::{Answer, Question};
--- a/crates/starlinghill-simulator/src/fleet.rs
+++ b/crates/starlinghill-simulator/src/fleet.rs
@@ -5,8 +5,8 @@
 
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
-use starlinghill_proxy::count::PATIENCE;
 use starlinghill_proxy::decision_settings;
+use starlinghill_proxy::quota_client::PATIENCE;
 use starlinghill_quota_counter::{Client, Draw, Gauge, Level, KEEP_IN_TOUCH};
 use starlinghill_runtime::settings::Bounds;
 use std::cmp::Reverse;
--- a/crates/starlinghill-simulator/src/world.rs
+++ b/crates/starlinghill-simulator/src/world.rs
@@ -16,9 +16,9 @@
 
 use starlinghill_config_model::Table;
 use starlinghill_config_store::program::store;
-use starlinghill_proxy::count::Counter;
 use starlinghill_proxy::decision_settings::Places;
 use starlinghill_proxy::heartbeat::Ring;
+use starlinghill_proxy::quota_client::Counter;
 use starlinghill_proxy::registry_client::{self, Shared, View, Ways};
 use starlinghill_registry::program::registry;
 use std::cell::{Cell, RefCell};
