--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -1,6 +1,6 @@
 //! The proxy as a process.
 
-use crate::answers::System;
+use crate::backend_protocol::System;
 use crate::decision_settings::{self, Places};
 use crate::heartbeat::Ring;
 use crate::quota_client::{Counter, DrawCounts};
--- a/crates/starlinghill-proxy/src/request_handler.rs
+++ b/crates/starlinghill-proxy/src/request_handler.rs
@@ -1,6 +1,6 @@
 //! Clients' requests: the route by host and path, the tenant by key, then the module's decision.
 
-use crate::answers::{ATTEMPT, CUSTOMER, TARGET, TIME_LEFT};
+use crate::backend_protocol::{ATTEMPT, CUSTOMER, TARGET, TIME_LEFT};
 use crate::decision_settings::NOBODY;
 use crate::registry_client::{service, Shared};
 use crate::rejections::{Cause, Refusals};
--- a/crates/starlinghill-proxy/tests/answers.rs
+++ b/crates/starlinghill-proxy/tests/backend_protocol.rs
@@ -4,7 +4,7 @@
 use hyper::{Response, StatusCode};
 use starlinghill_decision::api::Outcome::{self, *};
 use starlinghill_gateway::dialect::Dialect;
-use starlinghill_proxy::answers::System;
+use starlinghill_proxy::backend_protocol::System;
 use test_case::test_case;
 
 /// Status, headers as `name: value`, and how it reads: the outcome, whether it is the client's, whether it is its own.
