--- a/crates/starlinghill-registry/src/lib.rs
+++ b/crates/starlinghill-registry/src/lib.rs
@@ -4,8 +4,8 @@
 
 pub mod calls;
 pub mod members;
-pub mod owner;
 pub mod peers;
 pub mod program;
 pub mod serve;
+pub mod state;
 pub mod wire;
--- a/crates/starlinghill-registry/src/peers.rs
+++ b/crates/starlinghill-registry/src/peers.rs
@@ -1,6 +1,6 @@
 //! The other registries, and the store beside this one.
 
-use crate::owner::{Command, Due, Owner};
+use crate::state::{Command, Due, Owner};
 use crate::wire::{Answer, Heard, Question};
 use starlinghill_catalog::Instance;
 use starlinghill_config_store::wire as store;
--- a/crates/starlinghill-registry/src/program.rs
+++ b/crates/starlinghill-registry/src/program.rs
@@ -1,9 +1,9 @@
 //! The registry as a process.
 
 use crate::calls::Place;
-use crate::owner::{self, Command};
 use crate::peers::{follow_store, Peers};
 use crate::serve::{self, Desk};
+use crate::state::{self, Command};
 use crate::wire::Answer;
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_lease::contact::Chain;
@@ -75,7 +75,7 @@
     let peers = Rc::new(Peers::new(net, node.ip, node.port(node.ip, TOOLRACK).port(), seeds));
     let store = node.port(node.ip, PATTERNBOOK);
     let (essentials, mut first_end) = Essentials::new();
-    let owner = owner::start(node, &essentials);
+    let owner = state::start(node, &essentials);
     let (stop, stopping) = watch::channel(false);
     essentials.spawn("peers", peers.clone().run(owner.clone()));
     let chain = Chain::of(node.bounds.apply);
--- a/crates/starlinghill-registry/src/serve.rs
+++ b/crates/starlinghill-registry/src/serve.rs
@@ -1,8 +1,8 @@
 //! Calls from outside: backends and the operator, over HTTP.
 
 use crate::calls::{Call, Found, Place};
-use crate::owner::{is_last_word, Command, Owner};
 use crate::peers::{ask_store, Peers};
+use crate::state::{is_last_word, Command, Owner};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
--- a/crates/starlinghill-registry/tests/contact.rs
+++ b/crates/starlinghill-registry/tests/contact.rs
@@ -3,7 +3,7 @@
 
 use starlinghill_catalog::Gateway;
 use starlinghill_lease::contact::{Chain, LastContact};
-use starlinghill_registry::owner::{self, Command, Owner};
+use starlinghill_registry::state::{self, Command, Owner};
 use starlinghill_registry::wire::{Answer, Have, News, Question};
 use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::settings::{Bounds, Node};
