--- a/crates/starlinghill-registry/src/program.rs
+++ b/crates/starlinghill-registry/src/program.rs
@@ -1,7 +1,7 @@
 //! The registry as a process.
 
-use crate::calls::Place;
 use crate::peers::{follow_store, Peers};
+use crate::router::Place;
 use crate::serve::{self, Desk};
 use crate::state::{self, Command};
 use crate::wire::Answer;
--- a/crates/starlinghill-registry/src/serve.rs
+++ b/crates/starlinghill-registry/src/serve.rs
@@ -1,7 +1,7 @@
 //! Calls from outside: backends and the operator, over HTTP.
 
-use crate::calls::{Call, Found, Place};
 use crate::peers::{ask_store, Peers};
+use crate::router::{Call, Found, Place};
 use crate::state::{is_last_word, Command, Owner};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
