--- a/crates/starlinghill-registry/src/program.rs
+++ b/crates/starlinghill-registry/src/program.rs
@@ -1,8 +1,8 @@
 //! The registry as a process.
 
+use crate::http::{self, Desk};
 use crate::peers::{follow_store, Peers};
 use crate::router::Place;
-use crate::serve::{self, Desk};
 use crate::state::{self, Command};
 use crate::wire::Answer;
 use snafu::{OptionExt, ResultExt, Snafu};
@@ -88,7 +88,7 @@
         tree: Place::tree(),
         stopping,
     };
-    essentials.spawn("control", serve::serve(control, Rc::new(desk)));
+    essentials.spawn("control", http::serve(control, Rc::new(desk)));
     let asked = owner.clone();
     let answer = move |question, _| {
         let owner = asked.clone();
