--- a/crates/starlinghill-gateway/src/backend.rs
+++ b/crates/starlinghill-gateway/src/backend.rs
@@ -1,6 +1,6 @@
 //! Attempts at backends: a pool of connections, and the outcome of each attempt by what was written.
 
-use crate::dialect::{Dialect, Reading};
+use crate::backend_protocol::{Dialect, Reading};
 use crate::download::{Download, GiveBack};
 use crate::forward::{Ended, Forward, Head, Payload, Served};
 use crate::http::{CallError, Connection};
--- a/crates/starlinghill-gateway/src/driver.rs
+++ b/crates/starlinghill-gateway/src/driver.rs
@@ -2,9 +2,9 @@
 //! its request table sees to it that every request gets exactly one final answer.
 
 use crate::backend::{Backend, Pool};
+use crate::backend_protocol::Platform;
 use crate::config::{Config, ConfigError, Upstreams};
 use crate::counter::{Calls, Count, Counter, Counting};
-use crate::dialect::Platform;
 use crate::forward::{Ended, Forward, Head, Served};
 use crate::handover::Handover;
 use crate::inbox::{Answer, Clock, Inbox, Input, Listing, Ordered, Post, Taken};
--- a/crates/starlinghill-gateway/src/forward.rs
+++ b/crates/starlinghill-gateway/src/forward.rs
@@ -1,7 +1,7 @@
 //! A client's request as it goes on to backends, and what comes of an attempt.
 
 use crate::backend::Backend;
-use crate::dialect::Dialect;
+use crate::backend_protocol::Dialect;
 use crate::download::Download;
 use crate::http::Outgoing;
 use crate::idle::Reuse;
--- a/crates/starlinghill-gateway/src/lib.rs
+++ b/crates/starlinghill-gateway/src/lib.rs
@@ -2,9 +2,9 @@
 
 pub mod answer;
 pub mod backend;
+pub mod backend_protocol;
 pub mod config;
 pub mod counter;
-pub mod dialect;
 pub mod discovery;
 pub mod download;
 pub mod driver;
--- a/crates/starlinghill-gateway/src/server.rs
+++ b/crates/starlinghill-gateway/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::answer::{AnswerBody, Passing};
 use crate::backend::{joined, strip_hop_by_hop};
-use crate::dialect::BUDGET;
+use crate::backend_protocol::BUDGET;
 use crate::forward::{Forward, Payload, Served};
 use crate::head::{seen, Head};
 use crate::idle::Reuse;
--- a/crates/starlinghill-gateway/tests/backend.rs
+++ b/crates/starlinghill-gateway/tests/backend.rs
@@ -2,7 +2,7 @@
 
 use starlinghill_decision::api::Outcome;
 use starlinghill_gateway::backend::{Backend, Pool};
-use starlinghill_gateway::dialect::Platform;
+use starlinghill_gateway::backend_protocol::Platform;
 use starlinghill_gateway::forward::{Ended, Forward, Payload, Served};
 use starlinghill_gateway::idle::Reuse;
 use starlinghill_testkit::world::{http, on_runtime, Reply, Stub};
--- a/crates/starlinghill-proxy/src/backend_protocol.rs
+++ b/crates/starlinghill-proxy/src/backend_protocol.rs
@@ -5,7 +5,7 @@
 use hyper::StatusCode;
 use starlinghill_decision::api::Outcome;
 use starlinghill_gateway::backend::Backend;
-use starlinghill_gateway::dialect::{Dialect, Reading};
+use starlinghill_gateway::backend_protocol::{Dialect, Reading};
 
 /// A try's own id.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("attempt-id");
