--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -4,9 +4,9 @@
 use crate::following::{begin, Following, Renew};
 use starlinghill_decision::api::Outcome;
 use starlinghill_failover::Micros;
+use starlinghill_gateway::attempt_events::Attempted;
 use starlinghill_gateway::config::Config;
 use starlinghill_gateway::process::{self, Beside};
-use starlinghill_gateway::watched::Attempted;
 use starlinghill_operator_config::Group;
 use starlinghill_zone_health::attempt_counts::Became;
 use starlinghill_zone_health::attempt_window::Watch;
--- a/crates/starlinghill-gateway/src/driver.rs
+++ b/crates/starlinghill-gateway/src/driver.rs
@@ -1,6 +1,7 @@
 //! The one owner of the decision module: events in, actions out, timers. It translates and never chooses;
 //! its request table sees to it that every request gets exactly one final answer.
 
+use crate::attempt_events::{Watched, Watcher};
 use crate::backend::{Backend, Pool};
 use crate::backend_protocol::Platform;
 use crate::config::{Config, ConfigError, Upstreams};
@@ -9,7 +10,6 @@
 use crate::handover::Handover;
 use crate::inbox::{Answer, Clock, Inbox, Input, Listing, Ordered, Post, Taken};
 use crate::orders::Orders;
-use crate::watched::{Watched, Watcher};
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
 use starlinghill_maintenance::{Book, Roster};
--- a/crates/starlinghill-gateway/src/lib.rs
+++ b/crates/starlinghill-gateway/src/lib.rs
@@ -1,6 +1,7 @@
 //! The real gateway: the decision module on sockets.
 
 pub mod answer;
+pub mod attempt_events;
 pub mod backend;
 pub mod backend_protocol;
 pub mod config;
@@ -24,8 +25,8 @@
 pub mod process;
 pub mod server;
 pub mod upload;
-pub mod watched;
 
+use attempt_events::Watcher;
 use config::{Config, ConfigError, Upstreams};
 use driver::Driver;
 use inbox::{Clock, Inbox, Input};
@@ -44,7 +45,6 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::task::spawn_local;
 use tracing::{info, warn};
-use watched::Watcher;
 
 /// The part of the memory that clients' bodies may fill.
 const BODIES_PART: usize = 8;
--- a/crates/starlinghill-gateway/src/process.rs
+++ b/crates/starlinghill-gateway/src/process.rs
@@ -1,8 +1,8 @@
 //! A gateway as a process: it is told where and how by the environment, reads its configuration again at SIGHUP, and
 //! ends at SIGTERM.
 
+use crate::attempt_events::Watcher;
 use crate::config::{Config, Reloaded};
-use crate::watched::Watcher;
 use crate::{Control, Parts};
 use starlinghill_signals::{Signals, Told};
 use std::error::Error;
