--- a/crates/starlinghill-gateway/src/server.rs
+++ b/crates/starlinghill-gateway/src/server.rs
@@ -3,12 +3,12 @@
 use crate::answer::{AnswerBody, Passing};
 use crate::backend::{joined, strip_hop_by_hop};
 use crate::backend_protocol::BUDGET;
+use crate::class_names::Names;
 use crate::forward::{Forward, Payload, Served};
 use crate::head::{seen, Head};
 use crate::idle::Reuse;
 use crate::inbox::{Answer, Clock, Inbox, Input, Taken};
 use crate::lines::{Line, Lines, Phase, ACCEPT_PAUSE, BODY_RATE, RECEIVE_TIME};
-use crate::names::Names;
 use crate::upload::{Follower, Upload, Whole, MAX_BODY, MAX_PASSING};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
