--- a/crates/starlinghill-gateway/src/lib.rs
+++ b/crates/starlinghill-gateway/src/lib.rs
@@ -12,7 +12,6 @@
 pub mod driver;
 pub mod forward;
 pub mod handover;
-pub mod head;
 pub mod http;
 pub mod idle;
 pub mod inbox;
@@ -23,6 +22,7 @@
 pub mod orders;
 pub mod peers;
 pub mod process;
+pub mod request_head;
 pub mod server;
 pub mod upload;
 
--- a/crates/starlinghill-gateway/src/lines.rs
+++ b/crates/starlinghill-gateway/src/lines.rs
@@ -1,6 +1,6 @@
 //! Clients' connections as those see them who may close them, a bounded number.
 
-use crate::head::Head;
+use crate::request_head::Head;
 use crate::upload::Follower;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
