--- a/crates/starlinghill-gateway/src/answer.rs
+++ b/crates/starlinghill-gateway/src/answer.rs
@@ -1,7 +1,7 @@
 //! What goes back to a client: held whole, or passed on as it comes.
 
+use crate::connections::Line;
 use crate::download::Download;
-use crate::lines::Line;
 use crate::upload::BodyError;
 use bytes::Bytes;
 use http_body_util::{Either, Full};
--- a/crates/starlinghill-proxy/src/request_handler.rs
+++ b/crates/starlinghill-proxy/src/request_handler.rs
@@ -11,9 +11,9 @@
 use starlinghill_config_model::routing::Route;
 use starlinghill_decision::api::*;
 use starlinghill_gateway::answer::AnswerBody;
+use starlinghill_gateway::connections::Line;
 use starlinghill_gateway::idle::Reuse;
 use starlinghill_gateway::inbox::Answer;
-use starlinghill_gateway::lines::Line;
 use starlinghill_gateway::server::{
     body_of, come_back, last, plain, unless_read, Desk, Intake, Malformed, Wanted,
 };
