--- a/crates/starlinghill-gateway/src/lib.rs
+++ b/crates/starlinghill-gateway/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod http;
 pub mod idle;
 pub mod inbox;
-pub mod inherit;
+pub mod inherited_socket;
 pub mod listen;
 pub mod ops;
 pub mod orders;
@@ -107,7 +107,7 @@
         (config.listen, config.ops, config.sockets, config.inherited.is_some());
     // Before anything else is opened, so that the number means what it meant when the process started.
     let listener = match config.inherited {
-        Some(number) => inherit::listener(number)
+        Some(number) => inherited_socket::listener(number)
             .inspect(listen::send_at_once)
             .and_then(TcpListener::from_std)
             .map_err(|e| RunError::Inherit(number, e))?,
