--- a/crates/starlinghill-gateway/src/driver.rs
+++ b/crates/starlinghill-gateway/src/driver.rs
@@ -9,7 +9,7 @@
 use crate::forward::{Ended, Forward, Head, Served};
 use crate::handover::Handover;
 use crate::inbox::{Answer, Clock, Inbox, Input, Listing, Ordered, Post, Taken};
-use crate::orders::Orders;
+use crate::maintenance_file::Orders;
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
 use starlinghill_maintenance::{Book, Roster};
