--- a/crates/starlinghill-console/src/lib.rs
+++ b/crates/starlinghill-console/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operators' terminal: how things stand over all registries, and orders for scripts.
 
-pub mod ask;
+pub mod client;
 pub mod explain;
 pub mod membership;
 pub mod picture;
--- a/crates/starlinghill-console/src/main.rs
+++ b/crates/starlinghill-console/src/main.rs
@@ -3,7 +3,7 @@
 use ratatui::crossterm::event::{self, Event, KeyCode};
 use simd_json::prelude::*;
 use starlinghill_config_model::{Change, Table};
-use starlinghill_console::ask::{AskError, Places};
+use starlinghill_console::client::{AskError, Places};
 use starlinghill_console::explain::{book, differences, explain, Asked};
 use starlinghill_console::membership;
 use starlinghill_console::picture::{Events, Picture};
--- a/crates/starlinghill-console/src/membership.rs
+++ b/crates/starlinghill-console/src/membership.rs
@@ -1,6 +1,6 @@
 //! Who belongs to the core: what its stores say of each other, and orders to change it.
 
-use crate::ask::{AskError, Places, PATIENCE};
+use crate::client::{AskError, Places, PATIENCE};
 use starlinghill_config_store::wire::{Admission, Answer, CoreOrder, Question, Standing, Wait};
 use starlinghill_consensus::{Member, Members};
 use starlinghill_runtime::net;
--- a/crates/starlinghill-testkit/tests/members.rs
+++ b/crates/starlinghill-testkit/tests/members.rs
@@ -1,7 +1,7 @@
 //! Members of the core as people change them, by real processes and the console's own orders: `docs/operate/system.md`.
 
 use starlinghill_config_store::wire::CoreOrder;
-use starlinghill_console::ask::Places;
+use starlinghill_console::client::Places;
 use starlinghill_console::membership::{list, why};
 use starlinghill_runtime::settings::Node;
 use starlinghill_testkit::system::{change, eventually, first_items, program, rule, System};
