--- a/crates/starlinghill-console/src/lib.rs
+++ b/crates/starlinghill-console/src/lib.rs
@@ -3,5 +3,5 @@
 pub mod client;
 pub mod explain;
 pub mod membership;
-pub mod picture;
 pub mod screen;
+pub mod status;
--- a/crates/starlinghill-console/src/screen.rs
+++ b/crates/starlinghill-console/src/screen.rs
@@ -1,6 +1,6 @@
 //! The picture on a terminal.
 
-use crate::picture::{Events, Picture};
+use crate::status::{Events, Picture};
 use ratatui::layout::{Constraint, Layout};
 use ratatui::style::{Color, Style, Stylize};
 use ratatui::text::{Line, Span};
--- a/crates/starlinghill-console/tests/words.rs
+++ b/crates/starlinghill-console/tests/words.rs
@@ -4,7 +4,7 @@
 use starlinghill_config_model::items::digest;
 use starlinghill_config_model::{Change, History, Item, Kind};
 use starlinghill_console::explain::{book, differences, explain, Asked};
-use starlinghill_console::picture::Picture;
+use starlinghill_console::status::Picture;
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
 use starlinghill_quota_counter::Seen;
