--- a/crates/starlinghill-control/src/lib.rs
+++ b/crates/starlinghill-control/src/lib.rs
@@ -1,7 +1,7 @@
 //! The control service, to be run by its program or inside a test: it follows discovery, keeps the picture of the
 //! fleet, and tells proxies over xDS.
 
-pub mod following;
+pub mod group_follower;
 pub mod program;
 
 use starlinghill_control_state::fleet::Place;
@@ -181,7 +181,7 @@
     control: Control,
     stop: watch::Sender<bool>,
     upstreams: watch::Sender<Upstreams>,
-    renew: Option<following::Renew>,
+    renew: Option<group_follower::Renew>,
     serving: JoinHandle<Result<(), tonic::transport::Error>>,
     running: JoinHandle<()>,
 }
@@ -199,7 +199,7 @@
     let mut renew = None;
     if let Some(group) = group {
         let name = format!("control-{}", address.port());
-        let following = following::begin(&group, &name, "", None).map_err(StartError::Group)?;
+        let following = group_follower::begin(&group, &name, "", None).map_err(StartError::Group)?;
         tokio::spawn(tell_zones(following.parts, hub.news.clone()));
         renew = Some(following.renew);
     }
--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -1,7 +1,7 @@
 //! `gateway`: a gateway that follows the group. It is told the rest by its environment, as the platform's own is. At
 //! SIGHUP it reads the operators' file again, beside the platform's settings.
 
-use crate::following::{begin, Following, Renew};
+use crate::group_follower::{begin, Following, Renew};
 use starlinghill_decision::api::Outcome;
 use starlinghill_failover::Micros;
 use starlinghill_gateway::attempt_events::Attempted;
--- a/crates/starlinghill-control/tests/group.rs
+++ b/crates/starlinghill-control/tests/group.rs
@@ -347,7 +347,8 @@
     for i in 0..FOLLOWERS {
         let (tx, rx) = tokio::sync::watch::channel(View::of_own_sight());
         let (_fixed, changes) = tokio::sync::watch::channel(
-            starlinghill_control::following::settings(&file, &format!("f{i}"), "", i as u64).expect("a name"),
+            starlinghill_control::group_follower::settings(&file, &format!("f{i}"), "", i as u64)
+                .expect("a name"),
         );
         tokio::spawn(follow(changes, tx, None));
         views.push(rx);
@@ -462,7 +463,7 @@
     let mut views = Vec::new();
     for (name, zones) in said {
         let (tx, rx) = tokio::sync::watch::channel(View::of_own_sight());
-        let settings = starlinghill_control::following::settings(&file, name, "c", 1).expect("a name");
+        let settings = starlinghill_control::group_follower::settings(&file, name, "c", 1).expect("a name");
         let (_fixed, changes) = tokio::sync::watch::channel(settings);
         let report = Report { zones: zones.into_iter().map(|(zone, sums)| (zone.into(), sums)).collect() };
         let evidence: Option<Evidence> = match name {
--- a/crates/starlinghill-testkit/examples/followers.rs
+++ b/crates/starlinghill-testkit/examples/followers.rs
@@ -6,7 +6,7 @@
 
 use clap::Parser;
 use hdrhistogram::Histogram;
-use starlinghill_control::following;
+use starlinghill_control::group_follower;
 use starlinghill_failover::follower::{Mode, View};
 use starlinghill_failover::order::{Change, Order, Ramp, What, ZoneOrder};
 use starlinghill_failover::state::Outcome;
@@ -116,7 +116,7 @@
     for i in 0..cli.followers {
         let (tx, rx) = watch::channel(View::of_own_sight());
         let (_fixed, changes) =
-            watch::channel(following::settings(&settings, &format!("f{i}"), "", i as u64)?);
+            watch::channel(group_follower::settings(&settings, &format!("f{i}"), "", i as u64)?);
         tokio::spawn(follow(changes, tx, evidence.clone()));
         views.push(rx);
     }
