--- a/crates/starlinghill-control/src/program.rs
+++ b/crates/starlinghill-control/src/program.rs
@@ -3,9 +3,9 @@
 //!
 //! It stands in the library so that a demo can run it as processes of its own without a second build.
 
+mod explain;
 mod group;
 mod node;
-mod why;
 mod zones;
 
 use crate::{plan, prepare, start, Prepared};
@@ -74,7 +74,7 @@
     /// Show the zones: state, epoch, who, why, and which gateways follow.
     Zones(zones::ListArgs),
     /// Say what is found of the zones by what all gateways see, and who sees what.
-    Why(why::Args),
+    Why(explain::Args),
     /// Order something about a zone.
     #[command(subcommand)]
     Zone(zones::ZoneCommand),
@@ -190,7 +190,7 @@
         Command::Group(args) => return group::main(args),
         Command::Zones(args) => return zones::list(&args),
         Command::Zone(command) => return zones::order(command),
-        Command::Why(args) => return why::main(&args),
+        Command::Why(args) => return explain::main(&args),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
