--- a/crates/starlinghill-testkit/examples/rooms.rs
+++ b/crates/starlinghill-testkit/examples/balancing.rs
@@ -1,7 +1,7 @@
 //! Ways of choosing a backend side by side, in virtual time: who waits, how even it is, connections, bytes.
-//! `cargo run --release -p starlinghill-testkit --example rooms`
+//! `cargo run --release -p starlinghill-testkit --example balancing`
 
-use starlinghill_testkit::rooms::{Fleet, Way};
+use starlinghill_testkit::balancing::{Fleet, Way};
 
 /// Requests a second at one gateway.
 const EACH: f64 = 15.0;
--- a/crates/starlinghill-testkit/src/lib.rs
+++ b/crates/starlinghill-testkit/src/lib.rs
@@ -15,9 +15,10 @@
 //! - [`processes`]: real processes that are killed, stopped, continued and started again.
 //! - [`proxy`]: a proxy that takes its routing over xDS and forwards to save nodes.
 //! - [`quota`]: that proxy's buckets, filled by quota assignments.
-//! - [`rooms`]: a fleet before the backends of one service in virtual time, by several ways of choosing.
+//! - [`balancing`]: a fleet before the backends of one service in virtual time, by several ways of choosing.
 //! - [`system`]: the whole system as processes, with backends that misbehave.
 
+pub mod balancing;
 pub mod catch_up;
 pub mod counter;
 pub mod cuts;
@@ -31,7 +32,6 @@
 pub mod processes;
 pub mod proxy;
 pub mod quota;
-pub mod rooms;
 pub mod soak;
 pub mod system;
 pub mod world;
--- a/crates/starlinghill-testkit/tests/rooms.rs
+++ b/crates/starlinghill-testkit/tests/balancing.rs
@@ -1,6 +1,6 @@
 //! A fleet that goes by what the counter names, beside the same fleet by chance.
 
-use starlinghill_testkit::rooms::{Fleet, Way};
+use starlinghill_testkit::balancing::{Fleet, Way};
 use test_case::test_case;
 
 #[test_case(11, 17; "a small fleet")]
