--- a/crates/starlinghill-testkit/src/lib.rs
+++ b/crates/starlinghill-testkit/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`world`]: stubs of backends, the counter and discovery, a client, and a gateway as a process.
 //! - [`catch_up`]: a core machine that was away during many changes.
 //! - [`counter`]: the shared counter with a capacity, its failures, and what it really counted.
-//! - [`cuts`]: a network between real processes whose links are cut by a file.
+//! - [`partitions`]: a network between real processes whose links are cut by a file.
 //! - [`failover`]: gateways in zones that follow a group, load through them, and scripted faults.
 //! - [`group`]: a group of real member processes, with links between them.
 //! - [`history`]: the audit of what was ordered and what gateways followed.
@@ -21,7 +21,6 @@
 pub mod balancing;
 pub mod catch_up;
 pub mod counter;
-pub mod cuts;
 pub mod failover;
 pub mod group;
 pub mod history;
@@ -29,6 +28,7 @@
 pub mod load;
 pub mod nodes;
 pub mod outage;
+pub mod partitions;
 pub mod processes;
 pub mod proxy;
 pub mod quota;
--- a/crates/starlinghill-testkit/src/soak/mod.rs
+++ b/crates/starlinghill-testkit/src/soak/mod.rs
@@ -11,7 +11,7 @@
 mod operator;
 mod trouble;
 
-use crate::cuts::Direction;
+use crate::partitions::Direction;
 use crate::processes::{state, Process};
 use crate::system::{call, first_items, program, Backend, Client, Does, System};
 use kept::{Kept, Unanswered};
--- a/crates/starlinghill-testkit/src/soak/trouble.rs
+++ b/crates/starlinghill-testkit/src/soak/trouble.rs
@@ -1,7 +1,7 @@
 //! How a seed is played, and what may befall its processes.
 
 use super::LONG_CUT;
-use crate::cuts::Direction;
+use crate::partitions::Direction;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
--- a/crates/starlinghill-testkit/src/system.rs
+++ b/crates/starlinghill-testkit/src/system.rs
@@ -1,7 +1,7 @@
 //! A small whole system on loopback: core machines with a registry and a store, proxies, backends that beat, an operator and
 //! clients. Machines are addresses of 127.0.0.0/8, so that ports may be alike on all, as they are on the platform.
 
-use crate::cuts::{self, Direction};
+use crate::partitions::{self, Direction};
 use crate::processes::Process;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -38,7 +38,7 @@
     let file = PathBuf::from(std::env::var_os("STARLINGHILL_CONFIG").expect("a settings file"));
     let folder = file.parent().and_then(Path::parent).expect("a system's folder");
     let node = Node::from_file(&file).expect("sound settings");
-    cuts::net(node.ip, folder.join(CUTS))
+    partitions::net(node.ip, folder.join(CUTS))
 }
 
 /// How long anything may take.
@@ -184,7 +184,7 @@
 
     /// These directions of links are cut from now on, and no others.
     pub fn cut(&self, directions: &BTreeSet<Direction>) {
-        cuts::write(&self.folder.path().join(CUTS), directions).expect("written");
+        partitions::write(&self.folder.path().join(CUTS), directions).expect("written");
     }
 
     /// Waits until all proxies take clients.
