--- a/crates/starlinghill-control/tests/common/mod.rs
+++ b/crates/starlinghill-control/tests/common/mod.rs
@@ -2,12 +2,12 @@
 #![allow(dead_code, unused_imports)]
 
 use starlinghill_control::{prepare, start, Running};
-use starlinghill_testkit::world::{self, Discovery, LIMIT};
+use starlinghill_testkit::stubs::{self, Discovery, LIMIT};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
 pub use starlinghill_testkit::nodes::listed as nodes;
-pub use starlinghill_testkit::world::member_since as member;
+pub use starlinghill_testkit::stubs::member_since as member;
 
 /// The operators' file round this discovery, with more lines at its end.
 pub fn file(discovery: &Discovery, more: &str) -> PathBuf {
--- a/crates/starlinghill-control/tests/failover.rs
+++ b/crates/starlinghill-control/tests/failover.rs
@@ -9,7 +9,7 @@
 use starlinghill_testkit::nodes::SaveNode;
 use starlinghill_testkit::processes::Process;
 use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
-use starlinghill_testkit::world::{control_file, list, member, Discovery};
+use starlinghill_testkit::stubs::{control_file, list, member, Discovery};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
--- a/crates/starlinghill-control/tests/grpc_client.rs
+++ b/crates/starlinghill-control/tests/grpc_client.rs
@@ -7,7 +7,7 @@
 use envoy_types::pb::envoy::service::auth::v3::authorization_client::AuthorizationClient;
 use envoy_types::pb::envoy::service::auth::v3::authorization_server::{Authorization, AuthorizationServer};
 use envoy_types::pb::envoy::service::auth::v3::{CheckRequest, CheckResponse};
-use starlinghill_testkit::world::{list, Discovery, LIMIT};
+use starlinghill_testkit::stubs::{list, Discovery, LIMIT};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
--- a/crates/starlinghill-control/tests/hostile.rs
+++ b/crates/starlinghill-control/tests/hostile.rs
@@ -10,7 +10,7 @@
 use envoy_types::pb::envoy::service::rate_limit_quota::v3::RateLimitQuotaUsageReports;
 use starlinghill_control::{prepare, start};
 use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
-use starlinghill_testkit::world::list;
+use starlinghill_testkit::stubs::list;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use tokio::sync::mpsc;
@@ -113,7 +113,7 @@
     let mut raw = TcpStream::connect(at).expect("it listens");
     raw.write_all(&[0xff; 4096]).expect("written");
     let mut answer = Vec::new();
-    raw.set_read_timeout(Some(starlinghill_testkit::world::LIMIT)).expect("a socket");
+    raw.set_read_timeout(Some(starlinghill_testkit::stubs::LIMIT)).expect("a socket");
     let _ = raw.read_to_end(&mut answer);
 
     discovery.say(42, &list(42, false, &member("s-1", nodes[1].address, "gone", 0)));
--- a/crates/starlinghill-control/tests/program.rs
+++ b/crates/starlinghill-control/tests/program.rs
@@ -5,7 +5,7 @@
 use common::{file, nodes};
 use starlinghill_control::{prepare, start};
 use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
-use starlinghill_testkit::world::{self, Node};
+use starlinghill_testkit::stubs::{self, Node};
 use std::process::{Command, Output};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_starlinghill-control");
--- a/crates/starlinghill-control/tests/proxies.rs
+++ b/crates/starlinghill-control/tests/proxies.rs
@@ -6,7 +6,7 @@
 use starlinghill_control::{prepare, Running};
 use starlinghill_testkit::nodes::SaveNode;
 use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
-use starlinghill_testkit::world::{list, Discovery};
+use starlinghill_testkit::stubs::{list, Discovery};
 use std::time::{Duration, Instant};
 
 const BOTH: [Flavour; 2] = [Flavour::Whole, Flavour::Delta];
--- a/crates/starlinghill-control/tests/quotas.rs
+++ b/crates/starlinghill-control/tests/quotas.rs
@@ -6,7 +6,7 @@
 use starlinghill_control::{prepare, start, Running};
 use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
 use starlinghill_testkit::quota::Key;
-use starlinghill_testkit::world::{self, Discovery};
+use starlinghill_testkit::stubs::{self, Discovery};
 use std::time::{Duration, Instant};
 
 const RATE: f64 = 20.0;
--- a/crates/starlinghill-gateway/tests/backend.rs
+++ b/crates/starlinghill-gateway/tests/backend.rs
@@ -5,7 +5,7 @@
 use starlinghill_gateway::backend_protocol::Platform;
 use starlinghill_gateway::forward::{Ended, Forward, Payload, Served};
 use starlinghill_gateway::idle::Reuse;
-use starlinghill_testkit::world::{http, on_runtime, Reply, Stub};
+use starlinghill_testkit::stubs::{http, on_runtime, Reply, Stub};
 use std::cell::Cell;
 use std::io::{Read, Write};
 use std::rc::Rc;
--- a/crates/starlinghill-gateway/tests/bodies.rs
+++ b/crates/starlinghill-gateway/tests/bodies.rs
@@ -1,6 +1,6 @@
 //! Bodies too large to hold, in either direction, and every form in which they come.
 
-use starlinghill_testkit::world::*;
+use starlinghill_testkit::stubs::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
--- a/crates/starlinghill-gateway/tests/counter.rs
+++ b/crates/starlinghill-gateway/tests/counter.rs
@@ -3,7 +3,7 @@
 use starlinghill_decision::api::{CountName, Micros, Outcome};
 use starlinghill_gateway::counter::{Calls, Counter};
 use starlinghill_gateway::inbox::Counted;
-use starlinghill_testkit::world::{http, on_runtime, Reply, Stub};
+use starlinghill_testkit::stubs::{http, on_runtime, Reply, Stub};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
--- a/crates/starlinghill-gateway/tests/operators.rs
+++ b/crates/starlinghill-gateway/tests/operators.rs
@@ -1,6 +1,6 @@
 //! The gateway in the hands of staff: the door, backends taken out, new versions under load, new settings.
 
-use starlinghill_testkit::world::*;
+use starlinghill_testkit::stubs::*;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
--- a/crates/starlinghill-gateway/tests/peers.rs
+++ b/crates/starlinghill-gateway/tests/peers.rs
@@ -2,7 +2,7 @@
 
 use starlinghill_gateway::inbox::{Input, Post};
 use starlinghill_gateway::peers::{Peers, Socket};
-use starlinghill_testkit::world::on_runtime;
+use starlinghill_testkit::stubs::on_runtime;
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/starlinghill-gateway/tests/sockets.rs
+++ b/crates/starlinghill-gateway/tests/sockets.rs
@@ -1,6 +1,6 @@
 //! The gateway on loopback sockets: what real networks do to it that the simulator does not.
 
-use starlinghill_testkit::world::*;
+use starlinghill_testkit::stubs::*;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::Arc;
--- a/crates/starlinghill-testkit/examples/common/mod.rs
+++ b/crates/starlinghill-testkit/examples/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, unused_imports)]
 
 use starlinghill_control::{prepare, start, Running};
-use starlinghill_testkit::world::{self, Discovery};
+use starlinghill_testkit::stubs::{self, Discovery};
 use std::time::Duration;
 
 pub use starlinghill_testkit::nodes::listed as nodes;
--- a/crates/starlinghill-testkit/examples/cost.rs
+++ b/crates/starlinghill-testkit/examples/cost.rs
@@ -8,7 +8,7 @@
 use starlinghill_testkit::load::Load;
 use starlinghill_testkit::nodes;
 use starlinghill_testkit::processes::{used, Process, Used};
-use starlinghill_testkit::world::{self, told_by};
+use starlinghill_testkit::stubs::{self, told_by};
 use std::error::Error;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/starlinghill-testkit/examples/drain.rs
+++ b/crates/starlinghill-testkit/examples/drain.rs
@@ -7,7 +7,7 @@
 use common::{argument, cores, ms, nodes, service};
 use hdrhistogram::Histogram;
 use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
-use starlinghill_testkit::world;
+use starlinghill_testkit::stubs;
 use std::time::{Duration, Instant};
 
 const NAMES: [&str; 3] = ["whole", "delta", "late"];
@@ -52,7 +52,7 @@
             }
         }
         let told = Instant::now();
-        discovery.say(42, &world::list(42, false, &world::member("s-3", nodes[3].address, "draining")));
+        discovery.say(42, &stubs::list(42, false, &stubs::member("s-3", nodes[3].address, "draining")));
         proxies.iter().for_each(|p| p.move_to(running.address));
         if [1, 4].contains(&fault) {
             tokio::time::sleep(Duration::from_micros(rng.u64(0..3_000))).await;
--- a/crates/starlinghill-testkit/examples/fleet.rs
+++ b/crates/starlinghill-testkit/examples/fleet.rs
@@ -10,7 +10,7 @@
 use starlinghill_testkit::group::free_address;
 use starlinghill_testkit::processes::Process;
 use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
-use starlinghill_testkit::world::{self, config, counter, Stub};
+use starlinghill_testkit::stubs::{self, config, counter, Stub};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::process::{Command, ExitCode};
--- a/crates/starlinghill-testkit/examples/propagation.rs
+++ b/crates/starlinghill-testkit/examples/propagation.rs
@@ -10,7 +10,7 @@
 use envoy_types::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 use hdrhistogram::Histogram;
 use prost::Message;
-use starlinghill_testkit::world::{self, Discovery};
+use starlinghill_testkit::stubs::{self, Discovery};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
--- a/crates/starlinghill-testkit/src/failover.rs
+++ b/crates/starlinghill-testkit/src/failover.rs
@@ -6,7 +6,7 @@
 use crate::load::{Load, Sent, WAITS};
 use crate::nodes::SaveNode;
 use crate::processes::Process;
-use crate::world::{self, Discovery, Stub};
+use crate::stubs::{self, Discovery, Stub};
 use serde::{Deserialize, Serialize};
 use starlinghill_failover_client::wall_clock;
 use std::collections::BTreeMap;
@@ -104,7 +104,7 @@
 
 /// One member of a list: a node of a zone, where it is seen, since when it runs.
 fn entry(i: usize, zone: &str, at: SocketAddr, up_since_ms: u64) -> String {
-    let member = world::member_since(&format!("s-{i}"), at, "ready", up_since_ms);
+    let member = stubs::member_since(&format!("s-{i}"), at, "ready", up_since_ms);
     member.replace("\"locality\":\"a\"", &format!("\"locality\":\"{zone}\""))
 }
 
@@ -116,7 +116,7 @@
     counter: SocketAddr,
 ) -> String {
     let zone = zone_of(i, gateways);
-    let settings = world::SETTINGS
+    let settings = stubs::SETTINGS
         .replace("\"balancers\":2,\"my_number\":0", &format!("\"balancers\":{gateways},\"my_number\":{i}"))
         .replace(
             "\"zone\":\"a\",\"zones\":[\"a\",\"b\"]",
@@ -149,7 +149,7 @@
             }
             lists.push(List { discovery: Discovery::start(&listed.join(",")), nodes: seen });
         }
-        let counter = world::counter();
+        let counter = stubs::counter();
         let (mut processes, mut listen) = (Vec::new(), Vec::new());
         for i in 0..gateways {
             let zone = zone_of(i, gateways);
@@ -271,7 +271,7 @@
             });
             // Whole: a gateway that starts later is told the same, and can do nothing with changes alone.
             let members = members.collect::<Vec<_>>().join(",");
-            list.discovery.say(self.revision, &world::list(self.revision, true, &members));
+            list.discovery.say(self.revision, &stubs::list(self.revision, true, &members));
         }
     }
 
--- a/crates/starlinghill-testkit/src/lib.rs
+++ b/crates/starlinghill-testkit/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for what surrounds the programs of this repository, on loopback sockets, and faults that tests
 //! script for them. No program that is shipped depends on this package.
 //!
-//! - [`world`]: stubs of backends, the counter and discovery, a client, and a gateway as a process.
+//! - [`stubs`]: stubs of backends, the counter and discovery, a client, and a gateway as a process.
 //! - [`catch_up`]: a core machine that was away during many changes.
 //! - [`counter`]: the shared counter with a capacity, its failures, and what it really counted.
 //! - [`partitions`]: a network between real processes whose links are cut by a file.
@@ -33,5 +33,5 @@
 pub mod proxy;
 pub mod quota;
 pub mod soak;
+pub mod stubs;
 pub mod system;
-pub mod world;
--- a/crates/starlinghill-testkit/src/nodes.rs
+++ b/crates/starlinghill-testkit/src/nodes.rs
@@ -1,6 +1,6 @@
 //! Save nodes: they answer at once, or fail, and note when whose request came.
 
-use crate::world::{self, Discovery};
+use crate::stubs::{self, Discovery};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::server::conn::http1;
@@ -131,7 +131,7 @@
     }
     let named = nodes.iter().enumerate();
     let members: Vec<String> =
-        named.map(|(i, node)| world::member(&format!("s-{i}"), node.address, "ready")).collect();
+        named.map(|(i, node)| stubs::member(&format!("s-{i}"), node.address, "ready")).collect();
     let discovery = Discovery::start(&members.join(","));
     (nodes, discovery)
 }
--- a/crates/starlinghill-testkit/src/outage.rs
+++ b/crates/starlinghill-testkit/src/outage.rs
@@ -3,7 +3,7 @@
 
 use crate::counter::{Counter, Mode, Totals};
 use crate::nodes::{listed, SaveNode};
-use crate::world::{config, program, Node};
+use crate::stubs::{config, program, Node};
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/starlinghill-testkit/src/proxy.rs
+++ b/crates/starlinghill-testkit/src/proxy.rs
@@ -545,7 +545,7 @@
 
     /// Waits until what it has is as wanted.
     pub async fn wait_for(&self, what: &str, wanted: impl Fn(&Mirror) -> bool) {
-        let until = Instant::now() + crate::world::LIMIT;
+        let until = Instant::now() + crate::stubs::LIMIT;
         while !wanted(&self.shared.mirror()) {
             assert!(Instant::now() < until, "waited in vain for {what}; it has {:?}", self.mirror().targets);
             tokio::time::sleep(Duration::from_millis(2)).await;
