--- a/crates/starlinghill-control/tests/clocks.rs
+++ b/crates/starlinghill-control/tests/clocks.rs
@@ -5,9 +5,9 @@
 use starlinghill_failover::bounds::Timing;
 use starlinghill_failover::Micros;
 use starlinghill_failover_client::wall_clock;
+use starlinghill_testkit::audit::wrongs;
 use starlinghill_testkit::failover::{Fault, Fleet};
 use starlinghill_testkit::group::LIMIT;
-use starlinghill_testkit::history::wrongs;
 use std::process::ExitCode;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
--- a/crates/starlinghill-control/tests/failover.rs
+++ b/crates/starlinghill-control/tests/failover.rs
@@ -3,9 +3,9 @@
 
 use starlinghill_failover::bounds::Timing;
 use starlinghill_failover::Micros;
+use starlinghill_testkit::audit::{wrongs, Ordered};
 use starlinghill_testkit::failover::{Fault, Fleet};
 use starlinghill_testkit::group::{Group, LIMIT};
-use starlinghill_testkit::history::{wrongs, Ordered};
 use starlinghill_testkit::nodes::SaveNode;
 use starlinghill_testkit::processes::Process;
 use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
--- a/crates/starlinghill-testkit/src/failover.rs
+++ b/crates/starlinghill-testkit/src/failover.rs
@@ -1,8 +1,8 @@
 //! A fleet of real gateway processes in zones, which follow a group of real members, before save nodes in every zone, with
 //! load through all of them; orders to the group; and faults by scripts, which are data and can be played again.
 
+use crate::audit::{accepted, Cold, Ordered};
 use crate::group::{free_address, Group, LIMIT};
-use crate::history::{accepted, Cold, Ordered};
 use crate::load::{Load, Sent, WAITS};
 use crate::nodes::SaveNode;
 use crate::processes::Process;
@@ -345,8 +345,8 @@
     }
 
     /// What each gateway has followed, from its log: position (generation, epoch), mode, when; by life.
-    pub fn followed(&self) -> Vec<Vec<crate::history::Follows>> {
-        self.gateways.iter().map(|g| crate::history::follows(&g.lines())).collect()
+    pub fn followed(&self) -> Vec<Vec<crate::audit::Follows>> {
+        self.gateways.iter().map(|g| crate::audit::follows(&g.lines())).collect()
     }
 
     /// Waits until every gateway follows the group's newest position.
--- a/crates/starlinghill-testkit/src/lib.rs
+++ b/crates/starlinghill-testkit/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`partitions`]: a network between real processes whose links are cut by a file.
 //! - [`failover`]: gateways in zones that follow a group, load through them, and scripted faults.
 //! - [`group`]: a group of real member processes, with links between them.
-//! - [`history`]: the audit of what was ordered and what gateways followed.
+//! - [`audit`]: the audit of what was ordered and what gateways followed.
 //! - [`links`]: links between real processes, one a directed pair of zones, that are cut, slow, lossy or reset.
 //! - [`load`]: clients at a steady pace, and what became of each request.
 //! - [`nodes`]: save nodes that many proxies send to at once, and what they saw.
@@ -18,12 +18,12 @@
 //! - [`balancing`]: a fleet before the backends of one service in virtual time, by several ways of choosing.
 //! - [`system`]: the whole system as processes, with backends that misbehave.
 
+pub mod audit;
 pub mod balancing;
 pub mod catch_up;
 pub mod counter;
 pub mod failover;
 pub mod group;
-pub mod history;
 pub mod links;
 pub mod load;
 pub mod nodes;
--- a/crates/starlinghill-testkit/tests/history.rs
+++ b/crates/starlinghill-testkit/tests/audit.rs
@@ -1,6 +1,6 @@
 //! The audit finds what is planted.
 
-use starlinghill_testkit::history::{wrongs, Cold, Follows, Ordered};
+use starlinghill_testkit::audit::{wrongs, Cold, Follows, Ordered};
 use std::time::{Duration, Instant};
 
 const FRESH: Duration = Duration::from_secs(1);
