--- a/crates/starlinghill-testkit/src/soak/mod.rs
+++ b/crates/starlinghill-testkit/src/soak/mod.rs
@@ -7,14 +7,14 @@
 //!
 //! `tests/soak.rs` says how to play more seeds than CI does.
 
-mod kept;
+mod keep_alive;
 mod operator;
 mod trouble;
 
 use crate::partitions::Direction;
 use crate::processes::{state, Process};
 use crate::system::{call, first_items, program, Backend, Client, Does, System};
-use kept::{Kept, Unanswered};
+use keep_alive::{Kept, Unanswered};
 use operator::Operator;
 use starlinghill_quota_counter::{Allowance, Quota};
 use std::collections::{BTreeSet, HashSet};
