--- a/crates/starlinghill-testkit/src/soak/mod.rs
+++ b/crates/starlinghill-testkit/src/soak/mod.rs
@@ -7,13 +7,14 @@
 //!
 //! `tests/soak.rs` says how to play more seeds than CI does.
 
+mod faults;
 mod keep_alive;
 mod operator;
-mod trouble;
 
 use crate::partitions::Direction;
 use crate::processes::{state, Process};
 use crate::system::{call, first_items, program, Backend, Client, Does, System};
+use faults::{meets, Play, Trouble, What};
 use keep_alive::{Kept, Unanswered};
 use operator::Operator;
 use starlinghill_quota_counter::{Allowance, Quota};
@@ -23,7 +24,6 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
-use trouble::{meets, Play, Trouble, What};
 
 const BACKENDS: usize = 4;
 /// The second service's backends, which never lose an answer.
