--- a/crates/starlinghill-simulator/src/lib.rs
+++ b/crates/starlinghill-simulator/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod check;
 pub mod fleet;
 pub mod links;
-pub mod lives;
 pub mod play;
+pub mod processes;
 pub mod trouble;
 pub mod world;
--- a/crates/starlinghill-simulator/src/world.rs
+++ b/crates/starlinghill-simulator/src/world.rs
@@ -3,7 +3,7 @@
 
 use crate::check::{self, Items, RATIONED};
 use crate::links::Fabric;
-use crate::lives::{mount, Platter, Process};
+use crate::processes::{mount, Platter, Process};
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::{CustomerId, Listed, Micros, Outcome, ServiceId};
 use starlinghill_decision::store_name;
