--- a/crates/starlinghill-simulator/src/backends.rs
+++ b/crates/starlinghill-simulator/src/backends.rs
@@ -1,8 +1,8 @@
 //! Backends that beat, drain, leave or crash: their calls alone.
 
 use crate::check::{BEAT, DRAIN};
+use crate::cluster::ip;
 use crate::play::{call, Run};
-use crate::world::ip;
 use hyper::Method;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/starlinghill-simulator/src/lib.rs
+++ b/crates/starlinghill-simulator/src/lib.rs
@@ -8,9 +8,9 @@
 
 pub mod backends;
 pub mod check;
+pub mod cluster;
 pub mod fleet;
 pub mod links;
 pub mod play;
 pub mod processes;
 pub mod trouble;
-pub mod world;
--- a/crates/starlinghill-simulator/src/play.rs
+++ b/crates/starlinghill-simulator/src/play.rs
@@ -1,7 +1,7 @@
 //! A run: operators who order and read, troubles that a seed decides, and a quiet end after which all must be well.
 
 use crate::check::{Attempt, Held, History, InForce, Items, Order, Read, APPLY, RATION, RATIONED};
-use crate::world::{ip, World};
+use crate::cluster::{ip, World};
 use crate::{backends, trouble};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
