--- a/crates/starlinghill-simulator/src/backends.rs
+++ b/crates/starlinghill-simulator/src/backends.rs
@@ -2,7 +2,7 @@
 
 use crate::check::{BEAT, DRAIN};
 use crate::cluster::ip;
-use crate::play::{call, Run};
+use crate::scenario::{call, Run};
 use hyper::Method;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/starlinghill-simulator/src/lib.rs
+++ b/crates/starlinghill-simulator/src/lib.rs
@@ -11,6 +11,6 @@
 pub mod cluster;
 pub mod fleet;
 pub mod links;
-pub mod play;
 pub mod processes;
+pub mod scenario;
 pub mod trouble;
--- a/crates/starlinghill-simulator/src/trouble.rs
+++ b/crates/starlinghill-simulator/src/trouble.rs
@@ -1,7 +1,7 @@
 //! What befalls a control side: each trouble begins, lasts and ends; several may be there at once.
 
 use crate::cluster::ip;
-use crate::play::Run;
+use crate::scenario::Run;
 use starlinghill_config_store::wire::{Admission, Answer, CoreOrder, Question};
 use starlinghill_runtime::rpc::Caller;
 use std::net::IpAddr;
--- a/crates/starlinghill-simulator/tests/control.rs
+++ b/crates/starlinghill-simulator/tests/control.rs
@@ -12,7 +12,7 @@
 use starlinghill_simulator::backends::beat;
 use starlinghill_simulator::check::{Attempt, Held, History, InForce, Items, Order, Read, APPLY};
 use starlinghill_simulator::cluster::{ip, World};
-use starlinghill_simulator::play::{call, play, Play};
+use starlinghill_simulator::scenario::{call, play, Play};
 use std::collections::BTreeSet;
 use std::future::Future;
 use std::net::IpAddr;
