--- a/crates/starlinghill-simulator/src/lib.rs
+++ b/crates/starlinghill-simulator/src/lib.rs
@@ -9,8 +9,8 @@
 pub mod backends;
 pub mod check;
 pub mod cluster;
+pub mod faults;
 pub mod fleet;
 pub mod links;
 pub mod processes;
 pub mod scenario;
-pub mod trouble;
--- a/crates/starlinghill-simulator/src/scenario.rs
+++ b/crates/starlinghill-simulator/src/scenario.rs
@@ -2,7 +2,7 @@
 
 use crate::check::{Attempt, Held, History, InForce, Items, Order, Read, APPLY, RATION, RATIONED};
 use crate::cluster::{ip, World};
-use crate::{backends, trouble};
+use crate::{backends, faults};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1;
@@ -124,7 +124,7 @@
         run.world.start_registry(i, true);
     }
     (0..GATEWAYS).for_each(|i| run.world.start_gateway(i));
-    trouble::first_start(&run).await;
+    faults::first_start(&run).await;
     let mut callers = Vec::new();
     for slot in 0..SLOTS {
         callers.push(spawn_local(operator(run.clone(), ip(2, slot % 2))));
@@ -135,7 +135,7 @@
     (0..FOUNDERS + SPARES).for_each(|i| drop(spawn_local(watch_holder(run.clone(), i))));
     sleep(CALM).await;
     run.give_ration().await;
-    trouble::all(run.clone(), play.troubled).await;
+    faults::all(run.clone(), play.troubled).await;
     sleep(RECOVERY).await;
     for i in 0..GATEWAYS {
         let listed = run.world.listed(i);
