--- a/crates/starlinghill-simulator/src/backends.rs
+++ b/crates/starlinghill-simulator/src/backends.rs
@@ -1,6 +1,6 @@
 //! Backends that beat, drain, leave or crash: their calls alone.
 
-use crate::check::{BEAT, DRAIN};
+use crate::checker::{BEAT, DRAIN};
 use crate::cluster::ip;
 use crate::scenario::{call, Run};
 use hyper::Method;
--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -1,7 +1,7 @@
 //! The machines of a control side and its gateways, played in one thread: the programs' own code over links, disks and
 //! lives that somebody else decides.
 
-use crate::check::{self, Items, RATIONED};
+use crate::checker::{self, Items, RATIONED};
 use crate::links::Fabric;
 use crate::processes::{mount, Platter, Process};
 use starlinghill_consensus::Members;
@@ -138,17 +138,17 @@
             front: None,
             ready: None,
             control: Some(SocketAddr::new(ip, CONTROL)),
-            beat: check::BEAT,
+            beat: checker::BEAT,
             bounds: Bounds {
-                drain: check::DRAIN,
-                apply: check::APPLY,
+                drain: checker::DRAIN,
+                apply: checker::APPLY,
                 sync_time: SYNC_TIME,
                 grace: Duration::from_secs(6),
                 retry_ratio: 0.2,
                 retry_extra: 62.0,
-                quota_window: check::QUOTA_WINDOW,
-                quota_excess: check::QUOTA_EXCESS,
-                quota_extra: check::QUOTA_EXTRA,
+                quota_window: checker::QUOTA_WINDOW,
+                quota_excess: checker::QUOTA_EXCESS,
+                quota_extra: checker::QUOTA_EXTRA,
             },
         }
     }
--- a/crates/starlinghill-simulator/src/lib.rs
+++ b/crates/starlinghill-simulator/src/lib.rs
@@ -7,7 +7,7 @@
 //! One seed plays the same run again and again; `tests/control.rs` says how to play one.
 
 pub mod backends;
-pub mod check;
+pub mod checker;
 pub mod cluster;
 pub mod faults;
 pub mod fleet;
--- a/crates/starlinghill-simulator/src/scenario.rs
+++ b/crates/starlinghill-simulator/src/scenario.rs
@@ -1,6 +1,6 @@
 //! A run: operators who order and read, troubles that a seed decides, and a quiet end after which all must be well.
 
-use crate::check::{Attempt, Held, History, InForce, Items, Order, Read, APPLY, RATION, RATIONED};
+use crate::checker::{Attempt, Held, History, InForce, Items, Order, Read, APPLY, RATION, RATIONED};
 use crate::cluster::{ip, World};
 use crate::{backends, faults};
 use bytes::Bytes;
--- a/crates/starlinghill-simulator/tests/control.rs
+++ b/crates/starlinghill-simulator/tests/control.rs
@@ -10,7 +10,7 @@
 use starlinghill_registry::wire::{Answer, Question};
 use starlinghill_runtime::rpc::Caller;
 use starlinghill_simulator::backends::beat;
-use starlinghill_simulator::check::{Attempt, Held, History, InForce, Items, Order, Read, APPLY};
+use starlinghill_simulator::checker::{Attempt, Held, History, InForce, Items, Order, Read, APPLY};
 use starlinghill_simulator::cluster::{ip, World};
 use starlinghill_simulator::scenario::{call, play, Play};
 use std::collections::BTreeSet;
