--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -2,7 +2,7 @@
 //! lives that somebody else decides.
 
 use crate::checker::{self, Items, RATIONED};
-use crate::links::Fabric;
+use crate::network::Fabric;
 use crate::processes::{mount, Platter, Process};
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::{CustomerId, Listed, Micros, Outcome, ServiceId};
--- a/crates/starlinghill-simulator/src/lib.rs
+++ b/crates/starlinghill-simulator/src/lib.rs
@@ -11,6 +11,6 @@
 pub mod cluster;
 pub mod faults;
 pub mod fleet;
-pub mod links;
+pub mod network;
 pub mod processes;
 pub mod scenario;
