--- a/crates/starlinghill-decision/src/admission.rs
+++ b/crates/starlinghill-decision/src/admission.rs
@@ -6,7 +6,7 @@
 use crate::calls::{Asked, Call, Purpose};
 use crate::context::{Context, SMOOTH};
 use crate::customer::{quota_of, span, Customer};
-use crate::repeats::{Refusal, Repeats};
+use crate::repeated_requests::{Refusal, Repeats};
 use starlinghill_estimate::counter_sampling::Asking;
 use starlinghill_rate_limit::shares::Exchange;
 use starlinghill_rate_limit::unknown_customers::Usual;
--- a/crates/starlinghill-decision/src/customer.rs
+++ b/crates/starlinghill-decision/src/customer.rs
@@ -5,7 +5,7 @@
 use crate::breaker::Breaker;
 use crate::bucket::{mix, TokenBucket};
 use crate::context::Context;
-use crate::repeats::Refusal;
+use crate::repeated_requests::Refusal;
 use starlinghill_estimate::counter_sampling::Asking;
 use starlinghill_rate_limit::account::Account;
 use starlinghill_rate_limit::allowance::UNTOLD_SHARE;
--- a/crates/starlinghill-decision/src/lib.rs
+++ b/crates/starlinghill-decision/src/lib.rs
@@ -26,7 +26,7 @@
 mod learned;
 mod lifecycle;
 mod messages;
-mod repeats;
+mod repeated_requests;
 mod request;
 mod roster;
 mod scattered;
