--- a/crates/starlinghill-control/tests/common/mod.rs
+++ b/crates/starlinghill-control/tests/common/mod.rs
@@ -11,7 +11,7 @@
 
 /// The operators' file round this discovery, with more lines at its end.
 pub fn file(discovery: &Discovery, more: &str) -> PathBuf {
-    world::control_file(discovery.stub.address, &["whole", "delta", "third"], "", more)
+    stubs::control_file(discovery.stub.address, &["whole", "delta", "third"], "", more)
 }
 
 pub async fn service(discovery: &Discovery) -> Running {
--- a/crates/starlinghill-control/tests/program.rs
+++ b/crates/starlinghill-control/tests/program.rs
@@ -106,7 +106,7 @@
         (certificate.pem(), key.serialize_pem())
     };
     let (server, client) = (issue("localhost"), issue("edge"));
-    let paths = [&server.0, &server.1, &ca.pem()].map(|pem| world::file(pem).display().to_string());
+    let paths = [&server.0, &server.1, &ca.pem()].map(|pem| stubs::file(pem).display().to_string());
     let tls = format!(
         "[control.tls]\ncertificate = \"{}\"\nkey = \"{}\"\nclient_ca = \"{}\"\n",
         paths[0], paths[1], paths[2]
--- a/crates/starlinghill-control/tests/quotas.rs
+++ b/crates/starlinghill-control/tests/quotas.rs
@@ -15,7 +15,7 @@
 const QUOTAS: &str = "[control.quotas]\nlease_ms = 1000\nallowance_ms = 250\ninterval_ms = 200\n";
 
 async fn service(discovery: &Discovery) -> Running {
-    let path = world::control_file(discovery.stub.address, &["p-0", "p-1", "p-2"], PLAN, QUOTAS);
+    let path = stubs::control_file(discovery.stub.address, &["p-0", "p-1", "p-2"], PLAN, QUOTAS);
     start(prepare(&path).expect("sound")).await.expect("it starts")
 }
 
@@ -93,7 +93,7 @@
 async fn bad_buckets_are_denied_alone_and_a_plan_left_out_gets_nothing() {
     let (_nodes, discovery) = nodes(1).await;
     let more = format!("{QUOTAS}plans = [\"publisher\"]\n");
-    let path = world::control_file(discovery.stub.address, &["p-0", "p-1", "p-2"], PLAN, &more);
+    let path = stubs::control_file(discovery.stub.address, &["p-0", "p-1", "p-2"], PLAN, &more);
     let running = start(prepare(&path).expect("sound")).await.expect("it starts");
     let proxies = proxies(&running);
     let bad: [Key; 4] = [
--- a/crates/starlinghill-registry/tests/contact.rs
+++ b/crates/starlinghill-registry/tests/contact.rs
@@ -64,7 +64,7 @@
 async fn a_registry_vouches_for_no_word_that_is_older_than_the_chain_allows() {
     let task = LocalSet::new();
     task.run_until(async {
-        let owner = owner::start(&node(), &Essentials::default());
+        let owner = state::start(&node(), &Essentials::default());
         assert!(ask(&owner, 0, 0).await.contact.is_none(), "nothing was heard yet");
         // The oldest that a store went by before; the registry went by it for 1.5 s more.
         let ago = Duration::from_millis(899);
@@ -87,7 +87,7 @@
 async fn a_question_that_waits_is_answered_with_the_word_s_age_of_then() {
     let task = LocalSet::new();
     task.run_until(async {
-        let owner = owner::start(&node(), &Essentials::default());
+        let owner = state::start(&node(), &Essentials::default());
         let (ago, start) = (Duration::from_millis(200), Instant::now());
         store_says(&owner, ago).await;
         let known = ask(&owner, 0, 0).await;
--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -354,7 +354,7 @@
             let shared =
                 Rc::new(Shared { view: RefCell::new(view), ready: watch::channel(false).0, stopping });
             *slot.borrow_mut() = Some(shared.clone());
-            let (holder, held) = news::nowhere();
+            let (holder, held) = registry_client::nowhere();
             let essentials = Essentials::default();
             let counter = Counter::start(net.clone(), life, held, &essentials);
             // What the module would hear of it.
@@ -363,7 +363,7 @@
             let ring = Rc::new(Ring::new(node.port(node.ip, WORKBENCH), life));
             spawn_local(draw(counter.clone(), granted, begun));
             let ways = Ways { net, driver, clock, counter, holder, ring };
-            news::start(&node, shared, ways, life, &essentials);
+            registry_client::start(&node, shared, ways, life, &essentials);
             while let Some(input) = inputs.recv().await {
                 let Input::Backends(_, listings) = input else { continue };
                 for Listing { entry, name, .. } in listings {
--- a/crates/starlinghill-testkit/examples/common/mod.rs
+++ b/crates/starlinghill-testkit/examples/common/mod.rs
@@ -9,7 +9,7 @@
 
 /// A control service before this discovery.
 pub async fn service(discovery: &Discovery, proxies: &[&str], plans: &str, more: &str) -> Running {
-    let path = world::control_file(discovery.stub.address, proxies, plans, more);
+    let path = stubs::control_file(discovery.stub.address, proxies, plans, more);
     let prepared = match prepare(&path) {
         Ok(prepared) => prepared,
         Err(problems) => panic!("{problems:?}"),
--- a/crates/starlinghill-testkit/examples/cost.rs
+++ b/crates/starlinghill-testkit/examples/cost.rs
@@ -38,11 +38,11 @@
 
 async fn measure(program: PathBuf, per_s: u64, seconds: u64) -> Result<Measured, String> {
     let (_nodes, discovery) = nodes::listed(6).await;
-    let counter = world::counter();
+    let counter = stubs::counter();
     let at = free_address();
-    let config = world::config(discovery.stub.address, counter.address)
+    let config = stubs::config(discovery.stub.address, counter.address)
         .replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{at}\""));
-    let (program, file) = (program.display().to_string(), world::file(&config));
+    let (program, file) = (program.display().to_string(), stubs::file(&config));
     let mut gateway = Process::new("gateway", move || told_by(&program, &file));
     gateway.start();
     tokio::task::block_in_place(|| gateway.wait_for_log("ready", LIMIT));
--- a/crates/starlinghill-testkit/examples/fleet.rs
+++ b/crates/starlinghill-testkit/examples/fleet.rs
@@ -30,7 +30,7 @@
             "\"balancers\":2,\"my_number\":0",
             &format!("\"balancers\":{GATEWAYS},\"my_number\":{number}"),
         );
-    let (configuration, operators) = (world::file(&text), world::file(""));
+    let (configuration, operators) = (stubs::file(&text), stubs::file(""));
     let program = std::env::current_exe().expect("a program");
     let mut process = Process::new(&format!("gateway {number}"), move || {
         let mut command = Command::new(&program);
@@ -137,7 +137,7 @@
                 loop {
                     std::thread::sleep(gap);
                     call += 1;
-                    let open = client.get_or_insert_with(|| world::Client::connect(at));
+                    let open = client.get_or_insert_with(|| stubs::Client::connect(at));
                     let answer = open.answer_to(&request(customer, call));
                     if answer.is_none() {
                         client = None;
--- a/crates/starlinghill-testkit/examples/propagation.rs
+++ b/crates/starlinghill-testkit/examples/propagation.rs
@@ -95,14 +95,14 @@
 
 /// The service in a process of its own, so that its cost is its own: prints its address and serves until killed.
 async fn serve(discovery: &str) {
-    let path = world::control_file(discovery.parse().expect("an address"), &["edge"], "", "");
+    let path = stubs::control_file(discovery.parse().expect("an address"), &["edge"], "", "");
     let running = starlinghill_control::start(starlinghill_control::prepare(&path).expect("sound")).await;
     println!("{}", running.as_ref().map(|r| r.address).expect("it starts"));
     std::future::pending::<()>().await;
 }
 
 async fn measure(streams: usize, delta: bool, drains: usize) {
-    let member = |i: usize, phase: &str| world::member(&format!("s-{i:03}"), address(i), phase);
+    let member = |i: usize, phase: &str| stubs::member(&format!("s-{i:03}"), address(i), phase);
     let members: Vec<String> = (0..ENDPOINTS).map(|i| member(i, "ready")).collect();
     let discovery = Discovery::start(&members.join(","));
     let program = std::env::current_exe().expect("a program");
@@ -133,7 +133,7 @@
     for drain in 0..drains {
         let revision = 42 + drain as u64;
         let start = Instant::now();
-        discovery.say(revision, &world::list(revision, false, &member(drain, "draining")));
+        discovery.say(revision, &stubs::list(revision, false, &member(drain, "draining")));
         for _ in 0..streams {
             let came = told.recv().await.expect("the drain");
             latency.record(came.saturating_duration_since(start).as_micros() as u64 + 1).expect("in range");
