--- a/crates/starlinghill-registry/src/state.rs
+++ b/crates/starlinghill-registry/src/state.rs
@@ -9,7 +9,7 @@
 use starlinghill_consensus::Members;
 use starlinghill_failure_detector::Sight;
 use starlinghill_lease::contact::{Chain, Contact, LastContact};
-use starlinghill_lease::{self as holdfast, Holdfast};
+use starlinghill_lease::{self as lease, Holdfast};
 use starlinghill_quota_counter::{Gauge, Listed};
 use starlinghill_rate_limit::Allowance;
 use starlinghill_runtime::essential_tasks::Essentials;
@@ -47,15 +47,15 @@
     /// Time passes: answered with what to ask other registries.
     Tick(oneshot::Sender<Due>),
     /// Another registry has answered on the duty.
-    Duty(IpAddr, Duration, holdfast::Ask<IpAddr>, holdfast::Tell),
+    Duty(IpAddr, Duration, lease::Ask<IpAddr>, lease::Tell),
     /// The process ends: answered with whom to tell what.
-    End(oneshot::Sender<Option<(IpAddr, holdfast::Ask<IpAddr>)>>),
+    End(oneshot::Sender<Option<(IpAddr, lease::Ask<IpAddr>)>>),
 }
 
 /// What other registries are to be asked now.
 pub struct Due {
     /// On the duty, asked at that moment.
-    pub duty: Option<(Duration, holdfast::Ask<IpAddr>)>,
+    pub duty: Option<(Duration, lease::Ask<IpAddr>)>,
     /// The epoch that goes with it.
     pub epoch: u64,
     /// What was heard since the last word.
--- a/crates/starlinghill-registry/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -5,7 +5,7 @@
 use starlinghill_config_model::{Item, Kind};
 use starlinghill_consensus::Members;
 use starlinghill_failure_detector::Seen;
-use starlinghill_lease as holdfast;
+use starlinghill_lease as lease;
 use starlinghill_lease::contact::Contact;
 use starlinghill_quota_counter::{Draw, Level, Reading, Seen as Sight, Word};
 use std::net::IpAddr;
@@ -36,7 +36,7 @@
         readings: Vec<Reading>,
     },
     /// By a registry, on who keeps the count; the epoch of the members that it knows.
-    Duty(u64, holdfast::Ask<IpAddr>),
+    Duty(u64, lease::Ask<IpAddr>),
     /// By a registry: what it heard of backends and gateways, each so many milliseconds ago.
     Heard(Heard),
     /// By a registry, of that epoch: that backend has left.
@@ -119,7 +119,7 @@
     /// This registry does not keep the count in that term, or can't yet; the term that it knows.
     NotMine(u64),
     /// On the duty.
-    Duty(holdfast::Tell),
+    Duty(lease::Tell),
     /// All that is known.
     All(Heard),
     /// How things stand.
--- a/crates/starlinghill-simulator/src/fleet.rs
+++ b/crates/starlinghill-simulator/src/fleet.rs
@@ -139,8 +139,13 @@
     };
     let nobody = decision_settings::settings(ZoneId(0), &bounds()).plans.remove(0);
     let plans = vec![nobody.clone(), Plan { rate: RATE, burst: BURST, ..nobody }];
-    let settings =
-        Settings { gateways, me, plans, classes: vec![class], ..rules::settings(ZoneId(0), &bounds()) };
+    let settings = Settings {
+        gateways,
+        me,
+        plans,
+        classes: vec![class],
+        ..decision_settings::settings(ZoneId(0), &bounds())
+    };
     let mut module = Gateway::new(seed, settings).expect("sound settings");
     let server = |i| ServerEntry {
         server: ServerId(i),
