--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -14,7 +14,7 @@
 use starlinghill_runtime::rpc::serve;
 use starlinghill_runtime::settings::{Node, SettingsError};
 use starlinghill_runtime::signals::{Reread, Signals};
-use starlinghill_runtime::PATTERNBOOK;
+use starlinghill_runtime::CONFIG_STORE_PORT_OFFSET;
 use std::future::Future;
 use std::net::IpAddr;
 use std::path::Path;
@@ -109,7 +109,7 @@
     end: impl Future<Output = ()>,
 ) -> Result<(), StartError> {
     tokio::pin!(end);
-    let address = node.port(node.ip, PATTERNBOOK);
+    let address = node.port(node.ip, CONFIG_STORE_PORT_OFFSET);
     let listener = net.listen(address).await.context(SystemSnafu { what: format!("listen on {address}") })?;
     let seeds = |node: &Node| -> Vec<IpAddr> { node.seeds.iter().map(|seed| seed.ip()).collect() };
     let was_there = found.is_some();
--- a/crates/starlinghill-console/src/client.rs
+++ b/crates/starlinghill-console/src/client.rs
@@ -12,7 +12,7 @@
 use starlinghill_runtime::net;
 use starlinghill_runtime::rpc::Caller;
 use starlinghill_runtime::settings::Node;
-use starlinghill_runtime::{PATTERNBOOK, TOOLRACK};
+use starlinghill_runtime::{CONFIG_STORE_PORT_OFFSET, REGISTRY_PORT_OFFSET};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -62,8 +62,8 @@
 impl Places {
     /// As a machine's settings tell.
     pub fn of(node: &Node) -> Places {
-        let racks = node.seeds.iter().map(|seed| node.port(seed.ip(), TOOLRACK)).collect();
-        let stores = node.seeds.iter().map(|seed| node.port(seed.ip(), PATTERNBOOK)).collect();
+        let racks = node.seeds.iter().map(|seed| node.port(seed.ip(), REGISTRY_PORT_OFFSET)).collect();
+        let stores = node.seeds.iter().map(|seed| node.port(seed.ip(), CONFIG_STORE_PORT_OFFSET)).collect();
         Places { racks, stores, controls: node.seeds.clone() }
     }
 
--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -19,7 +19,7 @@
 use starlinghill_runtime::net::{self, Net};
 use starlinghill_runtime::settings::{Node, SettingsError};
 use starlinghill_runtime::signals::Signals;
-use starlinghill_runtime::WORKBENCH;
+use starlinghill_runtime::PROXY_PORT_OFFSET;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -150,7 +150,7 @@
     spawn_local(tell_draws(counter.clone()));
     let refusals = Rc::new(Refusals::default());
     spawn_local(refusals.clone().log(counter.clone()));
-    let at = node.port(node.ip, WORKBENCH);
+    let at = node.port(node.ip, PROXY_PORT_OFFSET);
     let socket = UdpSocket::bind(at).await.context(SystemSnafu { what: format!("listen on {at}") })?;
     let ring = Rc::new(Ring::new(at, life));
     essentials.spawn("ring", ring.clone().run(socket));
--- a/crates/starlinghill-proxy/src/registry_client.rs
+++ b/crates/starlinghill-proxy/src/registry_client.rs
@@ -18,7 +18,7 @@
 use starlinghill_runtime::net::Net;
 use starlinghill_runtime::rpc::Caller;
 use starlinghill_runtime::settings::Node;
-use starlinghill_runtime::TOOLRACK;
+use starlinghill_runtime::REGISTRY_PORT_OFFSET;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{IpAddr, SocketAddr};
@@ -95,7 +95,7 @@
     let chain = Chain::of(node.bounds.apply);
     let asking = Asking {
         rack: 0,
-        caller: Rc::new(Caller::new(&net, node.port(node.ip, TOOLRACK))),
+        caller: Rc::new(Caller::new(&net, node.port(node.ip, REGISTRY_PORT_OFFSET))),
         me,
         term: term.clone(),
         digest: in_force.clone(),
@@ -108,7 +108,7 @@
     // Seeds are a beginning only: registries tell who the members are.
     let mut racks = Racks {
         net,
-        port: node.port(node.ip, TOOLRACK).port(),
+        port: node.port(node.ip, REGISTRY_PORT_OFFSET).port(),
         epoch: None,
         asking,
         all: BTreeMap::new(),
@@ -335,7 +335,7 @@
         }
         if let Some((term, ip)) = news.holder.filter(|(term, _)| *term >= self.term.get()) {
             self.term.set(term);
-            let at = Some((term, self.node.port(ip, TOOLRACK)));
+            let at = Some((term, self.node.port(ip, REGISTRY_PORT_OFFSET)));
             self.holder.send_if_modified(|known| std::mem::replace(known, at) != at);
         }
         self.tell_rules(false).await;
--- a/crates/starlinghill-registry/src/program.rs
+++ b/crates/starlinghill-registry/src/program.rs
@@ -12,7 +12,7 @@
 use starlinghill_runtime::rpc;
 use starlinghill_runtime::settings::{Node, SettingsError};
 use starlinghill_runtime::signals::Signals;
-use starlinghill_runtime::{PATTERNBOOK, TOOLRACK};
+use starlinghill_runtime::{CONFIG_STORE_PORT_OFFSET, REGISTRY_PORT_OFFSET};
 use std::future::Future;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -69,11 +69,11 @@
 /// Runs a registry on a network until it is to end.
 pub async fn registry(node: &Node, net: &Net, end: impl Future<Output = ()>) -> Result<(), StartError> {
     let control = listen(net, node.control.context(UnreachableSnafu)?).await?;
-    let own = listen(net, node.port(node.ip, TOOLRACK)).await?;
+    let own = listen(net, node.port(node.ip, REGISTRY_PORT_OFFSET)).await?;
     log::info!("event=start program=toolrack node={}", node.name);
     let seeds: Vec<IpAddr> = node.seeds.iter().map(|seed| seed.ip()).collect();
-    let peers = Rc::new(Peers::new(net, node.ip, node.port(node.ip, TOOLRACK).port(), seeds));
-    let store = node.port(node.ip, PATTERNBOOK);
+    let peers = Rc::new(Peers::new(net, node.ip, node.port(node.ip, REGISTRY_PORT_OFFSET).port(), seeds));
+    let store = node.port(node.ip, CONFIG_STORE_PORT_OFFSET);
     let (essentials, mut first_end) = Essentials::new();
     let owner = state::start(node, &essentials);
     let (stop, stopping) = watch::channel(false);
--- a/crates/starlinghill-runtime/src/lib.rs
+++ b/crates/starlinghill-runtime/src/lib.rs
@@ -13,8 +13,8 @@
 pub mod validation;
 
 /// The port of the registry for the system's own processes, counted from the first of `local_ports`.
-pub const TOOLRACK: u16 = 0;
+pub const REGISTRY_PORT_OFFSET: u16 = 0;
 /// The port of the store of configuration, counted likewise.
-pub const PATTERNBOOK: u16 = 1;
+pub const CONFIG_STORE_PORT_OFFSET: u16 = 1;
 /// The port on which proxies hear each other, counted likewise.
-pub const WORKBENCH: u16 = 2;
+pub const PROXY_PORT_OFFSET: u16 = 2;
--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -12,7 +12,7 @@
 use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::net::Net;
 use starlinghill_runtime::settings::{Bounds, Node};
-use starlinghill_runtime::{PATTERNBOOK, TOOLRACK, WORKBENCH};
+use starlinghill_runtime::{CONFIG_STORE_PORT_OFFSET, PROXY_PORT_OFFSET, REGISTRY_PORT_OFFSET};
 
 use starlinghill_config_model::Table;
 use starlinghill_config_store::program::store;
@@ -164,12 +164,12 @@
 
     /// Where a registry takes calls of the system itself.
     pub fn own(&self, core: usize) -> SocketAddr {
-        SocketAddr::new(self.cores[core].ip, OWN + TOOLRACK)
+        SocketAddr::new(self.cores[core].ip, OWN + REGISTRY_PORT_OFFSET)
     }
 
     /// Where a store takes calls of the system itself.
     pub fn store(&self, core: usize) -> SocketAddr {
-        SocketAddr::new(self.cores[core].ip, OWN + PATTERNBOOK)
+        SocketAddr::new(self.cores[core].ip, OWN + CONFIG_STORE_PORT_OFFSET)
     }
 
     /// The core machines that are there.
@@ -360,7 +360,7 @@
             // What the module would hear of it.
             let (driver, mut inputs) = mpsc::channel(64);
             let clock = Clock::from(Micros(100_000_000));
-            let ring = Rc::new(Ring::new(node.port(node.ip, WORKBENCH), life));
+            let ring = Rc::new(Ring::new(node.port(node.ip, PROXY_PORT_OFFSET), life));
             spawn_local(draw(counter.clone(), granted, begun));
             let ways = Ways { net, driver, clock, counter, holder, ring };
             registry_client::start(&node, shared, ways, life, &essentials);
