--- a/crates/starlinghill-lease/src/lib.rs
+++ b/crates/starlinghill-lease/src/lib.rs
@@ -28,7 +28,7 @@
 
 /// What one process asks the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub enum Ask<I> {
+pub enum LeaseRequest<I> {
     /// To be let hold from that term on.
     Want {
         /// The term.
@@ -56,7 +56,7 @@
 
 /// What is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct Tell {
+pub struct LeaseReply {
     /// Yes.
     pub yes: bool,
     /// The highest term that was seen.
@@ -65,7 +65,7 @@
 
 /// One process's part in the duty.
 #[derive(Debug)]
-pub struct Holdfast<I> {
+pub struct LeaseParticipant<I> {
     me: I,
     /// Of each of these sets a majority is needed.
     sets: Vec<Vec<I>>,
@@ -101,12 +101,12 @@
     before: Duration,
 }
 
-impl<I: Copy + Ord> Holdfast<I> {
+impl<I: Copy + Ord> LeaseParticipant<I> {
     /// One of several, of which nobody has vouched for yet who they are. It gives no vote until what it may have said in an
     /// earlier life has run out.
-    pub fn new(me: I, now: Duration) -> Holdfast<I> {
+    pub fn new(me: I, now: Duration) -> LeaseParticipant<I> {
         let bound = now + LEASE + MARGIN;
-        Holdfast {
+        LeaseParticipant {
             me,
             sets: Vec::new(),
             vouched: Duration::ZERO,
@@ -175,9 +175,9 @@
     }
 
     /// Answers a question.
-    pub fn asked(&mut self, now: Duration, ask: Ask<I>) -> Tell {
+    pub fn asked(&mut self, now: Duration, ask: LeaseRequest<I>) -> LeaseReply {
         let yes = match ask {
-            Ask::Want { term, by, leave } => {
+            LeaseRequest::Want { term, by, leave } => {
                 let left = leave > 0 && self.holder.is_some_and(|(held, _)| held == leave);
                 let free = now >= self.bound || left;
                 let known = now < self.vouched && self.votes(by);
@@ -189,7 +189,7 @@
                 }
                 yes
             }
-            Ask::Hold { term, by } => {
+            LeaseRequest::Hold { term, by } => {
                 let yes = term >= self.term && now < self.vouched && self.votes(by);
                 if yes {
                     if self.bid.as_ref().is_some_and(|bid| bid.term < term) {
@@ -200,13 +200,13 @@
                 }
                 yes
             }
-            Ask::Named { term, by } => {
+            LeaseRequest::Named { term, by } => {
                 let yes = self.holder == Some((term, by)) && !self.leaving;
                 self.named = yes.then_some(term).or(self.named);
                 yes
             }
         };
-        Tell { yes, term: self.term }
+        LeaseReply { yes, term: self.term }
     }
 
     fn bind(&mut self, now: Duration) {
@@ -217,7 +217,7 @@
     /// What to ask all others now. Call it some ten times a second. A new term is no lower than `least`, which all have in
     /// common and which grows, as their time does: guards against a term that was held before by one of whom all who
     /// knew have started anew.
-    pub fn tick(&mut self, now: Duration, least: u64) -> Option<Ask<I>> {
+    pub fn tick(&mut self, now: Duration, least: u64) -> Option<LeaseRequest<I>> {
         if self.leaving || now >= self.vouched || !self.votes(self.me) {
             return None;
         }
@@ -232,7 +232,7 @@
                 }
                 self.asked = now;
                 bid.latest = (now, BTreeSet::from([self.me]));
-                return Some(Ask::Hold { term: bid.term, by: self.me });
+                return Some(LeaseRequest::Hold { term: bid.term, by: self.me });
             }
             self.bid = None;
             self.patience = now + RANK * (1 + self.rank());
@@ -251,14 +251,14 @@
         self.asked = now;
         self.bind(now);
         self.count(now);
-        Some(Ask::Want { term, by: self.me, leave: leave.unwrap_or_default() })
+        Some(LeaseRequest::Want { term, by: self.me, leave: leave.unwrap_or_default() })
     }
 
     /// Another one has answered what was asked at that moment.
-    pub fn told(&mut self, now: Duration, from: I, asked: Duration, ask: Ask<I>, tell: Tell) {
+    pub fn told(&mut self, now: Duration, from: I, asked: Duration, ask: LeaseRequest<I>, tell: LeaseReply) {
         self.seen(tell.term);
         let Some(bid) = &mut self.bid else { return };
-        let (Ask::Want { term, .. } | Ask::Hold { term, .. }) = ask else { return };
+        let (LeaseRequest::Want { term, .. } | LeaseRequest::Hold { term, .. }) = ask else { return };
         if !tell.yes && tell.term > bid.term {
             self.bid = None;
             return;
@@ -297,10 +297,10 @@
     }
 
     /// It leaves. Where it holds, it holds no more and names a successor: the one to be told, and what.
-    pub fn leave(&mut self, now: Duration, successor: I) -> Option<(I, Ask<I>)> {
+    pub fn leave(&mut self, now: Duration, successor: I) -> Option<(I, LeaseRequest<I>)> {
         self.leaving = true;
         let term = self.holds(now)?;
         self.bid = None;
-        Some((successor, Ask::Named { term, by: self.me }))
+        Some((successor, LeaseRequest::Named { term, by: self.me }))
     }
 }
--- a/crates/starlinghill-lease/tests/contact.rs
+++ b/crates/starlinghill-lease/tests/contact.rs
@@ -5,7 +5,7 @@
     is_majority, may_confirm_drain, Chain, LastContact, CALLER_WAITS, ORDER_ANSWERED, ORDER_PASSED_ON,
     ORDER_TRIED,
 };
-use starlinghill_lease::{Ask, Holdfast, LEASE};
+use starlinghill_lease::{LeaseParticipant, LeaseRequest, LEASE};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -116,12 +116,12 @@
 
 #[test]
 fn draws_are_granted_in_the_own_term_while_the_lease_lasts_and_not_after_a_thaw() {
-    let mut one = Holdfast::new(0, ms(0));
+    let mut one = LeaseParticipant::new(0, ms(0));
     one.vouch(vec![vec![0, 1, 2]], Duration::MAX);
     let begun = ms(2_000);
-    let Some(ask @ Ask::Want { term, .. }) = one.tick(begun, 1) else { panic!("it bids") };
+    let Some(ask @ LeaseRequest::Want { term, .. }) = one.tick(begun, 1) else { panic!("it bids") };
     assert!(!one.may_draw(begun, term));
-    let yes = starlinghill_lease::Tell { yes: true, term };
+    let yes = starlinghill_lease::LeaseReply { yes: true, term };
     one.told(begun + ms(5), 1, begun, ask, yes);
     assert!(one.may_draw(begun + ms(5), term) && !one.may_draw(begun + ms(5), term + 1));
     assert!(one.may_draw(begun + LEASE - ms(1), term));
--- a/crates/starlinghill-lease/tests/duty.rs
+++ b/crates/starlinghill-lease/tests/duty.rs
@@ -1,7 +1,7 @@
 //! Histories of a duty over three processes, in virtual time: cuts either way, freezes, restarts, leaving. Checked after the
 //! fact: no two hold at one moment, and somebody holds soon after things are calm.
 
-use starlinghill_lease::{Ask, Holdfast, Tell, LEASE, MARGIN};
+use starlinghill_lease::{LeaseParticipant, LeaseReply, LeaseRequest, LEASE, MARGIN};
 use std::time::Duration;
 
 const OF: usize = 3;
@@ -9,12 +9,12 @@
 struct World {
     rng: fastrand::Rng,
     now: Duration,
-    all: Vec<Holdfast<usize>>,
+    all: Vec<LeaseParticipant<usize>>,
     frozen: Vec<Duration>,
     /// No word from one to the other until then.
     cut: [[Duration; OF]; OF],
-    questions: Vec<(Duration, usize, usize, Duration, Ask<usize>)>,
-    answers: Vec<(Duration, usize, usize, Duration, Ask<usize>, Tell)>,
+    questions: Vec<(Duration, usize, usize, Duration, LeaseRequest<usize>)>,
+    answers: Vec<(Duration, usize, usize, Duration, LeaseRequest<usize>, LeaseReply)>,
     held: Vec<(u64, usize)>,
 }
 
@@ -23,8 +23,8 @@
 }
 
 /// One that knows for good who the others are.
-fn known(i: usize, now: Duration) -> Holdfast<usize> {
-    let mut one = Holdfast::new(i, now);
+fn known(i: usize, now: Duration) -> LeaseParticipant<usize> {
+    let mut one = LeaseParticipant::new(i, now);
     one.vouch(vec![(0..OF).collect()], Duration::MAX);
     one
 }
@@ -77,7 +77,7 @@
         let due = |at: &Duration| *at <= now;
         let (ready, later) = std::mem::take(&mut self.questions).into_iter().partition(|(at, ..)| due(at));
         self.questions = later;
-        let ready: Vec<(Duration, usize, usize, Duration, Ask<usize>)> = ready;
+        let ready: Vec<(Duration, usize, usize, Duration, LeaseRequest<usize>)> = ready;
         for (_, from, to, asked, ask) in ready {
             if self.frozen[to] > now {
                 let at = self.frozen[to];
@@ -90,7 +90,7 @@
         }
         let (ready, later) = std::mem::take(&mut self.answers).into_iter().partition(|(at, ..)| due(at));
         self.answers = later;
-        let ready: Vec<(Duration, usize, usize, Duration, Ask<usize>, Tell)> = ready;
+        let ready: Vec<(Duration, usize, usize, Duration, LeaseRequest<usize>, LeaseReply)> = ready;
         for (_, from, to, asked, ask, tell) in ready {
             if self.frozen[to] <= now && self.cut[from][to] <= now {
                 self.all[to].told(now, from, asked, ask, tell);
@@ -158,7 +158,7 @@
 #[test]
 fn one_that_starts_gives_no_vote_until_what_it_may_have_said_has_run_out() {
     let mut new = known(0, ms(10));
-    let want = Ask::Want { term: 9, by: 1, leave: 0 };
+    let want = LeaseRequest::Want { term: 9, by: 1, leave: 0 };
     assert!(!new.asked(ms(11), want).yes);
     assert!(new.asked(ms(11) + LEASE + MARGIN, want).yes);
 }
@@ -183,11 +183,11 @@
 
 #[test]
 fn while_two_sets_may_count_a_majority_of_each_is_needed() {
-    let mut one = Holdfast::new(0, ms(0));
+    let mut one = LeaseParticipant::new(0, ms(0));
     one.vouch(vec![vec![0, 1, 3], vec![0, 1, 2]], Duration::MAX);
     let now = ms(5_000);
     let Some(ask) = one.tick(now, 1) else { panic!("it bids") };
-    let yes = Tell { yes: true, term: 1 };
+    let yes = LeaseReply { yes: true, term: 1 };
     one.told(now, 3, now, ask, yes);
     assert_eq!(one.holds(now), None, "of the set before it has no majority");
     one.told(now, 2, now, ask, yes);
@@ -196,16 +196,16 @@
 
 #[test]
 fn one_of_which_nobody_vouches_that_it_knows_the_set_neither_votes_nor_holds() {
-    let mut one = Holdfast::new(0, ms(0));
+    let mut one = LeaseParticipant::new(0, ms(0));
     one.vouch(vec![(0..OF).collect()], ms(5_100));
     let now = ms(5_000);
     let Some(ask) = one.tick(now, 1) else { panic!("it bids") };
-    one.told(now, 1, now, ask, Tell { yes: true, term: 1 });
+    one.told(now, 1, now, ask, LeaseReply { yes: true, term: 1 });
     assert_eq!((one.holds(now), one.holds(ms(5_100))), (Some(1), None));
     let mut other = known(1, ms(0));
-    let want = Ask::Want { term: 9, by: 0, leave: 0 };
+    let want = LeaseRequest::Want { term: 9, by: 0, leave: 0 };
     assert!(other.asked(now, want).yes);
-    let mut unsure: Holdfast<usize> = Holdfast::new(2, ms(0));
+    let mut unsure: LeaseParticipant<usize> = LeaseParticipant::new(2, ms(0));
     unsure.vouch(vec![(0..OF).collect()], now);
     assert!(!unsure.asked(now, want).yes && unsure.tick(now, 1).is_none());
 }
--- a/crates/starlinghill-registry/src/peers.rs
+++ b/crates/starlinghill-registry/src/peers.rs
@@ -198,7 +198,7 @@
     }
 
     /// The holder of the count leaves: tells its successor.
-    pub async fn hand_over(&self, to: IpAddr, ask: starlinghill_lease::Ask<IpAddr>) {
+    pub async fn hand_over(&self, to: IpAddr, ask: starlinghill_lease::LeaseRequest<IpAddr>) {
         let epoch = self.members.borrow().epoch;
         let told = self.lines(to).0.call::<_, Answer>(&Question::Duty(epoch, ask), PATIENCE).await;
         log::info!("event=count_handed_over to={to} ok={}", told.is_ok());
--- a/crates/starlinghill-registry/src/state.rs
+++ b/crates/starlinghill-registry/src/state.rs
@@ -9,7 +9,7 @@
 use starlinghill_consensus::Members;
 use starlinghill_failure_detector::Sight;
 use starlinghill_lease::contact::{Chain, Contact, LastContact};
-use starlinghill_lease::{self as lease, Holdfast};
+use starlinghill_lease::{self as lease, LeaseParticipant};
 use starlinghill_quota_counter::{Gauge, Listed};
 use starlinghill_rate_limit::Allowance;
 use starlinghill_runtime::essential_tasks::Essentials;
@@ -47,15 +47,15 @@
     /// Time passes: answered with what to ask other registries.
     Tick(oneshot::Sender<Due>),
     /// Another registry has answered on the duty.
-    Duty(IpAddr, Duration, lease::Ask<IpAddr>, lease::Tell),
+    Duty(IpAddr, Duration, lease::LeaseRequest<IpAddr>, lease::LeaseReply),
     /// The process ends: answered with whom to tell what.
-    End(oneshot::Sender<Option<(IpAddr, lease::Ask<IpAddr>)>>),
+    End(oneshot::Sender<Option<(IpAddr, lease::LeaseRequest<IpAddr>)>>),
 }
 
 /// What other registries are to be asked now.
 pub struct Due {
     /// On the duty, asked at that moment.
-    pub duty: Option<(Duration, lease::Ask<IpAddr>)>,
+    pub duty: Option<(Duration, lease::LeaseRequest<IpAddr>)>,
     /// The epoch that goes with it.
     pub epoch: u64,
     /// What was heard since the last word.
@@ -92,7 +92,7 @@
     in_force: BTreeMap<IpAddr, u64>,
     /// What gateways say of each other.
     sight: Sight,
-    duty: Holdfast<IpAddr>,
+    duty: LeaseParticipant<IpAddr>,
     gauge: Option<Gauge>,
     /// Up to which number of the catalog's the count has the list.
     listed: u64,
@@ -121,7 +121,7 @@
         items: BTreeMap::new(),
         chain,
         contact: None,
-        duty: Holdfast::new(me, Duration::ZERO),
+        duty: LeaseParticipant::new(me, Duration::ZERO),
         sets: Sets::new(chain.contact),
         me,
         vouched: Duration::ZERO,
--- a/crates/starlinghill-registry/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -36,7 +36,7 @@
         readings: Vec<Reading>,
     },
     /// By a registry, on who keeps the count; the epoch of the members that it knows.
-    Duty(u64, lease::Ask<IpAddr>),
+    Duty(u64, lease::LeaseRequest<IpAddr>),
     /// By a registry: what it heard of backends and gateways, each so many milliseconds ago.
     Heard(Heard),
     /// By a registry, of that epoch: that backend has left.
@@ -119,7 +119,7 @@
     /// This registry does not keep the count in that term, or can't yet; the term that it knows.
     NotMine(u64),
     /// On the duty.
-    Duty(lease::Tell),
+    Duty(lease::LeaseReply),
     /// All that is known.
     All(Heard),
     /// How things stand.
