--- a/crates/starlinghill-config-store/src/acceptor.rs
+++ b/crates/starlinghill-config-store/src/acceptor.rs
@@ -3,7 +3,9 @@
 
 use crate::disk::{Disk, Order};
 use crate::wire::Value;
-use starlinghill_consensus::{Ask, Ballot, Kept, Member, Members, Save, Tell, Voter};
+use starlinghill_consensus::{
+    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Member, Members, RequiredWrite,
+};
 use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::queue::Fill;
 use std::time::Duration;
@@ -16,7 +18,7 @@
 const GIVEN_UP: Duration = Duration::from_secs(1);
 
 /// A question to the voter, from here or from another store, and who is meant.
-type Command = (Member, Box<Ask<Value>>, oneshot::Sender<Tell<Value>>);
+type Command = (Member, Box<AcceptorRequest<Value>>, oneshot::Sender<AcceptorReply<Value>>);
 
 /// What others may know of the voter without asking.
 #[derive(Debug, Clone, PartialEq)]
@@ -45,7 +47,7 @@
 
 impl Keeper {
     /// Runs the owner. Without it the process is of no use.
-    pub fn start(voter: Voter<Value>, disk: Disk, essentials: &Essentials) -> Keeper {
+    pub fn start(voter: Acceptor<Value>, disk: Disk, essentials: &Essentials) -> Keeper {
         let (queue, commands) = mpsc::channel(QUEUE);
         let (show, view) = watch::channel(view(&voter));
         let me = voter.me();
@@ -54,12 +56,12 @@
     }
 
     /// Asks the voter here.
-    pub async fn ask(&self, ask: Ask<Value>) -> Option<Tell<Value>> {
+    pub async fn ask(&self, ask: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
         self.ask_as(self.me, ask).await
     }
 
     /// Asks the voter here, which may be another one than is meant.
-    pub async fn ask_as(&self, to: Member, ask: Ask<Value>) -> Option<Tell<Value>> {
+    pub async fn ask_as(&self, to: Member, ask: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
         let (reply, answer) = oneshot::channel();
         // The owner lives as long as the process.
         let _ = self.queue.send((to, Box::new(ask), reply)).await;
@@ -68,7 +70,7 @@
 }
 
 async fn own(
-    mut voter: Voter<Value>,
+    mut voter: Acceptor<Value>,
     disk: Disk,
     mut commands: mpsc::Receiver<Command>,
     show: watch::Sender<View>,
@@ -91,9 +93,9 @@
         }
         let (tell, save) = voter.handle(to, *ask);
         let written = match save {
-            Save::Nothing => Written::Kept,
-            Save::Kept => write(&voter, false, &disk).await,
-            Save::State => write(&voter, true, &disk).await,
+            RequiredWrite::Nothing => Written::Kept,
+            RequiredWrite::Kept => write(&voter, false, &disk).await,
+            RequiredWrite::State => write(&voter, true, &disk).await,
         };
         if written == Written::NoWriter {
             return;
@@ -120,7 +122,7 @@
 }
 
 /// Has it on disk; nothing is said of what is not. A disk that refuses leaves the voter silent, and the others decide.
-async fn write(voter: &Voter<Value>, state: bool, disk: &Disk) -> Written {
+async fn write(voter: &Acceptor<Value>, state: bool, disk: &Disk) -> Written {
     let (done, saved) = oneshot::channel();
     let state = state.then(|| voter.state().clone());
     if disk.send(Order { kept: voter.kept().clone(), state, done }).is_err() {
@@ -136,12 +138,12 @@
     }
 }
 
-fn view(voter: &Voter<Value>) -> View {
-    let Kept { promised, accepted, chosen, members, .. } = voter.kept().clone();
+fn view(voter: &Acceptor<Value>) -> View {
+    let AcceptorState { promised, accepted, chosen, members, .. } = voter.kept().clone();
     View { promised, accepted, chosen, members, proposed: voter.state().members.clone() }
 }
 
-fn publish(voter: &Voter<Value>, show: &watch::Sender<View>) {
+fn publish(voter: &Acceptor<Value>, show: &watch::Sender<View>) {
     let new = view(voter);
     show.send_if_modified(|known| {
         let changed = *known != new;
--- a/crates/starlinghill-config-store/src/admission.rs
+++ b/crates/starlinghill-config-store/src/admission.rs
@@ -3,7 +3,7 @@
 use crate::member_replacement::{decide, Sight};
 use crate::proposer::Stores;
 use crate::wire::{Admission, Answer, CoreOrder, Question, Standing, State, Wait};
-use starlinghill_consensus::{Ask, Member, MemberChange, Members, Tell};
+use starlinghill_consensus::{AcceptorReply, AcceptorRequest, Member, MemberChange, Members};
 use starlinghill_lease::contact::ORDER_TRIED;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -138,9 +138,9 @@
     pub async fn change_members(self: &Rc<Self>, epoch: u64, change: MemberChange) -> Admission {
         let (ballot, state) = self.known();
         if let MemberChange::Add(joins) | MemberChange::Replace { joins, .. } = change {
-            let learn = Ask::Learn { ballot, state: state.as_ref().clone() };
+            let learn = AcceptorRequest::Learn { ballot, state: state.as_ref().clone() };
             let synced = match self.put(joins, learn).await {
-                Some(Tell::Has { accepted, .. }) => accepted >= ballot,
+                Some(AcceptorReply::Has { accepted, .. }) => accepted >= ballot,
                 _ => false,
             };
             if !synced {
@@ -185,8 +185,9 @@
     /// Who is at an address.
     async fn at(&self, ip: IpAddr) -> Result<Member, Wait> {
         // Nobody has that incarnation by chance: the answer says who is there.
-        match self.put(Member { ip, incarnation: u64::MAX }, Ask::Look(Default::default())).await {
-            Some(Tell::Another(member)) => Ok(member),
+        match self.put(Member { ip, incarnation: u64::MAX }, AcceptorRequest::Look(Default::default())).await
+        {
+            Some(AcceptorReply::Another(member)) => Ok(member),
             _ => Err(Wait::NotSynced),
         }
     }
--- a/crates/starlinghill-config-store/src/disk.rs
+++ b/crates/starlinghill-config-store/src/disk.rs
@@ -6,7 +6,7 @@
 use bitcode::{Decode, Encode};
 use snafu::Snafu;
 use starlinghill_config_model::{History, Item, Kind};
-use starlinghill_consensus::{Ballot, Kept, Member, Members};
+use starlinghill_consensus::{AcceptorState, Ballot, Member, Members};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use std::path::{Path, PathBuf};
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Found {
     /// What the voter has to keep.
-    pub kept: Kept,
+    pub kept: AcceptorState,
     /// Its state.
     pub state: State,
 }
@@ -69,7 +69,7 @@
         let voters: Vec<Member> = ips.into_iter().zip(lives).map(member).collect();
         let me = voters.iter().copied().find(|member| member.ip == here)?;
         let members = Members { epoch: 0, voters, before: Vec::new() };
-        let kept = Kept { me, promised, accepted, chosen, members: members.clone() };
+        let kept = AcceptorState { me, promised, accepted, chosen, members: members.clone() };
         Some(Found { kept, state: State { members, value } })
     }
 }
@@ -134,7 +134,7 @@
     }
 
     /// Writes and syncs. All of it is on disk when this returns, or none of it counts.
-    pub fn save(&mut self, kept: &Kept, state: Option<&State>) -> Result<(), ShelfError> {
+    pub fn save(&mut self, kept: &AcceptorState, state: Option<&State>) -> Result<(), ShelfError> {
         let mut changes: Changes = vec![(VOTER.into(), Some(bitcode::encode(kept)))];
         if let Some(State { members, value }) = state {
             changes.push((MEMBERS.into(), Some(bitcode::encode(members))));
@@ -164,7 +164,7 @@
     for (key, bytes) in records.held() {
         let spoilt = |_| String::from_utf8_lossy(key).into_owned();
         if key == VOTER.as_bytes() {
-            kept = Some(bitcode::decode::<Kept>(bytes).map_err(spoilt)?);
+            kept = Some(bitcode::decode::<AcceptorState>(bytes).map_err(spoilt)?);
         } else if key == MEMBERS.as_bytes() {
             members = Some(bitcode::decode::<Members>(bytes).map_err(spoilt)?);
         } else if key == KEPT.as_bytes() {
@@ -190,7 +190,7 @@
 /// What has to be written, and who waits for it.
 pub struct Order {
     /// The voter's own.
-    pub kept: Kept,
+    pub kept: AcceptorState,
     /// Its state, where that is new.
     pub state: Option<State>,
     /// Told when it is on disk.
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -7,7 +7,7 @@
 use crate::wire::{Answer, Question, Value};
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_config_model::Item;
-use starlinghill_consensus::{Member, Members, Voter};
+use starlinghill_consensus::{Acceptor, Member, Members};
 use starlinghill_lease::contact::Chain;
 use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::net::{self, Net};
@@ -114,7 +114,7 @@
     let seeds = |node: &Node| -> Vec<IpAddr> { node.seeds.iter().map(|seed| seed.ip()).collect() };
     let was_there = found.is_some();
     let voter = match found {
-        Some(found) => Voter::again(found.kept, found.state),
+        Some(found) => Acceptor::again(found.kept, found.state),
         None => {
             let seeds = seeds(node);
             tokio::select! {
@@ -162,12 +162,12 @@
 }
 
 /// A disk that is empty: a founder's, or the beginning of an incarnation that knows of no members yet.
-async fn begin(node: &Node, seeds: &[IpAddr], disk: &Disk) -> Result<Voter<Value>, StartError> {
+async fn begin(node: &Node, seeds: &[IpAddr], disk: &Disk) -> Result<Acceptor<Value>, StartError> {
     let founders = Members::first(seeds.iter().copied());
     let founds = node.first_start && founders.at(node.ip).is_some();
     let incarnation = if founds { 0 } else { fastrand::u64(1..u64::MAX) };
     let members = if node.first_start { founders } else { Members::default() };
-    let voter = Voter::new(Member { ip: node.ip, incarnation }, members);
+    let voter = Acceptor::new(Member { ip: node.ip, incarnation }, members);
     // Before it says anything: an incarnation remembers all that it said.
     let (done, saved) = oneshot::channel();
     let (kept, state) = (voter.kept().clone(), Some(voter.state().clone()));
--- a/crates/starlinghill-config-store/src/proposer.rs
+++ b/crates/starlinghill-config-store/src/proposer.rs
@@ -6,7 +6,9 @@
 use crate::recent_changes::Recent;
 use crate::wire::{Answer, Outcome, Question, State, Value};
 use starlinghill_config_model::Change;
-use starlinghill_consensus::{Ask, Ballot, Member, Members, Round, Step, Tell};
+use starlinghill_consensus::{
+    AcceptorReply, AcceptorRequest, Ballot, Member, Members, ProposerRound, ProposerStep,
+};
 use starlinghill_lease::contact::{Chain, Contact, LastContact, ORDER_TRIED};
 use starlinghill_runtime::net::Net;
 use starlinghill_runtime::rpc::Caller;
@@ -57,14 +59,14 @@
 
 /// Questions on their way, and the answers that came.
 struct Asking {
-    tell: mpsc::UnboundedSender<(Member, Option<Tell<Value>>)>,
-    told: mpsc::UnboundedReceiver<(Member, Option<Tell<Value>>)>,
+    tell: mpsc::UnboundedSender<(Member, Option<AcceptorReply<Value>>)>,
+    told: mpsc::UnboundedReceiver<(Member, Option<AcceptorReply<Value>>)>,
     out: usize,
 }
 
 impl Asking {
     /// The next answer; `None` when all have answered or failed, or it is late.
-    async fn next(&mut self, until: Instant) -> Option<(Member, Tell<Value>)> {
+    async fn next(&mut self, until: Instant) -> Option<(Member, AcceptorReply<Value>)> {
         while self.out > 0 {
             let (from, tell) = timeout_at(until, self.told.recv()).await.ok()??;
             self.out -= 1;
@@ -211,7 +213,7 @@
     }
 
     /// Asks one voter.
-    pub(crate) async fn put(&self, to: Member, ask: Ask<Value>) -> Option<Tell<Value>> {
+    pub(crate) async fn put(&self, to: Member, ask: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
         if to.ip == self.me.ip {
             let asked = self.keeper.ask_as(to, ask);
             return tokio::time::timeout(self.chain.voter, asked).await.ok()?;
@@ -223,20 +225,25 @@
     }
 
     /// Asks these at once; answers come as they come.
-    fn ask(self: &Rc<Self>, to: impl IntoIterator<Item = Member>, ask: &Ask<Value>) -> Asking {
+    fn ask(self: &Rc<Self>, to: impl IntoIterator<Item = Member>, ask: &AcceptorRequest<Value>) -> Asking {
         let (tell, told) = mpsc::unbounded_channel();
         let mut asking = Asking { tell, told, out: 0 };
         self.ask_more(&mut asking, to, ask);
         asking
     }
 
-    fn ask_more(self: &Rc<Self>, on: &mut Asking, to: impl IntoIterator<Item = Member>, ask: &Ask<Value>) {
+    fn ask_more(
+        self: &Rc<Self>,
+        on: &mut Asking,
+        to: impl IntoIterator<Item = Member>,
+        ask: &AcceptorRequest<Value>,
+    ) {
         for member in to {
             on.out += 1;
             let (stores, ask, tell) = (self.clone(), ask.clone(), on.tell.clone());
             spawn_local(async move {
                 let answer = stores.put(member, ask).await;
-                if matches!(answer, Some(Tell::Has { .. } | Tell::Accepted)) {
+                if matches!(answer, Some(AcceptorReply::Has { .. } | AcceptorReply::Accepted)) {
                     stores.heard.borrow_mut().insert(member, Instant::now());
                 }
                 // The round may be over.
@@ -261,15 +268,15 @@
                 let known = self.chosen.borrow();
                 (known.0, known.1.as_ref().clone())
             };
-            let mut round = Round::new(ballot, members, have);
+            let mut round = ProposerRound::new(ballot, members, have);
             let mut asking = self.ask(round.asked(), &round.ask());
             let until = by.min(Instant::now() + self.chain.voter * 2);
             let mut made = None;
             while let Some((from, tell)) = asking.next(until).await {
                 match round.told(from, tell) {
-                    Step::Wait => {}
-                    Step::Extend(more) => self.ask_more(&mut asking, more, &round.ask()),
-                    Step::Base(base, known) => {
+                    ProposerStep::Wait => {}
+                    ProposerStep::Extend(more) => self.ask_more(&mut asking, more, &round.ask()),
+                    ProposerStep::Base(base, known) => {
                         let (next, came) = make(&base);
                         // What is known to be agreed on needs no second word.
                         if next.is_none() && known {
@@ -285,11 +292,11 @@
                             asking = self.ask(round.asked(), &ask);
                         }
                     }
-                    Step::Chosen => {
+                    ProposerStep::Chosen => {
                         let (next, came) = made.take()?;
                         let newer = (next.members.epoch > round.epoch()).then(|| next.members.clone());
                         self.learn(ballot, Rc::new(next));
-                        let told = self.ask(round.asked(), &Ask::Chosen(ballot));
+                        let told = self.ask(round.asked(), &AcceptorRequest::Chosen(ballot));
                         // Nothing is said of newer members before a majority of them has on disk that they count: the set
                         // before may lose its own in the next moment.
                         if let Some(members) = newer {
@@ -302,11 +309,11 @@
                             None => break,
                         }
                     }
-                    Step::Lost(higher) => {
+                    ProposerStep::Lost(higher) => {
                         self.seen.set(self.seen.get().max(higher));
                         break;
                     }
-                    Step::Newer(members, ballot) => {
+                    ProposerStep::Newer(members, ballot) => {
                         self.follow_members(members, ballot);
                         break;
                     }
@@ -344,11 +351,11 @@
             let asked = Instant::now();
             let have = self.chosen.borrow().0;
             let members = self.members.borrow().clone();
-            let mut asking = self.ask(members.voters.iter().copied(), &Ask::Look(have));
+            let mut asking = self.ask(members.voters.iter().copied(), &AcceptorRequest::Look(have));
             let (mut heard, mut newest) = (BTreeSet::new(), Ballot::default());
             let mut accepted_by: BTreeMap<Ballot, (BTreeSet<Member>, bool, Option<State>)> = BTreeMap::new();
             while let Some((from, tell)) = asking.next(asked + self.chain.voter).await {
-                let Tell::Has { promised, accepted, chosen, state, .. } = tell else { continue };
+                let AcceptorReply::Has { promised, accepted, chosen, state, .. } = tell else { continue };
                 heard.insert(from);
                 self.seen.set(self.seen.get().max(promised));
                 newest = newest.max(chosen).max(accepted);
@@ -400,14 +407,14 @@
             (view.accepted, view.chosen)
         };
         if ballot > accepted {
-            self.keeper.ask(Ask::Learn { ballot, state: state.as_ref().clone() }).await;
+            self.keeper.ask(AcceptorRequest::Learn { ballot, state: state.as_ref().clone() }).await;
         } else if ballot == accepted && ballot > chosen {
-            self.keeper.ask(Ask::Chosen(ballot)).await;
+            self.keeper.ask(AcceptorRequest::Chosen(ballot)).await;
         }
     }
 
     /// The voter here is asked something.
-    pub async fn vote(&self, to: Member, ask: Ask<Value>) -> Option<Tell<Value>> {
+    pub async fn vote(&self, to: Member, ask: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
         self.keeper.ask_as(to, ask).await
     }
 
@@ -427,7 +434,7 @@
 async fn is_known(members: &Members, ballot: Ballot, mut told: Asking, by: Instant) -> bool {
     let mut know = BTreeSet::new();
     while let Some((from, tell)) = told.next(by).await {
-        if matches!(tell, Tell::Has { chosen, .. } if chosen >= ballot) {
+        if matches!(tell, AcceptorReply::Has { chosen, .. } if chosen >= ballot) {
             know.insert(from);
         }
         if members.majority(&know) {
--- a/crates/starlinghill-config-store/src/wire.rs
+++ b/crates/starlinghill-config-store/src/wire.rs
@@ -2,7 +2,7 @@
 
 use bitcode::{Decode, Encode};
 use starlinghill_config_model::Item;
-use starlinghill_consensus::{Ask, Ballot, Member, MemberChange, Members, Tell};
+use starlinghill_consensus::{AcceptorReply, AcceptorRequest, Ballot, Member, MemberChange, Members};
 use starlinghill_lease::contact::Contact;
 
 /// The value that stores agree on.
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Encode, Decode)]
 pub enum Question {
     /// To the voter of that incarnation here, by another store.
-    Vote(Member, Ask<Value>),
+    Vote(Member, AcceptorRequest<Value>),
     /// Who votes?
     Members,
     /// An operator's change, as it was sent.
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, Encode, Decode)]
 pub enum Answer {
     /// The voter's.
-    Vote(Tell<Value>),
+    Vote(AcceptorReply<Value>),
     /// The members that are known here to be agreed on, and a ballot that is no lower than the one they were agreed on by.
     /// None where they are not known.
     Members(Members, Ballot),
--- a/crates/starlinghill-config-store/tests/disk.rs
+++ b/crates/starlinghill-config-store/tests/disk.rs
@@ -3,7 +3,7 @@
 use starlinghill_config_model::{History, Item, Kind};
 use starlinghill_config_store::disk::Shelf;
 use starlinghill_config_store::wire::State;
-use starlinghill_consensus::{Ballot, Kept, Member, Members};
+use starlinghill_consensus::{AcceptorState, Ballot, Member, Members};
 use std::net::IpAddr;
 use std::path::Path;
 
@@ -22,10 +22,10 @@
     Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])))
 }
 
-fn kept(round: u64) -> Kept {
+fn kept(round: u64) -> AcceptorState {
     let ballot = Ballot { round, by: 1 };
     let me = members().voters[2];
-    Kept { me, promised: ballot, accepted: ballot, chosen: Ballot::default(), members: members() }
+    AcceptorState { me, promised: ballot, accepted: ballot, chosen: Ballot::default(), members: members() }
 }
 
 fn state(value: Vec<Item>) -> State {
@@ -83,7 +83,7 @@
         let records = records.unwrap_or_else(|error| panic!("{error}"));
         let mut batch = database.batch().durability(Some(fjall::PersistMode::SyncAll));
         let ips: Vec<IpAddr> = members().voters.iter().map(|member| member.ip).collect();
-        let Kept { promised, accepted, chosen, .. } = kept(4);
+        let AcceptorState { promised, accepted, chosen, .. } = kept(4);
         let before = KeptBefore { promised, accepted, chosen, lives: vec![0, 2, 1] };
         batch.insert(&records, "voters", bitcode::encode(&ips));
         batch.insert(&records, "kept", bitcode::encode(&before));
@@ -103,7 +103,7 @@
     let voters: Vec<Member> = lives.map(|(m, incarnation)| Member { incarnation, ..m }).collect();
     let me = voters[2];
     let members = Members { voters, ..members() };
-    let kept = |round| Kept { me, members: members.clone(), ..kept(round) };
+    let kept = |round| AcceptorState { me, members: members.clone(), ..kept(round) };
     let state = |value| State { members: members.clone(), value };
     // A promise alone leaves the state as it is.
     for _ in 0..2 {
--- a/crates/starlinghill-config-store/tests/numbers.rs
+++ b/crates/starlinghill-config-store/tests/numbers.rs
@@ -6,7 +6,8 @@
 use starlinghill_config_store::apply_change;
 use starlinghill_config_store::wire::{Outcome, State, Value};
 use starlinghill_consensus::{
-    Ask, Ballot, Kept, Member, MemberChange, Members, Round, Save, Step, Tell, Voter,
+    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Member, MemberChange, Members,
+    ProposerRound, ProposerStep, RequiredWrite,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::IpAddr;
@@ -19,8 +20,8 @@
 type Part = (u8, u64, u8);
 
 struct Machine {
-    voter: Voter<Value>,
-    disk: (Kept, State),
+    voter: Acceptor<Value>,
+    disk: (AcceptorState, State),
     /// The highest ballot that it knows to be agreed on, with its state.
     known: (Ballot, State),
 }
@@ -39,7 +40,7 @@
     order: usize,
     at: usize,
     change: Change,
-    round: Option<Round<Value>>,
+    round: Option<ProposerRound<Value>>,
     made: Option<(State, Outcome)>,
     ended: bool,
 }
@@ -47,8 +48,8 @@
 struct World {
     rng: fastrand::Rng,
     machines: Vec<Machine>,
-    mail: VecDeque<(Member, usize, Ballot, Ask<Value>)>,
-    back: VecDeque<(Member, usize, Ballot, Tell<Value>)>,
+    mail: VecDeque<(Member, usize, Ballot, AcceptorRequest<Value>)>,
+    back: VecDeque<(Member, usize, Ballot, AcceptorReply<Value>)>,
     orders: Vec<Order>,
     sendings: Vec<Sending>,
     seen: u64,
@@ -98,7 +99,7 @@
 impl World {
     fn new(seed: u64) -> World {
         let machine = |i| {
-            let voter: Voter<Value> = Voter::new(founders().voters[i], founders());
+            let voter: Acceptor<Value> = Acceptor::new(founders().voters[i], founders());
             let disk = (voter.kept().clone(), voter.state().clone());
             Machine { voter, disk, known: Default::default() }
         };
@@ -147,19 +148,21 @@
         let ballot = Ballot { round: self.seen, by: s as u32 };
         let sending = &mut self.sendings[s];
         let have = self.machines[sending.at].known.clone();
-        let round = Round::new(ballot, self.members.clone(), have);
+        let round = ProposerRound::new(ballot, self.members.clone(), have);
         let ask = round.ask();
         round.asked().for_each(|to| self.mail.push_back((to, s, ballot, ask.clone())));
         (sending.round, sending.made) = (Some(round), None);
     }
 
-    fn ask(&mut self, to: Member, ask: Ask<Value>) -> Tell<Value> {
+    fn ask(&mut self, to: Member, ask: AcceptorRequest<Value>) -> AcceptorReply<Value> {
         let machine = &mut self.machines[place(to)];
         let (tell, save) = machine.voter.handle(to, ask);
         match save {
-            Save::Nothing => {}
-            Save::Kept => machine.disk.0 = machine.voter.kept().clone(),
-            Save::State => machine.disk = (machine.voter.kept().clone(), machine.voter.state().clone()),
+            RequiredWrite::Nothing => {}
+            RequiredWrite::Kept => machine.disk.0 = machine.voter.kept().clone(),
+            RequiredWrite::State => {
+                machine.disk = (machine.voter.kept().clone(), machine.voter.state().clone())
+            }
         }
         tell
     }
@@ -186,12 +189,12 @@
         let sending = &mut self.sendings[s];
         let Some(round) = sending.round.as_mut().filter(|round| round.ballot() == ballot) else { return };
         match round.told(from, tell) {
-            Step::Wait => {}
-            Step::Extend(more) => {
+            ProposerStep::Wait => {}
+            ProposerStep::Extend(more) => {
                 let ask = round.ask();
                 more.into_iter().for_each(|to| self.mail.push_back((to, s, ballot, ask.clone())));
             }
-            Step::Base(base, known) => {
+            ProposerStep::Base(base, known) => {
                 let (next, outcome) = apply_change::take(&base.value, &sending.change);
                 if next.is_none() && known {
                     return self.end(s, outcome);
@@ -201,22 +204,22 @@
                 round.asked().for_each(|to| self.mail.push_back((to, s, ballot, ask.clone())));
                 sending.made = Some((next, outcome));
             }
-            Step::Chosen => {
+            ProposerStep::Chosen => {
                 let Some((state, outcome)) = sending.made.take() else { return };
                 let at = sending.at;
                 for to in state.members.voters.clone() {
-                    self.mail.push_back((to, s, ballot, Ask::Chosen(ballot)));
+                    self.mail.push_back((to, s, ballot, AcceptorRequest::Chosen(ballot)));
                 }
                 if ballot > self.machines[at].known.0 {
                     self.machines[at].known = (ballot, state);
                 }
                 self.end(s, outcome);
             }
-            Step::Lost(higher) => {
+            ProposerStep::Lost(higher) => {
                 self.seen = self.seen.max(higher.round);
                 sending.round = None;
             }
-            Step::Newer(members, higher) => {
+            ProposerStep::Newer(members, higher) => {
                 self.seen = self.seen.max(higher.round);
                 sending.round = None;
                 if members.epoch > self.members.epoch {
@@ -254,7 +257,7 @@
     fn power_loss(&mut self, i: usize) {
         let machine = &mut self.machines[i];
         let (kept, state) = machine.disk.clone();
-        (machine.voter, machine.known) = (Voter::again(kept, state), Default::default());
+        (machine.voter, machine.known) = (Acceptor::again(kept, state), Default::default());
         for sending in self.sendings.iter_mut().filter(|sending| sending.at == i) {
             (sending.round, sending.ended) = (None, true);
         }
@@ -263,25 +266,29 @@
     /// The disk is empty: another incarnation begins there.
     fn wipe(&mut self, i: usize) {
         let was = self.machines[i].voter.me();
-        let voter: Voter<Value> =
-            Voter::new(Member { incarnation: was.incarnation + 1, ..was }, Members::default());
+        let voter: Acceptor<Value> =
+            Acceptor::new(Member { incarnation: was.incarnation + 1, ..was }, Members::default());
         self.machines[i].disk = (voter.kept().clone(), voter.state().clone());
         self.power_loss(i);
         self.mourning = Some(was);
     }
 
     /// Asks all members, but for what is lost on the way; the first step that is more than to wait.
-    fn ask_all(&mut self, round: &mut Round<Value>, ask: &Ask<Value>) -> Step<Value> {
+    fn ask_all(
+        &mut self,
+        round: &mut ProposerRound<Value>,
+        ask: &AcceptorRequest<Value>,
+    ) -> ProposerStep<Value> {
         for to in round.asked().collect::<Vec<_>>() {
             if self.rng.u8(0..10) > 0 {
                 let tell = self.ask(to, ask.clone());
                 match round.told(to, tell) {
-                    Step::Wait | Step::Extend(_) => {}
+                    ProposerStep::Wait | ProposerStep::Extend(_) => {}
                     step => return step,
                 }
             }
         }
-        Step::Wait
+        ProposerStep::Wait
     }
 
     /// The new incarnation asks to be a member in the place of the one before, which is agreed on like any change.
@@ -290,20 +297,20 @@
         let joins = self.machines[place(leaves)].voter.me();
         self.seen += 1;
         let ballot = Ballot { round: self.seen, by: u32::MAX - 1 };
-        let mut round = Round::new(ballot, self.members.clone(), Default::default());
+        let mut round = ProposerRound::new(ballot, self.members.clone(), Default::default());
         let (mut ask, mut proposed) = (round.ask(), None);
         for _ in 0..2 {
             match self.ask_all(&mut round, &ask) {
-                Step::Base(base, _) => {
+                ProposerStep::Base(base, _) => {
                     let next = base.members.with(MemberChange::Replace { leaves, joins });
                     let next = next.map(|members| State { members, ..base.clone() }).unwrap_or(base);
                     proposed = Some(next.members.clone());
                     let Some(next) = round.propose(next) else { return };
                     ask = next;
                 }
-                Step::Chosen => self.members = proposed.take().unwrap_or_default(),
-                Step::Lost(higher) => self.seen = self.seen.max(higher.round),
-                Step::Newer(members, higher) => {
+                ProposerStep::Chosen => self.members = proposed.take().unwrap_or_default(),
+                ProposerStep::Lost(higher) => self.seen = self.seen.max(higher.round),
+                ProposerStep::Newer(members, higher) => {
                     self.seen = self.seen.max(higher.round);
                     self.members = members;
                 }
@@ -403,19 +410,19 @@
         for _ in 0..8 {
             self.seen += 1;
             let ballot = Ballot { round: self.seen, by: u32::MAX };
-            let mut round = Round::new(ballot, self.members.clone(), Default::default());
+            let mut round = ProposerRound::new(ballot, self.members.clone(), Default::default());
             for member in self.members.voters.clone() {
                 if place(member) == left_out {
                     continue;
                 }
                 let tell = self.ask(member, round.ask());
                 match round.told(member, tell) {
-                    Step::Base(state, _) => return state.value,
-                    Step::Lost(higher) => {
+                    ProposerStep::Base(state, _) => return state.value,
+                    ProposerStep::Lost(higher) => {
                         self.seen = self.seen.max(higher.round);
                         break;
                     }
-                    Step::Newer(members, higher) => {
+                    ProposerStep::Newer(members, higher) => {
                         (self.seen, self.members) = (self.seen.max(higher.round), members);
                         break;
                     }
--- a/crates/starlinghill-config-store/tests/records.rs
+++ b/crates/starlinghill-config-store/tests/records.rs
@@ -4,7 +4,7 @@
 use starlinghill_config_store::disk::{self, Found, Order, Shelf};
 use starlinghill_config_store::records::REPLACED_AT;
 use starlinghill_config_store::wire::State;
-use starlinghill_consensus::{Ballot, Kept, Members};
+use starlinghill_consensus::{AcceptorState, Ballot, Members};
 use std::fs;
 use std::io::Read;
 use std::net::IpAddr;
@@ -23,10 +23,10 @@
     Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])))
 }
 
-fn kept(round: u64) -> Kept {
+fn kept(round: u64) -> AcceptorState {
     let ballot = Ballot { round, by: 1 };
     let me = members().voters[0];
-    Kept { me, promised: ballot, accepted: ballot, chosen: Ballot::default(), members: members() }
+    AcceptorState { me, promised: ballot, accepted: ballot, chosen: Ballot::default(), members: members() }
 }
 
 fn state(value: Vec<Item>) -> State {
--- a/crates/starlinghill-consensus/src/acceptor.rs
+++ b/crates/starlinghill-consensus/src/acceptor.rs
@@ -1,11 +1,11 @@
 //! One voter, an acceptor: what it promised and accepted.
 
-use crate::{Ask, Ballot, Member, Members, State, Tell};
+use crate::{AcceptorReply, AcceptorRequest, Ballot, Member, Members, State};
 use bitcode::{Decode, Encode};
 
 /// What a voter keeps on disk beside its state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct Kept {
+pub struct AcceptorState {
     /// Who it is.
     pub me: Member,
     /// It accepts nothing below this.
@@ -20,14 +20,14 @@
 
 /// A voter. Its incarnation has remembered all that it ever said: one that lost its disk begins another.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Voter<V> {
-    kept: Kept,
+pub struct Acceptor<V> {
+    kept: AcceptorState,
     state: State<V>,
 }
 
 /// What must be on disk before the answer goes out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Save {
+pub enum RequiredWrite {
     /// Nothing has to wait.
     Nothing,
     /// All but the state.
@@ -36,17 +36,17 @@
     State,
 }
 
-impl<V: Clone + Default> Voter<V> {
+impl<V: Clone + Default> Acceptor<V> {
     /// One with an empty disk: a founder, or one of whom no member knows yet, with what it was told of them.
-    pub fn new(me: Member, members: Members) -> Voter<V> {
+    pub fn new(me: Member, members: Members) -> Acceptor<V> {
         let none = Ballot::default();
         let state = State { members: members.clone(), value: V::default() };
-        Voter { kept: Kept { me, promised: none, accepted: none, chosen: none, members }, state }
+        Acceptor { kept: AcceptorState { me, promised: none, accepted: none, chosen: none, members }, state }
     }
 
     /// As it stood on disk.
-    pub fn again(kept: Kept, state: State<V>) -> Voter<V> {
-        Voter { kept, state }
+    pub fn again(kept: AcceptorState, state: State<V>) -> Acceptor<V> {
+        Acceptor { kept, state }
     }
 
     /// Who it is.
@@ -55,7 +55,7 @@
     }
 
     /// What it has to keep.
-    pub fn kept(&self) -> &Kept {
+    pub fn kept(&self) -> &AcceptorState {
         &self.kept
     }
 
@@ -70,39 +70,39 @@
     }
 
     /// Answers a question that is meant for `to`, and says what must be on disk before the answer goes out.
-    pub fn handle(&mut self, to: Member, ask: Ask<V>) -> (Tell<V>, Save) {
+    pub fn handle(&mut self, to: Member, ask: AcceptorRequest<V>) -> (AcceptorReply<V>, RequiredWrite) {
         if to != self.kept.me {
-            return (Tell::Another(self.kept.me), Save::Nothing);
+            return (AcceptorReply::Another(self.kept.me), RequiredWrite::Nothing);
         }
         match ask {
-            Ask::Prepare { ballot, epoch, have } => match self.stands_back(ballot, epoch) {
-                Some(refusal) => (refusal, Save::Nothing),
+            AcceptorRequest::Prepare { ballot, epoch, have } => match self.stands_back(ballot, epoch) {
+                Some(refusal) => (refusal, RequiredWrite::Nothing),
                 None => {
                     let new = std::mem::replace(&mut self.kept.promised, ballot) != ballot;
                     let newer = self.counts_by(epoch);
-                    (self.has(have), if new || newer { Save::Kept } else { Save::Nothing })
+                    (self.has(have), if new || newer { RequiredWrite::Kept } else { RequiredWrite::Nothing })
                 }
             },
-            Ask::Accept { ballot, epoch, state } => match self.stands_back(ballot, epoch) {
-                Some(refusal) => (refusal, Save::Nothing),
+            AcceptorRequest::Accept { ballot, epoch, state } => match self.stands_back(ballot, epoch) {
+                Some(refusal) => (refusal, RequiredWrite::Nothing),
                 None => {
                     self.hold(ballot, state);
                     self.counts_by(epoch);
-                    (Tell::Accepted, Save::State)
+                    (AcceptorReply::Accepted, RequiredWrite::State)
                 }
             },
-            Ask::Chosen(ballot) => {
+            AcceptorRequest::Chosen(ballot) => {
                 // Only of the state that it has: what lies between is settled by whoever looks.
-                let mut save = Save::Nothing;
+                let mut save = RequiredWrite::Nothing;
                 if ballot == self.kept.accepted {
                     self.kept.chosen = self.kept.chosen.max(ballot);
                     if self.follow(self.state.members.clone()) {
-                        save = Save::Kept;
+                        save = RequiredWrite::Kept;
                     }
                 }
                 (self.has(self.kept.accepted), save)
             }
-            Ask::Learn { ballot, state } => {
+            AcceptorRequest::Learn { ballot, state } => {
                 // No promise stands against it: whoever was promised a higher ballot by a quorum heard of what was agreed on.
                 let newer = ballot > self.kept.accepted;
                 if newer {
@@ -112,9 +112,12 @@
                     self.kept.chosen = self.kept.chosen.max(ballot);
                     self.follow(self.state.members.clone());
                 }
-                (self.has(self.kept.accepted), if newer { Save::State } else { Save::Nothing })
+                (
+                    self.has(self.kept.accepted),
+                    if newer { RequiredWrite::State } else { RequiredWrite::Nothing },
+                )
             }
-            Ask::Look(have) => (self.has(have), Save::Nothing),
+            AcceptorRequest::Look(have) => (self.has(have), RequiredWrite::Nothing),
         }
     }
 
@@ -147,16 +150,16 @@
     }
 
     /// Refuses what is below its promise, or counts the votes of members that are no more.
-    fn stands_back(&self, ballot: Ballot, epoch: u64) -> Option<Tell<V>> {
+    fn stands_back(&self, ballot: Ballot, epoch: u64) -> Option<AcceptorReply<V>> {
         if epoch < self.kept.members.epoch {
-            return Some(Tell::Newer(self.kept.members.clone(), self.kept.promised));
+            return Some(AcceptorReply::Newer(self.kept.members.clone(), self.kept.promised));
         }
-        (ballot < self.kept.promised).then_some(Tell::Later(self.kept.promised))
+        (ballot < self.kept.promised).then_some(AcceptorReply::Later(self.kept.promised))
     }
 
-    fn has(&self, have: Ballot) -> Tell<V> {
-        let Kept { promised, accepted, chosen, .. } = self.kept;
+    fn has(&self, have: Ballot) -> AcceptorReply<V> {
+        let AcceptorState { promised, accepted, chosen, .. } = self.kept;
         let state = (accepted > have).then(|| self.state.clone());
-        Tell::Has { promised, accepted, chosen, state }
+        AcceptorReply::Has { promised, accepted, chosen, state }
     }
 }
--- a/crates/starlinghill-consensus/src/lib.rs
+++ b/crates/starlinghill-consensus/src/lib.rs
@@ -17,9 +17,9 @@
 mod members;
 mod proposer;
 
-pub use acceptor::{Kept, Save, Voter};
+pub use acceptor::{Acceptor, AcceptorState, RequiredWrite};
 pub use members::{has_majority, Member, MemberChange, Members, MembersRefusal};
-pub use proposer::{Round, Step};
+pub use proposer::{ProposerRound, ProposerStep};
 
 use bitcode::{Decode, Encode};
 
@@ -43,7 +43,7 @@
 
 /// What a voter is asked. The epoch is that of the members whose votes the proposer counts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
-pub enum Ask<V> {
+pub enum AcceptorRequest<V> {
     /// For a promise to accept nothing under a lower ballot.
     Prepare {
         /// The ballot.
@@ -77,7 +77,7 @@
 
 /// What a voter answers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
-pub enum Tell<V> {
+pub enum AcceptorReply<V> {
     /// It has promised, or notes, or merely looks; this is what it has.
     Has {
         /// Its promise.
--- a/crates/starlinghill-consensus/src/proposer.rs
+++ b/crates/starlinghill-consensus/src/proposer.rs
@@ -1,11 +1,11 @@
 //! One attempt to agree on a state, by a proposer.
 
-use crate::{Ask, Ballot, Member, Members, State, Tell};
+use crate::{AcceptorReply, AcceptorRequest, Ballot, Member, Members, State};
 use std::collections::BTreeSet;
 
 /// What is to be done next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step<V> {
+pub enum ProposerStep<V> {
     /// Nothing yet.
     Wait,
     /// A state with newer members was accepted somewhere, and may have been agreed on: these are to be asked as well.
@@ -23,7 +23,7 @@
 /// One attempt, among the members of an epoch that is known to have been agreed on, under a ballot that is higher than the one
 /// by which it was.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Round<V> {
+pub struct ProposerRound<V> {
     ballot: Ballot,
     members: Members,
     asked: BTreeSet<Member>,
@@ -37,9 +37,9 @@
     over: bool,
 }
 
-impl<V: Clone> Round<V> {
+impl<V: Clone> ProposerRound<V> {
     /// Under that ballot, among these members, by one who has the state of `have`, which was agreed on.
-    pub fn new(ballot: Ballot, members: Members, have: (Ballot, State<V>)) -> Round<V> {
+    pub fn new(ballot: Ballot, members: Members, have: (Ballot, State<V>)) -> ProposerRound<V> {
         let (asked, chosen) = (members.voters.iter().copied().collect(), have.0);
         let mut base = have;
         if base.0 == Ballot::default() {
@@ -47,7 +47,7 @@
             base.1.members = members.clone();
         }
         let (promised, accepted) = (BTreeSet::new(), BTreeSet::new());
-        Round {
+        ProposerRound {
             ballot,
             members,
             asked,
@@ -77,13 +77,13 @@
     }
 
     /// What every voter is asked first.
-    pub fn ask(&self) -> Ask<V> {
-        Ask::Prepare { ballot: self.ballot, epoch: self.members.epoch, have: self.base.0 }
+    pub fn ask(&self) -> AcceptorRequest<V> {
+        AcceptorRequest::Prepare { ballot: self.ballot, epoch: self.members.epoch, have: self.base.0 }
     }
 
     /// What all are asked once the next state is made. `None` where its members can't follow here: the change that is
     /// under way has to be settled first, by proposing the base as it is.
-    pub fn propose(&mut self, state: State<V>) -> Option<Ask<V>> {
+    pub fn propose(&mut self, state: State<V>) -> Option<AcceptorRequest<V>> {
         let base = &self.base.1.members;
         let next = &state.members;
         let one_step = next.epoch == self.members.epoch + 1 && base.epoch == self.members.epoch;
@@ -92,18 +92,18 @@
         }
         self.asked.extend(&next.voters);
         self.proposed = Some(next.clone());
-        Some(Ask::Accept { ballot: self.ballot, epoch: self.members.epoch, state })
+        Some(AcceptorRequest::Accept { ballot: self.ballot, epoch: self.members.epoch, state })
     }
 
     /// A voter has answered.
-    pub fn told(&mut self, by: Member, tell: Tell<V>) -> Step<V> {
+    pub fn told(&mut self, by: Member, tell: AcceptorReply<V>) -> ProposerStep<V> {
         if self.over {
-            return Step::Wait;
+            return ProposerStep::Wait;
         }
         match tell {
-            Tell::Has { promised, accepted, chosen, state } => {
+            AcceptorReply::Has { promised, accepted, chosen, state } => {
                 if self.based || promised != self.ballot {
-                    return Step::Wait;
+                    return ProposerStep::Wait;
                 }
                 self.promised.insert(by);
                 self.chosen = self.chosen.max(chosen);
@@ -112,54 +112,54 @@
                 }
                 self.has_promises()
             }
-            Tell::Accepted => {
+            AcceptorReply::Accepted => {
                 self.accepted.insert(by);
                 let joint = |set: &Members| set.epoch == self.members.epoch || set.majority(&self.accepted);
                 self.over =
                     self.members.majority(&self.accepted) && self.proposed.as_ref().is_some_and(joint);
                 if self.over {
-                    Step::Chosen
+                    ProposerStep::Chosen
                 } else {
-                    Step::Wait
+                    ProposerStep::Wait
                 }
             }
-            Tell::Later(promised) => {
+            AcceptorReply::Later(promised) => {
                 self.over = true;
-                Step::Lost(promised)
+                ProposerStep::Lost(promised)
             }
-            Tell::Newer(members, ballot) if members.epoch > self.members.epoch => {
+            AcceptorReply::Newer(members, ballot) if members.epoch > self.members.epoch => {
                 self.over = true;
-                Step::Newer(members, ballot)
+                ProposerStep::Newer(members, ballot)
             }
-            Tell::Newer(..) | Tell::Another(_) => Step::Wait,
+            AcceptorReply::Newer(..) | AcceptorReply::Another(_) => ProposerStep::Wait,
         }
     }
 
-    fn has_promises(&mut self) -> Step<V> {
+    fn has_promises(&mut self) -> ProposerStep<V> {
         if !self.members.majority(&self.promised) {
-            return Step::Wait;
+            return ProposerStep::Wait;
         }
         let (ballot, set) = (self.base.0, &self.base.1.members);
         let known = self.chosen >= ballot;
         if set.epoch > self.members.epoch {
             if known {
                 self.over = true;
-                return Step::Newer(set.clone(), ballot);
+                return ProposerStep::Newer(set.clone(), ballot);
             }
             // Whoever proposed a set knew that the one before it was agreed on.
             if let Some(previous) = set.previous().filter(|previous| previous.epoch > self.members.epoch) {
                 self.over = true;
-                return Step::Newer(previous, ballot);
+                return ProposerStep::Newer(previous, ballot);
             }
             // What those members agreed on since is to be heard too.
             if !set.majority(&self.promised) {
                 let new = |member: &Member| !self.asked.contains(member);
                 let more: Vec<Member> = set.voters.iter().copied().filter(new).collect();
                 self.asked.extend(&more);
-                return if more.is_empty() { Step::Wait } else { Step::Extend(more) };
+                return if more.is_empty() { ProposerStep::Wait } else { ProposerStep::Extend(more) };
             }
         }
         self.based = true;
-        Step::Base(self.base.1.clone(), known)
+        ProposerStep::Base(self.base.1.clone(), known)
     }
 }
--- a/crates/starlinghill-consensus/tests/agreement.rs
+++ b/crates/starlinghill-consensus/tests/agreement.rs
@@ -3,7 +3,8 @@
 //! version has two contents, and of any two states that were agreed on the later one holds all of the earlier.
 
 use starlinghill_consensus::{
-    Ask, Ballot, Kept, Member, MemberChange, Members, Round, Save, State, Step, Tell, Voter,
+    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Member, MemberChange, Members,
+    ProposerRound, ProposerStep, RequiredWrite, State,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::IpAddr;
@@ -23,9 +24,9 @@
 }
 
 struct Machine {
-    voter: Voter<Value>,
+    voter: Acceptor<Value>,
     /// What is on its disk.
-    disk: (Kept, State<Value>),
+    disk: (AcceptorState, State<Value>),
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -38,7 +39,7 @@
 /// A proposer: it knows no more than it was told.
 struct Writer {
     wish: Wish,
-    round: Option<Round<Value>>,
+    round: Option<ProposerRound<Value>>,
     proposed: Option<(State<Value>, bool)>,
     members: Members,
     seen: u64,
@@ -54,8 +55,8 @@
     fault: Fault,
     machines: BTreeMap<Member, Machine>,
     /// Questions and answers on their way: to a voter, of that writer, in that round.
-    mail: VecDeque<(Member, usize, Ballot, Ask<Value>)>,
-    back: VecDeque<(Member, usize, Ballot, Tell<Value>)>,
+    mail: VecDeque<(Member, usize, Ballot, AcceptorRequest<Value>)>,
+    back: VecDeque<(Member, usize, Ballot, AcceptorReply<Value>)>,
     writers: Vec<Writer>,
     /// All that was agreed on.
     chosen: BTreeMap<Ballot, State<Value>>,
@@ -96,7 +97,7 @@
     fn new(seed: u64, founders: u8, fault: Fault) -> World {
         let members = Members::first((1..=founders).map(address));
         let machine = |member: &Member| {
-            let voter: Voter<Value> = Voter::new(*member, members.clone());
+            let voter: Acceptor<Value> = Acceptor::new(*member, members.clone());
             (*member, Machine { disk: (voter.kept().clone(), voter.state().clone()), voter })
         };
         let machines = members.voters.iter().map(machine).collect();
@@ -147,7 +148,7 @@
         let writer = &mut self.writers[id];
         writer.seen += more;
         let ballot = Ballot { round: writer.seen, by: id as u32 };
-        let round = Round::new(ballot, writer.members.clone(), Default::default());
+        let round = ProposerRound::new(ballot, writer.members.clone(), Default::default());
         let ask = round.ask();
         round.asked().for_each(|to| self.mail.push_back((to, id, ballot, ask.clone())));
         (writer.round, writer.proposed) = (Some(round), None);
@@ -160,13 +161,15 @@
         self.wish(Wish::Item(name, (version, id)));
     }
 
-    fn ask(&mut self, to: Member, ask: Ask<Value>) -> Option<Tell<Value>> {
+    fn ask(&mut self, to: Member, ask: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
         let machine = self.machines.get_mut(&to)?;
         let (tell, save) = machine.voter.handle(to, ask);
         match save {
-            Save::Nothing => {}
-            Save::Kept => machine.disk.0 = machine.voter.kept().clone(),
-            Save::State => machine.disk = (machine.voter.kept().clone(), machine.voter.state().clone()),
+            RequiredWrite::Nothing => {}
+            RequiredWrite::Kept => machine.disk.0 = machine.voter.kept().clone(),
+            RequiredWrite::State => {
+                machine.disk = (machine.voter.kept().clone(), machine.voter.state().clone())
+            }
         }
         Some(tell)
     }
@@ -189,28 +192,28 @@
         let Some((from, id, ballot, tell)) = at.and_then(|at| self.back.remove(at)) else { return };
         let writer = &mut self.writers[id];
         let Some(round) = writer.round.as_mut().filter(|round| round.ballot() == ballot) else { return };
-        if tell == Tell::Accepted {
+        if tell == AcceptorReply::Accepted {
             writer.votes.insert(from);
         }
         let mut step = round.told(from, tell);
         if let (Fault::NewSetOnly, Some((state, _))) = (self.fault, &writer.proposed) {
             if state.members.majority(&writer.votes) {
-                step = Step::Chosen;
+                step = ProposerStep::Chosen;
             }
         }
         match step {
-            Step::Wait => {}
-            Step::Extend(more) => {
+            ProposerStep::Wait => {}
+            ProposerStep::Extend(more) => {
                 let ask = round.ask();
                 more.into_iter().for_each(|to| self.mail.push_back((to, id, ballot, ask.clone())));
             }
-            Step::Base(base, known) => self.propose(id, base, known),
-            Step::Chosen => self.agreed(id, ballot),
-            Step::Lost(higher) => {
+            ProposerStep::Base(base, known) => self.propose(id, base, known),
+            ProposerStep::Chosen => self.agreed(id, ballot),
+            ProposerStep::Lost(higher) => {
                 writer.seen = writer.seen.max(higher.round);
                 writer.round = None;
             }
-            Step::Newer(members, higher) => {
+            ProposerStep::Newer(members, higher) => {
                 writer.seen = writer.seen.max(higher.round);
                 (writer.members, writer.round) = (members, None);
             }
@@ -245,7 +248,7 @@
         }
         let asked = next.and_then(|next| Some((round.propose(next.clone())?, next, true)));
         // What is half done is settled first.
-        let settles = |round: &mut Round<Value>| Some((round.propose(base.clone())?, base, false));
+        let settles = |round: &mut ProposerRound<Value>| Some((round.propose(base.clone())?, base, false));
         let Some((ask, state, whole)) = asked.or_else(|| settles(round)) else { return };
         let (to, ballot): (Vec<Member>, Ballot) = (round.asked().collect(), round.ballot());
         writer.proposed = Some((state, whole));
@@ -278,7 +281,7 @@
         }
         if self.rng.bool() {
             for to in state.members.voters.clone() {
-                self.mail.push_back((to, id, ballot, Ask::Chosen(ballot)));
+                self.mail.push_back((to, id, ballot, AcceptorRequest::Chosen(ballot)));
             }
         }
         self.chosen.insert(ballot, state);
@@ -301,12 +304,12 @@
     fn power_loss(&mut self, member: Member) {
         if let Some(machine) = self.machines.get_mut(&member) {
             let (kept, state) = machine.disk.clone();
-            machine.voter = Voter::again(kept, state);
+            machine.voter = Acceptor::again(kept, state);
         }
     }
 
     fn empty(&mut self, member: Member) {
-        let voter: Voter<Value> = Voter::new(member, Members::default());
+        let voter: Acceptor<Value> = Acceptor::new(member, Members::default());
         let disk = (voter.kept().clone(), voter.state().clone());
         self.machines.insert(member, Machine { voter, disk });
     }
@@ -333,7 +336,7 @@
         let Some((leaves, joins)) = self.mourning else { return };
         if self.rng.bool() {
             let (ballot, state) = self.newest();
-            self.ask(joins, Ask::Learn { ballot, state });
+            self.ask(joins, AcceptorRequest::Learn { ballot, state });
         }
         self.wish(Wish::Members(MemberChange::Replace { leaves, joins }));
     }
@@ -481,34 +484,37 @@
 fn another_incarnation_says_nothing_for_the_one_before() {
     let was = members().voters[0];
     let now = Member { incarnation: 5, ..was };
-    let mut voter: Voter<Value> = Voter::new(now, Members::default());
+    let mut voter: Acceptor<Value> = Acceptor::new(now, Members::default());
     let ballot = Ballot { round: 5, by: 1 };
     let state = State { members: members(), value: Value::new() };
     for ask in [
-        Ask::Prepare { ballot, epoch: 0, have: Ballot::default() },
-        Ask::Accept { ballot, epoch: 0, state },
-        Ask::Look(Ballot::default()),
+        AcceptorRequest::Prepare { ballot, epoch: 0, have: Ballot::default() },
+        AcceptorRequest::Accept { ballot, epoch: 0, state },
+        AcceptorRequest::Look(Ballot::default()),
     ] {
         let (tell, save) = voter.handle(was, ask);
-        assert!(tell == Tell::Another(now) && save == Save::Nothing, "{tell:?}");
+        assert!(tell == AcceptorReply::Another(now) && save == RequiredWrite::Nothing, "{tell:?}");
     }
 }
 
 #[test]
 fn a_round_among_members_that_are_no_more_is_answered_with_the_newer_set() {
-    let mut voter: Voter<Value> = Voter::new(members().voters[1], members());
+    let mut voter: Acceptor<Value> = Acceptor::new(members().voters[1], members());
     let joins = Member { ip: address(4), incarnation: 9 };
     let next = members().with(MemberChange::Replace { leaves: members().voters[0], joins });
     let Ok(next) = next else { panic!("{next:?}") };
     let ballot = Ballot { round: 5, by: 1 };
     let state = State { members: next.clone(), value: vec![(0, (1, 1))] };
-    assert_eq!(voter.handle(voter.me(), Ask::Accept { ballot, epoch: 0, state }).0, Tell::Accepted);
+    assert_eq!(
+        voter.handle(voter.me(), AcceptorRequest::Accept { ballot, epoch: 0, state }).0,
+        AcceptorReply::Accepted
+    );
     // Accepted, it may not be agreed on: the old members still count.
     let later = Ballot { round: 6, by: 2 };
-    let prepare = Ask::Prepare { ballot: later, epoch: 0, have: Ballot::default() };
-    assert!(matches!(voter.handle(voter.me(), prepare.clone()).0, Tell::Has { .. }));
-    voter.handle(voter.me(), Ask::Chosen(ballot));
-    assert_eq!(voter.handle(voter.me(), prepare).0, Tell::Newer(next, later));
+    let prepare = AcceptorRequest::Prepare { ballot: later, epoch: 0, have: Ballot::default() };
+    assert!(matches!(voter.handle(voter.me(), prepare.clone()).0, AcceptorReply::Has { .. }));
+    voter.handle(voter.me(), AcceptorRequest::Chosen(ballot));
+    assert_eq!(voter.handle(voter.me(), prepare).0, AcceptorReply::Newer(next, later));
 }
 
 /// What a majority of the old set needs, with one that is lost for good among them.
@@ -521,24 +527,28 @@
     let leaves = old.voters[0];
     let joins = Member { incarnation: 3, ..leaves };
     let ballot = Ballot { round: 1, by: 1 };
-    let mut round: Round<Value> = Round::new(ballot, old.clone(), Default::default());
-    let has =
-        Tell::Has { promised: ballot, accepted: Ballot::default(), chosen: Ballot::default(), state: None };
-    let mut came = Step::Wait;
+    let mut round: ProposerRound<Value> = ProposerRound::new(ballot, old.clone(), Default::default());
+    let has = AcceptorReply::Has {
+        promised: ballot,
+        accepted: Ballot::default(),
+        chosen: Ballot::default(),
+        state: None,
+    };
+    let mut came = ProposerStep::Wait;
     for other in &old.voters[1..=others] {
         let step = round.told(*other, has.clone());
-        came = if step == Step::Wait { came } else { step };
+        came = if step == ProposerStep::Wait { came } else { step };
     }
-    if let Step::Base(base, _) = came.clone() {
+    if let ProposerStep::Base(base, _) = came.clone() {
         let next = base.members.with(MemberChange::Replace { leaves, joins });
         let Ok(members) = next else { panic!("{next:?}") };
         assert!(round.propose(State { members, ..base }).is_some());
         // The new one alone makes no majority of the set before.
-        came = round.told(joins, Tell::Accepted);
+        came = round.told(joins, AcceptorReply::Accepted);
         for other in &old.voters[1..=others] {
-            let step = round.told(*other, Tell::Accepted);
-            came = if step == Step::Wait { came } else { step };
+            let step = round.told(*other, AcceptorReply::Accepted);
+            came = if step == ProposerStep::Wait { came } else { step };
         }
     }
-    assert_eq!(came == Step::Chosen, agreed);
+    assert_eq!(came == ProposerStep::Chosen, agreed);
 }
--- a/crates/starlinghill-consensus/tests/model.rs
+++ b/crates/starlinghill-consensus/tests/model.rs
@@ -2,7 +2,10 @@
 //! one that writes, every order in which questions arrive, or don't, and an answer that is lost, to a stated depth. The same
 //! model with a change of members that the old set need not accept is found out.
 
-use starlinghill_consensus::{Ask, Ballot, Member, MemberChange, Members, Round, State, Step, Tell, Voter};
+use starlinghill_consensus::{
+    Acceptor, AcceptorReply, AcceptorRequest, Ballot, Member, MemberChange, Members, ProposerRound,
+    ProposerStep, State,
+};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -20,16 +23,16 @@
     members: Members,
     seen: u64,
     tries: u64,
-    round: Option<Round<Value>>,
+    round: Option<ProposerRound<Value>>,
     proposed: Option<State<Value>>,
     /// Questions on their way, each to these.
-    mail: Vec<(Ask<Value>, BTreeSet<Member>)>,
+    mail: Vec<(AcceptorRequest<Value>, BTreeSet<Member>)>,
     votes: BTreeSet<Member>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct World {
-    voters: Vec<Voter<Value>>,
+    voters: Vec<Acceptor<Value>>,
     proposers: Vec<Proposer>,
     /// An answer was lost.
     lost: bool,
@@ -55,30 +58,30 @@
     Members::first((1..=3).map(|i| member(i).ip))
 }
 
-fn ballot_of(ask: &Ask<Value>) -> Option<Ballot> {
+fn ballot_of(ask: &AcceptorRequest<Value>) -> Option<Ballot> {
     match ask {
-        Ask::Prepare { ballot, .. } | Ask::Accept { ballot, .. } => Some(*ballot),
+        AcceptorRequest::Prepare { ballot, .. } | AcceptorRequest::Accept { ballot, .. } => Some(*ballot),
         _ => None,
     }
 }
 
 impl Core {
-    fn step(&self, world: &mut World, p: usize, from: Member, tell: Tell<Value>) {
+    fn step(&self, world: &mut World, p: usize, from: Member, tell: AcceptorReply<Value>) {
         let proposer = &mut world.proposers[p];
         let Some(round) = &mut proposer.round else { return };
-        if tell == Tell::Accepted {
+        if tell == AcceptorReply::Accepted {
             proposer.votes.insert(from);
         }
         let mut step = round.told(from, tell);
         if let Some(state) = proposer.proposed.as_ref().filter(|_| self.new_set_only) {
             if state.members.majority(&proposer.votes) {
-                step = Step::Chosen;
+                step = ProposerStep::Chosen;
             }
         }
         match step {
-            Step::Wait => {}
-            Step::Extend(more) => proposer.mail.push((round.ask(), more.into_iter().collect())),
-            Step::Base(base, known) => {
+            ProposerStep::Wait => {}
+            ProposerStep::Extend(more) => proposer.mail.push((round.ask(), more.into_iter().collect())),
+            ProposerStep::Base(base, known) => {
                 let change = MemberChange::Replace { leaves: member(3), joins: member(4) };
                 let next = match p {
                     0 => base.members.with(change).ok().map(|members| State { members, ..base.clone() }),
@@ -99,7 +102,7 @@
                     proposer.proposed = Some(state);
                 }
             }
-            Step::Chosen => {
+            ProposerStep::Chosen => {
                 let ballot = round.ballot();
                 proposer.round = None;
                 if let Some(state) = proposer.proposed.take() {
@@ -107,11 +110,11 @@
                     world.chosen.sort_by_key(|(ballot, _)| *ballot);
                 }
             }
-            Step::Lost(higher) => {
+            ProposerStep::Lost(higher) => {
                 proposer.seen = proposer.seen.max(higher.round);
                 proposer.round = None;
             }
-            Step::Newer(members, higher) => {
+            ProposerStep::Newer(members, higher) => {
                 proposer.seen = proposer.seen.max(higher.round);
                 (proposer.members, proposer.round) = (members, None);
             }
@@ -133,9 +136,9 @@
             mail: Vec::new(),
             votes: BTreeSet::new(),
         };
-        let mut voters: Vec<Voter<Value>> =
-            founders().voters.into_iter().map(|m| Voter::new(m, founders())).collect();
-        voters.push(Voter::new(member(4), Members::default()));
+        let mut voters: Vec<Acceptor<Value>> =
+            founders().voters.into_iter().map(|m| Acceptor::new(m, founders())).collect();
+        voters.push(Acceptor::new(member(4), Members::default()));
         vec![World { voters, proposers: vec![proposer; TRIES.len()], lost: false, chosen: Vec::new() }]
     }
 
@@ -163,7 +166,7 @@
                 proposer.tries += 1;
                 proposer.seen += 1;
                 let ballot = Ballot { round: proposer.seen, by: p as u32 };
-                let round = Round::new(ballot, proposer.members.clone(), Default::default());
+                let round = ProposerRound::new(ballot, proposer.members.clone(), Default::default());
                 proposer.mail.push((round.ask(), round.asked().collect()));
                 (proposer.round, proposer.proposed) = (Some(round), None);
                 proposer.votes.clear();
@@ -175,7 +178,7 @@
                 let ask = ask.clone();
                 let voter = world.voters.iter_mut().find(|voter| voter.me() == to)?;
                 let (tell, _) = voter.handle(to, ask.clone());
-                let current = world.proposers[p].round.as_ref().map(Round::ballot) == ballot_of(&ask);
+                let current = world.proposers[p].round.as_ref().map(ProposerRound::ballot) == ballot_of(&ask);
                 if comes_back && current {
                     self.step(&mut world, p, to, tell);
                 }
--- a/crates/starlinghill-simulator/src/processes.rs
+++ b/crates/starlinghill-simulator/src/processes.rs
@@ -2,7 +2,7 @@
 //! by a kill, or not be looked at as while it is frozen.
 
 use starlinghill_config_store::disk::{Disk, Found, Order};
-use starlinghill_consensus::Kept;
+use starlinghill_consensus::AcceptorState;
 use std::cell::RefCell;
 use std::future::Future;
 use std::pin::Pin;
@@ -115,7 +115,7 @@
     }
 
     /// What a voter keeps here, as a process would find it.
-    pub fn kept(&self) -> Option<&Kept> {
+    pub fn kept(&self) -> Option<&AcceptorState> {
         self.synced.as_ref().map(|found| &found.kept)
     }
 
