--- a/crates/starlinghill-failure-detector/src/lib.rs
+++ b/crates/starlinghill-failure-detector/src/lib.rs
@@ -16,25 +16,25 @@
 /// How many watch each gateway. Two may be lost with it.
 pub const WATCHERS: usize = 3;
 /// How often a gateway says that it lives.
-pub const EVERY: Duration = Duration::from_millis(300);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 /// One of whom nobody heard for so long is dead: some six words in a row were lost.
-pub const DEAD: Duration = Duration::from_millis(2_200);
+pub const DEAD_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// One that heard nobody for so long takes itself for cut off from all: sooner than others take it for dead, by what a
 /// word may be on its way.
-pub const ALONE: Duration = Duration::from_millis(1_500);
+pub const ISOLATION_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The most gateways that are followed. Guards memory.
 const MOST: usize = 20_000;
 
 /// What a gateway says to its watchers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The life of its process.
     pub life: u64,
 }
 
 /// Of whom a watcher heard.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct Seen {
+pub struct PeerSighting {
     /// The gateway.
     pub ip: IpAddr,
     /// Its life.
@@ -76,17 +76,17 @@
 
 /// A gateway's part in the ring.
 #[derive(Debug)]
-pub struct Watch {
+pub struct PeerMonitor {
     me: IpAddr,
     ring: BTreeSet<IpAddr>,
     heard: BTreeMap<IpAddr, (u64, Duration)>,
     began: Duration,
 }
 
-impl Watch {
+impl PeerMonitor {
     /// Of a gateway that starts now and knows nobody.
-    pub fn new(me: IpAddr, now: Duration) -> Watch {
-        Watch { me, ring: BTreeSet::from([me]), heard: BTreeMap::new(), began: now }
+    pub fn new(me: IpAddr, now: Duration) -> PeerMonitor {
+        PeerMonitor { me, ring: BTreeSet::from([me]), heard: BTreeMap::new(), began: now }
     }
 
     /// These gateways there are, as registries tell.
@@ -102,44 +102,44 @@
     }
 
     /// Another one has said that it lives. Strangers are no gateways yet, and forgotten.
-    pub fn heard(&mut self, now: Duration, from: IpAddr, beat: Beat) {
+    pub fn heard(&mut self, now: Duration, from: IpAddr, beat: Heartbeat) {
         if self.ring.contains(&from) && from != self.me {
             self.heard.insert(from, (beat.life, now));
         }
     }
 
     /// Of whom it heard, for registries.
-    pub fn seen(&self, now: Duration) -> Vec<Seen> {
-        let lately = self.heard.iter().filter(|(_, (_, at))| now.saturating_sub(*at) < DEAD);
+    pub fn seen(&self, now: Duration) -> Vec<PeerSighting> {
+        let lately = self.heard.iter().filter(|(_, (_, at))| now.saturating_sub(*at) < DEAD_TIMEOUT);
         let ago = |at: Duration| now.saturating_sub(at).as_millis() as u64;
-        lately.map(|(ip, (life, at))| Seen { ip: *ip, life: *life, ago_ms: ago(*at) }).collect()
+        lately.map(|(ip, (life, at))| PeerSighting { ip: *ip, life: *life, ago_ms: ago(*at) }).collect()
     }
 
     /// It has heard nobody for a while, where there are some to be heard.
     pub fn is_alone(&self, now: Duration) -> bool {
         let last = self.heard.values().map(|(_, at)| *at).max().unwrap_or(self.began);
-        self.ring.len() > 1 && now.saturating_sub(last) > ALONE
+        self.ring.len() > 1 && now.saturating_sub(last) > ISOLATION_TIMEOUT
     }
 }
 
 /// What a registry makes of its watchers' words.
 #[derive(Debug, Default)]
-pub struct Sight {
+pub struct GatewayLiveness {
     /// When each gateway was last heard of, by anybody, and in which life.
     heard: BTreeMap<IpAddr, (u64, Duration)>,
     /// When each gateway last told of others.
     told: BTreeMap<IpAddr, Duration>,
 }
 
-impl Sight {
+impl GatewayLiveness {
     /// A gateway asks, and tells of whom it heard.
-    pub fn told(&mut self, now: Duration, by: IpAddr, life: u64, seen: &[Seen]) {
+    pub fn told(&mut self, now: Duration, by: IpAddr, life: u64, seen: &[PeerSighting]) {
         if self.heard.len() >= MOST {
             return;
         }
         self.told.insert(by, now);
-        let own = Seen { ip: by, life, ago_ms: 0 };
-        for Seen { ip, life, ago_ms } in seen.iter().chain([&own]).take(MOST) {
+        let own = PeerSighting { ip: by, life, ago_ms: 0 };
+        for PeerSighting { ip, life, ago_ms } in seen.iter().chain([&own]).take(MOST) {
             let at = now.saturating_sub(Duration::from_millis(*ago_ms));
             let known = self.heard.entry(*ip).or_insert((*life, at));
             if known.1 <= at {
@@ -152,7 +152,7 @@
     pub fn dead(&mut self, now: Duration, gateways: &BTreeSet<IpAddr>) -> BTreeSet<IpAddr> {
         self.heard.retain(|ip, _| gateways.contains(ip));
         self.told.retain(|ip, _| gateways.contains(ip));
-        let lately = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < DEAD);
+        let lately = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < DEAD_TIMEOUT);
         // Put in order once for all: for each gateway anew it takes longer than the pause between two looks at a thousand of them.
         let ring = ring(gateways);
         let is_dead = |ip: &IpAddr| {
--- a/crates/starlinghill-failure-detector/tests/ring.rs
+++ b/crates/starlinghill-failure-detector/tests/ring.rs
@@ -1,7 +1,10 @@
 //! Gateways that die, are cut off from the core, or from all, with words that get lost: who is taken for dead, and who takes
 //! itself for alone.
 
-use starlinghill_failure_detector::{watchers, Beat, Sight, Watch, ALONE, DEAD, EVERY, WATCHERS};
+use starlinghill_failure_detector::{
+    watchers, GatewayLiveness, Heartbeat, PeerMonitor, DEAD_TIMEOUT, HEARTBEAT_INTERVAL, ISOLATION_TIMEOUT,
+    WATCHERS,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::time::Duration;
@@ -27,19 +30,19 @@
     rng: fastrand::Rng,
     now: Duration,
     all: BTreeSet<IpAddr>,
-    watch: BTreeMap<IpAddr, Watch>,
-    sight: Sight,
+    watch: BTreeMap<IpAddr, PeerMonitor>,
+    sight: GatewayLiveness,
     fates: BTreeMap<IpAddr, Fate>,
 }
 
 impl World {
     fn new(seed: u64, gateways: usize) -> World {
         let all: BTreeSet<IpAddr> = (0..gateways).map(ip).collect();
-        let mut watch: BTreeMap<IpAddr, Watch> =
-            all.iter().map(|ip| (*ip, Watch::new(*ip, Duration::ZERO))).collect();
+        let mut watch: BTreeMap<IpAddr, PeerMonitor> =
+            all.iter().map(|ip| (*ip, PeerMonitor::new(*ip, Duration::ZERO))).collect();
         watch.values_mut().for_each(|w| w.follow(all.iter().copied()));
         let (rng, fates) = (fastrand::Rng::with_seed(seed), BTreeMap::new());
-        World { rng, now: Duration::ZERO, all, watch, sight: Sight::default(), fates }
+        World { rng, now: Duration::ZERO, all, watch, sight: GatewayLiveness::default(), fates }
     }
 
     fn fate(&self, ip: &IpAddr) -> Fate {
@@ -56,7 +59,9 @@
                 if fate == Fate::Dies {
                     continue;
                 }
-                if self.now.as_millis().is_multiple_of(EVERY.as_millis()) && fate != Fate::CutFromAll {
+                if self.now.as_millis().is_multiple_of(HEARTBEAT_INTERVAL.as_millis())
+                    && fate != Fate::CutFromAll
+                {
                     for to in self.watch[from].to_tell() {
                         let lost = self.rng.u8(0..20) == 0;
                         if !lost && !matches!(self.fate(&to), Fate::Dies | Fate::CutFromAll) {
@@ -64,7 +69,7 @@
                             self.watch
                                 .get_mut(&to)
                                 .into_iter()
-                                .for_each(|w| w.heard(now, *from, Beat { life: 1 }));
+                                .for_each(|w| w.heard(now, *from, Heartbeat { life: 1 }));
                         }
                     }
                 }
@@ -121,7 +126,7 @@
             }
         });
     }
-    assert!(ALONE + EVERY < DEAD);
+    assert!(ISOLATION_TIMEOUT + HEARTBEAT_INTERVAL < DEAD_TIMEOUT);
 }
 
 #[test]
@@ -142,10 +147,10 @@
 
 #[test]
 fn a_stranger_is_not_followed_and_one_that_is_gone_is_forgotten() {
-    let mut watch = Watch::new(ip(0), Duration::ZERO);
+    let mut watch = PeerMonitor::new(ip(0), Duration::ZERO);
     watch.follow([ip(0), ip(1)]);
-    watch.heard(ms(10), ip(9), Beat { life: 1 });
-    watch.heard(ms(10), ip(1), Beat { life: 1 });
+    watch.heard(ms(10), ip(9), Heartbeat { life: 1 });
+    watch.heard(ms(10), ip(1), Heartbeat { life: 1 });
     assert_eq!(watch.seen(ms(20)).len(), 1);
     watch.follow([ip(0)]);
     assert!(watch.seen(ms(20)).is_empty() && !watch.is_alone(ms(9_000)));
--- a/crates/starlinghill-proxy/src/heartbeat.rs
+++ b/crates/starlinghill-proxy/src/heartbeat.rs
@@ -1,6 +1,6 @@
 //! The ring of gateways on a socket: each says that it lives to those that watch it.
 
-use starlinghill_failure_detector::{Beat, Seen, Watch, EVERY};
+use starlinghill_failure_detector::{Heartbeat, PeerMonitor, PeerSighting, HEARTBEAT_INTERVAL};
 use std::cell::RefCell;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -14,16 +14,16 @@
 /// This gateway's part in the ring.
 pub struct Ring {
     start: Instant,
-    watch: RefCell<Watch>,
+    watch: RefCell<PeerMonitor>,
     port: u16,
-    beat: Beat,
+    beat: Heartbeat,
 }
 
 impl Ring {
     /// Of a gateway at that address, in that life of its process.
     pub fn new(at: SocketAddr, life: u64) -> Ring {
-        let watch = RefCell::new(Watch::new(at.ip(), std::time::Duration::ZERO));
-        Ring { start: Instant::now(), watch, port: at.port(), beat: Beat { life } }
+        let watch = RefCell::new(PeerMonitor::new(at.ip(), std::time::Duration::ZERO));
+        Ring { start: Instant::now(), watch, port: at.port(), beat: Heartbeat { life } }
     }
 
     /// These gateways there are.
@@ -32,7 +32,7 @@
     }
 
     /// Of whom it heard.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<PeerSighting> {
         self.watch.borrow().seen(self.start.elapsed())
     }
 
@@ -45,7 +45,7 @@
     pub async fn run(self: Rc<Self>, socket: UdpSocket) {
         let mut word = vec![VERSION];
         word.extend(bitcode::encode(&self.beat));
-        let mut pace = interval(EVERY);
+        let mut pace = interval(HEARTBEAT_INTERVAL);
         pace.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut buffer = [0; LONGEST];
         loop {
@@ -62,7 +62,7 @@
                     let Some((VERSION, body)) = buffer[..length].split_first().map(|(v, b)| (*v, b)) else {
                         continue;
                     };
-                    if let Ok(beat) = bitcode::decode::<Beat>(body) {
+                    if let Ok(beat) = bitcode::decode::<Heartbeat>(body) {
                         self.watch.borrow_mut().heard(self.start.elapsed(), from.ip(), beat);
                     }
                 }
--- a/crates/starlinghill-registry/src/state.rs
+++ b/crates/starlinghill-registry/src/state.rs
@@ -7,7 +7,7 @@
 use starlinghill_config_model::{Item, Kind};
 use starlinghill_config_store::wire::Value;
 use starlinghill_consensus::Members;
-use starlinghill_failure_detector::Sight;
+use starlinghill_failure_detector::GatewayLiveness;
 use starlinghill_lease::contact::{Chain, Contact, LastContact};
 use starlinghill_lease::{self as lease, LeaseParticipant};
 use starlinghill_quota_counter::{Gauge, Listed};
@@ -91,7 +91,7 @@
     /// What stands for the items in force at each gateway.
     in_force: BTreeMap<IpAddr, u64>,
     /// What gateways say of each other.
-    sight: Sight,
+    sight: GatewayLiveness,
     duty: LeaseParticipant<IpAddr>,
     gauge: Option<Gauge>,
     /// Up to which number of the catalog's the count has the list.
@@ -127,7 +127,7 @@
         vouched: Duration::ZERO,
         members_changed: 0,
         in_force: BTreeMap::new(),
-        sight: Sight::default(),
+        sight: GatewayLiveness::default(),
         gauge: None,
         listed: 0,
         told_holder: None,
--- a/crates/starlinghill-registry/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -4,7 +4,7 @@
 use starlinghill_catalog::{Gateway, Instance, Observation};
 use starlinghill_config_model::{Item, Kind};
 use starlinghill_consensus::Members;
-use starlinghill_failure_detector::Seen;
+use starlinghill_failure_detector::PeerSighting;
 use starlinghill_lease as lease;
 use starlinghill_lease::contact::Contact;
 use starlinghill_quota_counter::{Draw, Level, Reading, Seen as Sight, Word};
@@ -67,7 +67,7 @@
     /// What stands for the items that are in force there (`Book::digest`).
     pub digest: u64,
     /// Of which gateways it heard on the ring.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<PeerSighting>,
 }
 
 /// What a registry heard.
--- a/crates/starlinghill-testkit/examples/scale/hollow.rs
+++ b/crates/starlinghill-testkit/examples/scale/hollow.rs
@@ -2,7 +2,7 @@
 
 use crate::machines::Net;
 use starlinghill_catalog::{number, service_number, Gateway, Observation, State};
-use starlinghill_failure_detector::Seen;
+use starlinghill_failure_detector::PeerSighting;
 use starlinghill_quota_counter::{Draw, Word};
 use starlinghill_registry::wire::{Answer, Have, News, Question};
 use starlinghill_runtime::frame::{self, Reader};
@@ -177,7 +177,7 @@
         let mut line: Option<(TcpStream, Reader)> = None;
         let (mut life, mut seq, mut listed) = (0, 0, Listed::default());
         // A watcher on the ring tells of three others.
-        let seen = |by: usize| Seen { ip: self.net.hollow((i + by) % all), life: 1, ago_ms: 100 };
+        let seen = |by: usize| PeerSighting { ip: self.net.hollow((i + by) % all), life: 1, ago_ms: 100 };
         while !self.is_over() {
             let have = Have {
                 gateway: gateway.me.clone(),
--- a/crates/starlinghill-testkit/examples/scale/pieces.rs
+++ b/crates/starlinghill-testkit/examples/scale/pieces.rs
@@ -4,7 +4,7 @@
     number, service_number, Catalog, Gateway, Instance, Liveness, Observation, State,
 };
 use starlinghill_config_model::{Book, Change, Item};
-use starlinghill_failure_detector::{Seen, Sight};
+use starlinghill_failure_detector::{GatewayLiveness, PeerSighting};
 use starlinghill_quota_counter::{Allowance, Draw, Gauge, Listed, Word};
 use starlinghill_registry::wire::{Answer, Have, Heard, News, Question};
 use starlinghill_runtime::frame;
@@ -92,7 +92,7 @@
         took_ms: 120,
         ill: 0,
     });
-    let seen = |i: usize| Seen { ip: ip(i), life: fastrand::u64(..), ago_ms: 100 };
+    let seen = |i: usize| PeerSighting { ip: ip(i), life: fastrand::u64(..), ago_ms: 100 };
     let have = Have {
         gateway: gateway(1),
         rack: 1 << 60,
@@ -205,7 +205,7 @@
         let seq = catalog.seq();
         let since = timed(50, |_| drop(black_box(catalog.since(seq))));
         let all: BTreeSet<IpAddr> = (0..gateways).map(ip).collect();
-        let mut sight = Sight::default();
+        let mut sight = GatewayLiveness::default();
         (0..gateways).for_each(|i| sight.told(now, ip(i), 1, &[]));
         let dead = timed(2, |_| drop(black_box(sight.dead(now, &all))));
         let tick = timed(20, |_| drop(catalog.tick(now)));
