--- a/crates/starlinghill-console/src/status.rs
+++ b/crates/starlinghill-console/src/status.rs
@@ -2,7 +2,7 @@
 
 use starlinghill_catalog::{Instance, Liveness, State};
 use starlinghill_config_model::Kind;
-use starlinghill_quota_counter::Seen;
+use starlinghill_quota_counter::BackendLoad;
 use starlinghill_registry::wire::Status;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::{IpAddr, SocketAddr};
@@ -129,7 +129,7 @@
     }
 
     /// How backends do, as whoever keeps the count sees it.
-    fn see(&mut self, instances: &HashMap<u64, &Instance>, rooms: &[Seen]) {
+    fn see(&mut self, instances: &HashMap<u64, &Instance>, rooms: &[BackendLoad]) {
         for room in rooms {
             let Some(instance) = instances.get(&room.backend) else { continue };
             let service = self.services.entry(instance.service.clone()).or_default();
--- a/crates/starlinghill-console/tests/words.rs
+++ b/crates/starlinghill-console/tests/words.rs
@@ -7,7 +7,7 @@
 use starlinghill_console::status::Picture;
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
-use starlinghill_quota_counter::Seen;
+use starlinghill_quota_counter::BackendLoad;
 use starlinghill_registry::wire::{Count, Status};
 use std::net::{IpAddr, SocketAddr};
 use test_case::test_case;
@@ -109,9 +109,9 @@
     let before = Picture::of(&[(at(1), Some(status.clone()))]);
     let seen = |i: usize, slow: f32, ill: f32| {
         let backend = status.backends[i].0.instance.number();
-        Seen { backend, out: 2, capacity: 3, slow, ill }
+        BackendLoad { backend, out: 2, capacity: 3, slow, ill }
     };
-    let unknown = Seen { backend: 7, out: 9, capacity: 9, slow: 9.0, ill: 1.0 };
+    let unknown = BackendLoad { backend: 7, out: 9, capacity: 9, slow: 9.0, ill: 1.0 };
     let rooms = vec![seen(0, 1.0, 0.0), seen(1, 2.5, 0.1), seen(2, 0.8, 0.4), unknown];
     status.count = Some(Count { silent: 0, stores: Vec::new(), rooms });
     let after = Picture::of(&[(at(1), Some(status))]);
--- a/crates/starlinghill-proxy/src/quota_client.rs
+++ b/crates/starlinghill-proxy/src/quota_client.rs
@@ -4,7 +4,9 @@
 use starlinghill_decision::api::{CountName, Micros, Outcome, ServerId, ServiceId};
 use starlinghill_gateway::counter::{Count, Counting};
 use starlinghill_gateway::inbox::Counted;
-use starlinghill_quota_counter::{Client, Draw, Level, Room, Word, KEEP_IN_TOUCH};
+use starlinghill_quota_counter::{
+    BackendOffer, Draw, LoadReport, QuotaClient, QuotaLevel, KEEPALIVE_INTERVAL,
+};
 use starlinghill_registry::wire::{Answer, Question};
 use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::frame::{self, Reader};
@@ -107,7 +109,7 @@
 pub struct Counter {
     net: Net,
     /// What was heard and what is owed, with times since this.
-    client: RefCell<Client>,
+    client: RefCell<QuotaClient>,
     start: Instant,
     /// The quotas by the names of their stores.
     pub quotas: RefCell<HashMap<u64, (f64, f64)>>,
@@ -116,7 +118,7 @@
     /// Whoever keeps the count granted what was asked last: else it may be cut off together with this gateway.
     granted: Cell<bool>,
     /// How things stand between this gateway and backends, and where that is not told yet.
-    words: RefCell<HashMap<u64, Word>>,
+    words: RefCell<HashMap<u64, LoadReport>>,
     changed: RefCell<HashSet<u64>>,
     new_words: Notify,
     /// How many gateways there are.
@@ -142,7 +144,7 @@
         let (calls, queue) = mpsc::channel(QUEUE);
         let counter = Rc::new(Counter {
             net,
-            client: RefCell::new(Client::new(Duration::ZERO)),
+            client: RefCell::new(QuotaClient::new(Duration::ZERO)),
             start: Instant::now(),
             quotas: RefCell::default(),
             calls,
@@ -343,7 +345,7 @@
     }
 
     /// What became of a draw, as the counter tells it.
-    fn answered(&self, call: Waiting, level: Level, time: u64) {
+    fn answered(&self, call: Waiting, level: QuotaLevel, time: u64) {
         let (draw, granted) = (call.draw, level.level >= 0.0);
         let named = || level.rooms.iter().copied().map(named).collect();
         let rooms = self.beside(draw.service).unwrap_or_else(named);
@@ -358,24 +360,24 @@
 
     /// What has to be told of backends. How attempts ended is told once: what is lost of it is no harm. What is out is told
     /// again where the word may have been lost.
-    fn words(&self) -> Vec<Word> {
+    fn words(&self) -> Vec<LoadReport> {
         let mut words = self.words.borrow_mut();
         let tell = |backend| {
-            let nothing = Word { backend, out: 0, well: 0, took_ms: 0, ill: 0 };
+            let nothing = LoadReport { backend, out: 0, well: 0, took_ms: 0, ill: 0 };
             let Some(word) = words.get_mut(&backend) else { return nothing };
             let told = *word;
             match told.out {
                 0 => drop(words.remove(&backend)),
-                out => *word = Word { out, ..nothing },
+                out => *word = LoadReport { out, ..nothing },
             }
             told
         };
         std::mem::take(&mut *self.changed.borrow_mut()).into_iter().map(tell).collect()
     }
 
-    fn note(&self, server: ServerId, change: impl FnOnce(&mut Word)) {
+    fn note(&self, server: ServerId, change: impl FnOnce(&mut LoadReport)) {
         let backend = server.0;
-        let nothing = Word { backend, out: 0, well: 0, took_ms: 0, ill: 0 };
+        let nothing = LoadReport { backend, out: 0, well: 0, took_ms: 0, ill: 0 };
         change(self.words.borrow_mut().entry(backend).or_insert(nothing));
         self.changed.borrow_mut().insert(backend);
         self.new_words.notify_one();
@@ -393,7 +395,7 @@
         tokio::select! {
             biased;
             () = told => {}
-            () = sleep(KEEP_IN_TOUCH) => {}
+            () = sleep(KEEPALIVE_INTERVAL) => {}
         }
     }
 
@@ -442,7 +444,7 @@
 }
 
 /// A backend that the counter named, in the module's terms.
-fn named(room: Room) -> (ServerId, Micros) {
+fn named(room: BackendOffer) -> (ServerId, Micros) {
     (ServerId(room.backend), Micros(u64::from(room.takes_ms) * 1_000))
 }
 
--- a/crates/starlinghill-proxy/tests/quota_client.rs
+++ b/crates/starlinghill-proxy/tests/quota_client.rs
@@ -6,7 +6,7 @@
 use starlinghill_gateway::inbox::Counted;
 use starlinghill_proxy::quota_client::{Counter, DrawCounts, PATIENCE};
 use starlinghill_proxy::registry_client::nowhere;
-use starlinghill_quota_counter::{Draw, Level, Room};
+use starlinghill_quota_counter::{BackendOffer, Draw, QuotaLevel};
 use starlinghill_registry::wire::{Answer, Question};
 use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::frame::{self, Reader};
@@ -25,7 +25,7 @@
 type Plays = fn(draws: &[Draw], recalls: u32, nth: u32) -> Answer;
 
 fn levels(draws: &[Draw], level: f64) -> Answer {
-    Answer::Levels(draws.iter().map(|_| Level { level, share: 1.0, rooms: Vec::new() }).collect(), 1)
+    Answer::Levels(draws.iter().map(|_| QuotaLevel { level, share: 1.0, rooms: Vec::new() }).collect(), 1)
 }
 
 /// How draws end for so long, and over how many connections.
@@ -133,9 +133,9 @@
 #[test]
 fn backends_that_the_counter_does_not_know_get_their_part() {
     let names_one: Plays = |draws, _, _| {
-        let rooms = vec![Room { backend: 1, takes_ms: 900 }];
+        let rooms = vec![BackendOffer { backend: 1, takes_ms: 900 }];
         Answer::Levels(
-            draws.iter().map(|_| Level { level: 5.0, share: 1.0, rooms: rooms.clone() }).collect(),
+            draws.iter().map(|_| QuotaLevel { level: 5.0, share: 1.0, rooms: rooms.clone() }).collect(),
             1,
         )
     };
--- a/crates/starlinghill-quota-counter/src/backend_load.rs
+++ b/crates/starlinghill-quota-counter/src/backend_load.rs
@@ -49,7 +49,7 @@
 
 /// What a gateway tells of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct Word {
+pub struct LoadReport {
     /// Which one.
     pub backend: u64,
     /// What the gateway has out there now.
@@ -64,7 +64,7 @@
 
 /// A backend as the list has it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedBackend {
     /// Which one.
     pub backend: u64,
     /// Its service, by its number.
@@ -83,7 +83,7 @@
 
 /// A backend that is named to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct Room {
+pub struct BackendOffer {
     /// Which one.
     pub backend: u64,
     /// When it would answer, in ms; 0 where it begins at once.
@@ -92,7 +92,7 @@
 
 /// A backend as the counter sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Encode, Decode)]
-pub struct Seen {
+pub struct BackendLoad {
     /// Which one.
     pub backend: u64,
     /// What all gateways have out there.
@@ -107,7 +107,7 @@
 
 #[derive(Debug)]
 struct Backend {
-    listed: Listed,
+    listed: ListedBackend,
     warm_at: Duration,
     /// What each gateway has out, and the sum.
     out: HashMap<u64, u16>,
@@ -136,7 +136,7 @@
 
 /// The table.
 #[derive(Debug, Default)]
-pub struct Loads {
+pub struct LoadTable {
     backends: SlotMap<Key, Backend>,
     by: HashMap<u64, Key>,
     services: HashMap<u32, Service>,
@@ -185,9 +185,9 @@
     }
 }
 
-impl Loads {
+impl LoadTable {
     /// The list has something new.
-    pub fn listed(&mut self, now: Duration, listed: Listed) {
+    pub fn listed(&mut self, now: Duration, listed: ListedBackend) {
         let (key, new) = match self.by.get(&listed.backend) {
             Some(key) => (*key, false),
             None if !listed.serves || self.by.len() >= MOST => return,
@@ -236,7 +236,7 @@
     }
 
     /// A gateway tells how things stand between it and some backends.
-    pub fn tell(&mut self, now: Duration, from: u64, words: &[Word]) {
+    pub fn tell(&mut self, now: Duration, from: u64, words: &[LoadReport]) {
         if !self.told.contains(&from) && self.told.len() >= MOST_GATEWAYS {
             return;
         }
@@ -284,7 +284,7 @@
 
     /// The backends of a service that answer soonest, to a request of that gateway, best first. The first counts as loaded, if
     /// it answers within that time: else the request does not go on.
-    pub fn room(&mut self, now: Duration, from: u64, service: u32, within: Duration) -> Vec<Room> {
+    pub fn room(&mut self, now: Duration, from: u64, service: u32, within: Duration) -> Vec<BackendOffer> {
         let Some(service) = self.services.get(&service) else { return Vec::new() };
         let zone = self.zones.get(&from).copied();
         let count = service.backends.len();
@@ -318,7 +318,7 @@
         }
         let room = |(_, key, takes): &(f64, Key, f64)| {
             let backend = self.backends.get(*key)?.listed.backend;
-            Some(Room { backend, takes_ms: takes.clamp(0.0, f64::from(u16::MAX)) as u16 })
+            Some(BackendOffer { backend, takes_ms: takes.clamp(0.0, f64::from(u16::MAX)) as u16 })
         };
         best.iter().filter_map(room).collect()
     }
@@ -346,8 +346,8 @@
     }
 
     /// All backends as they are seen from here.
-    pub fn seen(&self) -> Vec<Seen> {
-        let seen = |backend: &Backend| Seen {
+    pub fn seen(&self) -> Vec<BackendLoad> {
+        let seen = |backend: &Backend| BackendLoad {
             backend: backend.listed.backend,
             out: backend.all,
             capacity: backend.listed.capacity,
--- a/crates/starlinghill-quota-counter/src/bounds.rs
+++ b/crates/starlinghill-quota-counter/src/bounds.rs
@@ -36,7 +36,7 @@
 
 /// What befell the gateways and the counter within a window.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Troubles {
+pub struct Disruptions {
     /// How often the counter moved.
     pub moves: u32,
     /// For how long, in seconds, the counter may take a gateway for one that it hears though that decides by itself already.
@@ -47,8 +47,8 @@
 
 /// The most requests of a tenant that can go on in any window, over all gateways: what a store holds, what fills it or the
 /// gateways' shares, and what gateways that can't hear the counter begin with.
-pub fn most_in(quota: Quota, allowance: Allowance, troubles: Troubles) -> f64 {
-    let Troubles { moves, late_s, cut } = troubles;
+pub fn max_granted_in_window(quota: Quota, allowance: Allowance, troubles: Disruptions) -> f64 {
+    let Disruptions { moves, late_s, cut } = troubles;
     let beside_silent = cut.min(allowance.beside_silent());
     let of_each_move = cut * (quota.rate * late_s + allowance.unheard(quota));
     quota.burst
--- a/crates/starlinghill-quota-counter/src/client.rs
+++ b/crates/starlinghill-quota-counter/src/client.rs
@@ -2,12 +2,12 @@
 //! owns the connection tells it what was sent and what came back. No I/O and no clock: times are since any one moment.
 
 use crate::bounds::untold_share;
-use crate::{Debts, Draw, DrawEnd, Level, Reading, Readings};
+use crate::{Debts, Draw, DrawEnd, LevelReading, QuotaLevel, Readings};
 use std::time::Duration;
 
 /// A gateway as the counter's client.
 #[derive(Debug)]
-pub struct Client {
+pub struct QuotaClient {
     readings: Readings,
     debts: Debts,
     /// Something was said to any counter, or the gateway began.
@@ -19,11 +19,11 @@
     paid: Duration,
 }
 
-impl Client {
+impl QuotaClient {
     /// A gateway that begins.
-    pub fn new(now: Duration) -> Client {
+    pub fn new(now: Duration) -> QuotaClient {
         let (readings, debts) = Default::default();
-        Client { readings, debts, said: now, heard: now, term: 0, paid: now }
+        QuotaClient { readings, debts, said: now, heard: now, term: 0, paid: now }
     }
 
     /// So many units of a store that fills at that rate were used without a word of the counter's; fewer than none where
@@ -48,7 +48,7 @@
     }
 
     /// What a counter that begins, or that has forgotten this gateway, must know, at that moment of the system's time.
-    pub fn recall(&mut self, now: Duration, time: u64) -> Vec<Reading> {
+    pub fn recall(&mut self, now: Duration, time: u64) -> Vec<LevelReading> {
         self.said = now;
         self.readings.all(time)
     }
@@ -72,7 +72,7 @@
     }
 
     /// What became of a draw, by an answer of that moment of the system's time. `waited`: its request was decided by that.
-    pub fn answered(&mut self, time: u64, draw: &Draw, level: &Level, waited: bool) {
+    pub fn answered(&mut self, time: u64, draw: &Draw, level: &QuotaLevel, waited: bool) {
         let granted = level.level >= 0.0;
         let unused = if granted { 0.0 } else { draw.units };
         self.readings.heard(draw.name, level.level + unused, level.share, time);
--- a/crates/starlinghill-quota-counter/src/level_readings.rs
+++ b/crates/starlinghill-quota-counter/src/level_readings.rs
@@ -1,6 +1,6 @@
 //! What a gateway keeps for a counter that begins.
 
-use crate::{Reading, MOST};
+use crate::{LevelReading, MOST};
 use std::collections::HashMap;
 
 /// A reading that is older, in microseconds, tells nothing: its store is full.
@@ -9,7 +9,7 @@
 /// What was last heard of each store.
 #[derive(Debug, Default)]
 pub struct Readings {
-    stores: HashMap<u64, Reading>,
+    stores: HashMap<u64, LevelReading>,
 }
 
 impl Readings {
@@ -19,7 +19,7 @@
             self.stores.retain(|_, reading| reading.at + OLD > at);
         }
         if self.stores.len() < MOST || self.stores.contains_key(&name) {
-            self.stores.insert(name, Reading { name, level, at, share });
+            self.stores.insert(name, LevelReading { name, level, at, share });
         }
     }
 
@@ -29,7 +29,7 @@
     }
 
     /// All that still tells something.
-    pub fn all(&mut self, at: u64) -> Vec<Reading> {
+    pub fn all(&mut self, at: u64) -> Vec<LevelReading> {
         self.stores.retain(|_, reading| reading.at + OLD > at);
         self.stores.values().copied().collect()
     }
--- a/crates/starlinghill-quota-counter/src/lib.rs
+++ b/crates/starlinghill-quota-counter/src/lib.rs
@@ -24,10 +24,10 @@
 mod store;
 mod unreported_usage;
 
-pub use backend_load::{Listed, Loads, Room, Seen, Word};
+pub use backend_load::{BackendLoad, BackendOffer, ListedBackend, LoadReport, LoadTable};
 use bounds::even_share;
-pub use bounds::{fill_part, most_after_losses, most_in, own_share, untold_share, Troubles};
-pub use client::Client;
+pub use bounds::{fill_part, max_granted_in_window, most_after_losses, own_share, untold_share, Disruptions};
+pub use client::QuotaClient;
 pub use level_readings::Readings;
 pub use starlinghill_rate_limit::{Allowance, Quota};
 pub use unreported_usage::{Debts, DrawEnd};
@@ -45,7 +45,7 @@
 /// A gateway that has drawn nothing, and said nothing, for so long may be deciding by itself.
 pub const SILENT: Duration = Duration::from_millis(600);
 /// How often a gateway that draws nothing says something.
-pub const KEEP_IN_TOUCH: Duration = Duration::from_millis(200);
+pub const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(200);
 /// Of a store that nobody told of the worst is taken for so long after the counter has begun.
 const DOUBT: Duration = Duration::from_secs(5);
 /// A store that nobody drew from for so long is full, whatever its tenant, and is forgotten.
@@ -72,7 +72,7 @@
 
 /// What a gateway last heard of a store.
 #[derive(Debug, Clone, Copy, PartialEq, Encode, Decode)]
-pub struct Reading {
+pub struct LevelReading {
     /// The store.
     pub name: u64,
     /// What it held.
@@ -85,18 +85,18 @@
 
 /// What a gateway hears of a store.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct Level {
+pub struct QuotaLevel {
     /// What it holds; below nothing where that was not enough for what was wanted, which was then not taken.
     pub level: f64,
     /// The gateway's share of the tenant's rate, for when it can't reach the counter.
     pub share: f64,
     /// The backends of the service that answer soonest, where the request may go on.
-    pub rooms: Vec<Room>,
+    pub rooms: Vec<BackendOffer>,
 }
 
 /// The counter in one term.
 #[derive(Debug)]
-pub struct Gauge {
+pub struct QuotaCounter {
     /// Its term.
     pub term: u64,
     began: Duration,
@@ -104,7 +104,7 @@
     first: bool,
     open: Option<Duration>,
     stores: HashMap<u64, Store>,
-    readings: HashMap<u64, Reading>,
+    readings: HashMap<u64, LevelReading>,
     shares: RecalledShares,
     awaited: BTreeSet<u64>,
     recalled: BTreeSet<u64>,
@@ -120,10 +120,10 @@
     allowance: Allowance,
     violations: u64,
     /// How much room there is at backends.
-    pub loads: Loads,
+    pub loads: LoadTable,
 }
 
-impl Gauge {
+impl QuotaCounter {
     /// A counter that knows nothing but the gateways that may have drawn before, under those rules.
     pub fn begin(
         now: Duration,
@@ -131,8 +131,8 @@
         first: bool,
         allowance: Allowance,
         gateways: impl IntoIterator<Item = u64>,
-    ) -> Gauge {
-        Gauge {
+    ) -> QuotaCounter {
+        QuotaCounter {
             term,
             began: now,
             first,
@@ -149,7 +149,7 @@
             silent: BTreeMap::new(),
             allowance,
             violations: 0,
-            loads: Loads::default(),
+            loads: LoadTable::default(),
         }
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// A gateway says what it last heard of stores.
-    pub fn recall(&mut self, now: Duration, from: u64, readings: &[Reading]) {
+    pub fn recall(&mut self, now: Duration, from: u64, readings: &[LevelReading]) {
         for reading in readings {
             if self.readings.len() >= MOST && !self.readings.contains_key(&reading.name) {
                 continue;
@@ -256,7 +256,7 @@
     /// A gateway draws; it hears what each store holds then, in the same order: below nothing where that did not hold what
     /// was wanted, which was then not taken. `None`: the counter does not answer yet, or does not know this gateway, which
     /// has to say first what it heard before.
-    pub fn draw(&mut self, now: Duration, from: u64, draws: &[Draw]) -> Option<Vec<Level>> {
+    pub fn draw(&mut self, now: Duration, from: u64, draws: &[Draw]) -> Option<Vec<QuotaLevel>> {
         let opened = self.open?;
         if !self.recalled.contains(&from) {
             return None;
@@ -275,7 +275,7 @@
         from: u64,
         (opened, doubted): (Duration, bool),
         draw: &Draw,
-    ) -> Option<Level> {
+    ) -> Option<QuotaLevel> {
         let Draw { name, rate, burst, .. } = *draw;
         let quota = Quota { rate, burst };
         if self.stores.len() >= MOST && !self.stores.contains_key(&name) {
@@ -302,6 +302,6 @@
         let goes_on = draw.units > 0.0 && level >= 0.0 && draw.service != 0;
         let within = Duration::from_millis(u64::from(draw.within_ms));
         let rooms = if goes_on { self.loads.room(now, from, draw.service, within) } else { Vec::new() };
-        Some(Level { level, share, rooms })
+        Some(QuotaLevel { level, share, rooms })
     }
 }
--- a/crates/starlinghill-quota-counter/tests/quota.rs
+++ b/crates/starlinghill-quota-counter/tests/quota.rs
@@ -1,8 +1,8 @@
 //! Tenants' requests over gateways that reach the counter or do not, while that moves: histories checked against the bound.
 
 use starlinghill_quota_counter::{
-    fill_part, most_after_losses, most_in, own_share, Debts, Draw, Gauge, Reading, Readings, Troubles,
-    RECALL, SILENT,
+    fill_part, max_granted_in_window, most_after_losses, own_share, Debts, Disruptions, Draw, LevelReading,
+    QuotaCounter, Readings, RECALL, SILENT,
 };
 use starlinghill_rate_limit::{Allowance, Quota};
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,7 +50,7 @@
 struct World {
     rng: fastrand::Rng,
     now: Duration,
-    gauge: Option<Gauge>,
+    gauge: Option<QuotaCounter>,
     term: u64,
     gateways: Vec<Gateway>,
     granted: Vec<Duration>,
@@ -72,7 +72,7 @@
             cut_until: Duration::ZERO,
         };
         let all: Vec<Gateway> = (1..=gateways).map(gateway).collect();
-        let mut gauge = Gauge::begin(Duration::ZERO, 1, true, ALLOWANCE, all.iter().map(|g| g.life));
+        let mut gauge = QuotaCounter::begin(Duration::ZERO, 1, true, ALLOWANCE, all.iter().map(|g| g.life));
         all.iter().for_each(|g| gauge.recall(Duration::ZERO, g.life, &[]));
         let (rng, gauge) = (fastrand::Rng::with_seed(seed), Some(gauge));
         World { rng, now: Duration::ZERO, gauge, term: 1, gateways: all, granted: Vec::new(), violations: 0 }
@@ -97,7 +97,7 @@
     fn new_counter(&mut self, waits_for_all: bool) {
         self.term += 1;
         let lives = self.gateways.iter().map(|g| g.life);
-        let mut gauge = Gauge::begin(self.now, self.term, false, ALLOWANCE, lives);
+        let mut gauge = QuotaCounter::begin(self.now, self.term, false, ALLOWANCE, lives);
         for gateway in &mut self.gateways {
             if gateway.cut_until <= self.now || !waits_for_all {
                 let readings = gateway.readings.all(self.now.as_micros() as u64);
@@ -177,7 +177,7 @@
 
     /// The most that was granted in any span of that length. The counter itself saw no window with too much.
     fn busiest(&self, window: Duration) -> usize {
-        assert_eq!(self.violations + self.gauge.as_ref().map_or(0, Gauge::violations), 0);
+        assert_eq!(self.violations + self.gauge.as_ref().map_or(0, QuotaCounter::violations), 0);
         let mut from = 0;
         let mut most = 0;
         for (i, at) in self.granted.iter().enumerate() {
@@ -191,8 +191,12 @@
 }
 
 fn bound(moves: u32, cut: f64) -> f64 {
-    most_in(QUOTA, ALLOWANCE, Troubles { moves, late_s: (SILENT + ms(100)).as_secs_f64(), cut })
-        .min(allowed())
+    max_granted_in_window(
+        QUOTA,
+        ALLOWANCE,
+        Disruptions { moves, late_s: (SILENT + ms(100)).as_secs_f64(), cut },
+    )
+    .min(allowed())
 }
 
 /// What the rules allow where the settings say a tenth and twenty.
@@ -278,8 +282,8 @@
 fn after_the_loss_of_all_a_store_begins_with_a_part_of_what_the_rules_allow() {
     let part = ALLOWANCE.after_loss(QUOTA);
     assert!((part - 80.0 / 3.0).abs() < 1e-9, "{part}");
-    let level = |recalled: &[Reading], all: bool| {
-        let gauge = Gauge::begin(ms(0), 3, false, ALLOWANCE, if all { vec![1] } else { vec![1, 2] });
+    let level = |recalled: &[LevelReading], all: bool| {
+        let gauge = QuotaCounter::begin(ms(0), 3, false, ALLOWANCE, if all { vec![1] } else { vec![1, 2] });
         let mut gauge = gauge;
         gauge.recall(ms(1), 1, recalled);
         gauge.tick(RECALL, &BTreeSet::from([1]));
@@ -288,13 +292,13 @@
     assert!(level(&[], true).is_some_and(|level| (level - part + 1.0).abs() < 1e-9));
     // One that did not answer may know; and one that knows of another store was not lost.
     assert_eq!(level(&[], false), Some(-1.0));
-    assert_eq!(level(&[Reading { name: 8, level: 3.0, at: 1, share: 1.0 }], true), Some(-1.0));
+    assert_eq!(level(&[LevelReading { name: 8, level: 3.0, at: 1, share: 1.0 }], true), Some(-1.0));
 }
 
 #[test]
 fn of_a_store_that_nobody_tells_of_the_worst_is_taken_but_at_the_first_start() {
     for (first, granted) in [(true, true), (false, false)] {
-        let mut gauge = Gauge::begin(ms(0), 3, first, ALLOWANCE, [1]);
+        let mut gauge = QuotaCounter::begin(ms(0), 3, first, ALLOWANCE, [1]);
         gauge.recall(ms(1), 1, &[]);
         let level = gauge.draw(ms(2), 1, &[draw(0.0, 50.0)]).map(|levels| levels[0].level >= 0.0);
         assert_eq!(level, Some(granted));
@@ -303,7 +307,7 @@
 
 /// What a store that was empty holds after so long, beside a gateway that spoke until then, or comes then and never speaks.
 fn left_beside_a_silent_one(comes_late: bool, silent_ms: u64) -> f64 {
-    let mut gauge = Gauge::begin(ms(0), 1, true, ALLOWANCE, [1]);
+    let mut gauge = QuotaCounter::begin(ms(0), 1, true, ALLOWANCE, [1]);
     gauge.recall(ms(0), 1, &[]);
     gauge.draw(ms(0), 1, &[draw(0.0, BURST)]);
     if !comes_late {
@@ -345,7 +349,7 @@
 
 #[test]
 fn a_counter_answers_nobody_before_it_has_asked_all_or_waited() {
-    let mut gauge = Gauge::begin(ms(0), 2, false, ALLOWANCE, [1, 2]);
+    let mut gauge = QuotaCounter::begin(ms(0), 2, false, ALLOWANCE, [1, 2]);
     gauge.recall(ms(1), 1, &[]);
     assert_eq!(gauge.draw(ms(2), 1, &[draw(0.0, 1.0)]), None);
     gauge.tick(RECALL + ms(1), &BTreeSet::from([1, 2]));
@@ -356,7 +360,7 @@
 
 #[test]
 fn what_is_owed_is_taken_in_any_case_and_shuts_nobody_out_for_long() {
-    let mut gauge = Gauge::begin(ms(0), 1, true, ALLOWANCE, [1]);
+    let mut gauge = QuotaCounter::begin(ms(0), 1, true, ALLOWANCE, [1]);
     gauge.recall(ms(0), 1, &[]);
     let level = gauge.draw(ms(1), 1, &[draw(1_000.0, 1.0)]).map(|levels| levels[0].level);
     assert_eq!(level, Some(-BURST - 1.0));
@@ -379,9 +383,9 @@
     let gateways: BTreeSet<u64> = (1..=10).collect();
     let mut told: BTreeMap<u64, f64> = BTreeMap::new();
     for term in 1..=2 {
-        let mut gauge = Gauge::begin(ms(0), term, term == 1, ALLOWANCE, gateways.iter().copied());
+        let mut gauge = QuotaCounter::begin(ms(0), term, term == 1, ALLOWANCE, gateways.iter().copied());
         for gateway in &gateways {
-            let reading = |share: &f64| Reading { name: NAME, level: BURST, at: 1, share: *share };
+            let reading = |share: &f64| LevelReading { name: NAME, level: BURST, at: 1, share: *share };
             gauge.recall(ms(0), *gateway, &Vec::from_iter(told.get(gateway).map(reading)));
         }
         for (turn, gateway) in (0..).zip(&gateways) {
--- a/crates/starlinghill-quota-counter/tests/unreported_usage.rs
+++ b/crates/starlinghill-quota-counter/tests/unreported_usage.rs
@@ -1,6 +1,6 @@
 //! What a gateway used without the counter's word is charged once, and what the store gave for nothing goes back.
 
-use starlinghill_quota_counter::{Allowance, Debts, Draw, DrawEnd, Gauge};
+use starlinghill_quota_counter::{Allowance, Debts, Draw, DrawEnd, QuotaCounter};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -47,14 +47,14 @@
     assert!(debts.is_empty());
 }
 
-fn counter() -> Gauge {
+fn counter() -> QuotaCounter {
     let allowance = Allowance { window_s: 5.0, excess: 0.1, extra: 20.0 };
-    let mut gauge = Gauge::begin(Duration::ZERO, 1, true, allowance, [1]);
+    let mut gauge = QuotaCounter::begin(Duration::ZERO, 1, true, allowance, [1]);
     gauge.recall(Duration::ZERO, 1, &[]);
     gauge
 }
 
-fn tell(gauge: &mut Gauge, at: Duration, owed: f64) {
+fn tell(gauge: &mut QuotaCounter, at: Duration, owed: f64) {
     let draw = Draw { name: NAME, owed, units: 0.0, rate: RATE, burst: RATE, service: 0, within_ms: 0 };
     assert!(gauge.draw(at, 1, &[draw]).is_some());
 }
--- a/crates/starlinghill-registry/src/state.rs
+++ b/crates/starlinghill-registry/src/state.rs
@@ -10,7 +10,7 @@
 use starlinghill_failure_detector::GatewayLiveness;
 use starlinghill_lease::contact::{Chain, Contact, LastContact};
 use starlinghill_lease::{self as lease, LeaseParticipant};
-use starlinghill_quota_counter::{Gauge, Listed};
+use starlinghill_quota_counter::{ListedBackend, QuotaCounter};
 use starlinghill_rate_limit::Allowance;
 use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::queue::Fill;
@@ -93,7 +93,7 @@
     /// What gateways say of each other.
     sight: GatewayLiveness,
     duty: LeaseParticipant<IpAddr>,
-    gauge: Option<Gauge>,
+    gauge: Option<QuotaCounter>,
     /// Up to which number of the catalog's the count has the list.
     listed: u64,
     told_holder: Option<(u64, IpAddr)>,
@@ -248,7 +248,7 @@
         for Observation { instance, liveness } in self.catalog.since(self.listed).backends {
             gauge.loads.listed(
                 now,
-                Listed {
+                ListedBackend {
                     backend: instance.number(),
                     service: service_number(&instance.service),
                     zone: number(&instance.zone),
@@ -366,7 +366,7 @@
             |(item, _): &(Item, u64)| (item.kind, item.name.clone(), item.version, item.body.is_some());
         let in_force = |ip: &IpAddr| self.in_force.get(ip).copied().unwrap_or_default();
         let gateways = self.catalog.asked_within(now, Duration::MAX);
-        let told = |count: &Gauge| Count {
+        let told = |count: &QuotaCounter| Count {
             silent: count.state().1 as u64,
             stores: count.stores(now),
             rooms: count.loads.seen(),
@@ -489,7 +489,7 @@
             let asked = self.catalog.asked_within(now, RECALLED_WITHIN);
             let gateways: Vec<u64> = asked.iter().map(|(gateway, _)| gateway.life).collect();
             log::info!("event=count_held term={term} gateways={}", gateways.len());
-            self.gauge = Some(Gauge::begin(now, term, self.first, self.allowance, gateways));
+            self.gauge = Some(QuotaCounter::begin(now, term, self.first, self.allowance, gateways));
             self.violations = 0;
             self.listed = 0;
         }
--- a/crates/starlinghill-registry/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -7,7 +7,7 @@
 use starlinghill_failure_detector::PeerSighting;
 use starlinghill_lease as lease;
 use starlinghill_lease::contact::Contact;
-use starlinghill_quota_counter::{Draw, Level, Reading, Seen as Sight, Word};
+use starlinghill_quota_counter::{BackendLoad as Sight, Draw, LevelReading, LoadReport, QuotaLevel};
 use std::net::IpAddr;
 
 /// A question.
@@ -24,7 +24,7 @@
         /// What it draws; may be nothing, where it only keeps in touch.
         draws: Vec<Draw>,
         /// How things stand between it and backends, where that changed.
-        words: Vec<Word>,
+        words: Vec<LoadReport>,
     },
     /// By a gateway: what it heard in earlier terms.
     Recall {
@@ -33,7 +33,7 @@
         /// The life of the gateway's process.
         from: u64,
         /// All that still tells something.
-        readings: Vec<Reading>,
+        readings: Vec<LevelReading>,
     },
     /// By a registry, on who keeps the count; the epoch of the members that it knows.
     Duty(u64, lease::LeaseRequest<IpAddr>),
@@ -115,7 +115,7 @@
     /// What is new.
     News(Box<News>),
     /// What the stores hold, in the order of the draws, and the system's time.
-    Levels(Vec<Level>, u64),
+    Levels(Vec<QuotaLevel>, u64),
     /// This registry does not keep the count in that term, or can't yet; the term that it knows.
     NotMine(u64),
     /// On the duty.
--- a/crates/starlinghill-simulator/src/fleet.rs
+++ b/crates/starlinghill-simulator/src/fleet.rs
@@ -7,7 +7,7 @@
 use starlinghill_decision::Gateway;
 use starlinghill_proxy::decision_settings;
 use starlinghill_proxy::quota_client::PATIENCE;
-use starlinghill_quota_counter::{Client, Draw, Gauge, Level, KEEP_IN_TOUCH};
+use starlinghill_quota_counter::{Draw, QuotaClient, QuotaCounter, QuotaLevel, KEEPALIVE_INTERVAL};
 use starlinghill_runtime::settings::Bounds;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
@@ -57,13 +57,13 @@
 struct Sent {
     call: Option<u64>,
     draw: Option<Draw>,
-    answer: Option<Level>,
+    answer: Option<QuotaLevel>,
 }
 
 struct Proxy {
     incarnation: u64,
     module: Gateway,
-    client: Client,
+    client: QuotaClient,
     /// The connection to the counter, where there is one.
     connection: Option<u64>,
     /// Something was lost on it: no answer comes any more.
@@ -96,7 +96,7 @@
     now: u64,
     serial: u64,
     one_late_in: u64,
-    gauge: Option<Gauge>,
+    gauge: Option<QuotaCounter>,
     term: u64,
     /// Of counters that are gone.
     violations: u64,
@@ -166,7 +166,7 @@
         Proxy {
             incarnation: at as u64 + 1,
             module: module(seed ^ at as u64, at as u32, gateways as u32),
-            client: Client::new(Duration::from_micros(now)),
+            client: QuotaClient::new(Duration::from_micros(now)),
             connection: None,
             broken: false,
             sent: VecDeque::new(),
@@ -191,7 +191,7 @@
             now: BEGINNING,
             serial: 0,
             one_late_in,
-            gauge: Some(Gauge::begin(began, 1, true, bounds().allowance(), lives)),
+            gauge: Some(QuotaCounter::begin(began, 1, true, bounds().allowance(), lives)),
             term: 1,
             violations: 0,
             gone: Vec::new(),
@@ -251,7 +251,7 @@
     fn counter_begins(&mut self) {
         self.term += 1;
         let lives = self.proxies.iter().map(|proxy| proxy.incarnation).collect::<Vec<_>>();
-        self.gauge = Some(Gauge::begin(self.instant(), self.term, false, bounds().allowance(), lives));
+        self.gauge = Some(QuotaCounter::begin(self.instant(), self.term, false, bounds().allowance(), lives));
         // The connections to the one before are of no use.
         (0..self.proxies.len()).for_each(|at| self.lose(at));
     }
@@ -304,7 +304,7 @@
             What::KeepInTouch(at) => {
                 if self.proxies[at].connection.is_some() {
                     self.send(at, None, None);
-                    self.after(KEEP_IN_TOUCH.as_micros() as u64, What::KeepInTouch(at));
+                    self.after(KEEPALIVE_INTERVAL.as_micros() as u64, What::KeepInTouch(at));
                 }
             }
             What::TellDebts(at) => {
@@ -354,7 +354,7 @@
         self.recall(at);
         let proxy = &mut self.proxies[at];
         (proxy.connection, proxy.broken, proxy.heard) = (Some(connection), false, self.now);
-        self.after(KEEP_IN_TOUCH.as_micros() as u64, What::KeepInTouch(at));
+        self.after(KEEPALIVE_INTERVAL.as_micros() as u64, What::KeepInTouch(at));
     }
 
     /// The connection to the counter is given up: what is out is decided here.
@@ -477,7 +477,7 @@
 
     /// How often the counter saw more in a window than the rules allow.
     pub fn violations(&self) -> u64 {
-        self.violations + self.gauge.as_ref().map_or(0, Gauge::violations)
+        self.violations + self.gauge.as_ref().map_or(0, QuotaCounter::violations)
     }
 
     fn counted(&mut self, at: usize, call: u64, outcome: Outcome, total: f64, share: Option<f64>) {
--- a/crates/starlinghill-testkit/examples/scale/hollow.rs
+++ b/crates/starlinghill-testkit/examples/scale/hollow.rs
@@ -3,7 +3,7 @@
 use crate::machines::Net;
 use starlinghill_catalog::{number, service_number, Gateway, Observation, State};
 use starlinghill_failure_detector::PeerSighting;
-use starlinghill_quota_counter::{Draw, Word};
+use starlinghill_quota_counter::{Draw, LoadReport};
 use starlinghill_registry::wire::{Answer, Have, News, Question};
 use starlinghill_runtime::frame::{self, Reader};
 use starlinghill_runtime::net::Connection;
@@ -391,8 +391,8 @@
     }
 }
 
-fn word(backend: u64) -> Vec<Word> {
-    let word = Word { backend, out: 0, well: 1, took_ms: 40, ill: 0 };
+fn word(backend: u64) -> Vec<LoadReport> {
+    let word = LoadReport { backend, out: 0, well: 1, took_ms: 40, ill: 0 };
     (backend != 0).then_some(word).into_iter().collect()
 }
 
--- a/crates/starlinghill-testkit/examples/scale/pieces.rs
+++ b/crates/starlinghill-testkit/examples/scale/pieces.rs
@@ -5,7 +5,7 @@
 };
 use starlinghill_config_model::{Book, Change, Item};
 use starlinghill_failure_detector::{GatewayLiveness, PeerSighting};
-use starlinghill_quota_counter::{Allowance, Draw, Gauge, Listed, Word};
+use starlinghill_quota_counter::{Allowance, Draw, ListedBackend, LoadReport, QuotaCounter};
 use starlinghill_registry::wire::{Answer, Have, Heard, News, Question};
 use starlinghill_runtime::frame;
 use std::collections::BTreeSet;
@@ -85,7 +85,7 @@
         within_ms: 300,
     };
     weigh("draw", draw);
-    weigh("word on a backend", |i| Word {
+    weigh("word on a backend", |i| LoadReport {
         backend: number(&i.to_string()),
         out: 2,
         well: 3,
@@ -141,7 +141,7 @@
     println!("\n| a draw, with so many backends of its service, gateways | one draw |\n| --- | --- |");
     for (of_service, gateways) in [(4, 100), (43, 100), (43, 300), (43, 1_000), (43, 2_800), (512, 300)] {
         let (now, services) = (Duration::from_secs(10), 20);
-        let mut gauge = Gauge::begin(Duration::ZERO, 1, true, ALLOWANCE, []);
+        let mut gauge = QuotaCounter::begin(Duration::ZERO, 1, true, ALLOWANCE, []);
         let lives: BTreeSet<u64> = (1..=gateways).collect();
         for life in &lives {
             gauge.recall(now, *life, &[]);
@@ -150,7 +150,7 @@
         for i in 0..of_service * services {
             gauge.loads.listed(
                 now,
-                Listed {
+                ListedBackend {
                     backend: i as u64 + 1,
                     service: service_number(&format!("s-{}", i % services)),
                     zone: i as u64 % 21,
@@ -176,7 +176,7 @@
             let from = 1 + fastrand::u64(..gateways);
             let levels = gauge.draw(now, from, &[draw]);
             if let Some(room) = levels.as_ref().and_then(|l| l.first()?.rooms.first().copied()) {
-                let word = Word { backend: room.backend, out: 0, well: 1, took_ms: 40, ill: 0 };
+                let word = LoadReport { backend: room.backend, out: 0, well: 1, took_ms: 40, ill: 0 };
                 gauge.loads.tell(now, from, &[word]);
             }
             black_box(levels);
--- a/crates/starlinghill-testkit/src/balancing.rs
+++ b/crates/starlinghill-testkit/src/balancing.rs
@@ -2,7 +2,7 @@
 //! of choosing, and what that costs. Words to the counter are late, backends differ in speed, and are slower when all of their
 //! places are taken.
 
-use starlinghill_quota_counter::{Draw, Level, Listed, Loads, Word};
+use starlinghill_quota_counter::{Draw, ListedBackend, LoadReport, LoadTable, QuotaLevel};
 use starlinghill_registry::wire::{Answer, Question};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -78,13 +78,13 @@
 struct Play {
     fleet: Fleet,
     rng: fastrand::Rng,
-    loads: Loads,
+    loads: LoadTable,
     backends: Vec<Backend>,
     out: HashMap<(u64, u64), u16>,
     used: HashMap<(u64, u64), u64>,
     /// Ends of runs: gateway, backend, when the request arrived.
     ends: BTreeMap<u64, Vec<(u64, usize, u64)>>,
-    words: BTreeMap<u64, Vec<(u64, Word)>>,
+    words: BTreeMap<u64, Vec<(u64, LoadReport)>>,
     took: Vec<u64>,
 }
 
@@ -92,11 +92,11 @@
     /// Plays it.
     pub fn play(self, way: Way) -> Figures {
         let mut rng = fastrand::Rng::with_seed(self.gateways << 32 | self.backends);
-        let mut loads = Loads::default();
+        let mut loads = LoadTable::default();
         for backend in 0..self.backends {
             let (zone, cold_for, capacity) = (backend % 3, Duration::ZERO, PLACES as u32);
             let listed =
-                Listed { backend, service: 1, zone, capacity, serves: true, silent: false, cold_for };
+                ListedBackend { backend, service: 1, zone, capacity, serves: true, silent: false, cold_for };
             loads.listed(Duration::ZERO, listed);
         }
         (0..self.gateways).for_each(|gateway| loads.gateway(gateway, gateway % 3));
@@ -186,9 +186,9 @@
         self.used.insert((gateway, to), now);
         let backend = &mut self.backends[to as usize];
         if backend.waiting.len() >= WAITING {
-            let word = Word { backend: to, out: 0, well: 0, took_ms: 0, ill: 1 };
+            let word = LoadReport { backend: to, out: 0, well: 0, took_ms: 0, ill: 1 };
             let out = self.out.get(&(gateway, to)).copied().unwrap_or(0);
-            self.words.entry(now + LATE).or_default().push((gateway, Word { out, ..word }));
+            self.words.entry(now + LATE).or_default().push((gateway, LoadReport { out, ..word }));
             return;
         }
         backend.went += u32::from(now >= WARM_UP);
@@ -220,20 +220,20 @@
     fn tell(&mut self, now: u64, gateway: u64, backend: u64, more: i16, well: u16, took: u64) {
         let out = self.out.entry((gateway, backend)).or_default();
         *out = out.saturating_add_signed(more);
-        let word = Word { backend, out: *out, well, took_ms: took as u32, ill: 0 };
+        let word = LoadReport { backend, out: *out, well, took_ms: took as u32, ill: 0 };
         self.words.entry(now + LATE).or_default().push((gateway, word));
     }
 }
 
-fn size(word: &Word) -> usize {
+fn size(word: &LoadReport) -> usize {
     bitcode::encode(word).len()
 }
 
 /// The bytes of one draw with its answer, but for the words.
-fn asking(rooms: Vec<starlinghill_quota_counter::Room>) -> usize {
+fn asking(rooms: Vec<starlinghill_quota_counter::BackendOffer>) -> usize {
     let draw = Draw { name: 1, owed: 0.0, units: 1.0, rate: 90.0, burst: 90.0, service: 1, within_ms: 500 };
     let question = Question::Count { term: 1 << 20, from: u64::MAX, draws: vec![draw], words: Vec::new() };
-    let level = Level { level: 10.0, share: 0.1, rooms };
+    let level = QuotaLevel { level: 10.0, share: 0.1, rooms };
     let answer = Answer::Levels(vec![level], 1 << 30);
     // Each has a length and a version.
     bitcode::encode(&question).len() + bitcode::encode(&answer).len() + 10
--- a/crates/starlinghill-testkit/tests/system.rs
+++ b/crates/starlinghill-testkit/tests/system.rs
@@ -1,7 +1,7 @@
 //! The whole system as real processes on loopback: what is acknowledged, what runs, what a tenant gets, while processes are
 //! killed, disks are lost and backends misbehave. Histories are checked after the fact.
 
-use starlinghill_quota_counter::{most_in, Allowance, Quota, Troubles};
+use starlinghill_quota_counter::{max_granted_in_window, Allowance, Disruptions, Quota};
 use starlinghill_testkit::system::{
     call, change, eventually, first_items, patch, program, rule, Backend, Client, Does, System,
 };
@@ -383,8 +383,8 @@
     // One move, noticed within the lease and what a gateway waits; a request in hand at each gateway.
     let quota = Quota { rate, burst: rate };
     let allowance = Allowance { window_s: 5.0, excess: 0.1, extra: 20.0 };
-    let troubles = Troubles { moves: 1, late_s: 0.7, cut: 1.0 };
-    let bound = (most_in(quota, allowance, troubles) + 3.0).min(allowance.most(quota));
+    let troubles = Disruptions { moves: 1, late_s: 0.7, cut: 1.0 };
+    let bound = (max_granted_in_window(quota, allowance, troubles) + 3.0).min(allowance.most(quota));
     assert!(most <= bound, "{most} of {bound}: {statuses:?}");
     assert!(granted.len() as f64 > rate * 4.0, "{} were granted: {statuses:?}", granted.len());
     assert_eq!(backends.iter().map(Backend::runs).sum::<u32>() as usize, granted.len());
