--- a/crates/starlinghill-config-model/src/change.rs
+++ b/crates/starlinghill-config-model/src/change.rs
@@ -1,7 +1,7 @@
 //! What an operator sends: items to set and items to drop, all or none of them.
 
-use crate::items::{Held, Item, Kind, Refusal};
-use crate::version_history::History;
+use crate::items::{ChangeError, Item, ItemKind, ParsedItem};
+use crate::version_history::VersionHistory;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use std::collections::btree_map::Entry;
@@ -10,10 +10,10 @@
 
 /// A change that makes sense by itself.
 #[derive(Debug, Clone, Default)]
-pub struct Change {
+pub struct ConfigChange {
     /// Its items by name and version, each number once. Of a name that stands in it twice the higher version prevails, as
     /// anywhere; a confirmation is one of both.
-    pub items: Vec<Rc<Held>>,
+    pub items: Vec<Rc<ParsedItem>>,
 }
 
 /// A version as it is written: `r` and a number.
@@ -21,11 +21,11 @@
     value?.as_str()?.strip_prefix('r')?.parse().ok()
 }
 
-fn invalid<T>(problem: impl Into<String>) -> Result<T, Refusal> {
-    Err(Refusal::Invalid { problem: problem.into() })
+fn invalid<T>(problem: impl Into<String>) -> Result<T, ChangeError> {
+    Err(ChangeError::Invalid { problem: problem.into() })
 }
 
-fn list<'a>(of: &'a OwnedValue, key: &str) -> Result<&'a [OwnedValue], Refusal> {
+fn list<'a>(of: &'a OwnedValue, key: &str) -> Result<&'a [OwnedValue], ChangeError> {
     match of.get(key) {
         None => Ok(&[]),
         Some(value) if value.is_null() => Ok(&[]),
@@ -40,9 +40,9 @@
     value.encode().chars().take(60).collect()
 }
 
-impl Change {
+impl ConfigChange {
     /// Reads the body of a call.
-    pub fn read(body: &[u8]) -> Result<Change, Refusal> {
+    pub fn read(body: &[u8]) -> Result<ConfigChange, ChangeError> {
         let value = match simd_json::to_owned_value(&mut body.to_vec()) {
             Ok(value) => value,
             Err(error) => return invalid(format!("not JSON: {error}")),
@@ -66,29 +66,29 @@
                 ));
             };
             for rule in list(port, "policy")? {
-                items.push(set(Kind::Route, host, rule)?);
+                items.push(set(ItemKind::Route, host, rule)?);
             }
         }
-        for (key, kind) in [("customers", Kind::Customer), ("groups", Kind::Service)] {
+        for (key, kind) in [("customers", ItemKind::Customer), ("groups", ItemKind::Service)] {
             for value in list(upsert, key)? {
                 items.push(set(kind, "", value)?);
             }
         }
         if let Some(limits) = upsert.get("limits").filter(|v| !v.is_null()) {
-            items.push(set(Kind::Limits, "", limits)?);
+            items.push(set(ItemKind::Limits, "", limits)?);
         }
         let named = [
-            ("routes", Kind::Route),
-            ("customers", Kind::Customer),
-            ("services", Kind::Service),
-            ("groups", Kind::Service),
+            ("routes", ItemKind::Route),
+            ("customers", ItemKind::Customer),
+            ("services", ItemKind::Service),
+            ("groups", ItemKind::Service),
         ];
         for (key, kind) in named {
             for value in list(remove, key)? {
-                items.push(Held::read(Item { body: None, ..item(kind, "", value)? })?);
+                items.push(ParsedItem::read(Item { body: None, ..item(kind, "", value)? })?);
             }
         }
-        let mut numbers: BTreeMap<(Kind, String, u64), Held> = BTreeMap::new();
+        let mut numbers: BTreeMap<(ItemKind, String, u64), ParsedItem> = BTreeMap::new();
         for held in items {
             let Item { kind, version, .. } = held.item;
             match numbers.entry((kind, held.item.name.clone(), version)) {
@@ -100,13 +100,13 @@
                 }
             }
         }
-        Ok(Change { items: numbers.into_values().map(Rc::new).collect() })
+        Ok(ConfigChange { items: numbers.into_values().map(Rc::new).collect() })
     }
 }
 
-fn item(kind: Kind, host: &str, value: &OwnedValue) -> Result<Item, Refusal> {
+fn item(kind: ItemKind, host: &str, value: &OwnedValue) -> Result<Item, ChangeError> {
     let name = match kind {
-        Kind::Limits => "limits",
+        ItemKind::Limits => "limits",
         _ => match value.get("name").and_then(|v| v.as_str()).filter(|v| !v.is_empty()) {
             Some(name) => name,
             None => return invalid(format!("{kind:?}.name: allowed: a text that is not empty")),
@@ -118,9 +118,16 @@
             value.get("version").map_or_else(|| "nothing".into(), short)
         ));
     };
-    Ok(Item { kind, name: name.into(), version, host: host.into(), body: None, history: History::default() })
+    Ok(Item {
+        kind,
+        name: name.into(),
+        version,
+        host: host.into(),
+        body: None,
+        history: VersionHistory::default(),
+    })
 }
 
-fn set(kind: Kind, host: &str, value: &OwnedValue) -> Result<Held, Refusal> {
-    Held::read(Item { body: Some(value.encode()), ..item(kind, host, value)? })
+fn set(kind: ItemKind, host: &str, value: &OwnedValue) -> Result<ParsedItem, ChangeError> {
+    ParsedItem::read(Item { body: Some(value.encode()), ..item(kind, host, value)? })
 }
--- a/crates/starlinghill-config-model/src/items.rs
+++ b/crates/starlinghill-config-model/src/items.rs
@@ -1,9 +1,9 @@
 //! The items as they stand. Copies merge item by item: of one name the highest version prevails, set or dropped.
 
-use crate::change::Change;
+use crate::change::ConfigChange;
 use crate::content_digest;
 use crate::routing::{self, Parsed};
-use crate::version_history::{self, History, Known};
+use crate::version_history::{self, Known, VersionHistory};
 use bitcode::{Decode, Encode};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
@@ -18,7 +18,7 @@
 
 /// What an item is of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub enum Kind {
+pub enum ItemKind {
     /// A route.
     Route,
     /// A tenant.
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Item {
     /// What it is.
-    pub kind: Kind,
+    pub kind: ItemKind,
     /// Its name.
     pub name: String,
     /// Its version.
@@ -43,7 +43,7 @@
     /// What the operator sent, as JSON; `None`: dropped.
     pub body: Option<String>,
     /// The numbers below the version, where it goes between stores or onto their disks; news go without.
-    pub history: History,
+    pub history: VersionHistory,
 }
 
 impl Item {
@@ -51,7 +51,7 @@
     pub fn as_news(&self) -> Item {
         let Item { kind, version, .. } = *self;
         let (name, host, body) = (self.name.clone(), self.host.clone(), self.body.clone());
-        Item { kind, name, version, host, body, history: History::default() }
+        Item { kind, name, version, host, body, history: VersionHistory::default() }
     }
 }
 
@@ -68,7 +68,7 @@
 
 /// Why a change is not taken.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-pub enum Refusal {
+pub enum ChangeError {
     /// It makes no sense.
     #[snafu(display("{problem}"))]
     Invalid {
@@ -79,7 +79,7 @@
     #[snafu(display("{kind:?} {name}: version r{version} was confirmed with another content"))]
     Taken {
         /// The item's kind.
-        kind: Kind,
+        kind: ItemKind,
         /// Its name.
         name: String,
         /// The version.
@@ -90,7 +90,7 @@
     #[snafu(display("{kind:?} {name}: what r{version} was is not remembered any more"))]
     Forgotten {
         /// The item's kind.
-        kind: Kind,
+        kind: ItemKind,
         /// Its name.
         name: String,
         /// The version.
@@ -100,7 +100,7 @@
 
 /// An item that was read: what was sent, and what it means.
 #[derive(Debug, Clone)]
-pub struct Held {
+pub struct ParsedItem {
     /// As it was sent.
     pub item: Item,
     /// As a value, where it stands.
@@ -109,15 +109,15 @@
     pub parsed: Option<Parsed>,
 }
 
-impl Held {
+impl ParsedItem {
     /// Reads an item.
-    pub fn read(item: Item) -> Result<Held, Refusal> {
-        let Some(body) = &item.body else { return Ok(Held { item, value: None, parsed: None }) };
-        let invalid = |problem| Refusal::Invalid { problem };
+    pub fn read(item: Item) -> Result<ParsedItem, ChangeError> {
+        let Some(body) = &item.body else { return Ok(ParsedItem { item, value: None, parsed: None }) };
+        let invalid = |problem| ChangeError::Invalid { problem };
         let value = simd_json::to_owned_value(&mut body.clone().into_bytes())
             .map_err(|e| invalid(format!("{}: {e}", item.name)))?;
         let parsed = routing::parse(item.kind, &item.name, &item.host, &value).map_err(invalid)?;
-        Ok(Held { value: Some(value), parsed: Some(parsed), item })
+        Ok(ParsedItem { value: Some(value), parsed: Some(parsed), item })
     }
 
     /// The digest of its content.
@@ -135,7 +135,7 @@
     }
 
     /// The same name with one more number confirmed, where that is new.
-    fn confirming(&self, new: &Held) -> Option<Held> {
+    fn confirming(&self, new: &ParsedItem) -> Option<ParsedItem> {
         let (stands, sent) = (self.item.version, new.item.version);
         if self.known(sent) != Known::Never {
             return None;
@@ -152,22 +152,22 @@
 
 /// All items.
 #[derive(Debug, Clone, Default)]
-pub struct Book {
-    items: BTreeMap<(Kind, String), Rc<Held>>,
+pub struct ItemSet {
+    items: BTreeMap<(ItemKind, String), Rc<ParsedItem>>,
 }
 
-impl Book {
+impl ItemSet {
     /// From copies of items; what can't be read is left out, as nothing of it was ever taken.
-    pub fn of(items: impl IntoIterator<Item = Item>) -> Book {
-        let mut book = Book::default();
+    pub fn of(items: impl IntoIterator<Item = Item>) -> ItemSet {
+        let mut book = ItemSet::default();
         book.merge(items);
         book
     }
 
     /// Takes in copies that were agreed on; returns those that were new. An older version changes nothing.
-    pub fn merge(&mut self, items: impl IntoIterator<Item = Item>) -> Vec<Rc<Held>> {
+    pub fn merge(&mut self, items: impl IntoIterator<Item = Item>) -> Vec<Rc<ParsedItem>> {
         let mut news = Vec::new();
-        for held in items.into_iter().filter_map(|item| Held::read(item).ok()) {
+        for held in items.into_iter().filter_map(|item| ParsedItem::read(item).ok()) {
             let held = Rc::new(held);
             match self.items.entry((held.item.kind, held.item.name.clone())) {
                 Entry::Vacant(place) => {
@@ -185,7 +185,7 @@
 
     /// The book with a change taken in, or why it can't be. Nothing of a change is taken that is refused. One of which
     /// every number was confirmed before with its content is taken, and changes nothing.
-    pub fn with(&self, change: &Change) -> Result<Book, Refusal> {
+    pub fn with(&self, change: &ConfigChange) -> Result<ItemSet, ChangeError> {
         self.judge(change)?;
         let mut next = self.clone();
         for held in &change.items {
@@ -205,7 +205,7 @@
 
     /// No number of a change may have been confirmed with another content. A change that holds such a one was never
     /// confirmed as a whole, so that is said before anything of what was forgotten.
-    fn judge(&self, change: &Change) -> Result<(), Refusal> {
+    fn judge(&self, change: &ConfigChange) -> Result<(), ChangeError> {
         let mut forgotten = None;
         for held in &change.items {
             let Item { kind, version, .. } = held.item;
@@ -213,9 +213,9 @@
             let known = self.items.get(&(kind, name.clone())).map(|stands| stands.known(version));
             match known {
                 Some(Known::As(content)) if content != held.content() => {
-                    return Err(Refusal::Taken { kind, name, version });
+                    return Err(ChangeError::Taken { kind, name, version });
                 }
-                Some(Known::Forgotten) => forgotten = Some(Refusal::Forgotten { kind, name, version }),
+                Some(Known::Forgotten) => forgotten = Some(ChangeError::Forgotten { kind, name, version }),
                 _ => {}
             }
         }
@@ -235,13 +235,13 @@
     }
 
     /// Whether all items make sense together.
-    pub fn check(&self) -> Result<(), Refusal> {
-        let refuse = |problem: String| Err(Refusal::Invalid { problem });
+    pub fn check(&self) -> Result<(), ChangeError> {
+        let refuse = |problem: String| Err(ChangeError::Invalid { problem });
         if self.items.len() > MOST_ITEMS {
             return refuse(format!("{} items, allowed: {MOST_ITEMS}", self.items.len()));
         }
         let stands = |name: &str| {
-            let service = self.items.get(&(Kind::Service, name.to_string()));
+            let service = self.items.get(&(ItemKind::Service, name.to_string()));
             service.is_some_and(|held| held.parsed.is_some())
         };
         let (mut places, mut keys) = (BTreeSet::new(), BTreeMap::new());
@@ -272,13 +272,13 @@
     }
 
     /// All items, dropped ones included.
-    pub fn items(&self) -> impl Iterator<Item = &Rc<Held>> {
+    pub fn items(&self) -> impl Iterator<Item = &Rc<ParsedItem>> {
         self.items.values()
     }
 
     /// Those that differ from another book's, histories included: what has to be written where that one stands.
-    pub fn beyond(&self, other: &Book) -> Vec<Item> {
-        let new = |held: &&Rc<Held>| {
+    pub fn beyond(&self, other: &ItemSet) -> Vec<Item> {
+        let new = |held: &&Rc<ParsedItem>| {
             let key = (held.item.kind, held.item.name.clone());
             other.items.get(&key).is_none_or(|old| old.item != held.item)
         };
@@ -297,10 +297,10 @@
         for held in self.items.values() {
             let Some(value) = held.value.clone() else { continue };
             match held.item.kind {
-                Kind::Route => hosts.entry(&held.item.host).or_default().push(value),
-                Kind::Customer => customers.push(value),
-                Kind::Service => groups.push(value),
-                Kind::Limits => limits = Some(value),
+                ItemKind::Route => hosts.entry(&held.item.host).or_default().push(value),
+                ItemKind::Customer => customers.push(value),
+                ItemKind::Service => groups.push(value),
+                ItemKind::Limits => limits = Some(value),
             }
         }
         let port = |(host, rules): (&str, Vec<OwnedValue>)| {
--- a/crates/starlinghill-config-model/src/lib.rs
+++ b/crates/starlinghill-config-model/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod routing;
 pub mod version_history;
 
-pub use change::Change;
-pub use items::{Book, Item, Kind, Refusal};
-pub use routing::Table;
-pub use version_history::History;
+pub use change::ConfigChange;
+pub use items::{ChangeError, Item, ItemKind, ItemSet};
+pub use routing::RoutingTable;
+pub use version_history::VersionHistory;
--- a/crates/starlinghill-config-model/src/routing.rs
+++ b/crates/starlinghill-config-model/src/routing.rs
@@ -1,6 +1,6 @@
 //! What the items mean: routes by host and prefix, tenants by key, services, limits.
 
-use crate::items::{Book, Kind};
+use crate::items::{ItemKind, ItemSet};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use std::collections::HashMap;
@@ -154,12 +154,12 @@
 }
 
 /// Reads an item.
-pub(crate) fn parse(kind: Kind, name: &str, host: &str, value: &OwnedValue) -> Result<Parsed, String> {
+pub(crate) fn parse(kind: ItemKind, name: &str, host: &str, value: &OwnedValue) -> Result<Parsed, String> {
     let label = format!("{kind:?} {name}");
     let at = At { item: &label, value };
     match kind {
-        Kind::Route => route(&at, host).map(|route| Parsed::Route(Rc::new(route))),
-        Kind::Customer => {
+        ItemKind::Route => route(&at, host).map(|route| Parsed::Route(Rc::new(route))),
+        ItemKind::Customer => {
             let Some(list) = value.get("api_keys").and_then(|v| v.as_array()) else {
                 return at.wrong("api_keys", "a list of keys");
             };
@@ -174,12 +174,12 @@
             let (rate, burst) = (at.number("rate_per_s")?, at.number("burst")?);
             Ok(Parsed::Customer(Rc::new(Tenant { name: name.into(), keys, priority, rate, burst })))
         }
-        Kind::Service => {
+        ItemKind::Service => {
             let health = value.get("health_path").and_then(|v| v.as_str()).unwrap_or("/").to_string();
             let max_conns = value.get("max_conns").map_or(Ok(0), |_| at.count("max_conns"))?;
             Ok(Parsed::Service(Rc::new(Service { name: name.into(), health, max_conns })))
         }
-        Kind::Limits => Ok(Parsed::Limits(Limits {
+        ItemKind::Limits => Ok(Parsed::Limits(Limits {
             header_bytes: at.count("max_header_bytes")?,
             body_bytes: at.count("max_body_bytes")?,
             header_wait: at.time("header_wait")?,
@@ -237,7 +237,7 @@
 
 /// What a proxy decides by.
 #[derive(Debug, Clone, Default)]
-pub struct Table {
+pub struct RoutingTable {
     /// By host, the longest prefix first.
     hosts: HashMap<String, Vec<Rc<Route>>>,
     keys: HashMap<String, Rc<Tenant>>,
@@ -251,10 +251,10 @@
     pub limits: Limits,
 }
 
-impl Table {
+impl RoutingTable {
     /// By the items that stand.
-    pub fn of(book: &Book) -> Table {
-        let mut table = Table::default();
+    pub fn of(book: &ItemSet) -> RoutingTable {
+        let mut table = RoutingTable::default();
         for parsed in book.items().filter_map(|held| held.parsed.as_ref()) {
             match parsed {
                 Parsed::Route(route) => {
--- a/crates/starlinghill-config-model/src/version_history.rs
+++ b/crates/starlinghill-config-model/src/version_history.rs
@@ -32,17 +32,17 @@
 
 /// The numbers that an item had, whether they ever came into force or not.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
-pub struct History {
+pub struct VersionHistory {
     /// By number, each once.
     confirmed: Vec<Confirmed>,
     /// Nothing is known of numbers up to this, but of those that stand above.
     forgotten: Option<u64>,
 }
 
-impl History {
+impl VersionHistory {
     /// Of an item that was kept without one: all below its version may have been confirmed.
-    pub fn unknown_below(version: u64) -> History {
-        History { confirmed: Vec::new(), forgotten: version.checked_sub(1) }
+    pub fn unknown_below(version: u64) -> VersionHistory {
+        VersionHistory { confirmed: Vec::new(), forgotten: version.checked_sub(1) }
     }
 
     /// How many numbers it remembers.
--- a/crates/starlinghill-config-model/tests/items.rs
+++ b/crates/starlinghill-config-model/tests/items.rs
@@ -1,6 +1,6 @@
 //! What operators send: what is taken, what is refused, and what it comes to.
 
-use starlinghill_config_model::{Book, Change, Item, Refusal, Table};
+use starlinghill_config_model::{ChangeError, ConfigChange, Item, ItemSet, RoutingTable};
 use test_case::test_case;
 
 fn route(name: &str, version: u64, host: &str, prefix: &str, service: &str) -> String {
@@ -32,18 +32,18 @@
     )
 }
 
-fn take(book: &Book, body: &str) -> Result<Book, Refusal> {
-    book.with(&Change::read(body.as_bytes())?)
+fn take(book: &ItemSet, body: &str) -> Result<ItemSet, ChangeError> {
+    book.with(&ConfigChange::read(body.as_bytes())?)
 }
 
-fn base() -> Book {
+fn base() -> ItemSet {
     let body = call(
         &[route("r-1", 7, "a.example", "/x/", "lobby"), route("r-2", 7, "a.example", "/x/y/", "ledger")],
         &[customer("t-1", 7, "k-1"), customer("t-2", 7, "k-2")],
         &[service("lobby"), service("ledger")],
         "",
     );
-    take(&Book::default(), &body).unwrap_or_else(|refusal| panic!("{refusal}"))
+    take(&ItemSet::default(), &body).unwrap_or_else(|refusal| panic!("{refusal}"))
 }
 
 #[test_case(&call(&[route("r-3", 9, "a.example", "/z/", "nowhere")], &[], &[], ""); "unknown service")]
@@ -63,7 +63,7 @@
     "no time")]
 fn what_makes_no_sense_is_refused_whole(body: &str) {
     let refusal = take(&base(), body).err();
-    assert!(matches!(refusal, Some(Refusal::Invalid { .. })), "{refusal:?}");
+    assert!(matches!(refusal, Some(ChangeError::Invalid { .. })), "{refusal:?}");
 }
 
 #[test]
@@ -74,9 +74,9 @@
     let same = take(&book, &again).unwrap_or_else(|refusal| panic!("{refusal}"));
     assert!(same.beyond(&book).is_empty());
     let other = call(&[route("r-1", 7, "a.example", "/x/", "ledger")], &[], &[], "");
-    assert!(matches!(take(&book, &other), Err(Refusal::Taken { version: 7, .. })));
+    assert!(matches!(take(&book, &other), Err(ChangeError::Taken { version: 7, .. })));
     let dropped = call(&[], &[], &[], r#""routes":[{"name":"r-1","version":"r7"}]"#);
-    assert!(matches!(take(&book, &dropped), Err(Refusal::Taken { version: 7, .. })));
+    assert!(matches!(take(&book, &dropped), Err(ChangeError::Taken { version: 7, .. })));
 }
 
 #[test]
@@ -86,11 +86,11 @@
     let book = take(&book, &drop).unwrap_or_else(|refusal| panic!("{refusal}"));
     let old = call(&[route("r-1", 8, "a.example", "/x/", "ledger")], &[], &[], "");
     let same = take(&book, &old).unwrap_or_else(|refusal| panic!("{refusal}"));
-    let stands = |book: &Book| -> Vec<Item> { book.items().map(|held| held.item.as_news()).collect() };
+    let stands = |book: &ItemSet| -> Vec<Item> { book.items().map(|held| held.item.as_news()).collect() };
     assert_eq!(stands(&same), stands(&book));
     // All that is new is that its number is known from here on.
     assert!(take(&same, &old).is_ok_and(|again| again.beyond(&same).is_empty()));
-    assert!(Table::of(&same).route("a.example", "/x/1").is_none());
+    assert!(RoutingTable::of(&same).route("a.example", "/x/1").is_none());
 }
 
 #[test]
@@ -100,12 +100,12 @@
         let mut items: Vec<Item> = base().items().map(|held| held.item.clone()).collect();
         for version in 8..12 {
             let change = call(&[route("r-1", version, "a.example", "/x/", "ledger")], &[], &[], "");
-            let change = Change::read(change.as_bytes()).unwrap_or_else(|refusal| panic!("{refusal}"));
+            let change = ConfigChange::read(change.as_bytes()).unwrap_or_else(|refusal| panic!("{refusal}"));
             items.extend(change.items.iter().map(|held| held.item.clone()));
         }
-        let whole = Book::of(items.clone());
+        let whole = ItemSet::of(items.clone());
         rng.shuffle(&mut items);
-        let mut book = Book::default();
+        let mut book = ItemSet::default();
         items.chunks(3).for_each(|some| drop(book.merge(some.to_vec())));
         assert!(book.beyond(&whole).is_empty() && whole.beyond(&book).is_empty(), "seed {seed}");
     }
@@ -115,7 +115,7 @@
 fn of_a_name_that_stands_twice_in_a_call_the_higher_version_prevails() {
     let moved = [route("r-1", 9, "b.example", "/x/", "lobby"), route("r-1", 8, "a.example", "/x/", "lobby")];
     let book = take(&base(), &call(&moved, &[], &[], "")).unwrap_or_else(|refusal| panic!("{refusal}"));
-    let table = Table::of(&book);
+    let table = RoutingTable::of(&book);
     assert!(table.route("b.example", "/x/1").is_some() && table.route("a.example", "/x/1").is_none());
 }
 
@@ -125,7 +125,7 @@
 #[test_case("a.example", "/x", None; "a path that the prefix does not begin")]
 #[test_case("b.example", "/x/1", None; "another host")]
 fn a_request_has_the_route_of_its_host_with_the_longest_prefix(host: &str, path: &str, name: Option<&str>) {
-    let table = Table::of(&base());
+    let table = RoutingTable::of(&base());
     assert_eq!(table.route(host, path).map(|route| route.name.as_str()), name);
 }
 
@@ -134,7 +134,7 @@
     let layout = base().layout();
     let text = simd_json::to_string(&layout).unwrap_or_default();
     // It can be sent as it is.
-    let again = Change::read(format!("{{\"upsert\":{text}}}").as_bytes());
+    let again = ConfigChange::read(format!("{{\"upsert\":{text}}}").as_bytes());
     let again = again.unwrap_or_else(|refusal| panic!("{refusal}"));
     let book = base().with(&again).unwrap_or_else(|refusal| panic!("{refusal}"));
     assert!(book.beyond(&base()).is_empty() && again.items.len() == 6);
--- a/crates/starlinghill-config-model/tests/numbers.rs
+++ b/crates/starlinghill-config-model/tests/numbers.rs
@@ -1,7 +1,7 @@
 //! What was confirmed under a number: the same again is taken, another content never is, and what is forgotten is neither.
 
 use starlinghill_config_model::version_history::{level, Known, MOST_IN_ALL, MOST_OF_ITEM};
-use starlinghill_config_model::{Book, Change, History, Item, Kind, Refusal};
+use starlinghill_config_model::{ChangeError, ConfigChange, Item, ItemKind, ItemSet, VersionHistory};
 use test_case::test_case;
 
 fn customer(version: u64, rate: &str) -> String {
@@ -14,13 +14,13 @@
     format!(r#"{{"remove":{{"customers":[{{"name":"t-1","version":"r{version}"}}]}}}}"#)
 }
 
-fn take(book: &Book, body: &str) -> Result<Book, Refusal> {
-    book.with(&Change::read(body.as_bytes())?)
+fn take(book: &ItemSet, body: &str) -> Result<ItemSet, ChangeError> {
+    book.with(&ConfigChange::read(body.as_bytes())?)
 }
 
-fn taken(orders: &[String]) -> Book {
-    let take = |book: Book, body: &String| take(&book, body).unwrap_or_else(|refusal| panic!("{refusal}"));
-    orders.iter().fold(Book::default(), take)
+fn taken(orders: &[String]) -> ItemSet {
+    let take = |book: ItemSet, body: &String| take(&book, body).unwrap_or_else(|refusal| panic!("{refusal}"));
+    orders.iter().fold(ItemSet::default(), take)
 }
 
 #[test_case(&[customer(5, "1"), customer(6, "2")], &customer(5, "1"), &customer(5, "3"); "one that stood before")]
@@ -34,10 +34,10 @@
     let again = take(&book, same).unwrap_or_else(|refusal| panic!("{refusal}"));
     assert!(again.beyond(&book).is_empty(), "a repeat changes nothing");
     let refused = take(&book, other).map(|_| ());
-    assert!(matches!(refused, Err(Refusal::Taken { .. })), "{other}: {refused:?}");
+    assert!(matches!(refused, Err(ChangeError::Taken { .. })), "{other}: {refused:?}");
     // So it is with a copy that went over the wire or a disk.
-    let copy = Book::of(book.items().map(|held| held.item.clone()));
-    assert!(take(&copy, same).is_ok() && matches!(take(&copy, other), Err(Refusal::Taken { .. })));
+    let copy = ItemSet::of(book.items().map(|held| held.item.clone()));
+    assert!(take(&copy, same).is_ok() && matches!(take(&copy, other), Err(ChangeError::Taken { .. })));
 }
 
 #[test_case(r#""rate_per_s":94,"burst":9"#, r#""burst":9 ,  "rate_per_s" : 94"#, true; "order and spaces")]
@@ -67,9 +67,9 @@
     let book = taken(&[both.into()]);
     assert!(book.items().all(|held| held.item.version == 6 && held.item.body.is_none()));
     assert!(take(&book, both).is_ok_and(|again| again.beyond(&book).is_empty()));
-    assert!(matches!(take(&book, &customer(5, "3")), Err(Refusal::Taken { version: 5, .. })));
+    assert!(matches!(take(&book, &customer(5, "3")), Err(ChangeError::Taken { version: 5, .. })));
     let one_number = both.replace("r6", "r5");
-    assert!(matches!(take(&Book::default(), &one_number), Err(Refusal::Invalid { .. })));
+    assert!(matches!(take(&ItemSet::default(), &one_number), Err(ChangeError::Invalid { .. })));
 }
 
 #[test]
@@ -77,7 +77,7 @@
     let book = taken(&[customer(5, "1"), customer(6, "2")]);
     let call = r#"{"upsert":{"customers":[{"name":"t-1","api_keys":["k-1"],"rate_per_s":3,"burst":94,"version":"r5"},
         {"name":"t-2","api_keys":["k-2"],"version":"r1"}]}}"#;
-    assert!(matches!(take(&book, call), Err(Refusal::Taken { version: 5, .. })));
+    assert!(matches!(take(&book, call), Err(ChangeError::Taken { version: 5, .. })));
 }
 
 #[test]
@@ -89,29 +89,29 @@
     }
     for order in [customer(1, "1"), customer(1, "2"), dropped(2)] {
         let said = take(&book, &order).map(|_| ());
-        assert!(matches!(said, Err(Refusal::Forgotten { .. })), "{order}: {said:?}");
+        assert!(matches!(said, Err(ChangeError::Forgotten { .. })), "{order}: {said:?}");
     }
     // Within it all is as before.
     for version in [3, last - 1, last] {
         assert!(take(&book, &customer(version, "1")).is_ok_and(|again| again.beyond(&book).is_empty()));
-        assert!(matches!(take(&book, &customer(version, "2")), Err(Refusal::Taken { .. })));
+        assert!(matches!(take(&book, &customer(version, "2")), Err(ChangeError::Taken { .. })));
     }
     // A call of which another number has another content was never confirmed: that can be said.
     let call = r#"{"remove":{"customers":[{"name":"t-1","version":"r1"},{"name":"t-1","version":"r4"}]}}"#;
-    assert!(matches!(take(&book, call), Err(Refusal::Taken { version: 4, .. })));
+    assert!(matches!(take(&book, call), Err(ChangeError::Taken { version: 4, .. })));
 }
 
 #[test]
 fn all_items_together_remember_so_much_and_those_that_have_most_give_first() {
     let item = |at: u64, numbers: u64| {
-        let mut history = History::default();
+        let mut history = VersionHistory::default();
         (0..numbers).for_each(|number| history.confirm(number, number.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
-        let (kind, name, version) = (Kind::Customer, format!("c-{at}"), 100_000);
+        let (kind, name, version) = (ItemKind::Customer, format!("c-{at}"), 100_000);
         Item { kind, name, version, host: String::new(), body: None, history }
     };
     let most = MOST_OF_ITEM as u64;
     let items: Vec<Item> = (0..9).map(|at| item(at, most)).chain([item(9, 100)]).collect();
-    let book = take(&Book::of(items), &customer(1, "1")).unwrap_or_else(|refusal| panic!("{refusal}"));
+    let book = take(&ItemSet::of(items), &customer(1, "1")).unwrap_or_else(|refusal| panic!("{refusal}"));
     let lens: Vec<usize> = book.items().map(|held| held.item.history.len()).collect();
     assert!(lens.iter().sum::<usize>() <= MOST_IN_ALL && lens.contains(&100), "{lens:?}");
     let whole: Vec<Item> = book.items().map(|held| held.item.clone()).collect();
@@ -122,7 +122,7 @@
 
 #[test]
 fn of_an_item_that_was_kept_without_a_history_nothing_is_known_below() {
-    let history = History::unknown_below(7);
+    let history = VersionHistory::unknown_below(7);
     assert_eq!((history.of(6), history.of(7), history.len()), (Known::Forgotten, Known::Never, 0));
-    assert_eq!(History::unknown_below(0).of(0), Known::Never);
+    assert_eq!(VersionHistory::unknown_below(0).of(0), Known::Never);
 }
--- a/crates/starlinghill-config-store/src/apply_change.rs
+++ b/crates/starlinghill-config-store/src/apply_change.rs
@@ -1,12 +1,12 @@
 //! What becomes of an operator's order on top of what was agreed on.
 
 use crate::wire::{Outcome, Value};
-use starlinghill_config_model::{Book, Change, Refusal};
+use starlinghill_config_model::{ChangeError, ConfigChange, ItemSet};
 
 /// The next value, where the order makes a new one, and what the operator is told once the value that this was decided on,
 /// or the next, is known to be agreed on.
-pub fn take(base: &Value, change: &Change) -> (Option<Value>, Outcome) {
-    let book = Book::of(base.iter().cloned());
+pub fn take(base: &Value, change: &ConfigChange) -> (Option<Value>, Outcome) {
+    let book = ItemSet::of(base.iter().cloned());
     match book.with(change) {
         Err(refusal) => (None, refused(refusal)),
         Ok(next) => {
@@ -19,11 +19,11 @@
 
 /// What the operator is told of an order that was not taken. A 4xx is for what is refused whoever looks, and whenever: of
 /// a number beyond the horizon that can't be said.
-pub fn refused(refusal: Refusal) -> Outcome {
+pub fn refused(refusal: ChangeError) -> Outcome {
     match &refusal {
-        Refusal::Invalid { problem } => Outcome::Invalid(problem.clone()),
-        Refusal::Taken { .. } => Outcome::Conflict(refusal.to_string()),
-        Refusal::Forgotten { .. } => {
+        ChangeError::Invalid { problem } => Outcome::Invalid(problem.clone()),
+        ChangeError::Taken { .. } => Outcome::Conflict(refusal.to_string()),
+        ChangeError::Forgotten { .. } => {
             log::warn!("event=number_beyond_horizon said=\"{refusal}\"");
             Outcome::Unclear
         }
--- a/crates/starlinghill-config-store/src/disk.rs
+++ b/crates/starlinghill-config-store/src/disk.rs
@@ -5,7 +5,7 @@
 use crate::wire::{State, Value};
 use bitcode::{Decode, Encode};
 use snafu::Snafu;
-use starlinghill_config_model::{History, Item, Kind};
+use starlinghill_config_model::{Item, ItemKind, VersionHistory};
 use starlinghill_consensus::{AcceptorState, Ballot, Member, Members};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -77,7 +77,7 @@
 /// An item as the version before wrote it, without a history. Its records have keys of their own.
 #[derive(Debug, Encode, Decode)]
 pub struct ItemBefore {
-    kind: Kind,
+    kind: ItemKind,
     name: String,
     version: u64,
     host: String,
@@ -86,7 +86,7 @@
 
 impl From<ItemBefore> for Item {
     fn from(ItemBefore { kind, name, version, host, body }: ItemBefore) -> Item {
-        let history = History::unknown_below(version);
+        let history = VersionHistory::unknown_below(version);
         Item { kind, name, version, host, body, history }
     }
 }
@@ -153,7 +153,7 @@
 }
 
 fn key(item: &Item) -> Vec<u8> {
-    let kind: Kind = item.kind;
+    let kind: ItemKind = item.kind;
     format!("{ITEM}{kind:?}/{}", item.name).into_bytes()
 }
 
--- a/crates/starlinghill-config-store/src/proposer.rs
+++ b/crates/starlinghill-config-store/src/proposer.rs
@@ -5,7 +5,7 @@
 use crate::member_replacement::{Sight, Times};
 use crate::recent_changes::Recent;
 use crate::wire::{Answer, Outcome, Question, State, Value};
-use starlinghill_config_model::Change;
+use starlinghill_config_model::ConfigChange;
 use starlinghill_consensus::{
     AcceptorReply, AcceptorRequest, Ballot, Member, Members, ProposerRound, ProposerStep,
 };
@@ -327,7 +327,7 @@
 
     /// Takes an operator's change, or says why not.
     pub async fn change(self: &Rc<Self>, body: &[u8]) -> Outcome {
-        let change = match Change::read(body) {
+        let change = match ConfigChange::read(body) {
             Ok(change) => change,
             Err(refusal) => return apply_change::refused(refusal),
         };
--- a/crates/starlinghill-config-store/tests/disk.rs
+++ b/crates/starlinghill-config-store/tests/disk.rs
@@ -1,6 +1,6 @@
 //! What is on disk after writes, kills of the process, and files that were cut short.
 
-use starlinghill_config_model::{History, Item, Kind};
+use starlinghill_config_model::{Item, ItemKind, VersionHistory};
 use starlinghill_config_store::disk::Shelf;
 use starlinghill_config_store::wire::State;
 use starlinghill_consensus::{AcceptorState, Ballot, Member, Members};
@@ -9,12 +9,12 @@
 
 fn item(name: &str, version: u64) -> Item {
     Item {
-        kind: Kind::Route,
+        kind: ItemKind::Route,
         name: name.into(),
         version,
         host: "a".into(),
         body: Some(format!("{{\"v\":{version}}}")),
-        history: History::default(),
+        history: VersionHistory::default(),
     }
 }
 
@@ -66,7 +66,7 @@
 /// An item as the version before kept it: no history.
 #[derive(bitcode::Encode)]
 struct ItemBefore {
-    kind: Kind,
+    kind: ItemKind,
     name: String,
     version: u64,
     host: String,
@@ -96,7 +96,8 @@
         batch.commit().unwrap_or_else(|error| panic!("{error}"));
     }
     // Whatever was confirmed below is not known, and is not guessed.
-    let unknown = |name, version| Item { history: History::unknown_below(version), ..item(name, version) };
+    let unknown =
+        |name, version| Item { history: VersionHistory::unknown_below(version), ..item(name, version) };
     let items = vec![unknown("r-1", 7), unknown("r-2", 8)];
     // Lives are incarnations.
     let lives = members().voters.into_iter().zip([0, 2, 1]);
--- a/crates/starlinghill-config-store/tests/numbers.rs
+++ b/crates/starlinghill-config-store/tests/numbers.rs
@@ -2,7 +2,7 @@
 //! members are cut off, lose power or their disk, and answers are lost. Histories are checked as they come: one content for
 //! each number that was ever confirmed, no repeat refused, and in the end what was confirmed is read back.
 
-use starlinghill_config_model::Change;
+use starlinghill_config_model::ConfigChange;
 use starlinghill_config_store::apply_change;
 use starlinghill_config_store::wire::{Outcome, State, Value};
 use starlinghill_consensus::{
@@ -39,7 +39,7 @@
 struct Sending {
     order: usize,
     at: usize,
-    change: Change,
+    change: ConfigChange,
     round: Option<ProposerRound<Value>>,
     made: Option<(State, Outcome)>,
     ended: bool,
@@ -64,7 +64,7 @@
 }
 
 /// The same content, never written the same way for long.
-fn written(rng: &mut fastrand::Rng, parts: &[Part]) -> Change {
+fn written(rng: &mut fastrand::Rng, parts: &[Part]) -> ConfigChange {
     let (mut sets, mut removals) = (Vec::new(), Vec::new());
     for (name, number, content) in parts {
         if *content == 0 {
@@ -83,7 +83,7 @@
     }
     let (sets, removals) = (sets.join(","), removals.join(","));
     let body = format!(r#"{{"upsert":{{"customers":[{sets}]}},"remove":{{"customers":[{removals}]}}}}"#);
-    Change::read(body.as_bytes()).unwrap_or_else(|refusal| panic!("{refusal}"))
+    ConfigChange::read(body.as_bytes()).unwrap_or_else(|refusal| panic!("{refusal}"))
 }
 
 fn founders() -> Members {
--- a/crates/starlinghill-config-store/tests/recent_changes.rs
+++ b/crates/starlinghill-config-store/tests/recent_changes.rs
@@ -1,21 +1,21 @@
 //! Whoever is told only what changed has all that stands.
 
-use starlinghill_config_model::{Book, History, Item, Kind};
+use starlinghill_config_model::{Item, ItemKind, ItemSet, VersionHistory};
 use starlinghill_config_store::recent_changes::Recent;
 use starlinghill_config_store::wire::Value;
 use starlinghill_consensus::Ballot;
 use std::collections::BTreeMap;
 
 fn item(name: u64, version: u64) -> Item {
-    let (kind, name, host) = (Kind::Limits, format!("n-{name:03}"), String::new());
-    Item { kind, name, version, host, body: None, history: History::default() }
+    let (kind, name, host) = (ItemKind::Limits, format!("n-{name:03}"), String::new());
+    Item { kind, name, version, host, body: None, history: VersionHistory::default() }
 }
 
 /// A registry: the ballot that it has, and its items.
 #[derive(Default)]
 struct Follower {
     have: Ballot,
-    book: Book,
+    book: ItemSet,
 }
 
 #[test]
--- a/crates/starlinghill-config-store/tests/records.rs
+++ b/crates/starlinghill-config-store/tests/records.rs
@@ -1,6 +1,6 @@
 //! Disks that refuse, tear, rot, and fill: what a store finds on them afterwards is all that was told, or nothing.
 
-use starlinghill_config_model::{History, Item, Kind};
+use starlinghill_config_model::{Item, ItemKind, VersionHistory};
 use starlinghill_config_store::disk::{self, Found, Order, Shelf};
 use starlinghill_config_store::records::REPLACED_AT;
 use starlinghill_config_store::wire::State;
@@ -15,8 +15,8 @@
 
 fn item(name: &str, version: u64, long: usize) -> Item {
     let body = Some(format!("{{\"v\":{version},\"t\":\"{}\"}}", "x".repeat(long)));
-    let history = History::default();
-    Item { kind: Kind::Route, name: name.into(), version, host: "a".into(), body, history }
+    let history = VersionHistory::default();
+    Item { kind: ItemKind::Route, name: name.into(), version, host: "a".into(), body, history }
 }
 
 fn members() -> Members {
--- a/crates/starlinghill-console/src/explain.rs
+++ b/crates/starlinghill-console/src/explain.rs
@@ -3,17 +3,17 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use starlinghill_catalog::State;
-use starlinghill_config_model::{Book, Change, Refusal, Table};
+use starlinghill_config_model::{ChangeError, ConfigChange, ItemSet, RoutingTable};
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
 use starlinghill_registry::wire::Status;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The items as they are read back, as a book.
-pub fn book(items: &OwnedValue) -> Result<Book, Refusal> {
+pub fn book(items: &OwnedValue) -> Result<ItemSet, ChangeError> {
     let mut call = OwnedValue::object();
     let _ = call.insert("upsert", items.clone());
-    Book::default().with(&Change::read(call.encode().as_bytes())?)
+    ItemSet::default().with(&ConfigChange::read(call.encode().as_bytes())?)
 }
 
 /// A request that is asked about.
@@ -28,8 +28,8 @@
 }
 
 /// What becomes of it, a line each step.
-pub fn explain(items: &OwnedValue, statuses: &[Status], asked: Asked) -> Result<Vec<String>, Refusal> {
-    let table = Table::of(&book(items)?);
+pub fn explain(items: &OwnedValue, statuses: &[Status], asked: Asked) -> Result<Vec<String>, ChangeError> {
+    let table = RoutingTable::of(&book(items)?);
     let mut said = Vec::new();
     let Some(route) = table.route(asked.host, asked.path) else {
         let hosts = table.routes().filter(|route| route.host.eq_ignore_ascii_case(asked.host)).count();
@@ -99,7 +99,7 @@
 }
 
 /// What differs between the items that stand and those of a file: a line each.
-pub fn differences(stand: &Book, file: &Book) -> Vec<String> {
+pub fn differences(stand: &ItemSet, file: &ItemSet) -> Vec<String> {
     let line = |sign: char, item: &starlinghill_config_model::Item| {
         let dropped = if item.body.is_none() { " dropped" } else { "" };
         format!("{sign} {:?} {} r{}{dropped}", item.kind, item.name, item.version)
--- a/crates/starlinghill-console/src/main.rs
+++ b/crates/starlinghill-console/src/main.rs
@@ -2,7 +2,7 @@
 
 use ratatui::crossterm::event::{self, Event, KeyCode};
 use simd_json::prelude::*;
-use starlinghill_config_model::{Change, Table};
+use starlinghill_config_model::{ConfigChange, RoutingTable};
 use starlinghill_console::client::{AskError, Places};
 use starlinghill_console::explain::{book, differences, explain, Asked};
 use starlinghill_console::membership;
@@ -142,7 +142,7 @@
 async fn diff(places: &Places, file: &str) -> Result<(), AskError> {
     let nonsense = |what: String| AskError::Nonsense { what };
     let text = std::fs::read(file).map_err(|error| nonsense(format!("{file}: {error}")))?;
-    let change = Change::read(&text).map_err(|refusal| nonsense(format!("{file}: {refusal}")))?;
+    let change = ConfigChange::read(&text).map_err(|refusal| nonsense(format!("{file}: {refusal}")))?;
     let stand = book(&places.items().await?).map_err(|refusal| nonsense(refusal.to_string()))?;
     let next = stand.with(&change).map_err(|refusal| nonsense(format!("{file}: {refusal}")))?;
     differences(&stand, &next).iter().for_each(|line| println!("{line}"));
@@ -174,7 +174,8 @@
             if let Ok(book) = places.items().await.map_err(drop).and_then(|items| book(&items).map_err(drop))
             {
                 let name = |name: &str| store_name(CustomerId(xxh3_64(name.as_bytes()))).0;
-                tenants = Table::of(&book).tenants.iter().map(|t| (name(&t.name), t.name.clone())).collect();
+                tenants =
+                    RoutingTable::of(&book).tenants.iter().map(|t| (name(&t.name), t.name.clone())).collect();
             }
         }
         let until = Instant::now() + LOOK;
--- a/crates/starlinghill-console/src/screen.rs
+++ b/crates/starlinghill-console/src/screen.rs
@@ -6,7 +6,7 @@
 use ratatui::text::{Line, Span};
 use ratatui::widgets::{Block, Paragraph};
 use ratatui::Frame;
-use starlinghill_config_model::Kind;
+use starlinghill_config_model::ItemKind;
 use std::collections::HashMap;
 
 fn panel<'a>(title: String, lines: Vec<Line<'a>>, from: usize) -> Paragraph<'a> {
@@ -92,10 +92,10 @@
     let current = picture.gateways.values().filter(|gateway| gateway.current).count();
     let lines = picture.items.iter().map(|((kind, name), (version, stands))| {
         let kind = match kind {
-            Kind::Route => "route",
-            Kind::Customer => "customer",
-            Kind::Service => "service",
-            Kind::Limits => "limits",
+            ItemKind::Route => "route",
+            ItemKind::Customer => "customer",
+            ItemKind::Service => "service",
+            ItemKind::Limits => "limits",
         };
         let line = format!("{kind:<9} {name:<24} r{version}");
         if *stands {
--- a/crates/starlinghill-console/src/status.rs
+++ b/crates/starlinghill-console/src/status.rs
@@ -1,7 +1,7 @@
 //! How things stand over all registries, as one picture, and what changed since the last one.
 
 use starlinghill_catalog::{Instance, Liveness, State};
-use starlinghill_config_model::Kind;
+use starlinghill_config_model::ItemKind;
 use starlinghill_quota_counter::BackendLoad;
 use starlinghill_registry::wire::Status;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -57,7 +57,7 @@
     /// Services by name.
     pub services: BTreeMap<String, Service>,
     /// Items by kind and name: version, and whether they stand.
-    pub items: BTreeMap<(Kind, String), (u64, bool)>,
+    pub items: BTreeMap<(ItemKind, String), (u64, bool)>,
     /// Who keeps the count, its term, gateways that it does not hear.
     pub holder: Option<(IpAddr, u64, u64)>,
     /// Stores: what they hold, the rate, what is asked for a second.
--- a/crates/starlinghill-console/tests/words.rs
+++ b/crates/starlinghill-console/tests/words.rs
@@ -2,7 +2,7 @@
 
 use starlinghill_catalog::{Gateway, Instance, Liveness, Observation, State};
 use starlinghill_config_model::items::digest;
-use starlinghill_config_model::{Change, History, Item, Kind};
+use starlinghill_config_model::{ConfigChange, Item, ItemKind, VersionHistory};
 use starlinghill_console::explain::{book, differences, explain, Asked};
 use starlinghill_console::status::Picture;
 use starlinghill_decision::api::CustomerId;
@@ -38,7 +38,7 @@
 
 fn item(name: &str, version: u64) -> Item {
     let (host, body) = ("a".into(), Some("{}".into()));
-    Item { kind: Kind::Route, name: name.into(), version, host, body, history: History::default() }
+    Item { kind: ItemKind::Route, name: name.into(), version, host, body, history: VersionHistory::default() }
 }
 
 fn status(rack: u8, items: &[Item]) -> Status {
@@ -143,6 +143,7 @@
 fn a_file_is_compared_with_what_stands() {
     let stand = book(&items()).unwrap_or_default();
     let change = r#"{"upsert":{},"remove":{"routes":[{"name":"r-1","version":"r9"}]}}"#;
-    let next = Change::read(change.as_bytes()).and_then(|change| stand.with(&change)).unwrap_or_default();
+    let next =
+        ConfigChange::read(change.as_bytes()).and_then(|change| stand.with(&change)).unwrap_or_default();
     assert_eq!(differences(&stand, &next), ["- Route r-1 r7", "+ Route r-1 r9 dropped"]);
 }
--- a/crates/starlinghill-proxy/src/decision_settings.rs
+++ b/crates/starlinghill-proxy/src/decision_settings.rs
@@ -2,7 +2,7 @@
 //! place for as long as the process lives, since requests that are open go by it.
 
 use starlinghill_config_model::routing::{Route, Tenant};
-use starlinghill_config_model::Table;
+use starlinghill_config_model::RoutingTable;
 use starlinghill_decision::api::*;
 use starlinghill_runtime::settings::Bounds;
 use std::collections::HashMap;
@@ -74,7 +74,7 @@
 
 impl Places {
     /// Takes in a configuration: every class and plan that a request may have from now on gets its place.
-    pub fn follow(&mut self, table: &Table) {
+    pub fn follow(&mut self, table: &RoutingTable) {
         for route in table.routes() {
             let tenants = table.tenants.iter().map(|tenant| Some(tenant.as_ref()));
             for tenant in tenants.chain([None]) {
--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -8,7 +8,7 @@
 use crate::rejections::Refusals;
 use crate::request_handler::Front;
 use snafu::{OptionExt, ResultExt, Snafu};
-use starlinghill_config_model::Table;
+use starlinghill_config_model::RoutingTable;
 use starlinghill_decision::api::Micros;
 use starlinghill_gateway::backend::{Counts, Pool};
 use starlinghill_gateway::config::ConfigError;
@@ -134,7 +134,7 @@
     log::info!("event=start program=workbench node={} zone={}", node.name, node.zone);
     let (stop, stopping) = watch::channel(false);
     let (ready, _) = watch::channel(false);
-    let view = View { table: Table::default(), places: Places::default(), gateways: 1 };
+    let view = View { table: RoutingTable::default(), places: Places::default(), gateways: 1 };
     let shared = Rc::new(Shared { view: RefCell::new(view), ready, stopping });
     let life = fastrand::u64(1..);
     let (holder, held) = registry_client::nowhere();
--- a/crates/starlinghill-proxy/src/registry_client.rs
+++ b/crates/starlinghill-proxy/src/registry_client.rs
@@ -7,7 +7,7 @@
 use starlinghill_catalog::{number, service_number, Change, Gateway, Liveness, MergedView, State};
 use starlinghill_config_model::items::digest;
 use starlinghill_config_model::routing::Tenant;
-use starlinghill_config_model::{Book, Table};
+use starlinghill_config_model::{ItemSet, RoutingTable};
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::*;
 use starlinghill_decision::store_name;
@@ -42,7 +42,7 @@
 /// What a request is decided by.
 pub struct View {
     /// Routes, keys, tenants.
-    pub table: Table,
+    pub table: RoutingTable,
     /// Their places in the module.
     pub places: Places,
     /// Through how many gateways a tenant's traffic can come.
@@ -128,7 +128,7 @@
         ring,
         alone: false,
         start: Instant::now(),
-        book: Book::default(),
+        book: ItemSet::default(),
         merged: MergedView::default(),
         changed_services: BTreeSet::new(),
         lists: BTreeMap::new(),
@@ -253,7 +253,7 @@
     /// It hears neither the counter nor another gateway, as the module was told last.
     alone: bool,
     start: Instant,
-    book: Book,
+    book: ItemSet,
     merged: MergedView,
     /// Services with a backend that changed since the last tick.
     changed_services: BTreeSet<String>,
@@ -343,7 +343,7 @@
 
     /// The module is told before a request can come under the new items.
     async fn follow_items(&mut self) {
-        let table = Table::of(&self.book);
+        let table = RoutingTable::of(&self.book);
         self.shared.view.borrow_mut().places.follow(&table);
         let quota = |tenant: &Rc<Tenant>| {
             let name = store_name(CustomerId(number(&tenant.name)));
--- a/crates/starlinghill-registry/src/http.rs
+++ b/crates/starlinghill-registry/src/http.rs
@@ -14,7 +14,7 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use starlinghill_catalog::{Instance, State};
-use starlinghill_config_model::Book;
+use starlinghill_config_model::ItemSet;
 use starlinghill_config_store::wire::{Answer, Outcome, Question as Ask};
 use starlinghill_lease::contact::ORDER_ANSWERED;
 use starlinghill_runtime::net::{Listener, Net};
@@ -189,7 +189,7 @@
     async fn read(&self) -> Reply {
         match ask_store(&self.net, self.stores(), Ask::Read, ORDER_ANSWERED).await {
             Some(Answer::Whole(items)) => {
-                reply(StatusCode::OK, Book::of(items).layout().encode().into_bytes())
+                reply(StatusCode::OK, ItemSet::of(items).layout().encode().into_bytes())
             }
             _ => problem(StatusCode::SERVICE_UNAVAILABLE, "no majority of stores in time"),
         }
--- a/crates/starlinghill-registry/src/state.rs
+++ b/crates/starlinghill-registry/src/state.rs
@@ -4,7 +4,7 @@
 use crate::wire::{Answer, Count, Have, Heard, News, Question, Status};
 use starlinghill_catalog::{number, service_number, Catalog, Instance, Liveness, Observation, State};
 use starlinghill_config_model::items::digest;
-use starlinghill_config_model::{Item, Kind};
+use starlinghill_config_model::{Item, ItemKind};
 use starlinghill_config_store::wire::Value;
 use starlinghill_consensus::Members;
 use starlinghill_failure_detector::GatewayLiveness;
@@ -78,7 +78,7 @@
     base: u64,
     catalog: Catalog,
     /// The items with the number of their last change.
-    items: BTreeMap<(Kind, String), (Item, u64)>,
+    items: BTreeMap<(ItemKind, String), (Item, u64)>,
     chain: Chain,
     /// A majority's word that the items are all.
     contact: Option<LastContact>,
--- a/crates/starlinghill-registry/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -2,7 +2,7 @@
 
 use bitcode::{Decode, Encode};
 use starlinghill_catalog::{Gateway, Instance, Observation};
-use starlinghill_config_model::{Item, Kind};
+use starlinghill_config_model::{Item, ItemKind};
 use starlinghill_consensus::Members;
 use starlinghill_failure_detector::PeerSighting;
 use starlinghill_lease as lease;
@@ -146,7 +146,7 @@
     /// The members of the core, as far as is known here.
     pub members: Members,
     /// Items: kind, name, version, and whether they stand.
-    pub items: Vec<(Kind, String, u64, bool)>,
+    pub items: Vec<(ItemKind, String, u64, bool)>,
     /// What stands for them.
     pub digest: u64,
     /// Backends, each heard of so many milliseconds ago.
--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -14,7 +14,7 @@
 use starlinghill_runtime::settings::{Bounds, Node};
 use starlinghill_runtime::{CONFIG_STORE_PORT_OFFSET, PROXY_PORT_OFFSET, REGISTRY_PORT_OFFSET};
 
-use starlinghill_config_model::Table;
+use starlinghill_config_model::RoutingTable;
 use starlinghill_config_store::program::store;
 use starlinghill_proxy::decision_settings::Places;
 use starlinghill_proxy::heartbeat::Ring;
@@ -350,7 +350,7 @@
         let (granted, begun, ended) = (self.granted.clone(), self.begun, self.ended.clone());
         *gateway.process.borrow_mut() = Process::begin(async move {
             let (_stop, stopping) = watch::channel(false);
-            let view = View { table: Table::default(), places: Places::default(), gateways: 1 };
+            let view = View { table: RoutingTable::default(), places: Places::default(), gateways: 1 };
             let shared =
                 Rc::new(Shared { view: RefCell::new(view), ready: watch::channel(false).0, stopping });
             *slot.borrow_mut() = Some(shared.clone());
--- a/crates/starlinghill-testkit/examples/scale/pieces.rs
+++ b/crates/starlinghill-testkit/examples/scale/pieces.rs
@@ -3,7 +3,7 @@
 use starlinghill_catalog::{
     number, service_number, Catalog, Gateway, Instance, Liveness, Observation, State,
 };
-use starlinghill_config_model::{Book, Change, Item};
+use starlinghill_config_model::{ConfigChange, Item, ItemSet};
 use starlinghill_failure_detector::{GatewayLiveness, PeerSighting};
 use starlinghill_quota_counter::{Allowance, Draw, ListedBackend, LoadReport, QuotaCounter};
 use starlinghill_registry::wire::{Answer, Have, Heard, News, Question};
@@ -37,13 +37,13 @@
     }
 }
 
-fn book(items: usize) -> Book {
+fn book(items: usize) -> ItemSet {
     // As at the target: of 85,750 items 950 are services, 9,800 routes and 75,000 tenants.
     let routes = items * 98 / 858;
     let tenants = items - routes - routes.div_ceil(10) - 1;
-    let mut book = Book::default();
+    let mut book = ItemSet::default();
     for call in crate::first_calls(routes.div_ceil(10), routes, tenants) {
-        let change = Change::read(call.as_bytes()).expect("a change");
+        let change = ConfigChange::read(call.as_bytes()).expect("a change");
         book.merge(change.items.iter().map(|held| held.item.clone()));
     }
     book
@@ -220,9 +220,9 @@
         let book = book(items);
         let value: Vec<Item> = book.items().map(|held| held.item.clone()).collect();
         let bytes = bitcode::encode(&value);
-        let again = timed(2, |_| drop(black_box(Book::of(value.iter().cloned()))));
+        let again = timed(2, |_| drop(black_box(ItemSet::of(value.iter().cloned()))));
         let one = format!(r#"{{"upsert":{{"ports":[{}]}},"remove":{{}}}}"#, crate::route(0, 1, 2));
-        let change = Change::read(one.as_bytes()).expect("a change");
+        let change = ConfigChange::read(one.as_bytes()).expect("a change");
         let with = timed(5, |_| drop(black_box(book.with(&change).map(|next| next.beyond(&book)))));
         let encoded = timed(5, |_| drop(black_box(bitcode::encode(&value))));
         println!("| {} | {} | {} | {} | {} |", value.len(), bytes.len(), us(again), us(with), us(encoded));
