--- a/crates/starlinghill-config-store/src/admission.rs
+++ b/crates/starlinghill-config-store/src/admission.rs
@@ -2,7 +2,9 @@
 
 use crate::member_replacement::{decide, Sight};
 use crate::proposer::Stores;
-use crate::wire::{Admission, Answer, CoreOrder, Question, Standing, State, Wait};
+use crate::wire::{
+    MembershipDelay, MembershipOrder, MembershipOutcome, MembershipStatus, State, StoreRequest, StoreResponse,
+};
 use starlinghill_consensus::{AcceptorReply, AcceptorRequest, Member, MemberChange, Members};
 use starlinghill_lease::contact::ORDER_TRIED;
 use std::collections::{BTreeMap, BTreeSet};
@@ -53,8 +55,8 @@
             .chain(seeds.iter().copied())
             .filter(|ip| *ip != self.me.ip)
             .collect();
-        for (_, answer) in self.ask_each(ips, Question::Members).await {
-            if let Answer::Members(members, ballot) = answer {
+        for (_, answer) in self.ask_each(ips, StoreRequest::Members).await {
+            if let StoreResponse::Members(members, ballot) = answer {
                 if !members.voters.is_empty() {
                     self.follow_members(members, ballot);
                 }
@@ -63,13 +65,13 @@
     }
 
     /// Asks each of these at once, and waits for all.
-    async fn ask_each(&self, ips: BTreeSet<IpAddr>, question: Question) -> Vec<(IpAddr, Answer)> {
+    async fn ask_each(&self, ips: BTreeSet<IpAddr>, question: StoreRequest) -> Vec<(IpAddr, StoreResponse)> {
         let (tell, mut told) = mpsc::unbounded_channel();
         for ip in ips {
             let (caller, question, tell) = (self.caller(ip), question.clone(), tell.clone());
             let patience = self.chain.voter;
             spawn_local(async move {
-                if let Ok(answer) = caller.call::<_, Answer>(&question, patience).await {
+                if let Ok(answer) = caller.call::<_, StoreResponse>(&question, patience).await {
                     // It is waited for.
                     let _ = tell.send((ip, answer));
                 }
@@ -84,30 +86,32 @@
     }
 
     /// All members hear of it, so that one which leaves knows to whom.
-    async fn ask_to_join(&self, members: &Members) -> Option<Admission> {
+    async fn ask_to_join(&self, members: &Members) -> Option<MembershipOutcome> {
         let ips = members.voters.iter().map(|m| m.ip).filter(|ip| *ip != self.me.ip).collect();
-        let answers = self.ask_each(ips, Question::Join(self.me)).await;
+        let answers = self.ask_each(ips, StoreRequest::Join(self.me)).await;
         let admission = |answer| match answer {
-            Answer::Admission(admission) => Some(admission),
+            StoreResponse::Admission(admission) => Some(admission),
             _ => None,
         };
-        let all: Vec<Admission> = answers.into_iter().filter_map(|(_, answer)| admission(answer)).collect();
-        let done = |a: &Admission| matches!(a, Admission::Done(_) | Admission::Stands);
+        let all: Vec<MembershipOutcome> =
+            answers.into_iter().filter_map(|(_, answer)| admission(answer)).collect();
+        let done =
+            |a: &MembershipOutcome| matches!(a, MembershipOutcome::Done(_) | MembershipOutcome::Stands);
         all.iter().find(|a| done(a)).or(all.first()).cloned()
     }
 
     /// A store would vote: decides by the rules, and has it agreed on.
-    pub async fn admit(self: &Rc<Self>, candidate: Member) -> Admission {
+    pub async fn admit(self: &Rc<Self>, candidate: Member) -> MembershipOutcome {
         let (members, _) = self.members();
         let verdict = match self.decide(&members, candidate).await {
-            Ok(None) => return Admission::Stands,
+            Ok(None) => return MembershipOutcome::Stands,
             Ok(Some(change)) => self.change_members(members.epoch, change).await,
-            Err(wait) => Admission::Waits(wait),
+            Err(wait) => MembershipOutcome::Waits(wait),
         };
         let mut candidates = self.candidates.borrow_mut();
         candidates.retain(|_, (at, _)| at.elapsed() < WAITING);
         match verdict {
-            Admission::Waits(wait) if candidates.len() < MOST_CANDIDATES => {
+            MembershipOutcome::Waits(wait) if candidates.len() < MOST_CANDIDATES => {
                 candidates.insert(candidate, (Instant::now(), wait));
             }
             _ => drop(candidates.remove(&candidate)),
@@ -115,27 +119,35 @@
         verdict
     }
 
-    async fn decide(&self, members: &Members, candidate: Member) -> Result<Option<MemberChange>, Wait> {
+    async fn decide(
+        &self,
+        members: &Members,
+        candidate: Member,
+    ) -> Result<Option<MemberChange>, MembershipDelay> {
         if !members.has(self.me) {
-            return Err(Wait::NoMajority);
+            return Err(MembershipDelay::NoMajority);
         }
         let mut sights: BTreeMap<Member, Sight> = BTreeMap::from([(self.me, self.sight())]);
         // Others are asked only where one is missed here.
         if self.sight().values().any(|ago| *ago >= self.times.gone) {
             let others = members.voters.iter().map(|m| m.ip).filter(|ip| *ip != self.me.ip).collect();
-            for (ip, answer) in self.ask_each(others, Question::Sight).await {
-                let (Answer::Sight(told), Some(member)) = (answer, members.at(ip)) else { continue };
+            for (ip, answer) in self.ask_each(others, StoreRequest::Sight).await {
+                let (StoreResponse::Sight(told), Some(member)) = (answer, members.at(ip)) else { continue };
                 let sight = told.into_iter().map(|(m, ms)| (m, Duration::from_millis(ms))).collect();
                 sights.insert(member, sight);
             }
         } else if members.at(candidate.ip).is_none() && !members.has(candidate) {
-            return Err(if self.stood() < self.times.stood { Wait::TooSoon } else { Wait::NobodyGone });
+            return Err(if self.stood() < self.times.stood {
+                MembershipDelay::TooSoon
+            } else {
+                MembershipDelay::NobodyGone
+            });
         }
         decide(self.times, members, self.stood(), candidate, &sights)
     }
 
     /// Has other members agreed on, if they are still those of that epoch. Whoever comes has all that was agreed on first.
-    pub async fn change_members(self: &Rc<Self>, epoch: u64, change: MemberChange) -> Admission {
+    pub async fn change_members(self: &Rc<Self>, epoch: u64, change: MemberChange) -> MembershipOutcome {
         let (ballot, state) = self.known();
         if let MemberChange::Add(joins) | MemberChange::Replace { joins, .. } = change {
             let learn = AcceptorRequest::Learn { ballot, state: state.as_ref().clone() };
@@ -144,51 +156,55 @@
                 _ => false,
             };
             if !synced {
-                return Admission::Waits(Wait::NotSynced);
+                return MembershipOutcome::Waits(MembershipDelay::NotSynced);
             }
         }
         let agreed = self.agree(Instant::now() + ORDER_TRIED, |base| {
             if base.members.epoch != epoch {
-                return (None, Admission::Waits(Wait::TooSoon));
+                return (None, MembershipOutcome::Waits(MembershipDelay::TooSoon));
             }
             match base.members.with(change) {
-                Ok(members) => (Some(State { members, value: base.value.clone() }), Admission::Done(change)),
-                Err(_) => (None, Admission::Waits(Wait::Refused)),
+                Ok(members) => {
+                    (Some(State { members, value: base.value.clone() }), MembershipOutcome::Done(change))
+                }
+                Err(_) => (None, MembershipOutcome::Waits(MembershipDelay::Refused)),
             }
         });
-        let came = agreed.await.unwrap_or(Admission::Waits(Wait::NoMajority));
+        let came = agreed.await.unwrap_or(MembershipOutcome::Waits(MembershipDelay::NoMajority));
         log::info!("event=change_members epoch={epoch} change=\"{change:?}\" came=\"{came:?}\"");
         came
     }
 
     /// People want other members. Their word counts at once, but for the time that a change must have stood.
-    pub async fn order(self: &Rc<Self>, order: CoreOrder) -> Admission {
+    pub async fn order(self: &Rc<Self>, order: MembershipOrder) -> MembershipOutcome {
         let (members, _) = self.members();
         if self.stood() < self.times.stood {
-            return Admission::Waits(Wait::TooSoon);
+            return MembershipOutcome::Waits(MembershipDelay::TooSoon);
         }
         let change = match order {
-            CoreOrder::Add(ip) => self.at(ip).await.map(MemberChange::Add),
-            CoreOrder::Remove(ip) => members.at(ip).map(MemberChange::Remove).ok_or(Wait::Refused),
-            CoreOrder::Replace(leaves, joins) => match (members.at(leaves), self.at(joins).await) {
+            MembershipOrder::Add(ip) => self.at(ip).await.map(MemberChange::Add),
+            MembershipOrder::Remove(ip) => {
+                members.at(ip).map(MemberChange::Remove).ok_or(MembershipDelay::Refused)
+            }
+            MembershipOrder::Replace(leaves, joins) => match (members.at(leaves), self.at(joins).await) {
                 (Some(leaves), Ok(joins)) => Ok(MemberChange::Replace { leaves, joins }),
-                (None, _) => Err(Wait::Refused),
+                (None, _) => Err(MembershipDelay::Refused),
                 (_, Err(wait)) => Err(wait),
             },
         };
         match change {
             Ok(change) => self.change_members(members.epoch, change).await,
-            Err(wait) => Admission::Waits(wait),
+            Err(wait) => MembershipOutcome::Waits(wait),
         }
     }
 
     /// Who is at an address.
-    async fn at(&self, ip: IpAddr) -> Result<Member, Wait> {
+    async fn at(&self, ip: IpAddr) -> Result<Member, MembershipDelay> {
         // Nobody has that incarnation by chance: the answer says who is there.
         match self.put(Member { ip, incarnation: u64::MAX }, AcceptorRequest::Look(Default::default())).await
         {
             Some(AcceptorReply::Another(member)) => Ok(member),
-            _ => Err(Wait::NotSynced),
+            _ => Err(MembershipDelay::NotSynced),
         }
     }
 
@@ -196,7 +212,7 @@
     /// and until somebody noticed that it does not, one loss more would leave no majority.
     pub async fn leave(self: &Rc<Self>) {
         let (members, _) = self.members();
-        let waits = |(_, (at, _)): &(&Member, &(Instant, Wait))| at.elapsed() < WAITING;
+        let waits = |(_, (at, _)): &(&Member, &(Instant, MembershipDelay))| at.elapsed() < WAITING;
         let joins = self.candidates.borrow().iter().filter(waits).map(|(member, _)| *member).next();
         let Some(joins) = joins.filter(|_| members.has(self.me)) else { return };
         if self.stood() >= self.times.stood {
@@ -206,9 +222,9 @@
     }
 
     /// How things stand between the members.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> MembershipStatus {
         let sight = self.sight();
-        Standing {
+        MembershipStatus {
             me: self.me,
             members: self.members().0,
             fresh: self.is_fresh(),
--- a/crates/starlinghill-config-store/src/apply_change.rs
+++ b/crates/starlinghill-config-store/src/apply_change.rs
@@ -1,31 +1,31 @@
 //! What becomes of an operator's order on top of what was agreed on.
 
-use crate::wire::{Outcome, Value};
+use crate::wire::{ChangeOutcome, Value};
 use starlinghill_config_model::{ChangeError, ConfigChange, ItemSet};
 
 /// The next value, where the order makes a new one, and what the operator is told once the value that this was decided on,
 /// or the next, is known to be agreed on.
-pub fn take(base: &Value, change: &ConfigChange) -> (Option<Value>, Outcome) {
+pub fn take(base: &Value, change: &ConfigChange) -> (Option<Value>, ChangeOutcome) {
     let book = ItemSet::of(base.iter().cloned());
     match book.with(change) {
         Err(refusal) => (None, refused(refusal)),
         Ok(next) => {
             let new = !next.beyond(&book).is_empty();
             let items = || next.items().map(|held| held.item.clone()).collect();
-            (new.then(items), Outcome::Taken)
+            (new.then(items), ChangeOutcome::Taken)
         }
     }
 }
 
 /// What the operator is told of an order that was not taken. A 4xx is for what is refused whoever looks, and whenever: of
 /// a number beyond the horizon that can't be said.
-pub fn refused(refusal: ChangeError) -> Outcome {
+pub fn refused(refusal: ChangeError) -> ChangeOutcome {
     match &refusal {
-        ChangeError::Invalid { problem } => Outcome::Invalid(problem.clone()),
-        ChangeError::Taken { .. } => Outcome::Conflict(refusal.to_string()),
+        ChangeError::Invalid { problem } => ChangeOutcome::Invalid(problem.clone()),
+        ChangeError::Taken { .. } => ChangeOutcome::Conflict(refusal.to_string()),
         ChangeError::Forgotten { .. } => {
             log::warn!("event=number_beyond_horizon said=\"{refusal}\"");
-            Outcome::Unclear
+            ChangeOutcome::Unclear
         }
     }
 }
--- a/crates/starlinghill-config-store/src/member_replacement.rs
+++ b/crates/starlinghill-config-store/src/member_replacement.rs
@@ -1,6 +1,6 @@
 //! When a store that does not vote may take a member's place, without people. Pure: what was heard is an argument.
 
-use crate::wire::Wait;
+use crate::wire::MembershipDelay;
 use starlinghill_consensus::{has_majority, Member, MemberChange, Members};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -32,7 +32,7 @@
     stood: Duration,
     candidate: Member,
     sights: &BTreeMap<Member, Sight>,
-) -> Result<Option<MemberChange>, Wait> {
+) -> Result<Option<MemberChange>, MembershipDelay> {
     if members.has(candidate) {
         return Ok(None);
     }
@@ -41,11 +41,11 @@
         return Ok(Some(MemberChange::Replace { leaves, joins: candidate }));
     }
     if stood < times.stood {
-        return Err(Wait::TooSoon);
+        return Err(MembershipDelay::TooSoon);
     }
     let told: BTreeSet<Member> = sights.keys().copied().collect();
     if !members.majority(&told) {
-        return Err(Wait::NoMajority);
+        return Err(MembershipDelay::NoMajority);
     }
     let misses = |member: Member| {
         let by = |sight: &Sight| sight.get(&member).is_some_and(|ago| *ago >= times.gone);
@@ -57,6 +57,6 @@
     let gone = members.voters.iter().copied().filter(|member| misses(*member));
     match gone.max_by_key(longest) {
         Some(leaves) => Ok(Some(MemberChange::Replace { leaves, joins: candidate })),
-        None => Err(Wait::NobodyGone),
+        None => Err(MembershipDelay::NobodyGone),
     }
 }
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -4,7 +4,7 @@
 use crate::disk::{self, Disk, Found, Order, Shelf, ShelfError};
 use crate::member_replacement::Times;
 use crate::proposer::Stores;
-use crate::wire::{Answer, Question, Value};
+use crate::wire::{StoreRequest, StoreResponse, Value};
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_config_model::Item;
 use starlinghill_consensus::{Acceptor, Member, Members};
@@ -146,7 +146,7 @@
     essentials.spawn("belong", stores.clone().belong(move || latest().unwrap_or_else(|| first.clone())));
     let asked = stores.clone();
     // An order whose caller has left may be refused by another store meanwhile.
-    let order = |question: &Question| matches!(question, Question::Change(_));
+    let order = |question: &StoreRequest| matches!(question, StoreRequest::Change(_));
     let answer = move |question, _| {
         let stores = asked.clone();
         async move { answer(question, &stores, chain).await }
@@ -177,16 +177,20 @@
     Ok(voter)
 }
 
-async fn answer(question: Question, stores: &Rc<Stores>, chain: Chain) -> Answer {
+async fn answer(question: StoreRequest, stores: &Rc<Stores>, chain: Chain) -> StoreResponse {
     match question {
-        Question::Vote(to, ask) => stores.vote(to, ask).await.map_or(Answer::NotNow, Answer::Vote),
-        Question::Members => {
+        StoreRequest::Vote(to, ask) => {
+            stores.vote(to, ask).await.map_or(StoreResponse::NotNow, StoreResponse::Vote)
+        }
+        StoreRequest::Members => {
             let (members, ballot) = stores.members();
-            Answer::Members(members, ballot)
+            StoreResponse::Members(members, ballot)
+        }
+        StoreRequest::Change(body) => StoreResponse::Changed(stores.change(&body).await),
+        StoreRequest::Read => {
+            stores.read().await.map_or(StoreResponse::NotNow, |items| StoreResponse::Whole(as_news(&items)))
         }
-        Question::Change(body) => Answer::Changed(stores.change(&body).await),
-        Question::Read => stores.read().await.map_or(Answer::NotNow, |items| Answer::Whole(as_news(&items))),
-        Question::News(have, was_fresh) => {
+        StoreRequest::News(have, was_fresh) => {
             let asked = Instant::now();
             let (mut chosen, mut fresh) = (stores.chosen(), stores.fresh());
             // Without news it says after a while that there is none.
@@ -199,15 +203,15 @@
             let (ballot, items) = (chosen.borrow().0, stores.news(have).map(|items| as_news(&items)));
             let (members, proposed) = (stores.members().0, stores.proposed());
             let (contact, votes) = (stores.contact(asked), members.has(stores.me));
-            Answer::News { ballot, contact, members, votes, proposed, items }
+            StoreResponse::News { ballot, contact, members, votes, proposed, items }
         }
-        Question::Join(candidate) => Answer::Admission(stores.admit(candidate).await),
-        Question::Sight => {
+        StoreRequest::Join(candidate) => StoreResponse::Admission(stores.admit(candidate).await),
+        StoreRequest::Sight => {
             let ms = |(member, ago): (Member, Duration)| (member, ago.as_millis() as u64);
-            Answer::Sight(stores.sight().into_iter().map(ms).collect())
+            StoreResponse::Sight(stores.sight().into_iter().map(ms).collect())
         }
-        Question::Order(order) => Answer::Admission(stores.order(order).await),
-        Question::Why => Answer::Why(stores.standing()),
+        StoreRequest::Order(order) => StoreResponse::Admission(stores.order(order).await),
+        StoreRequest::Why => StoreResponse::Why(stores.standing()),
     }
 }
 
--- a/crates/starlinghill-config-store/src/proposer.rs
+++ b/crates/starlinghill-config-store/src/proposer.rs
@@ -4,7 +4,7 @@
 use crate::apply_change;
 use crate::member_replacement::{Sight, Times};
 use crate::recent_changes::Recent;
-use crate::wire::{Answer, Outcome, Question, State, Value};
+use crate::wire::{ChangeOutcome, State, StoreRequest, StoreResponse, Value};
 use starlinghill_config_model::ConfigChange;
 use starlinghill_consensus::{
     AcceptorReply, AcceptorRequest, Ballot, Member, Members, ProposerRound, ProposerStep,
@@ -54,7 +54,7 @@
     heard: RefCell<BTreeMap<Member, Instant>>,
     begun: Instant,
     /// Stores that would vote: when they asked last, and why they don't.
-    pub(crate) candidates: RefCell<BTreeMap<Member, (Instant, crate::wire::Wait)>>,
+    pub(crate) candidates: RefCell<BTreeMap<Member, (Instant, crate::wire::MembershipDelay)>>,
 }
 
 /// Questions on their way, and the answers that came.
@@ -218,8 +218,8 @@
             let asked = self.keeper.ask_as(to, ask);
             return tokio::time::timeout(self.chain.voter, asked).await.ok()?;
         }
-        match self.caller(to.ip).call(&Question::Vote(to, ask), self.chain.voter).await {
-            Ok(Answer::Vote(tell)) => Some(tell),
+        match self.caller(to.ip).call(&StoreRequest::Vote(to, ask), self.chain.voter).await {
+            Ok(StoreResponse::Vote(tell)) => Some(tell),
             _ => None,
         }
     }
@@ -326,7 +326,7 @@
     }
 
     /// Takes an operator's change, or says why not.
-    pub async fn change(self: &Rc<Self>, body: &[u8]) -> Outcome {
+    pub async fn change(self: &Rc<Self>, body: &[u8]) -> ChangeOutcome {
         let change = match ConfigChange::read(body) {
             Ok(change) => change,
             Err(refusal) => return apply_change::refused(refusal),
@@ -336,7 +336,7 @@
             let (value, outcome) = apply_change::take(&base.value, &change);
             (value.map(|value| State { members: base.members.clone(), value }), outcome)
         });
-        made.await.unwrap_or(Outcome::Unclear)
+        made.await.unwrap_or(ChangeOutcome::Unclear)
     }
 
     /// All that was agreed on before this was asked.
--- a/crates/starlinghill-config-store/src/wire.rs
+++ b/crates/starlinghill-config-store/src/wire.rs
@@ -13,7 +13,7 @@
 
 /// A question.
 #[derive(Debug, Clone, Encode, Decode)]
-pub enum Question {
+pub enum StoreRequest {
     /// To the voter of that incarnation here, by another store.
     Vote(Member, AcceptorRequest<Value>),
     /// Who votes?
@@ -30,21 +30,21 @@
     /// How long ago each member was heard here.
     Sight,
     /// By a console: those are to vote.
-    Order(CoreOrder),
+    Order(MembershipOrder),
     /// By a console: how things stand between the members.
     Why,
 }
 
 /// An answer.
 #[derive(Debug, Clone, Encode, Decode)]
-pub enum Answer {
+pub enum StoreResponse {
     /// The voter's.
     Vote(AcceptorReply<Value>),
     /// The members that are known here to be agreed on, and a ballot that is no lower than the one they were agreed on by.
     /// None where they are not known.
     Members(Members, Ballot),
     /// What came of a change.
-    Changed(Outcome),
+    Changed(ChangeOutcome),
     /// All items, dropped ones included.
     Whole(Value),
     /// What was agreed on: its ballot, and the items where they are news.
@@ -63,18 +63,18 @@
         items: Option<Value>,
     },
     /// What came of an order on members, or of one that would be one.
-    Admission(Admission),
+    Admission(MembershipOutcome),
     /// How many milliseconds ago each member was heard here, as far back as this store runs.
     Sight(Vec<(Member, u64)>),
     /// How things stand between the members.
-    Why(Standing),
+    Why(MembershipStatus),
     /// It can't be told now: there is no majority, or this store knows nothing yet.
     NotNow,
 }
 
 /// What came of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub enum Outcome {
+pub enum ChangeOutcome {
     /// It is agreed on, and on the disks of a majority.
     Taken,
     /// It makes no sense, whoever is asked.
@@ -87,7 +87,7 @@
 
 /// An operator's order on members, by addresses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub enum CoreOrder {
+pub enum MembershipOrder {
     /// The store at that address is to vote too.
     Add(std::net::IpAddr),
     /// The one there is to vote no more.
@@ -98,18 +98,18 @@
 
 /// What came of a wish for other members.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub enum Admission {
+pub enum MembershipOutcome {
     /// It is agreed on.
     Done(MemberChange),
     /// It stands so already.
     Stands,
     /// Not now, and why.
-    Waits(Wait),
+    Waits(MembershipDelay),
 }
 
 /// Why members are not changed now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub enum Wait {
+pub enum MembershipDelay {
     /// The change before has not stood for long enough.
     TooSoon,
     /// All members were heard a moment ago, by one of a majority at least.
@@ -124,7 +124,7 @@
 
 /// How things stand between the members, as one store sees them.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct Standing {
+pub struct MembershipStatus {
     /// Who tells.
     pub me: Member,
     /// Who votes.
@@ -138,5 +138,5 @@
     /// How many milliseconds ago each was heard.
     pub heard: Vec<(Member, u64)>,
     /// Stores that would vote, and why they don't, as of the last time they asked here.
-    pub candidates: Vec<(Member, Wait)>,
+    pub candidates: Vec<(Member, MembershipDelay)>,
 }
--- a/crates/starlinghill-config-store/tests/numbers.rs
+++ b/crates/starlinghill-config-store/tests/numbers.rs
@@ -4,7 +4,7 @@
 
 use starlinghill_config_model::ConfigChange;
 use starlinghill_config_store::apply_change;
-use starlinghill_config_store::wire::{Outcome, State, Value};
+use starlinghill_config_store::wire::{ChangeOutcome, State, Value};
 use starlinghill_consensus::{
     Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Member, MemberChange, Members,
     ProposerRound, ProposerStep, RequiredWrite,
@@ -41,7 +41,7 @@
     at: usize,
     change: ConfigChange,
     round: Option<ProposerRound<Value>>,
-    made: Option<(State, Outcome)>,
+    made: Option<(State, ChangeOutcome)>,
     ended: bool,
 }
 
@@ -230,12 +230,12 @@
     }
 
     /// The member answers. The operator may not hear it, and sends the order again then.
-    fn end(&mut self, s: usize, outcome: Outcome) {
+    fn end(&mut self, s: usize, outcome: ChangeOutcome) {
         let sending = &mut self.sendings[s];
         (sending.round, sending.ended) = (None, true);
         let (heard, order) = (self.rng.u8(0..3) > 0, &mut self.orders[sending.order]);
         match outcome {
-            Outcome::Taken => {
+            ChangeOutcome::Taken => {
                 assert!(!order.refused, "confirmed after it was refused: {:?}", order.parts);
                 order.confirmed = true;
                 for (name, number, content) in &order.parts {
@@ -244,13 +244,13 @@
                 }
                 order.over |= heard;
             }
-            Outcome::Conflict(_) | Outcome::Invalid(_) => {
+            ChangeOutcome::Conflict(_) | ChangeOutcome::Invalid(_) => {
                 assert!(!order.confirmed, "a repeat was refused: {:?} {outcome:?}", order.parts);
                 order.refused = true;
                 order.over |= heard;
                 self.refusals += 1;
             }
-            Outcome::Unclear => {}
+            ChangeOutcome::Unclear => {}
         }
     }
 
--- a/crates/starlinghill-console/src/client.rs
+++ b/crates/starlinghill-console/src/client.rs
@@ -8,7 +8,7 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use snafu::Snafu;
-use starlinghill_registry::wire::{Answer, Question, Status};
+use starlinghill_registry::wire::{RegistryRequest, RegistryResponse, RegistryStatus};
 use starlinghill_runtime::net;
 use starlinghill_runtime::rpc::Caller;
 use starlinghill_runtime::settings::Node;
@@ -68,11 +68,12 @@
     }
 
     /// How things stand at each registry, in their order; `None` where one does not answer.
-    pub async fn statuses(&self) -> Vec<(SocketAddr, Option<Status>)> {
+    pub async fn statuses(&self) -> Vec<(SocketAddr, Option<RegistryStatus>)> {
         let mut all = Vec::new();
         for rack in &self.racks {
-            let status = match Caller::new(&net::tcp(), *rack).call(&Question::Status, PATIENCE).await {
-                Ok(Answer::Status(status)) => Some(*status),
+            let status = match Caller::new(&net::tcp(), *rack).call(&RegistryRequest::Status, PATIENCE).await
+            {
+                Ok(RegistryResponse::Status(status)) => Some(*status),
                 _ => None,
             };
             all.push((*rack, status));
@@ -84,9 +85,9 @@
     pub async fn drain(&self, id: &str) -> Result<usize, AskError> {
         let (mut noted, mut unknown) = (0, 0);
         for rack in &self.racks {
-            match Caller::new(&net::tcp(), *rack).call(&Question::Drain(id.into()), PATIENCE).await {
-                Ok(Answer::Noted) => noted += 1,
-                Ok(Answer::Unknown) => unknown += 1,
+            match Caller::new(&net::tcp(), *rack).call(&RegistryRequest::Drain(id.into()), PATIENCE).await {
+                Ok(RegistryResponse::Noted) => noted += 1,
+                Ok(RegistryResponse::Unknown) => unknown += 1,
                 _ => {}
             }
         }
--- a/crates/starlinghill-console/src/explain.rs
+++ b/crates/starlinghill-console/src/explain.rs
@@ -6,7 +6,7 @@
 use starlinghill_config_model::{ChangeError, ConfigChange, ItemSet, RoutingTable};
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
-use starlinghill_registry::wire::Status;
+use starlinghill_registry::wire::RegistryStatus;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The items as they are read back, as a book.
@@ -28,7 +28,11 @@
 }
 
 /// What becomes of it, a line each step.
-pub fn explain(items: &OwnedValue, statuses: &[Status], asked: Asked) -> Result<Vec<String>, ChangeError> {
+pub fn explain(
+    items: &OwnedValue,
+    statuses: &[RegistryStatus],
+    asked: Asked,
+) -> Result<Vec<String>, ChangeError> {
     let table = RoutingTable::of(&book(items)?);
     let mut said = Vec::new();
     let Some(route) = table.route(asked.host, asked.path) else {
--- a/crates/starlinghill-console/src/membership.rs
+++ b/crates/starlinghill-console/src/membership.rs
@@ -1,7 +1,9 @@
 //! Who belongs to the core: what its stores say of each other, and orders to change it.
 
 use crate::client::{AskError, Places, PATIENCE};
-use starlinghill_config_store::wire::{Admission, Answer, CoreOrder, Question, Standing, Wait};
+use starlinghill_config_store::wire::{
+    MembershipDelay, MembershipOrder, MembershipOutcome, MembershipStatus, StoreRequest, StoreResponse,
+};
 use starlinghill_consensus::{Member, Members};
 use starlinghill_runtime::net;
 use starlinghill_runtime::rpc::Caller;
@@ -9,24 +11,26 @@
 use std::net::{IpAddr, SocketAddr};
 
 /// An order, from the words behind `core`.
-pub fn order(words: &[&str]) -> Option<CoreOrder> {
+pub fn order(words: &[&str]) -> Option<MembershipOrder> {
     match words {
-        ["add", ip] => Some(CoreOrder::Add(ip.parse().ok()?)),
-        ["remove", ip] => Some(CoreOrder::Remove(ip.parse().ok()?)),
-        ["replace", leaves, joins] => Some(CoreOrder::Replace(leaves.parse().ok()?, joins.parse().ok()?)),
+        ["add", ip] => Some(MembershipOrder::Add(ip.parse().ok()?)),
+        ["remove", ip] => Some(MembershipOrder::Remove(ip.parse().ok()?)),
+        ["replace", leaves, joins] => {
+            Some(MembershipOrder::Replace(leaves.parse().ok()?, joins.parse().ok()?))
+        }
         _ => None,
     }
 }
 
 impl Places {
     /// What each store says that is known of: those of the newest members that anybody tells of, and the seeds.
-    pub async fn standings(&self) -> BTreeMap<IpAddr, Option<Standing>> {
-        let mut all: BTreeMap<IpAddr, Option<Standing>> = BTreeMap::new();
+    pub async fn standings(&self) -> BTreeMap<IpAddr, Option<MembershipStatus>> {
+        let mut all: BTreeMap<IpAddr, Option<MembershipStatus>> = BTreeMap::new();
         let mut open: BTreeSet<IpAddr> = self.stores.iter().map(|store| store.ip()).collect();
         while let Some(ip) = open.pop_first() {
             let at = SocketAddr::new(ip, self.stores.first().map_or(0, |store| store.port()));
-            let standing = match Caller::new(&net::tcp(), at).call(&Question::Why, PATIENCE).await {
-                Ok(Answer::Why(standing)) => Some(standing),
+            let standing = match Caller::new(&net::tcp(), at).call(&StoreRequest::Why, PATIENCE).await {
+                Ok(StoreResponse::Why(standing)) => Some(standing),
                 _ => None,
             };
             let told = standing.iter().flat_map(|s| {
@@ -40,19 +44,21 @@
     }
 
     /// Gives an order to the stores in turn, until one tells clearly what came of it.
-    pub async fn core(&self, order: CoreOrder) -> Result<String, AskError> {
+    pub async fn core(&self, order: MembershipOrder) -> Result<String, AskError> {
         let mut last = None;
         for (ip, standing) in self.standings().await {
             if !standing.is_some_and(|s| s.members.has(s.me)) {
                 continue;
             }
             let at = SocketAddr::new(ip, self.stores.first().map_or(0, |store| store.port()));
-            match Caller::new(&net::tcp(), at).call(&Question::Order(order), PATIENCE).await {
-                Ok(Answer::Admission(Admission::Done(change))) => {
+            match Caller::new(&net::tcp(), at).call(&StoreRequest::Order(order), PATIENCE).await {
+                Ok(StoreResponse::Admission(MembershipOutcome::Done(change))) => {
                     return Ok(format!("agreed on: {change:?}"))
                 }
-                Ok(Answer::Admission(Admission::Stands)) => return Ok("it stands so already".into()),
-                Ok(Answer::Admission(Admission::Waits(wait))) => last = Some(reason(wait)),
+                Ok(StoreResponse::Admission(MembershipOutcome::Stands)) => {
+                    return Ok("it stands so already".into())
+                }
+                Ok(StoreResponse::Admission(MembershipOutcome::Waits(wait))) => last = Some(reason(wait)),
                 _ => {}
             }
         }
@@ -62,25 +68,27 @@
 }
 
 /// Why members are not changed.
-fn reason(wait: Wait) -> &'static str {
+fn reason(wait: MembershipDelay) -> &'static str {
     match wait {
-        Wait::TooSoon => "the change before has not stood for long enough, or another one came first",
-        Wait::NobodyGone => "no member has been silent for long enough to a majority",
-        Wait::NoMajority => "no majority of the members answers",
-        Wait::NotSynced => "the new one does not answer, or has not got all that was agreed on",
-        Wait::Refused => {
+        MembershipDelay::TooSoon => {
+            "the change before has not stood for long enough, or another one came first"
+        }
+        MembershipDelay::NobodyGone => "no member has been silent for long enough to a majority",
+        MembershipDelay::NoMajority => "no majority of the members answers",
+        MembershipDelay::NotSynced => "the new one does not answer, or has not got all that was agreed on",
+        MembershipDelay::Refused => {
             "it makes no sense: who goes must be a member, who comes must be none, one must be left"
         }
     }
 }
 
-fn newest(all: &BTreeMap<IpAddr, Option<Standing>>) -> Members {
+fn newest(all: &BTreeMap<IpAddr, Option<MembershipStatus>>) -> Members {
     let told = all.values().flatten().map(|standing| &standing.members);
     told.max_by_key(|members| members.epoch).cloned().unwrap_or_default()
 }
 
 /// The members, a line each.
-pub fn list(all: &BTreeMap<IpAddr, Option<Standing>>) -> Vec<String> {
+pub fn list(all: &BTreeMap<IpAddr, Option<MembershipStatus>>) -> Vec<String> {
     let members = newest(all);
     let line = |member: &Member| {
         let standing = all.get(&member.ip).and_then(Option::as_ref);
@@ -99,7 +107,7 @@
 }
 
 /// What is known of each store, and why no change is made.
-pub fn why(all: &BTreeMap<IpAddr, Option<Standing>>) -> Vec<String> {
+pub fn why(all: &BTreeMap<IpAddr, Option<MembershipStatus>>) -> Vec<String> {
     let mut lines = Vec::new();
     for (ip, standing) in all {
         let Some(s) = standing else {
@@ -117,7 +125,7 @@
             s.chosen.by
         ));
         lines.extend(s.heard.iter().map(|(member, ms)| format!("  heard ip={} ago_ms={ms}", member.ip)));
-        let waits = |(member, wait): &(Member, Wait)| {
+        let waits = |(member, wait): &(Member, MembershipDelay)| {
             format!(
                 "  candidate ip={} incarnation={:x} waits: {}",
                 member.ip,
--- a/crates/starlinghill-console/src/status.rs
+++ b/crates/starlinghill-console/src/status.rs
@@ -3,7 +3,7 @@
 use starlinghill_catalog::{Instance, Liveness, State};
 use starlinghill_config_model::ItemKind;
 use starlinghill_quota_counter::BackendLoad;
-use starlinghill_registry::wire::Status;
+use starlinghill_registry::wire::RegistryStatus;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 
@@ -66,7 +66,7 @@
 
 impl Picture {
     /// Of what registries said.
-    pub fn of(statuses: &[(SocketAddr, Option<Status>)]) -> Picture {
+    pub fn of(statuses: &[(SocketAddr, Option<RegistryStatus>)]) -> Picture {
         let mut picture = Picture {
             racks: statuses.iter().map(|(at, status)| (*at, status.as_ref().map(|s| s.fresh))).collect(),
             ..Picture::default()
--- a/crates/starlinghill-console/tests/words.rs
+++ b/crates/starlinghill-console/tests/words.rs
@@ -8,7 +8,7 @@
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
 use starlinghill_quota_counter::BackendLoad;
-use starlinghill_registry::wire::{Count, Status};
+use starlinghill_registry::wire::{CounterStatus, RegistryStatus};
 use std::net::{IpAddr, SocketAddr};
 use test_case::test_case;
 use xxhash_rust::xxh3::xxh3_64;
@@ -41,10 +41,10 @@
     Item { kind: ItemKind::Route, name: name.into(), version, host, body, history: VersionHistory::default() }
 }
 
-fn status(rack: u8, items: &[Item]) -> Status {
+fn status(rack: u8, items: &[Item]) -> RegistryStatus {
     let gateway = Gateway { ip: ip(20), life: 1, zone: "a".into(), node: "edge-1".into() };
     let list = items.iter().map(|item| (item.kind, item.name.clone(), item.version, true)).collect();
-    Status {
+    RegistryStatus {
         members: Default::default(),
         ip: ip(rack),
         life: 1,
@@ -72,7 +72,8 @@
 fn a_request_is_explained(host: &str, path: &str, key: Option<&str>, wanted: &str) {
     let mut status = status(1, &[]);
     let store = store_name(CustomerId(xxh3_64(b"studio"))).0;
-    status.count = Some(Count { silent: 0, stores: vec![(store, 0.2, 10.0, 55.0)], rooms: Vec::new() });
+    status.count =
+        Some(CounterStatus { silent: 0, stores: vec![(store, 0.2, 10.0, 55.0)], rooms: Vec::new() });
     let said = explain(&items(), &[status], Asked { host, path, key }).unwrap_or_default();
     assert!(said.iter().any(|line| line.contains(wanted)), "{said:#?}");
 }
@@ -113,7 +114,7 @@
     };
     let unknown = BackendLoad { backend: 7, out: 9, capacity: 9, slow: 9.0, ill: 1.0 };
     let rooms = vec![seen(0, 1.0, 0.0), seen(1, 2.5, 0.1), seen(2, 0.8, 0.4), unknown];
-    status.count = Some(Count { silent: 0, stores: Vec::new(), rooms });
+    status.count = Some(CounterStatus { silent: 0, stores: Vec::new(), rooms });
     let after = Picture::of(&[(at(1), Some(status))]);
     let ledger = &after.services["ledger"];
     assert_eq!((ledger.out, ledger.places), (6, 9));
--- a/crates/starlinghill-proxy/src/quota_client.rs
+++ b/crates/starlinghill-proxy/src/quota_client.rs
@@ -7,7 +7,7 @@
 use starlinghill_quota_counter::{
     BackendOffer, Draw, LoadReport, QuotaClient, QuotaLevel, KEEPALIVE_INTERVAL,
 };
-use starlinghill_registry::wire::{Answer, Question};
+use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
 use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::frame::{self, Reader};
 use starlinghill_runtime::net::Net;
@@ -206,8 +206,8 @@
         if frame::write(&mut stream, &recall).await.is_err() {
             return "broken";
         }
-        match timeout(CONNECT, reader.read::<Answer>(&mut stream)).await {
-            Ok(Ok(Some(Answer::Noted))) => {}
+        match timeout(CONNECT, reader.read::<RegistryResponse>(&mut stream)).await {
+            Ok(Ok(Some(RegistryResponse::Noted))) => {}
             Ok(Ok(Some(_))) => return "not_the_holder",
             _ => return "silent",
         }
@@ -225,24 +225,24 @@
             let silent = last_word + SILENCE;
             tokio::select! {
                 biased;
-                answer = reader.read::<Answer>(&mut from) => {
+                answer = reader.read::<RegistryResponse>(&mut from) => {
                     last_word = Instant::now();
                     let Ok(Some(answer)) = answer else { break "broken" };
                     match answer {
-                        Answer::Levels(..) => self.granted.set(true),
-                        Answer::NotMine(_) => self.granted.set(false),
+                        RegistryResponse::Levels(..) => self.granted.set(true),
+                        RegistryResponse::NotMine(_) => self.granted.set(false),
                         // To have noted what was recalled grants nothing, and takes nothing back.
                         _ => {}
                     }
                     // The order says which question it answers: one life of one holder answers them one after the other on
                     // this connection, which ends where the kind or the number of levels does not fit.
                     match (out.pop_front(), answer) {
-                        (Some(Sent::Draws(calls, _)), Answer::Levels(levels, time)) if levels.len() == calls.len() => {
+                        (Some(Sent::Draws(calls, _)), RegistryResponse::Levels(levels, time)) if levels.len() == calls.len() => {
                             self.hear_time(time);
                             self.client.borrow_mut().hears(self.start.elapsed(), term);
                             calls.into_iter().zip(levels).for_each(|(call, level)| self.answered(call, level, time));
                         }
-                        (Some(Sent::Draws(calls, told)), Answer::NotMine(known)) => {
+                        (Some(Sent::Draws(calls, told)), RegistryResponse::NotMine(known)) => {
                             // It took in none of them.
                             self.changed.borrow_mut().extend(told);
                             calls.into_iter().for_each(|call| self.failed(call, Outcome::Full));
@@ -261,7 +261,7 @@
                                 }
                             }
                         }
-                        (Some(Sent::Recall), Answer::Noted) => {}
+                        (Some(Sent::Recall), RegistryResponse::Noted) => {}
                         (sent, _) => {
                             out.extend(sent);
                             break "nonsense";
@@ -322,13 +322,13 @@
     }
 
     /// What a counter that begins, or that has forgotten this gateway, must know.
-    fn recall(&self, life: u64, term: u64) -> Question {
+    fn recall(&self, life: u64, term: u64) -> RegistryRequest {
         let readings = self.client.borrow_mut().recall(self.start.elapsed(), *self.time.borrow());
-        Question::Recall { term, from: life, readings }
+        RegistryRequest::Recall { term, from: life, readings }
     }
 
     /// One message with these draws, and with what else is to be told.
-    fn message(&self, (life, term): (u64, u64), mut calls: Vec<Waiting>) -> (Sent, Question) {
+    fn message(&self, (life, term): (u64, u64), mut calls: Vec<Waiting>) -> (Sent, RegistryRequest) {
         let drawn = calls.iter_mut().map(|call| &mut call.draw);
         let owed_elsewhere = self.client.borrow_mut().tells(self.start.elapsed(), drawn, BATCH);
         let quotas = self.quotas.borrow();
@@ -341,7 +341,7 @@
         let words = self.words();
         let told = words.iter().map(|word| word.backend).collect();
         let draws = calls.iter().map(|call| call.draw).collect();
-        (Sent::Draws(calls, told), Question::Count { term, from: life, draws, words })
+        (Sent::Draws(calls, told), RegistryRequest::Count { term, from: life, draws, words })
     }
 
     /// What became of a draw, as the counter tells it.
--- a/crates/starlinghill-proxy/src/registry_client.rs
+++ b/crates/starlinghill-proxy/src/registry_client.rs
@@ -13,7 +13,7 @@
 use starlinghill_decision::store_name;
 use starlinghill_gateway::inbox::{Clock, Inbox, Input, Listing};
 use starlinghill_lease::contact::{Chain, LastContact};
-use starlinghill_registry::wire::{Answer, Have, News, Question};
+use starlinghill_registry::wire::{KnownState, RegistryRequest, RegistryResponse, RegistryUpdate};
 use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::net::Net;
 use starlinghill_runtime::rpc::Caller;
@@ -198,7 +198,7 @@
     digest: Rc<std::cell::Cell<u64>>,
     ring: Rc<Ring>,
     clock: Rc<Counter>,
-    tell: mpsc::Sender<(usize, Instant, News)>,
+    tell: mpsc::Sender<(usize, Instant, RegistryUpdate)>,
     stopping: watch::Receiver<bool>,
     /// A registry that takes longer is asked anew.
     patience: Duration,
@@ -208,7 +208,7 @@
     async fn run(self) {
         let (mut rack, mut seq, mut silent) = (0, 0, false);
         loop {
-            let have = Have {
+            let have = KnownState {
                 gateway: self.me.clone(),
                 rack,
                 seq,
@@ -219,8 +219,8 @@
                 seen: self.ring.seen(),
             };
             let asked = Instant::now();
-            match self.caller.call(&Question::News(have), self.patience).await {
-                Ok(Answer::News(news)) => {
+            match self.caller.call(&RegistryRequest::News(have), self.patience).await {
+                Ok(RegistryResponse::News(news)) => {
                     (rack, seq, silent) = (news.rack, news.seq, false);
                     if self.tell.send((self.rack, asked, *news)).await.is_err() {
                         return;
@@ -270,7 +270,7 @@
 }
 
 impl Owner {
-    async fn run(mut self, mut told: mpsc::Receiver<(usize, Instant, News)>) {
+    async fn run(mut self, mut told: mpsc::Receiver<(usize, Instant, RegistryUpdate)>) {
         let mut tick = interval(Duration::from_millis(500));
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -298,7 +298,7 @@
         }
     }
 
-    async fn take(&mut self, rack: usize, asked: Instant, news: News) {
+    async fn take(&mut self, rack: usize, asked: Instant, news: RegistryUpdate) {
         if !self.racks.all.values().any(|(number, _)| *number == rack) {
             // Of one that is asked no more.
             return;
--- a/crates/starlinghill-proxy/tests/quota_client.rs
+++ b/crates/starlinghill-proxy/tests/quota_client.rs
@@ -7,7 +7,7 @@
 use starlinghill_proxy::quota_client::{Counter, DrawCounts, PATIENCE};
 use starlinghill_proxy::registry_client::nowhere;
 use starlinghill_quota_counter::{BackendOffer, Draw, QuotaLevel};
-use starlinghill_registry::wire::{Answer, Question};
+use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
 use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::frame::{self, Reader};
 use starlinghill_runtime::net::tcp;
@@ -22,10 +22,13 @@
 const SERVICE: ServiceId = ServiceId(9);
 
 /// A counter's answer to the so many-th draw after so many recalls.
-type Plays = fn(draws: &[Draw], recalls: u32, nth: u32) -> Answer;
+type Plays = fn(draws: &[Draw], recalls: u32, nth: u32) -> RegistryResponse;
 
-fn levels(draws: &[Draw], level: f64) -> Answer {
-    Answer::Levels(draws.iter().map(|_| QuotaLevel { level, share: 1.0, rooms: Vec::new() }).collect(), 1)
+fn levels(draws: &[Draw], level: f64) -> RegistryResponse {
+    RegistryResponse::Levels(
+        draws.iter().map(|_| QuotaLevel { level, share: 1.0, rooms: Vec::new() }).collect(),
+        1,
+    )
 }
 
 /// How draws end for so long, and over how many connections.
@@ -54,14 +57,14 @@
             while let Ok((mut stream, _)) = listener.accept().await {
                 opened.set(opened.get() + 1);
                 let (mut reader, mut recalls, mut nth) = (Reader::default(), 0, 0);
-                while let Ok(Some(question)) = reader.read::<Question>(&mut stream).await {
+                while let Ok(Some(question)) = reader.read::<RegistryRequest>(&mut stream).await {
                     let answer = match question {
-                        Question::Recall { .. } => {
+                        RegistryRequest::Recall { .. } => {
                             recalls += 1;
-                            Answer::Noted
+                            RegistryResponse::Noted
                         }
-                        Question::Count { draws, .. } if draws.is_empty() => levels(&draws, 0.0),
-                        Question::Count { draws, .. } => {
+                        RegistryRequest::Count { draws, .. } if draws.is_empty() => levels(&draws, 0.0),
+                        RegistryRequest::Count { draws, .. } => {
                             sleep(delay).await;
                             nth += 1;
                             plays(&draws, recalls, nth)
@@ -95,7 +98,7 @@
 #[test]
 fn a_counter_that_forgot_this_gateway_is_told_again_on_the_same_connection() {
     let forgets: Plays = |draws, recalls, _| match recalls {
-        0 | 1 => Answer::NotMine(TERM),
+        0 | 1 => RegistryResponse::NotMine(TERM),
         _ => levels(draws, 5.0),
     };
     let (ends, connections) = drawn(forgets, Duration::from_millis(700));
@@ -106,9 +109,9 @@
 #[test]
 fn an_answer_that_does_not_fit_its_question_ends_the_connection_and_tells_nobody_anything() {
     for wrong in [
-        (|_, _, nth| if nth == 2 { levels(&[], 9.0) } else { Answer::NotMine(TERM) }) as Plays,
-        |_, _, nth| if nth == 2 { Answer::Noted } else { Answer::NotMine(TERM) },
-        |_, _, nth| if nth == 2 { Answer::Unknown } else { Answer::NotMine(TERM) },
+        (|_, _, nth| if nth == 2 { levels(&[], 9.0) } else { RegistryResponse::NotMine(TERM) }) as Plays,
+        |_, _, nth| if nth == 2 { RegistryResponse::Noted } else { RegistryResponse::NotMine(TERM) },
+        |_, _, nth| if nth == 2 { RegistryResponse::Unknown } else { RegistryResponse::NotMine(TERM) },
     ] {
         let (ends, connections) = drawn(wrong, Duration::from_millis(900));
         assert!(ends.contains(&Outcome::Reset) && !ends.contains(&Outcome::Ok), "{ends:?}");
@@ -134,7 +137,7 @@
 fn backends_that_the_counter_does_not_know_get_their_part() {
     let names_one: Plays = |draws, _, _| {
         let rooms = vec![BackendOffer { backend: 1, takes_ms: 900 }];
-        Answer::Levels(
+        RegistryResponse::Levels(
             draws.iter().map(|_| QuotaLevel { level: 5.0, share: 1.0, rooms: rooms.clone() }).collect(),
             1,
         )
@@ -168,17 +171,19 @@
         holder.send_replace(Some((TERM, listener.local_addr().expect("bound"))));
         for _ in 0..IN_VAIN {
             let (mut stream, _) = listener.accept().await.expect("a call");
-            let asked = Reader::default().read::<Question>(&mut stream).await;
-            assert!(matches!(asked, Ok(Some(Question::Recall { .. }))));
-            frame::write(&mut stream, &Answer::NotMine(TERM)).await.expect("answered");
+            let asked = Reader::default().read::<RegistryRequest>(&mut stream).await;
+            assert!(matches!(asked, Ok(Some(RegistryRequest::Recall { .. }))));
+            frame::write(&mut stream, &RegistryResponse::NotMine(TERM)).await.expect("answered");
         }
         let (mut stream, _) = listener.accept().await.expect("a call");
         let reached = Instant::now();
         let mut reader = Reader::default();
-        let asked = reader.read::<Question>(&mut stream).await;
-        assert!(matches!(asked, Ok(Some(Question::Recall { .. }))));
-        frame::write(&mut stream, &Answer::Noted).await.expect("answered");
-        let Ok(Some(Question::Count { draws, .. })) = reader.read::<Question>(&mut stream).await else {
+        let asked = reader.read::<RegistryRequest>(&mut stream).await;
+        assert!(matches!(asked, Ok(Some(RegistryRequest::Recall { .. }))));
+        frame::write(&mut stream, &RegistryResponse::Noted).await.expect("answered");
+        let Ok(Some(RegistryRequest::Count { draws, .. })) =
+            reader.read::<RegistryRequest>(&mut stream).await
+        else {
             panic!("debts are told first");
         };
         let owed: f64 = draws.iter().map(|draw| draw.owed).sum();
--- a/crates/starlinghill-registry/src/http.rs
+++ b/crates/starlinghill-registry/src/http.rs
@@ -15,7 +15,7 @@
 use simd_json::OwnedValue;
 use starlinghill_catalog::{Instance, State};
 use starlinghill_config_model::ItemSet;
-use starlinghill_config_store::wire::{Answer, Outcome, Question as Ask};
+use starlinghill_config_store::wire::{ChangeOutcome, StoreRequest as Ask, StoreResponse};
 use starlinghill_lease::contact::ORDER_ANSWERED;
 use starlinghill_runtime::net::{Listener, Net};
 use starlinghill_runtime::validation::{At, Faults};
@@ -170,16 +170,16 @@
         let begun = Instant::now();
         let asked = ask_store(&self.net, self.stores(), Ask::Change(body.to_vec()), ORDER_ANSWERED);
         let outcome = match asked.await {
-            Some(Answer::Changed(outcome)) => outcome,
-            _ => Outcome::Unclear,
+            Some(StoreResponse::Changed(outcome)) => outcome,
+            _ => ChangeOutcome::Unclear,
         };
         let took = begun.elapsed().as_millis();
         log::info!("event=change bytes={} took_ms={took} outcome=\"{outcome:?}\"", body.len());
         match outcome {
-            Outcome::Taken => reply(StatusCode::OK, b"{}".to_vec()),
-            Outcome::Invalid(wrong) => problem(StatusCode::BAD_REQUEST, &wrong),
-            Outcome::Conflict(wrong) => problem(StatusCode::CONFLICT, &wrong),
-            Outcome::Unclear => problem(
+            ChangeOutcome::Taken => reply(StatusCode::OK, b"{}".to_vec()),
+            ChangeOutcome::Invalid(wrong) => problem(StatusCode::BAD_REQUEST, &wrong),
+            ChangeOutcome::Conflict(wrong) => problem(StatusCode::CONFLICT, &wrong),
+            ChangeOutcome::Unclear => problem(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "no majority of stores in time, or a number that is not remembered any more",
             ),
@@ -188,7 +188,7 @@
 
     async fn read(&self) -> Reply {
         match ask_store(&self.net, self.stores(), Ask::Read, ORDER_ANSWERED).await {
-            Some(Answer::Whole(items)) => {
+            Some(StoreResponse::Whole(items)) => {
                 reply(StatusCode::OK, ItemSet::of(items).layout().encode().into_bytes())
             }
             _ => problem(StatusCode::SERVICE_UNAVAILABLE, "no majority of stores in time"),
--- a/crates/starlinghill-registry/src/peers.rs
+++ b/crates/starlinghill-registry/src/peers.rs
@@ -1,7 +1,7 @@
 //! The other registries, and the store beside this one.
 
 use crate::state::{Command, Due, Owner};
-use crate::wire::{Answer, Heard, Question};
+use crate::wire::{PeerReport, RegistryRequest, RegistryResponse};
 use starlinghill_catalog::Instance;
 use starlinghill_config_store::wire as store;
 use starlinghill_consensus::{Ballot, Member, Members};
@@ -83,7 +83,7 @@
 
     /// Tells all members; returns whether a majority of them has noted it. One that is no member passes it on, and counts for
     /// nothing itself.
-    async fn tell_most(&self, question: impl Fn(u64) -> Question) -> bool {
+    async fn tell_most(&self, question: impl Fn(u64) -> RegistryRequest) -> bool {
         // One that has just started knows in a moment.
         let known = Instant::now() + PATIENCE;
         while !self.knows_members() && Instant::now() < known {
@@ -96,7 +96,7 @@
             for ip in self.others() {
                 let ((_, caller), question, told) = (self.lines(ip), question(members.epoch), told.clone());
                 spawn_local(async move {
-                    if let Ok(answer) = caller.call::<_, Answer>(&question, PATIENCE).await {
+                    if let Ok(answer) = caller.call::<_, RegistryResponse>(&question, PATIENCE).await {
                         // A majority may have noted it.
                         let _ = told.send((ip, answer));
                     }
@@ -107,8 +107,8 @@
             let mut newer = false;
             while !may_confirm_drain(noted.len(), members.voters.len()) && !newer {
                 match answers.recv().await {
-                    Some((ip, Answer::Noted)) => noted.extend(members.at(ip)),
-                    Some((_, Answer::Newer(known))) => newer = self.follow(&known),
+                    Some((ip, RegistryResponse::Noted)) => noted.extend(members.at(ip)),
+                    Some((_, RegistryResponse::Newer(known))) => newer = self.follow(&known),
                     Some(_) => {}
                     None => return false,
                 }
@@ -123,14 +123,18 @@
     /// What a backend said last goes to the others.
     pub async fn tell_instance(&self, instance: Instance) -> bool {
         let heard = |epoch| {
-            Question::Heard(Heard { epoch, backends: vec![(instance.clone(), 0)], ..Heard::default() })
+            RegistryRequest::Heard(PeerReport {
+                epoch,
+                backends: vec![(instance.clone(), 0)],
+                ..PeerReport::default()
+            })
         };
         self.tell_most(heard).await
     }
 
     /// That a backend has left goes to the others.
     pub async fn tell_left(&self, id: &str) -> bool {
-        self.tell_most(|epoch| Question::Left(epoch, id.into())).await
+        self.tell_most(|epoch| RegistryRequest::Left(epoch, id.into())).await
     }
 
     /// Lets time pass: duty, and what was heard.
@@ -151,9 +155,11 @@
                     let owner = owner.clone();
                     spawn_local(async move {
                         // Whoever can't be told is asked again.
-                        let _ = match quick.call(&Question::Duty(epoch, ask), PATIENCE).await {
-                            Ok(Answer::Duty(tell)) => owner.send(Command::Duty(ip, asked, ask, tell)).await,
-                            Ok(Answer::Newer(members)) => owner.send(Command::Newer(members)).await,
+                        let _ = match quick.call(&RegistryRequest::Duty(epoch, ask), PATIENCE).await {
+                            Ok(RegistryResponse::Duty(tell)) => {
+                                owner.send(Command::Duty(ip, asked, ask, tell)).await
+                            }
+                            Ok(RegistryResponse::Newer(members)) => owner.send(Command::Newer(members)).await,
                             _ => Ok(()),
                         };
                     });
@@ -178,9 +184,9 @@
 
     /// Tells another one what was heard. Mostly what is lost is heard again with the next beat; but who has left beats no more,
     /// so one that could not be told, and could not tell either, is asked for all that it knows once it answers again.
-    async fn pass_on(&self, ip: IpAddr, heard: Heard, owner: &Owner) {
+    async fn pass_on(&self, ip: IpAddr, heard: PeerReport, owner: &Owner) {
         let (_, caller) = self.lines(ip);
-        let told = caller.call::<_, Answer>(&Question::Heard(heard), PATIENCE).await.is_ok();
+        let told = caller.call::<_, RegistryResponse>(&RegistryRequest::Heard(heard), PATIENCE).await.is_ok();
         let was_missed = told && self.missed.borrow_mut().remove(&ip);
         if !told || was_missed && !self.learn(ip, owner).await {
             self.missed.borrow_mut().insert(ip);
@@ -189,18 +195,21 @@
 
     async fn learn(&self, ip: IpAddr, owner: &Owner) -> bool {
         let (_, caller) = self.lines(ip);
-        let Ok(Answer::All(heard)) = caller.call(&Question::All, PATIENCE).await else { return false };
+        let Ok(RegistryResponse::All(heard)) = caller.call(&RegistryRequest::All, PATIENCE).await else {
+            return false;
+        };
         let (backends, gateways) = (heard.backends.len(), heard.gateways.len());
         log::info!("event=learned from={ip} backends={backends} gateways={gateways}");
         let (reply, noted) = oneshot::channel();
-        let _ = owner.send(Command::Ask(Question::Heard(heard), reply)).await;
+        let _ = owner.send(Command::Ask(RegistryRequest::Heard(heard), reply)).await;
         noted.await.is_ok()
     }
 
     /// The holder of the count leaves: tells its successor.
     pub async fn hand_over(&self, to: IpAddr, ask: starlinghill_lease::LeaseRequest<IpAddr>) {
         let epoch = self.members.borrow().epoch;
-        let told = self.lines(to).0.call::<_, Answer>(&Question::Duty(epoch, ask), PATIENCE).await;
+        let told =
+            self.lines(to).0.call::<_, RegistryResponse>(&RegistryRequest::Duty(epoch, ask), PATIENCE).await;
         log::info!("event=count_handed_over to={to} ok={}", told.is_ok());
     }
 }
@@ -218,8 +227,8 @@
         let _ = owner.send(Command::Now(reply)).await;
         let Ok(begun) = now.await else { return };
         let asked = Instant::now();
-        match caller.call(&store::Question::News(have, was_fresh), chain.given_up).await {
-            Ok(store::Answer::News { ballot, contact, members, votes, proposed, items }) => {
+        match caller.call(&store::StoreRequest::News(have, was_fresh), chain.given_up).await {
+            Ok(store::StoreResponse::News { ballot, contact, members, votes, proposed, items }) => {
                 (silent, was_fresh) = (false, contact.is_some());
                 // A store that begins anew may know less than it did: nothing of that is news.
                 let items = items.filter(|_| ballot > have);
@@ -259,7 +268,8 @@
 async fn learn_members(net: &Net, store: SocketAddr, owner: &Owner, peers: &Peers) {
     for ip in std::iter::once(store.ip()).chain(peers.others()) {
         let other = Caller::new(net, SocketAddr::new(ip, store.port()));
-        if let Ok(store::Answer::Members(members, _)) = other.call(&store::Question::Members, PATIENCE).await
+        if let Ok(store::StoreResponse::Members(members, _)) =
+            other.call(&store::StoreRequest::Members, PATIENCE).await
         {
             if peers.follow(&members) {
                 let _ = owner.send(Command::Newer(members)).await;
@@ -276,9 +286,9 @@
 pub async fn ask_store(
     net: &Net,
     stores: Vec<SocketAddr>,
-    question: store::Question,
+    question: store::StoreRequest,
     within: Duration,
-) -> Option<store::Answer> {
+) -> Option<store::StoreResponse> {
     let net = net.clone();
     let question = Rc::new(question);
     first_clear(stores.len(), within, move |i, left| {
@@ -288,7 +298,7 @@
                 Ok(answer) => Some(answer),
                 Err(error) => {
                     log::warn!("event=store_failed address={} error=\"{error}\"", caller.address());
-                    (!error.is_not_sent()).then_some(store::Answer::NotNow)
+                    (!error.is_not_sent()).then_some(store::StoreResponse::NotNow)
                 }
             }
         }
@@ -303,9 +313,9 @@
     stores: usize,
     within: Duration,
     ask: impl Fn(usize, Duration) -> W,
-) -> Option<store::Answer>
+) -> Option<store::StoreResponse>
 where
-    W: Future<Output = Option<store::Answer>> + 'static,
+    W: Future<Output = Option<store::StoreResponse>> + 'static,
 {
     let by = Instant::now() + within;
     let (mut asked, mut next, mut unclear, mut refused) = (JoinSet::new(), 0, None, None);
@@ -331,10 +341,13 @@
 }
 
 /// It is refused by how things stand just now.
-fn is_refusal(answer: &store::Answer) -> bool {
-    matches!(answer, store::Answer::Changed(store::Outcome::Invalid(_)))
+fn is_refusal(answer: &store::StoreResponse) -> bool {
+    matches!(answer, store::StoreResponse::Changed(store::ChangeOutcome::Invalid(_)))
 }
 
-fn is_clear(answer: &store::Answer) -> bool {
-    !matches!(answer, store::Answer::NotNow | store::Answer::Changed(store::Outcome::Unclear))
+fn is_clear(answer: &store::StoreResponse) -> bool {
+    !matches!(
+        answer,
+        store::StoreResponse::NotNow | store::StoreResponse::Changed(store::ChangeOutcome::Unclear)
+    )
 }
--- a/crates/starlinghill-registry/src/program.rs
+++ b/crates/starlinghill-registry/src/program.rs
@@ -4,7 +4,7 @@
 use crate::peers::{follow_store, Peers};
 use crate::router::Place;
 use crate::state::{self, Command};
-use crate::wire::Answer;
+use crate::wire::RegistryResponse;
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_lease::contact::Chain;
 use starlinghill_runtime::essential_tasks::Essentials;
@@ -95,7 +95,7 @@
         async move {
             let (reply, answer) = oneshot::channel();
             let _ = owner.send(Command::Ask(question, reply)).await;
-            answer.await.unwrap_or(Answer::NotMine(0))
+            answer.await.unwrap_or(RegistryResponse::NotMine(0))
         }
     };
     essentials.spawn("calls", rpc::serve(own, node.most_peers(), |_| false, answer));
--- a/crates/starlinghill-registry/src/state.rs
+++ b/crates/starlinghill-registry/src/state.rs
@@ -1,7 +1,9 @@
 //! The owner of the registry's tables: one task, which works through a queue of commands. Nothing here waits.
 
 use crate::members::Sets;
-use crate::wire::{Answer, Count, Have, Heard, News, Question, Status};
+use crate::wire::{
+    CounterStatus, KnownState, PeerReport, RegistryRequest, RegistryResponse, RegistryStatus, RegistryUpdate,
+};
 use starlinghill_catalog::{number, service_number, Catalog, Instance, Liveness, Observation, State};
 use starlinghill_config_model::items::digest;
 use starlinghill_config_model::{Item, ItemKind};
@@ -31,7 +33,7 @@
 /// What the owner is told.
 pub enum Command {
     /// A question over the wire.
-    Ask(Question, oneshot::Sender<Answer>),
+    Ask(RegistryRequest, oneshot::Sender<RegistryResponse>),
     /// A backend's beat, with what it says of warmth in microseconds.
     Beat(Instance, u64, oneshot::Sender<Instance>),
     /// A backend leaves.
@@ -59,7 +61,7 @@
     /// The epoch that goes with it.
     pub epoch: u64,
     /// What was heard since the last word.
-    pub heard: Option<Heard>,
+    pub heard: Option<PeerReport>,
 }
 
 /// The way to the owner.
@@ -100,7 +102,7 @@
     /// The number of the news of the last change of the holder.
     holder_changed: u64,
     /// Questions, and when they came.
-    waiting: Vec<(Have, Duration, oneshot::Sender<Answer>)>,
+    waiting: Vec<(KnownState, Duration, oneshot::Sender<RegistryResponse>)>,
     relayed: Duration,
     rounds: u32,
 }
@@ -234,10 +236,10 @@
     }
 
     /// What counts toward a majority must be told among the members as they are.
-    fn noted(&self, epoch: u64) -> Answer {
+    fn noted(&self, epoch: u64) -> RegistryResponse {
         match epoch < self.sets.members().epoch {
-            true => Answer::Newer(self.sets.members().clone()),
-            false => Answer::Noted,
+            true => RegistryResponse::Newer(self.sets.members().clone()),
+            false => RegistryResponse::Noted,
         }
     }
 
@@ -274,12 +276,12 @@
         }
     }
 
-    fn asked(&mut self, now: Duration, question: Question, reply: oneshot::Sender<Answer>) {
+    fn asked(&mut self, now: Duration, question: RegistryRequest, reply: oneshot::Sender<RegistryResponse>) {
         let before = self.catalog.urgent();
         // Whoever asked may have gone.
-        let answer = |reply: oneshot::Sender<Answer>, answer| drop(reply.send(answer));
+        let answer = |reply: oneshot::Sender<RegistryResponse>, answer| drop(reply.send(answer));
         match question {
-            Question::News(have) => {
+            RegistryRequest::News(have) => {
                 self.hear_time(have.time);
                 self.duty.seen(have.term);
                 self.in_force.insert(have.gateway.ip, have.digest);
@@ -294,10 +296,10 @@
                     self.waiting.push((have, now, reply));
                 } else {
                     let news = self.news(&have, now);
-                    answer(reply, Answer::News(Box::new(news)));
+                    answer(reply, RegistryResponse::News(Box::new(news)));
                 }
             }
-            Question::Count { term, from, draws, words } => {
+            RegistryRequest::Count { term, from, draws, words } => {
                 let levels = match &mut self.gauge {
                     Some(gauge) if gauge.term == term && self.duty.may_draw(now, term) => {
                         gauge.loads.tell(now, from, &words);
@@ -307,45 +309,52 @@
                 };
                 let time = self.time();
                 let term = self.duty.holder().map_or(0, |(term, _)| term);
-                answer(reply, levels.map_or(Answer::NotMine(term), |levels| Answer::Levels(levels, time)));
+                answer(
+                    reply,
+                    levels.map_or(RegistryResponse::NotMine(term), |levels| {
+                        RegistryResponse::Levels(levels, time)
+                    }),
+                );
             }
-            Question::Recall { term, from, readings } => match &mut self.gauge {
+            RegistryRequest::Recall { term, from, readings } => match &mut self.gauge {
                 Some(gauge) if gauge.term == term && self.duty.may_draw(now, term) => {
                     gauge.recall(now, from, &readings);
-                    answer(reply, Answer::Noted);
+                    answer(reply, RegistryResponse::Noted);
                 }
-                _ => answer(reply, Answer::NotMine(self.duty.holder().map_or(0, |(term, _)| term))),
+                _ => answer(reply, RegistryResponse::NotMine(self.duty.holder().map_or(0, |(term, _)| term))),
             },
-            Question::Duty(epoch, _) if epoch < self.sets.members().epoch => answer(reply, self.noted(epoch)),
-            Question::Duty(_, ask) => {
+            RegistryRequest::Duty(epoch, _) if epoch < self.sets.members().epoch => {
+                answer(reply, self.noted(epoch))
+            }
+            RegistryRequest::Duty(_, ask) => {
                 let tell = self.duty.asked(now, ask);
-                answer(reply, Answer::Duty(tell));
+                answer(reply, RegistryResponse::Duty(tell));
             }
-            Question::Heard(heard) => {
+            RegistryRequest::Heard(heard) => {
                 let noted = self.noted(heard.epoch);
                 self.heard(now, heard);
                 answer(reply, noted);
             }
-            Question::Left(epoch, id) => {
+            RegistryRequest::Left(epoch, id) => {
                 self.catalog.left(now, &id);
                 answer(reply, self.noted(epoch));
             }
-            Question::Status => {
+            RegistryRequest::Status => {
                 let status = self.status(now);
-                answer(reply, Answer::Status(Box::new(status)));
+                answer(reply, RegistryResponse::Status(Box::new(status)));
             }
-            Question::Drain(id) => match self.catalog.get(&id).cloned() {
+            RegistryRequest::Drain(id) => match self.catalog.get(&id).cloned() {
                 Some(instance) => {
                     log::info!("event=drain_ordered id={id}");
                     let state = instance.state.max(State::Draining);
                     self.catalog.heard(now, Instance { state, ..instance }, Duration::ZERO);
-                    answer(reply, Answer::Noted);
+                    answer(reply, RegistryResponse::Noted);
                 }
-                None => answer(reply, Answer::Unknown),
+                None => answer(reply, RegistryResponse::Unknown),
             },
-            Question::All => answer(
+            RegistryRequest::All => answer(
                 reply,
-                Answer::All(Heard {
+                RegistryResponse::All(PeerReport {
                     epoch: self.sets.members().epoch,
                     backends: self.catalog.heard_within(now, Duration::MAX),
                     gateways: self.catalog.asked_within(now, Duration::MAX),
@@ -360,18 +369,18 @@
         }
     }
 
-    fn status(&self, now: Duration) -> Status {
+    fn status(&self, now: Duration) -> RegistryStatus {
         let holder = self.duty.holder();
         let item =
             |(item, _): &(Item, u64)| (item.kind, item.name.clone(), item.version, item.body.is_some());
         let in_force = |ip: &IpAddr| self.in_force.get(ip).copied().unwrap_or_default();
         let gateways = self.catalog.asked_within(now, Duration::MAX);
-        let told = |count: &QuotaCounter| Count {
+        let told = |count: &QuotaCounter| CounterStatus {
             silent: count.state().1 as u64,
             stores: count.stores(now),
             rooms: count.loads.seen(),
         };
-        Status {
+        RegistryStatus {
             ip: self.me,
             life: self.life,
             time: self.time(),
@@ -392,7 +401,7 @@
         }
     }
 
-    fn heard(&mut self, now: Duration, heard: Heard) {
+    fn heard(&mut self, now: Duration, heard: PeerReport) {
         self.hear_time(heard.time);
         for (instance, ago) in heard.backends {
             self.catalog.heard(now, instance, Duration::from_millis(ago));
@@ -403,7 +412,7 @@
     }
 
     /// What is new to one that asked at that moment.
-    fn news(&self, have: &Have, asked: Duration) -> News {
+    fn news(&self, have: &KnownState, asked: Duration) -> RegistryUpdate {
         let now = self.now();
         let since = if have.rack == self.life { have.seq } else { 0 };
         let new = self.catalog.since(since);
@@ -411,7 +420,7 @@
         let to_look_at = if since < self.catalog.seq() { self.items.len() } else { 0 };
         let items = self.items.values().take(to_look_at).filter(|(_, seq)| *seq > since);
         let holder = self.duty.holder();
-        News {
+        RegistryUpdate {
             rack: self.life,
             seq: self.catalog.seq(),
             contact: self.contact.filter(|_| self.may_vouch(now)).map(|contact| contact.pass_on(now, asked)),
@@ -432,9 +441,9 @@
             .into_iter()
             .partition(|(_, asked, _)| all || now.saturating_sub(*asked) >= holds);
         self.waiting = waiting;
-        let due: Vec<(Have, Duration, oneshot::Sender<Answer>)> = due;
+        let due: Vec<(KnownState, Duration, oneshot::Sender<RegistryResponse>)> = due;
         for (have, asked, reply) in due {
-            let _ = reply.send(Answer::News(Box::new(self.news(&have, asked))));
+            let _ = reply.send(RegistryResponse::News(Box::new(self.news(&have, asked))));
         }
     }
 
@@ -473,7 +482,7 @@
         // What others may know a little later: beats that say nothing new.
         let heard = self.rounds.is_multiple_of(RELAY_ROUNDS).then(|| {
             let since = now.saturating_sub(std::mem::replace(&mut self.relayed, now));
-            Heard {
+            PeerReport {
                 epoch,
                 backends: self.catalog.heard_within(now, since),
                 gateways: self.catalog.asked_within(now, since),
--- a/crates/starlinghill-registry/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -12,9 +12,9 @@
 
 /// A question.
 #[derive(Debug, Clone, Encode, Decode)]
-pub enum Question {
+pub enum RegistryRequest {
     /// By a gateway: what is new?
-    News(Have),
+    News(KnownState),
     /// By a gateway: it draws from tenants' stores.
     Count {
         /// The term of the counter that is meant.
@@ -38,7 +38,7 @@
     /// By a registry, on who keeps the count; the epoch of the members that it knows.
     Duty(u64, lease::LeaseRequest<IpAddr>),
     /// By a registry: what it heard of backends and gateways, each so many milliseconds ago.
-    Heard(Heard),
+    Heard(PeerReport),
     /// By a registry, of that epoch: that backend has left.
     Left(u64, String),
     /// By a registry that has just started: all that is known.
@@ -51,7 +51,7 @@
 
 /// What a gateway has.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct Have {
+pub struct KnownState {
     /// Who it is.
     pub gateway: Gateway,
     /// The life of the registry that it was last answered by here, and the number of the news that it has.
@@ -72,7 +72,7 @@
 
 /// What a registry heard.
 #[derive(Debug, Clone, Default, Encode, Decode)]
-pub struct Heard {
+pub struct PeerReport {
     /// The epoch of the members that the one who tells knows.
     pub epoch: u64,
     /// Backends.
@@ -85,7 +85,7 @@
 
 /// News for a gateway.
 #[derive(Debug, Clone, Encode, Decode)]
-pub struct News {
+pub struct RegistryUpdate {
     /// The registry's life.
     pub rack: u64,
     /// The number of these news.
@@ -111,9 +111,9 @@
 
 /// An answer.
 #[derive(Debug, Clone, Encode, Decode)]
-pub enum Answer {
+pub enum RegistryResponse {
     /// What is new.
-    News(Box<News>),
+    News(Box<RegistryUpdate>),
     /// What the stores hold, in the order of the draws, and the system's time.
     Levels(Vec<QuotaLevel>, u64),
     /// This registry does not keep the count in that term, or can't yet; the term that it knows.
@@ -121,9 +121,9 @@
     /// On the duty.
     Duty(lease::LeaseReply),
     /// All that is known.
-    All(Heard),
+    All(PeerReport),
     /// How things stand.
-    Status(Box<Status>),
+    Status(Box<RegistryStatus>),
     /// Nobody has a backend of that id.
     Unknown,
     /// It was noted.
@@ -134,7 +134,7 @@
 
 /// How things stand at a registry.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct Status {
+pub struct RegistryStatus {
     /// Its address.
     pub ip: IpAddr,
     /// The life of its process.
@@ -156,12 +156,12 @@
     /// Who keeps the count, and its term, as far as is known here.
     pub holder: Option<(u64, IpAddr)>,
     /// The count, where it is kept here.
-    pub count: Option<Count>,
+    pub count: Option<CounterStatus>,
 }
 
 /// The count at its holder.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct Count {
+pub struct CounterStatus {
     /// Gateways that it does not hear.
     pub silent: u64,
     /// Stores by their names: what they hold, the tenant's rate, and what was drawn of late a second.
--- a/crates/starlinghill-registry/tests/contact.rs
+++ b/crates/starlinghill-registry/tests/contact.rs
@@ -4,7 +4,7 @@
 use starlinghill_catalog::Gateway;
 use starlinghill_lease::contact::{Chain, LastContact};
 use starlinghill_registry::state::{self, Command, Owner};
-use starlinghill_registry::wire::{Answer, Have, News, Question};
+use starlinghill_registry::wire::{KnownState, RegistryRequest, RegistryResponse, RegistryUpdate};
 use starlinghill_runtime::essential_tasks::Essentials;
 use starlinghill_runtime::settings::{Bounds, Node};
 use std::time::Duration;
@@ -43,13 +43,13 @@
     }
 }
 
-async fn ask(owner: &Owner, rack: u64, seq: u64) -> News {
+async fn ask(owner: &Owner, rack: u64, seq: u64) -> RegistryUpdate {
     let gateway = Gateway { ip: [10, 0, 1, 1].into(), life: 7, zone: String::new(), node: String::new() };
     let (time, term, leaving, digest, seen) = (0, 0, false, 0, Vec::new());
-    let have = Have { gateway, rack, seq, time, term, leaving, digest, seen };
+    let have = KnownState { gateway, rack, seq, time, term, leaving, digest, seen };
     let (reply, answer) = oneshot::channel();
-    assert!(owner.send(Command::Ask(Question::News(have), reply)).await.is_ok());
-    let Ok(Answer::News(news)) = answer.await else { panic!("it tells news") };
+    assert!(owner.send(Command::Ask(RegistryRequest::News(have), reply)).await.is_ok());
+    let Ok(RegistryResponse::News(news)) = answer.await else { panic!("it tells news") };
     *news
 }
 
--- a/crates/starlinghill-registry/tests/orders.rs
+++ b/crates/starlinghill-registry/tests/orders.rs
@@ -1,7 +1,7 @@
 //! An order that a registry passes to stores, in virtual time: its caller is answered while it still waits, whatever the
 //! store beside the registry does.
 
-use starlinghill_config_store::wire::{Answer, Outcome};
+use starlinghill_config_store::wire::{ChangeOutcome, StoreResponse};
 use starlinghill_lease::contact::{ORDER_ANSWERED, ORDER_PASSED_ON, ORDER_TRIED};
 use starlinghill_registry::peers::first_clear;
 use std::cell::RefCell;
@@ -29,49 +29,49 @@
 }
 use Does::*;
 
-async fn one(does: Does) -> Option<Answer> {
+async fn one(does: Does) -> Option<StoreResponse> {
     match does {
         Takes(ms) => {
             sleep(Duration::from_millis(ms)).await;
-            Some(Answer::Changed(Outcome::Taken))
+            Some(StoreResponse::Changed(ChangeOutcome::Taken))
         }
         Finds => {
             sleep(ORDER_TRIED).await;
-            Some(Answer::Changed(Outcome::Unclear))
+            Some(StoreResponse::Changed(ChangeOutcome::Unclear))
         }
         Nothing => std::future::pending().await,
         Down => None,
-        Breaks => Some(Answer::NotNow),
+        Breaks => Some(StoreResponse::NotNow),
         Refuses(ms) => {
             sleep(Duration::from_millis(ms)).await;
-            Some(Answer::Changed(invalid()))
+            Some(StoreResponse::Changed(invalid()))
         }
     }
 }
 
-fn invalid() -> Outcome {
-    Outcome::Invalid("a key of another tenant".into())
+fn invalid() -> ChangeOutcome {
+    ChangeOutcome::Invalid("a key of another tenant".into())
 }
 
-#[test_case(&[Takes(20), Nothing, Nothing], Some(Outcome::Taken), 20, 1; "the store beside it answers")]
-#[test_case(&[Down, Takes(20), Nothing], Some(Outcome::Taken), 20, 2; "it is down, the next one answers")]
-#[test_case(&[Nothing, Takes(20), Nothing], Some(Outcome::Taken), 270, 2; "it is silent, the next one answers")]
-#[test_case(&[Nothing, Nothing, Takes(20)], Some(Outcome::Taken), 520, 3; "two are silent")]
-#[test_case(&[Takes(400), Finds, Nothing], Some(Outcome::Taken), 400, 2; "it is slow")]
+#[test_case(&[Takes(20), Nothing, Nothing], Some(ChangeOutcome::Taken), 20, 1; "the store beside it answers")]
+#[test_case(&[Down, Takes(20), Nothing], Some(ChangeOutcome::Taken), 20, 2; "it is down, the next one answers")]
+#[test_case(&[Nothing, Takes(20), Nothing], Some(ChangeOutcome::Taken), 270, 2; "it is silent, the next one answers")]
+#[test_case(&[Nothing, Nothing, Takes(20)], Some(ChangeOutcome::Taken), 520, 3; "two are silent")]
+#[test_case(&[Takes(400), Finds, Nothing], Some(ChangeOutcome::Taken), 400, 2; "it is slow")]
 #[test_case(&[Finds, Nothing, Nothing], None, 800, 3; "a side without a majority")]
-#[test_case(&[Finds, Down, Down], Some(Outcome::Unclear), 700, 3; "the others can't be reached")]
+#[test_case(&[Finds, Down, Down], Some(ChangeOutcome::Unclear), 700, 3; "the others can't be reached")]
 #[test_case(&[Down, Down, Down], None, 0, 3; "none is there")]
 #[test_case(&[Nothing, Nothing, Nothing], None, 800, 3; "all are silent")]
 #[test_case(&[Refuses(20), Nothing, Nothing], Some(invalid()), 20, 1; "it is refused")]
 #[test_case(&[Down, Refuses(20), Nothing], Some(invalid()), 20, 2; "it is down, the next one refuses")]
 #[test_case(&[Nothing, Refuses(20), Nothing], None, 800, 2; "refused, while one that is silent may take it")]
-#[test_case(&[Takes(400), Refuses(20), Nothing], Some(Outcome::Taken), 400, 2; "refused by one, taken by another")]
+#[test_case(&[Takes(400), Refuses(20), Nothing], Some(ChangeOutcome::Taken), 400, 2; "refused by one, taken by another")]
 #[test_case(&[Breaks, Refuses(20), Nothing], None, 20, 2; "refused, while one that broke off may take it")]
 #[test_case(&[Refuses(400), Refuses(20), Nothing], Some(invalid()), 400, 2; "refused by both")]
 #[tokio::test(start_paused = true)]
 async fn an_order_is_answered_before_its_caller_leaves(
     stores: &'static [Does],
-    outcome: Option<Outcome>,
+    outcome: Option<ChangeOutcome>,
     after_ms: u128,
     asked: usize,
 ) {
@@ -84,13 +84,14 @@
             one(stores[i])
         });
         let answer = match answer.await {
-            Some(Answer::Changed(outcome)) => Some(outcome),
+            Some(StoreResponse::Changed(outcome)) => Some(outcome),
             _ => None,
         };
         let took = begun.elapsed().as_millis();
         // Without a majority it makes no difference whether the store said so or the time ran out: both are 503.
-        let clear =
-            |outcome: &Option<Outcome>| outcome.clone().filter(|outcome| *outcome != Outcome::Unclear);
+        let clear = |outcome: &Option<ChangeOutcome>| {
+            outcome.clone().filter(|outcome| *outcome != ChangeOutcome::Unclear)
+        };
         assert_eq!(clear(&answer), clear(&outcome));
         assert!(took >= after_ms && took <= after_ms + 5, "{took} ms");
         assert_eq!(*seen.borrow(), asked);
--- a/crates/starlinghill-simulator/src/faults.rs
+++ b/crates/starlinghill-simulator/src/faults.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::ip;
 use crate::scenario::Run;
-use starlinghill_config_store::wire::{Admission, Answer, CoreOrder, Question};
+use starlinghill_config_store::wire::{MembershipOrder, MembershipOutcome, StoreRequest, StoreResponse};
 use starlinghill_runtime::rpc::Caller;
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -258,10 +258,10 @@
         let Some(spare) = run.spare() else { return };
         run.come(spare);
         sleep(run.ms(300, 2_000)).await;
-        order(run, CoreOrder::Add(run.world.cores[spare].ip)).await;
+        order(run, MembershipOrder::Add(run.world.cores[spare].ip)).await;
     } else if count > MEMBERS.1 && run.begin_loss() {
         let core = run.any_core();
-        if order(run, CoreOrder::Remove(run.world.cores[core].ip)).await {
+        if order(run, MembershipOrder::Remove(run.world.cores[core].ip)).await {
             leave(run, core).await;
         }
         run.lost();
@@ -269,13 +269,16 @@
 }
 
 /// People order it at one member after the other, until one says that it is done.
-async fn order(run: &Rc<Run>, order: CoreOrder) -> bool {
+async fn order(run: &Rc<Run>, order: MembershipOrder) -> bool {
     for _ in 0..ORDERED {
         let store = run.world.store(run.any_core());
         let answer = Caller::new(&run.world.fabric.at(ip(2, 0)), store)
-            .call::<_, Answer>(&Question::Order(order), Duration::from_secs(1))
+            .call::<_, StoreResponse>(&StoreRequest::Order(order), Duration::from_secs(1))
             .await;
-        if matches!(answer, Ok(Answer::Admission(Admission::Done(_) | Admission::Stands))) {
+        if matches!(
+            answer,
+            Ok(StoreResponse::Admission(MembershipOutcome::Done(_) | MembershipOutcome::Stands))
+        ) {
             run.note(format!("done: {order:?}"));
             return true;
         }
--- a/crates/starlinghill-simulator/src/scenario.rs
+++ b/crates/starlinghill-simulator/src/scenario.rs
@@ -10,7 +10,7 @@
 use hyper_util::rt::TokioIo;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use starlinghill_registry::wire::{Answer, Question};
+use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
 use starlinghill_runtime::net::Net;
 use starlinghill_runtime::rpc::Caller;
 use std::cell::{Cell, RefCell};
@@ -397,7 +397,9 @@
     loop {
         sleep(LOOK).await;
         let asked = run.now();
-        if let Ok(Answer::Status(status)) = caller.call(&Question::Status, Duration::from_secs(30)).await {
+        if let Ok(RegistryResponse::Status(status)) =
+            caller.call(&RegistryRequest::Status, Duration::from_secs(30)).await
+        {
             let (answered, rack) = (run.now(), at);
             if let Some((term, _)) = status.holder.filter(|_| status.count.is_some()) {
                 run.seen.borrow_mut().held.push(Held { rack, term, asked, answered });
--- a/crates/starlinghill-simulator/tests/control.rs
+++ b/crates/starlinghill-simulator/tests/control.rs
@@ -7,7 +7,7 @@
 
 use hyper::Method;
 use starlinghill_catalog::State;
-use starlinghill_registry::wire::{Answer, Question};
+use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
 use starlinghill_runtime::rpc::Caller;
 use starlinghill_simulator::backends::beat;
 use starlinghill_simulator::checker::{Attempt, Held, History, InForce, Items, Order, Read, APPLY};
@@ -301,8 +301,8 @@
         world.fabric.mend();
         sleep(s(3)).await;
         let at = world.fabric.at(ip(0, 1));
-        let asked = Caller::new(&at, world.own(1)).call(&Question::All, s(1)).await;
-        let Ok(Answer::All(heard)) = asked else { panic!("{asked:?}") };
+        let asked = Caller::new(&at, world.own(1)).call(&RegistryRequest::All, s(1)).await;
+        let Ok(RegistryResponse::All(heard)) = asked else { panic!("{asked:?}") };
         let states: Vec<_> =
             heard.backends.iter().map(|(instance, _)| (instance.id.as_str(), instance.state)).collect();
         assert_eq!(states, [("b", State::Gone)]);
--- a/crates/starlinghill-testkit/examples/scale/hollow.rs
+++ b/crates/starlinghill-testkit/examples/scale/hollow.rs
@@ -4,7 +4,7 @@
 use starlinghill_catalog::{number, service_number, Gateway, Observation, State};
 use starlinghill_failure_detector::PeerSighting;
 use starlinghill_quota_counter::{Draw, LoadReport};
-use starlinghill_registry::wire::{Answer, Have, News, Question};
+use starlinghill_registry::wire::{KnownState, RegistryRequest, RegistryResponse, RegistryUpdate};
 use starlinghill_runtime::frame::{self, Reader};
 use starlinghill_runtime::net::Connection;
 use std::collections::HashMap;
@@ -90,10 +90,14 @@
     timeout(CONNECT, socket.connect(to)).await.map_err(|_| io::ErrorKind::TimedOut)?
 }
 
-async fn ask(stream: &mut TcpStream, reader: &mut Reader, question: &Question) -> io::Result<Answer> {
+async fn ask(
+    stream: &mut TcpStream,
+    reader: &mut Reader,
+    question: &RegistryRequest,
+) -> io::Result<RegistryResponse> {
     let asked = async {
         frame::write(stream, question).await?;
-        reader.read::<Answer>(stream).await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        reader.read::<RegistryResponse>(stream).await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     };
     timeout(PATIENCE, asked).await.map_err(|_| io::ErrorKind::TimedOut)?
 }
@@ -179,7 +183,7 @@
         // A watcher on the ring tells of three others.
         let seen = |by: usize| PeerSighting { ip: self.net.hollow((i + by) % all), life: 1, ago_ms: 100 };
         while !self.is_over() {
-            let have = Have {
+            let have = KnownState {
                 gateway: gateway.me.clone(),
                 rack: life,
                 seq,
@@ -198,12 +202,12 @@
                         (stream, Reader::default())
                     }
                 };
-                let answer = ask(&mut kept.0, &mut kept.1, &Question::News(have)).await?;
+                let answer = ask(&mut kept.0, &mut kept.1, &RegistryRequest::News(have)).await?;
                 line = Some(kept);
                 io::Result::Ok(answer)
             };
             match asked.await {
-                Ok(Answer::News(news)) => {
+                Ok(RegistryResponse::News(news)) => {
                     if news.rack != life || news.whole {
                         listed = Listed::default();
                     }
@@ -220,7 +224,7 @@
         }
     }
 
-    fn take(&self, gateway: &HollowGateway, news: News, listed: &mut Listed) {
+    fn take(&self, gateway: &HollowGateway, news: RegistryUpdate, listed: &mut Listed) {
         let now = Instant::now();
         gateway.time.fetch_max(news.time, Ordering::Relaxed);
         let marked = news.items.iter().find(|item| item.name == MARKED).map(|item| item.version);
@@ -271,13 +275,13 @@
             };
             stream.tune();
             let (mut reader, from) = (Reader::default(), gateway.me.life);
-            let recall = Question::Recall { term, from, readings: Vec::new() };
+            let recall = RegistryRequest::Recall { term, from, readings: Vec::new() };
             let mut answer = ask(&mut stream, &mut reader, &recall).await;
             sleep(pause.mul_f64(fastrand::f64())).await;
             while !self.is_over() && !holder.has_changed().unwrap_or(true) {
                 match answer {
-                    Ok(Answer::Noted) => {}
-                    Ok(Answer::Levels(levels, _)) => {
+                    Ok(RegistryResponse::Noted) => {}
+                    Ok(RegistryResponse::Levels(levels, _)) => {
                         self.answers.fetch_add(1, Ordering::Relaxed);
                         let room = levels.first().and_then(|level| level.rooms.first());
                         last = room.map_or(0, |room| room.backend);
@@ -292,7 +296,8 @@
                     }
                 }
                 sleep(pause).await;
-                let question = Question::Count { term, from, draws: vec![self.a_draw()], words: word(last) };
+                let question =
+                    RegistryRequest::Count { term, from, draws: vec![self.a_draw()], words: word(last) };
                 answer = ask(&mut stream, &mut reader, &question).await;
             }
             sleep(PAUSE).await;
--- a/crates/starlinghill-testkit/examples/scale/pieces.rs
+++ b/crates/starlinghill-testkit/examples/scale/pieces.rs
@@ -6,7 +6,9 @@
 use starlinghill_config_model::{ConfigChange, Item, ItemSet};
 use starlinghill_failure_detector::{GatewayLiveness, PeerSighting};
 use starlinghill_quota_counter::{Allowance, Draw, ListedBackend, LoadReport, QuotaCounter};
-use starlinghill_registry::wire::{Answer, Have, Heard, News, Question};
+use starlinghill_registry::wire::{
+    KnownState, PeerReport, RegistryRequest, RegistryResponse, RegistryUpdate,
+};
 use starlinghill_runtime::frame;
 use std::collections::BTreeSet;
 use std::hint::black_box;
@@ -93,7 +95,7 @@
         ill: 0,
     });
     let seen = |i: usize| PeerSighting { ip: ip(i), life: fastrand::u64(..), ago_ms: 100 };
-    let have = Have {
+    let have = KnownState {
         gateway: gateway(1),
         rack: 1 << 60,
         seq: 1_000,
@@ -103,7 +105,7 @@
         digest: u64::MAX,
         seen: (0..3).map(seen).collect(),
     };
-    let news = News {
+    let news = RegistryUpdate {
         rack: 1 << 60,
         seq: 1_000,
         contact: None,
@@ -115,15 +117,16 @@
         holder: None,
         time: 90_000_000_000,
     };
-    let frame = |question: &Question| frame::encode(question).len();
-    println!("| question for news, as a frame | {} | |", frame(&Question::News(have)));
+    let frame = |question: &RegistryRequest| frame::encode(question).len();
+    println!("| question for news, as a frame | {} | |", frame(&RegistryRequest::News(have)));
     println!(
         "| answer without news, as a frame | {} | |",
-        frame::encode(&Answer::News(Box::new(news))).len()
+        frame::encode(&RegistryResponse::News(Box::new(news))).len()
     );
-    let one = Question::Count { term: 90_000_000, from: 1 << 60, draws: vec![draw(1)], words: Vec::new() };
+    let one =
+        RegistryRequest::Count { term: 90_000_000, from: 1 << 60, draws: vec![draw(1)], words: Vec::new() };
     println!("| one draw, as a frame | {} | |", frame(&one));
-    let heard = |count: usize| Heard {
+    let heard = |count: usize| PeerReport {
         epoch: 1,
         backends: (0..count).map(|i| (instance(i, 950), 400)).collect(),
         gateways: (0..count / 14).map(|i| (gateway(i), 100)).collect(),
@@ -131,7 +134,7 @@
     };
     println!(
         "| what registries tell each other, 41,000 backends | {} | |",
-        frame(&Question::Heard(heard(41_000)))
+        frame(&RegistryRequest::Heard(heard(41_000)))
     );
     let whole: Vec<Item> = items.iter().cycle().take(85_750).cloned().collect();
     println!("| all 85,750 items | {} | |", bitcode::encode(&whole).len());
--- a/crates/starlinghill-testkit/src/balancing.rs
+++ b/crates/starlinghill-testkit/src/balancing.rs
@@ -3,7 +3,7 @@
 //! places are taken.
 
 use starlinghill_quota_counter::{Draw, ListedBackend, LoadReport, LoadTable, QuotaLevel};
-use starlinghill_registry::wire::{Answer, Question};
+use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
@@ -232,9 +232,10 @@
 /// The bytes of one draw with its answer, but for the words.
 fn asking(rooms: Vec<starlinghill_quota_counter::BackendOffer>) -> usize {
     let draw = Draw { name: 1, owed: 0.0, units: 1.0, rate: 90.0, burst: 90.0, service: 1, within_ms: 500 };
-    let question = Question::Count { term: 1 << 20, from: u64::MAX, draws: vec![draw], words: Vec::new() };
+    let question =
+        RegistryRequest::Count { term: 1 << 20, from: u64::MAX, draws: vec![draw], words: Vec::new() };
     let level = QuotaLevel { level: 10.0, share: 0.1, rooms };
-    let answer = Answer::Levels(vec![level], 1 << 30);
+    let answer = RegistryResponse::Levels(vec![level], 1 << 30);
     // Each has a length and a version.
     bitcode::encode(&question).len() + bitcode::encode(&answer).len() + 10
 }
--- a/crates/starlinghill-testkit/src/catch_up.rs
+++ b/crates/starlinghill-testkit/src/catch_up.rs
@@ -2,7 +2,7 @@
 
 use crate::processes::Process;
 use crate::system::{change, first_items, patch, rule, Machine, System};
-use starlinghill_registry::wire::{Answer, Question};
+use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
 use starlinghill_runtime::net;
 use starlinghill_runtime::rpc::Caller;
 use std::time::{Duration, Instant};
@@ -57,8 +57,8 @@
 /// The highest number that the registry of a machine has, where a majority is behind it.
 async fn has(machine: &Machine) -> Option<u64> {
     let caller = Caller::new(&net::tcp(), machine.registry());
-    match caller.call(&Question::Status, ASKED).await {
-        Ok(Answer::Status(status)) if status.fresh => status.items.iter().map(|item| item.2).max(),
+    match caller.call(&RegistryRequest::Status, ASKED).await {
+        Ok(RegistryResponse::Status(status)) if status.fresh => status.items.iter().map(|item| item.2).max(),
         _ => None,
     }
 }
--- a/crates/starlinghill-testkit/tests/members.rs
+++ b/crates/starlinghill-testkit/tests/members.rs
@@ -1,6 +1,6 @@
 //! Members of the core as people change them, by real processes and the console's own orders: `docs/operate/system.md`.
 
-use starlinghill_config_store::wire::CoreOrder;
+use starlinghill_config_store::wire::MembershipOrder;
 use starlinghill_console::client::Places;
 use starlinghill_console::membership::{list, why};
 use starlinghill_runtime::settings::Node;
@@ -19,7 +19,7 @@
 }
 
 /// Gives an order as the console does, again where it has to wait.
-async fn order(places: &Places, order: CoreOrder) {
+async fn order(places: &Places, order: MembershipOrder) {
     eventually(&format!("{order:?}"), || async { places.core(order).await.is_ok() }).await;
 }
 
@@ -46,7 +46,7 @@
             lines.iter().any(|line| line.contains(&waits) && line.contains("no member has been silent"))
         })
         .await;
-        order(&places, CoreOrder::Add(ip(&system, core))).await;
+        order(&places, MembershipOrder::Add(ip(&system, core))).await;
         system.cores[core].processes[1].wait_for_log("event=voter_back", PATIENCE);
     }
     eventually("all five are fresh", || async { states(&places).await == ["fresh"; 5] }).await;
@@ -61,7 +61,7 @@
     both.sort_unstable();
     assert_eq!(both, ["fresh", "fresh", "fresh", "silent", "silent"]);
     for core in 0..2 {
-        order(&places, CoreOrder::Remove(ip(&system, core))).await;
+        order(&places, MembershipOrder::Remove(ip(&system, core))).await;
     }
     eventually("three are left", || async { states(&places).await == ["fresh"; 3] }).await;
     // The last founder: what was confirmed is with those that came later.
