--- a/crates/starlinghill-control/src/group_follower.rs
+++ b/crates/starlinghill-control/src/group_follower.rs
@@ -3,8 +3,8 @@
 
 use starlinghill_decision::api::ZonePart;
 use starlinghill_failover::follower::View;
-use starlinghill_failover::topology::{is_name, MapProblem};
-use starlinghill_failover::WHOLE;
+use starlinghill_failover::topology::{is_name, TopologyProblem};
+use starlinghill_failover::FULL_WEIGHT;
 use starlinghill_failover_client::subscription::{follow, Evidence, Settings};
 use starlinghill_gateway::Parts;
 use starlinghill_operator_config::Group;
@@ -13,17 +13,17 @@
 
 /// What is told of a view: zones with their whole part need no word.
 fn parts(view: &View) -> Parts {
-    let less = view.zones.iter().filter(|(_, z)| z.weight < WHOLE);
+    let less = view.zones.iter().filter(|(_, z)| z.weight < FULL_WEIGHT);
     less.map(|(name, z)| {
-        (name.clone(), ZonePart { weight: f64::from(z.weight) / f64::from(WHOLE), yields: z.yields })
+        (name.clone(), ZonePart { weight: f64::from(z.weight) / f64::from(FULL_WEIGHT), yields: z.yields })
     })
     .collect()
 }
 
 /// Whom to follow by the operators' file, under this name, from this zone; empty: from none of them.
-pub fn settings(group: &Group, name: &str, zone: &str, seed: u64) -> Result<Settings, MapProblem> {
+pub fn settings(group: &Group, name: &str, zone: &str, seed: u64) -> Result<Settings, TopologyProblem> {
     if !is_name(name) {
-        return Err(MapProblem::Name(name.chars().take(64).collect()));
+        return Err(TopologyProblem::Name(name.chars().take(64).collect()));
     }
     Ok(Settings {
         members: group.members.iter().map(|m| m.listen).collect(),
@@ -69,7 +69,7 @@
     name: &str,
     zone: &str,
     evidence: Option<Evidence>,
-) -> Result<Following, MapProblem> {
+) -> Result<Following, TopologyProblem> {
     let settings = settings(group, name, zone, fastrand::u64(..))?;
     info!(members = settings.members.len(), "follows the group");
     let (renew, changes) = watch::channel(settings);
--- a/crates/starlinghill-control/src/lib.rs
+++ b/crates/starlinghill-control/src/lib.rs
@@ -7,7 +7,7 @@
 use starlinghill_control_state::fleet::Place;
 use starlinghill_control_state::ledger::LedgerSettings;
 use starlinghill_decision::api::{Micros, PlanId, SettingsError};
-use starlinghill_failover::topology::{Map, MapProblem, Zone};
+use starlinghill_failover::topology::{Topology, TopologyProblem, Zone};
 use starlinghill_gateway::config::{Config, Upstreams};
 use starlinghill_gateway::discovery::{self, Follower, Source};
 use starlinghill_operator_config::{Control, Group, Problem, Quotas};
@@ -36,7 +36,7 @@
     /// It could not listen.
     Listen(SocketAddr, std::io::Error),
     /// The group can't be followed.
-    Group(MapProblem),
+    Group(TopologyProblem),
     /// Encryption could not be set up.
     Tls(tonic::transport::Error),
     /// A thread could not be started.
@@ -144,7 +144,8 @@
         interval: micros(q.interval),
     };
     let proxy = |p: &starlinghill_operator_config::Proxy| hub::Proxy { id: p.id.clone(), listen: p.listen };
-    let rank = |map: &Map, region: &String| map.regions.iter().position(|r| r == region).unwrap_or(0) as u32;
+    let rank =
+        |map: &Topology, region: &String| map.regions.iter().position(|r| r == region).unwrap_or(0) as u32;
     let places = group.map(|group| {
         let zones = group.map.zones.iter();
         let place = |zone: &Zone| Place { region: zone.region.clone(), rank: rank(&group.map, &zone.region) };
--- a/crates/starlinghill-control/src/program/group.rs
+++ b/crates/starlinghill-control/src/program/group.rs
@@ -3,10 +3,10 @@
 use crate::program::zones::{newest, print_json, runtime, usage, Exit};
 use clap::Subcommand;
 use serde_json::json;
-use starlinghill_failover::order::{Order, What};
+use starlinghill_failover::order::{Order, OrderKind};
 use starlinghill_failover::state::Outcome;
-use starlinghill_failover_client::client::{give, look_at_all, manage, NotDone};
-use starlinghill_failover_client::report::{Manage, Managed, Report};
+use starlinghill_failover_client::client::{give, look_at_all, manage, OrderError};
+use starlinghill_failover_client::report::{MembershipChange, MembershipResult, Report};
 use starlinghill_operator_config::Group;
 use starlinghill_raft::member::Settings;
 use starlinghill_raft::serve::Running;
@@ -108,7 +108,7 @@
         (Some(Command::Init { file }), _) => init(&file, None),
         (Some(Command::Show { file, json }), _) => show(&file, json),
         (Some(Command::Add { file, id }), _) => add(&file, id),
-        (Some(Command::Remove { file, id }), _) => change(&file, &Manage::Remove { id }),
+        (Some(Command::Remove { file, id }), _) => change(&file, &MembershipChange::Remove { id }),
         (Some(Command::Adopt { file, reason }), _) => adopt(&file, reason),
         (Some(Command::Snapshot { file }), _) => snapshot(&file),
         (Some(Command::Restore { file, from }), _) => restore(&file, &from),
@@ -172,15 +172,15 @@
     }
 }
 
-fn managed(done: Result<Managed, NotDone>) -> Result<(), Exit> {
+fn managed(done: Result<MembershipResult, OrderError>) -> Result<(), Exit> {
     match done {
-        Ok(Managed::Done) => Ok(()),
-        Ok(Managed::Refused { why }) => Err(Exit::Refused(vec![why])),
+        Ok(MembershipResult::Done) => Ok(()),
+        Ok(MembershipResult::Refused { why }) => Err(Exit::Refused(vec![why])),
         Err(e) => Err(e.into()),
     }
 }
 
-fn change(file: &Path, change: &Manage) -> Result<(), Exit> {
+fn change(file: &Path, change: &MembershipChange) -> Result<(), Exit> {
     let group = read(file).map_err(usage)?;
     managed(runtime()?.block_on(manage(&addresses(&group), change, PATIENCE)))
 }
@@ -188,7 +188,7 @@
 fn init(file: &Path, restored: Option<Box<starlinghill_failover::state::State>>) -> Result<(), Exit> {
     let group = read(file).map_err(usage)?;
     let members = group.members.iter().map(|m| (m.id, m.listen)).collect();
-    let begin = Manage::Init { members, restored };
+    let begin = MembershipChange::Init { members, restored };
     // One member alone is asked: two that begin the same group would each find the other's members taken.
     let first = &addresses(&group)[..1];
     managed(runtime()?.block_on(manage(first, &begin, PATIENCE)))
@@ -198,7 +198,7 @@
     let group = read(file).map_err(usage)?;
     let found = group.members.iter().find(|m| m.id == id);
     let address = found.ok_or_else(|| usage(format!("{}: no member {id}", file.display())))?.listen;
-    managed(runtime()?.block_on(manage(&addresses(&group), &Manage::Add { id, address }, PATIENCE)))
+    managed(runtime()?.block_on(manage(&addresses(&group), &MembershipChange::Add { id, address }, PATIENCE)))
 }
 
 fn adopt(file: &Path, reason: String) -> Result<(), Exit> {
@@ -206,7 +206,7 @@
     let members = addresses(&group);
     runtime()?.block_on(async {
         let (report, _) = newest(&members).await?;
-        let what = What::Adopt { map: group.map.clone(), expect: Some(report.state.position.epoch) };
+        let what = OrderKind::Adopt { map: group.map.clone(), expect: Some(report.state.position.epoch) };
         let order = Order { what, ..crate::program::zones::signed(None, None, reason) };
         match give(&members, &order, crate::program::zones::GIVE).await? {
             Outcome::Accepted { position } => {
@@ -225,7 +225,7 @@
     runtime()?.block_on(async {
         let mut failed = Vec::new();
         for member in addresses(&group) {
-            let done = manage(&[member], &Manage::Snapshot, Duration::from_secs(2)).await;
+            let done = manage(&[member], &MembershipChange::Snapshot, Duration::from_secs(2)).await;
             match managed(done) {
                 Ok(()) => println!("{member}: kept"),
                 Err(e) => failed.push(format!("{member}: {e}")),
--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -8,8 +8,8 @@
 use starlinghill_gateway::config::Config;
 use starlinghill_gateway::process::{self, Beside};
 use starlinghill_operator_config::Group;
-use starlinghill_zone_health::attempt_counts::Became;
-use starlinghill_zone_health::attempt_window::Watch;
+use starlinghill_zone_health::attempt_counts::AttemptResult;
+use starlinghill_zone_health::attempt_window::AttemptWindow;
 use std::error::Error;
 use std::path::Path;
 use std::path::PathBuf;
@@ -19,7 +19,7 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tracing::warn;
 
-async fn read_again(file: PathBuf, mut hang_up: Signal, renew: Renew, watch: Arc<Mutex<Watch>>) {
+async fn read_again(file: PathBuf, mut hang_up: Signal, renew: Renew, watch: Arc<Mutex<AttemptWindow>>) {
     while hang_up.recv().await.is_some() {
         match starlinghill_operator_config::read(&file) {
             Ok(operators) => {
@@ -37,20 +37,20 @@
 }
 
 /// What became of an attempt, as evidence on its server's zone; `None`: it says nothing of it.
-fn became(attempted: &Attempted) -> Option<Became> {
+fn became(attempted: &Attempted) -> Option<AttemptResult> {
     Some(match attempted.outcome {
-        Outcome::Ok if attempted.late => Became::Late,
-        Outcome::Ok => Became::Answered,
-        Outcome::Error | Outcome::Reset => Became::Failed,
-        Outcome::Full => Became::TurnedAway,
-        Outcome::Timeout => Became::Silent,
-        Outcome::ConnectFailed if attempted.refused => Became::Refused,
-        Outcome::ConnectFailed => Became::Unreached,
+        Outcome::Ok if attempted.late => AttemptResult::Late,
+        Outcome::Ok => AttemptResult::Answered,
+        Outcome::Error | Outcome::Reset => AttemptResult::Failed,
+        Outcome::Full => AttemptResult::TurnedAway,
+        Outcome::Timeout => AttemptResult::Silent,
+        Outcome::ConnectFailed if attempted.refused => AttemptResult::Refused,
+        Outcome::ConnectFailed => AttemptResult::Unreached,
         Outcome::Cancelled | Outcome::Moot => return None,
     })
 }
 
-fn locked(watch: &Mutex<Watch>) -> MutexGuard<'_, Watch> {
+fn locked(watch: &Mutex<AttemptWindow>) -> MutexGuard<'_, AttemptWindow> {
     watch.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -58,7 +58,7 @@
     let hang_up = signal(SignalKind::hangup())?;
     let begun = Instant::now();
     let now = move || Micros(u64::try_from(begun.elapsed().as_micros()).unwrap_or(u64::MAX));
-    let watch = Arc::new(Mutex::new(Watch::new(group.map.zones.keys().cloned())));
+    let watch = Arc::new(Mutex::new(AttemptWindow::new(group.map.zones.keys().cloned())));
     // One thread has both; nobody waits for the other.
     let (seen, told) = (watch.clone(), watch.clone());
     let watcher = move |attempted: &Attempted| {
--- a/crates/starlinghill-control/src/program/zones.rs
+++ b/crates/starlinghill-control/src/program/zones.rs
@@ -4,10 +4,10 @@
 use clap::Subcommand;
 use serde::Serialize;
 use serde_json::json;
-use starlinghill_failover::order::{Change, Order, Ramp, What, ZoneOrder};
+use starlinghill_failover::order::{Change, Order, OrderKind, Ramp, ZoneOrder};
 use starlinghill_failover::state::{Outcome, ZoneState};
-use starlinghill_failover::{Position, WHOLE};
-use starlinghill_failover_client::client::{give, look_at_all, NotDone};
+use starlinghill_failover::{Position, FULL_WEIGHT};
+use starlinghill_failover_client::client::{give, look_at_all, OrderError};
 use starlinghill_failover_client::report::{Report, Subscriber};
 use starlinghill_failover_client::wall_clock;
 use std::collections::BTreeMap;
@@ -69,11 +69,11 @@
     }
 }
 
-impl From<NotDone> for Exit {
-    fn from(e: NotDone) -> Exit {
+impl From<OrderError> for Exit {
+    fn from(e: OrderError) -> Exit {
         match e {
-            NotDone::NotReached(why) => Exit::NotReached(why),
-            NotDone::Unknown(_) => Exit::Unknown(e.to_string()),
+            OrderError::NotReached(why) => Exit::NotReached(why),
+            OrderError::Unknown(_) => Exit::Unknown(e.to_string()),
         }
     }
 }
@@ -209,7 +209,7 @@
     let author = by.or_else(|| std::env::var("USER").ok()).unwrap_or_else(|| "operator".into());
     let id = id.unwrap_or_else(|| format!("{:016x}", fastrand::u64(..)));
     // What is ordered is filled in by the caller; a step of nothing is refused by every group.
-    let what = What::Step { zone: String::new(), of: 0 };
+    let what = OrderKind::Step { zone: String::new(), of: 0 };
     Order { id, author, reason, at_ms: wall_clock::now_ms(), what }
 }
 
@@ -289,7 +289,7 @@
 pub fn order(command: ZoneCommand) -> ExitCode {
     let (args, change) = match command {
         ZoneCommand::Drain { order, ramp, to } => {
-            (order, Change::Drain { to: to.saturating_mul(10).min(WHOLE), ramp: ramp.ramp() })
+            (order, Change::Drain { to: to.saturating_mul(10).min(FULL_WEIGHT), ramp: ramp.ramp() })
         }
         ZoneCommand::Out { order } => (order, Change::Out),
         ZoneCommand::Return { order, ramp } => (order, Change::Return { ramp: ramp.ramp() }),
@@ -305,7 +305,7 @@
         let (report, _) = newest(&members).await?;
         // Sent again by its id, it has to be the same order: what its author saw then is in the answer kept.
         let seen = report.state.zones.get(&args.zone).map(|z| z.epoch).filter(|_| args.id.is_none());
-        let what = What::Zone(ZoneOrder {
+        let what = OrderKind::Zone(ZoneOrder {
             zone: args.zone.clone(),
             change,
             expect: seen,
--- a/crates/starlinghill-control/tests/group.rs
+++ b/crates/starlinghill-control/tests/group.rs
@@ -5,7 +5,7 @@
 use starlinghill_failover_client::subscription::{follow, Evidence};
 use starlinghill_testkit::group::{Group, LIMIT};
 use starlinghill_testkit::processes::Process;
-use starlinghill_zone_health::attempt_counts::Sums;
+use starlinghill_zone_health::attempt_counts::AttemptCounts;
 use starlinghill_zone_health::report::Report;
 use std::path::Path;
 use std::process::Output;
@@ -453,8 +453,8 @@
     let group = group(&["a"]).await;
     let file =
         starlinghill_operator_config::read(&group.operators()).expect("a file").group.expect("a group");
-    let good = Sums { answered: 90, late: 2, ..Sums::default() };
-    let absurd = Sums { answered: 1, late: 2, ..Sums::default() };
+    let good = AttemptCounts { answered: 90, late: 2, ..AttemptCounts::default() };
+    let absurd = AttemptCounts { answered: 1, late: 2, ..AttemptCounts::default() };
     let said = [
         ("wide", vec![("a", good), ("nowhere", good)]),
         ("absurd", vec![("a", good), ("b", absurd)]),
--- a/crates/starlinghill-failover-client/src/client.rs
+++ b/crates/starlinghill-failover-client/src/client.rs
@@ -3,7 +3,7 @@
 
 use crate::proto::group_client::GroupClient;
 use crate::proto::{LookRequest, Sealed};
-use crate::report::{Manage, Managed, Report};
+use crate::report::{MembershipChange, MembershipResult, Report};
 use starlinghill_failover::order::Order;
 use starlinghill_failover::state::Outcome;
 use starlinghill_failover::wire::{decode, encode, Message, LONGEST};
@@ -25,24 +25,24 @@
 
 /// Why an order has no outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NotDone {
+pub enum OrderError {
     /// No member took it, and it certainly does not count.
     NotReached(String),
     /// A member took it and did not answer. It may count or not; sent again with its id, it counts once.
     Unknown(String),
 }
 
-impl fmt::Display for NotDone {
+impl fmt::Display for OrderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NotDone::NotReached(why) => write!(f, "no member took it: {why}"),
-            NotDone::Unknown(why) => {
+            OrderError::NotReached(why) => write!(f, "no member took it: {why}"),
+            OrderError::Unknown(why) => {
                 write!(f, "it may count or not: {why}; sent again with the same id, it counts once")
             }
         }
     }
 }
-impl std::error::Error for NotDone {}
+impl std::error::Error for OrderError {}
 
 /// A channel to a member, made when it is first used.
 pub fn channel(member: SocketAddr, connect: Duration) -> Result<Channel, tonic::transport::Error> {
@@ -76,7 +76,7 @@
     kind: Kind,
     message: &I,
     patience: Duration,
-) -> Result<O, NotDone> {
+) -> Result<O, OrderError> {
     let until = Instant::now() + patience;
     let (mut counts, mut why) = (false, String::from("there is no member"));
     let one_try = match kind {
@@ -118,7 +118,7 @@
             }
         }
         if Instant::now() + PAUSE + ONE_TRY.min(patience / 2) >= until {
-            return Err(if counts { NotDone::Unknown(why) } else { NotDone::NotReached(why) });
+            return Err(if counts { OrderError::Unknown(why) } else { OrderError::NotReached(why) });
         }
         tokio::time::sleep(PAUSE).await;
     }
@@ -137,12 +137,16 @@
 }
 
 /// Gives an order, to one member after the other, until one tells its outcome.
-pub async fn give(members: &[SocketAddr], order: &Order, patience: Duration) -> Result<Outcome, NotDone> {
+pub async fn give(members: &[SocketAddr], order: &Order, patience: Duration) -> Result<Outcome, OrderError> {
     ask(members, Kind::Give, order, patience).await
 }
 
 /// Changes the group itself.
-pub async fn manage(members: &[SocketAddr], change: &Manage, patience: Duration) -> Result<Managed, NotDone> {
+pub async fn manage(
+    members: &[SocketAddr],
+    change: &MembershipChange,
+    patience: Duration,
+) -> Result<MembershipResult, OrderError> {
     ask(members, Kind::Manage, change, patience).await
 }
 
--- a/crates/starlinghill-failover-client/src/report.rs
+++ b/crates/starlinghill-failover-client/src/report.rs
@@ -50,7 +50,7 @@
     pub members: BTreeMap<u64, (String, bool)>,
     /// The state.
     pub state: State,
-    /// Those who follow by this member, by name; [`PAGE`] at most.
+    /// Those who follow by this member, by name; [`FOLLOWERS_PER_REPORT`] at most.
     pub subscribers: Vec<Subscriber>,
     /// Whether there are more past the last of them.
     pub more: bool,
@@ -58,12 +58,12 @@
 
 /// The most followers that one report tells of. A member that may take a hundred thousand would fill a message of
 /// any size; beside a state of many zones this many are little.
-pub const PAGE: usize = 50;
+pub const FOLLOWERS_PER_REPORT: usize = 50;
 
 /// A change of the group itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
-pub enum Manage {
+pub enum MembershipChange {
     /// Begin a group of these members, all of them blank.
     Init {
         /// Their numbers and addresses.
@@ -90,7 +90,7 @@
 /// What became of a change of the group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
-pub enum Managed {
+pub enum MembershipResult {
     /// It is so now.
     Done,
     /// It was not done.
@@ -103,9 +103,9 @@
 impl Message for Report {
     const KIND: &'static str = "report";
 }
-impl Message for Manage {
+impl Message for MembershipChange {
     const KIND: &'static str = "manage";
 }
-impl Message for Managed {
+impl Message for MembershipResult {
     const KIND: &'static str = "managed";
 }
--- a/crates/starlinghill-failover-client/src/subscription.rs
+++ b/crates/starlinghill-failover-client/src/subscription.rs
@@ -5,7 +5,7 @@
 use crate::proto::group_client::GroupClient;
 use crate::proto::{down, up, At, Hello, Question, Up};
 use starlinghill_failover::bounds::Timing;
-use starlinghill_failover::directive::Told;
+use starlinghill_failover::directive::DirectiveUpdate;
 use starlinghill_failover::follower::{Action, Event, Follower, View};
 use starlinghill_failover::wire::{decode, encode, LONGEST};
 use starlinghill_failover::{Micros, Position};
@@ -52,7 +52,7 @@
 
 /// What a connection brings.
 enum Heard {
-    Told(Told),
+    Told(DirectiveUpdate),
     Answer { asked: Micros, age: Option<Micros>, position: Position },
     Lost(String),
 }
@@ -240,7 +240,7 @@
                     Err(status) => return status.message().to_string(),
                 };
                 let heard = match heard {
-                    Some(down::What::Told(bytes)) => match decode::<Told>(&bytes) {
+                    Some(down::What::Told(bytes)) => match decode::<DirectiveUpdate>(&bytes) {
                         Ok(told) => Heard::Told(told),
                         Err(e) => return e.to_string(),
                     },
--- a/crates/starlinghill-failover/src/bounds.rs
+++ b/crates/starlinghill-failover/src/bounds.rs
@@ -51,7 +51,7 @@
 
 /// Settings that don't fit together.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Misfit {
+pub enum TimingProblem {
     /// The election's time is not over twice the heartbeat's.
     Election,
     /// A connected gateway would not stay fresh: its answers are older than `fresh` as they come.
@@ -63,16 +63,18 @@
     Stale,
 }
 
-impl std::fmt::Display for Misfit {
+impl std::fmt::Display for TimingProblem {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Misfit::Election => f.write_str("expected election_ms of three times heartbeat_ms at least"),
-            Misfit::Fresh { least } => write!(
+            TimingProblem::Election => {
+                f.write_str("expected election_ms of three times heartbeat_ms at least")
+            }
+            TimingProblem::Fresh { least } => write!(
                 f,
                 "expected fresh_ms of {} at least, the age at which answers come at the worst",
                 least.0.div_ceil(1_000)
             ),
-            Misfit::Stale => f.write_str("expected stale_ms above fresh_ms"),
+            TimingProblem::Stale => f.write_str("expected stale_ms above fresh_ms"),
         }
     }
 }
@@ -114,17 +116,17 @@
     }
 
     /// All that does not fit.
-    pub fn misfits(&self) -> Vec<Misfit> {
+    pub fn misfits(&self) -> Vec<TimingProblem> {
         let mut found = Vec::new();
         if self.election.0 < 3 * self.heartbeat.0 {
-            found.push(Misfit::Election);
+            found.push(TimingProblem::Election);
         }
         let least = self.age_while_connected();
         if self.fresh < least {
-            found.push(Misfit::Fresh { least });
+            found.push(TimingProblem::Fresh { least });
         }
         if self.stale <= self.fresh {
-            found.push(Misfit::Stale);
+            found.push(TimingProblem::Stale);
         }
         found
     }
--- a/crates/starlinghill-failover/src/directive.rs
+++ b/crates/starlinghill-failover/src/directive.rs
@@ -3,7 +3,7 @@
 
 use crate::state::{Phase, State};
 use crate::topology::{is_name, MOST_ZONES};
-use crate::{Permille, Position, WHOLE};
+use crate::{Permille, Position, FULL_WEIGHT};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -39,7 +39,7 @@
 /// A message to gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
-pub enum Told {
+pub enum DirectiveUpdate {
     /// The whole picture.
     Whole {
         /// It.
@@ -79,26 +79,27 @@
     }
 }
 
-impl Told {
+impl DirectiveUpdate {
     /// Where whoever takes it in stands afterwards.
     pub fn position(&self) -> Position {
         match self {
-            Told::Whole { directives } => directives.position,
-            Told::Change { to, .. } => *to,
+            DirectiveUpdate::Whole { directives } => directives.position,
+            DirectiveUpdate::Change { to, .. } => *to,
         }
     }
 
     /// Whether it keeps to the bounds of names, numbers and weights.
     pub fn check(&self) -> Result<(), Unusable> {
         let (zones, next) = match self {
-            Told::Whole { directives } => (&directives.zones, &directives.next),
-            Told::Change { zones, next, .. } => (zones, next),
+            DirectiveUpdate::Whole { directives } => (&directives.zones, &directives.next),
+            DirectiveUpdate::Change { zones, next, .. } => (zones, next),
         };
         if zones.len() > MOST_ZONES || next.len() > MOST_ZONES {
             return Err(Unusable::TooMany(zones.len().max(next.len())));
         }
-        let bad =
-            |(name, z): &(&String, &ZoneDirective)| !is_name(name) || !is_name(&z.region) || z.weight > WHOLE;
+        let bad = |(name, z): &(&String, &ZoneDirective)| {
+            !is_name(name) || !is_name(&z.region) || z.weight > FULL_WEIGHT
+        };
         match zones.iter().find(bad) {
             Some((name, _)) => Err(Unusable::Zone(name.clone())),
             None => Ok(()),
@@ -125,16 +126,16 @@
     }
 
     /// What to tell one who holds `old`. The whole where zones came or went, or the group was restored.
-    pub fn since(&self, old: &Directives) -> Told {
+    pub fn since(&self, old: &Directives) -> DirectiveUpdate {
         let same = old.position.generation == self.position.generation
             && old.regions == self.regions
             && old.zones.len() == self.zones.len()
             && self.zones.iter().all(|(n, z)| old.zones.get(n).is_some_and(|o| o.region == z.region));
         if !same {
-            return Told::Whole { directives: self.clone() };
+            return DirectiveUpdate::Whole { directives: self.clone() };
         }
         let changed = self.zones.iter().filter(|(n, z)| old.zones.get(*n) != Some(z));
-        Told::Change {
+        DirectiveUpdate::Change {
             from: old.position,
             to: self.position,
             zones: changed.map(|(n, z)| (n.clone(), z.clone())).collect(),
@@ -143,10 +144,10 @@
     }
 
     /// The picture with a change taken in; `None` where it doesn't follow on this one.
-    pub fn with(&self, told: &Told) -> Option<Directives> {
+    pub fn with(&self, told: &DirectiveUpdate) -> Option<Directives> {
         match told {
-            Told::Whole { directives } => Some(directives.clone()),
-            Told::Change { from, to, zones, next } => {
+            DirectiveUpdate::Whole { directives } => Some(directives.clone()),
+            DirectiveUpdate::Change { from, to, zones, next } => {
                 let known = zones.keys().all(|name| self.zones.contains_key(name));
                 if *from != self.position || to < from || !known {
                     return None;
--- a/crates/starlinghill-failover/src/follower.rs
+++ b/crates/starlinghill-failover/src/follower.rs
@@ -15,9 +15,9 @@
 //! that lay in a buffer, makes the age larger, never smaller; no two processes' clocks are compared.
 
 use crate::bounds::Timing;
-use crate::directive::{Directives, Told, Unusable};
+use crate::directive::{DirectiveUpdate, Directives, Unusable};
 use crate::state::Phase;
-use crate::{Micros, Permille, Position, WHOLE};
+use crate::{Micros, Permille, Position, FULL_WEIGHT};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// A message from the member.
-    Told(Told),
+    Told(DirectiveUpdate),
     /// The member's answer to a question.
     Answer {
         /// When the question was sent, by this process's clock.
@@ -210,7 +210,7 @@
         actions
     }
 
-    fn told(&mut self, now: Micros, told: &Told, actions: &mut Vec<Action>) {
+    fn told(&mut self, now: Micros, told: &DirectiveUpdate, actions: &mut Vec<Action>) {
         if let Err(what) = told.check() {
             actions.push(Action::Leave(Why::Unusable(what)));
             return;
@@ -308,7 +308,7 @@
             Some(d) => {
                 let yields = mode == Mode::OwnSight;
                 let zone = |(name, z): (&String, &crate::directive::ZoneDirective)| {
-                    let weight = if z.phase == Phase::Serving { WHOLE } else { z.weight };
+                    let weight = if z.phase == Phase::Serving { FULL_WEIGHT } else { z.weight };
                     (name.clone(), ZoneView { weight, yields })
                 };
                 View { mode, position: d.position, zones: d.zones.iter().map(zone).collect() }
--- a/crates/starlinghill-failover/src/lib.rs
+++ b/crates/starlinghill-failover/src/lib.rs
@@ -26,7 +26,7 @@
 /// Parts in a thousand, as weights of zones are given.
 pub type Permille = u16;
 /// The weight of a zone that takes its whole part.
-pub const WHOLE: Permille = 1_000;
+pub const FULL_WEIGHT: Permille = 1_000;
 
 /// Time in microseconds on one process's own monotonic clock. Two processes' times can't be compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
--- a/crates/starlinghill-failover/src/order.rs
+++ b/crates/starlinghill-failover/src/order.rs
@@ -1,7 +1,7 @@
 //! Orders, as they stand in the group's log. An order says who gives it and why, and carries an id: the same order
 //! sent again, after an answer that got lost, counts once.
 
-use crate::topology::Map;
+use crate::topology::Topology;
 use crate::Permille;
 use serde::{Deserialize, Serialize};
 
@@ -66,11 +66,11 @@
 /// What is ordered.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
-pub enum What {
+pub enum OrderKind {
     /// Adopt this map. Zones that stay keep their states; new ones begin in service.
     Adopt {
         /// The map.
-        map: Map,
+        map: Topology,
         /// The group's epoch that the author saw; none for the first map.
         expect: Option<u64>,
     },
@@ -99,5 +99,5 @@
     /// When, in Unix milliseconds by the author's clock. For people to read; nothing is decided by it.
     pub at_ms: u64,
     /// What is ordered.
-    pub what: What,
+    pub what: OrderKind,
 }
--- a/crates/starlinghill-failover/src/rejection.rs
+++ b/crates/starlinghill-failover/src/rejection.rs
@@ -2,7 +2,7 @@
 
 use crate::order::{LONGEST_ID, LONGEST_PACE, LONGEST_WORDS, SHORTEST_PACE};
 use crate::state::Phase;
-use crate::topology::MapProblem;
+use crate::topology::TopologyProblem;
 use crate::Permille;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -22,7 +22,7 @@
     /// The map can't be used.
     BadMap {
         /// What is wrong.
-        problems: Vec<MapProblem>,
+        problems: Vec<TopologyProblem>,
     },
     /// No map was adopted yet.
     NoMap,
@@ -109,7 +109,7 @@
             Cause::BadAuthor => write!(f, "the author must have 1 to {LONGEST_WORDS} bytes"),
             Cause::BadReason => write!(f, "the reason must have 1 to {LONGEST_WORDS} bytes"),
             Cause::BadMap { problems } => {
-                let lines: Vec<String> = problems.iter().map(MapProblem::to_string).collect();
+                let lines: Vec<String> = problems.iter().map(TopologyProblem::to_string).collect();
                 write!(f, "the map can't be used: {}", lines.join("; "))
             }
             Cause::NoMap => f.write_str("the group has no map of zones yet"),
--- a/crates/starlinghill-failover/src/staleness.rs
+++ b/crates/starlinghill-failover/src/staleness.rs
@@ -11,13 +11,13 @@
 
 /// One member's certainty.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-pub struct Certainty {
+pub struct StalenessBound {
     applied: u64,
     sure: Option<Micros>,
     waiting: VecDeque<(Micros, u64)>,
 }
 
-impl Certainty {
+impl StalenessBound {
     /// A leader that a majority follows said, to a question asked then, that this entry was the newest committed.
     pub fn answered(&mut self, asked: Micros, newest: u64) {
         if newest <= self.applied {
--- a/crates/starlinghill-failover/src/state.rs
+++ b/crates/starlinghill-failover/src/state.rs
@@ -3,11 +3,11 @@
 //! may not be so one after the other.
 
 use crate::order::{
-    Change, Order, Ramp, What, ZoneOrder, LONGEST_ID, LONGEST_PACE, LONGEST_WORDS, SHORTEST_PACE,
+    Change, Order, OrderKind, Ramp, ZoneOrder, LONGEST_ID, LONGEST_PACE, LONGEST_WORDS, SHORTEST_PACE,
 };
 use crate::rejection::Cause;
-use crate::topology::{clipped, Map, Zone};
-use crate::{Permille, Position, WHOLE};
+use crate::topology::{clipped, Topology, Zone};
+use crate::{Permille, Position, FULL_WEIGHT};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -80,7 +80,7 @@
     }
 
     fn is_whole(&self) -> bool {
-        self.weight == WHOLE && matches!(self.phase, Phase::Serving | Phase::Held)
+        self.weight == FULL_WEIGHT && matches!(self.phase, Phase::Serving | Phase::Held)
     }
 }
 
@@ -117,7 +117,7 @@
     /// Where it stands.
     pub position: Position,
     /// The map, once one was adopted.
-    pub map: Option<Map>,
+    pub map: Option<Topology>,
     /// The states of the map's zones.
     pub zones: BTreeMap<String, ZoneState>,
     /// The region that takes over, for each that has nothing in service.
@@ -168,7 +168,7 @@
 
     fn judge(&mut self, order: &Order) -> Result<(), Vec<Cause>> {
         let mut causes = Vec::new();
-        let step = matches!(order.what, What::Step { .. });
+        let step = matches!(order.what, OrderKind::Step { .. });
         if order.id.len() > LONGEST_ID || order.id.is_empty() != step {
             causes.push(Cause::BadId);
         }
@@ -180,16 +180,16 @@
             causes.push(Cause::BadReason);
         }
         match &order.what {
-            What::Adopt { map, expect } => self.adopt(order, map, *expect, causes),
-            What::Zone(zone) => self.change(order, zone, causes),
-            What::Step { zone, of } => self.step(order, zone, *of, causes),
+            OrderKind::Adopt { map, expect } => self.adopt(order, map, *expect, causes),
+            OrderKind::Zone(zone) => self.change(order, zone, causes),
+            OrderKind::Step { zone, of } => self.step(order, zone, *of, causes),
         }
     }
 
     fn adopt(
         &mut self,
         order: &Order,
-        map: &Map,
+        map: &Topology,
         expect: Option<u64>,
         mut causes: Vec<Cause>,
     ) -> Result<(), Vec<Cause>> {
@@ -208,7 +208,7 @@
         }
         // Zones that were out stay out: under the new map they may have to be in service first.
         if causes.is_empty() {
-            let sure = |name: &String| self.zones.get(name).map_or(WHOLE, ZoneState::sure);
+            let sure = |name: &String| self.zones.get(name).map_or(FULL_WEIGHT, ZoneState::sure);
             let left = left(map, |name| sure(name));
             if left == 0 {
                 causes.push(Cause::LastOfAll);
@@ -230,8 +230,8 @@
         for name in map.zones.keys() {
             self.zones.entry(name.clone()).or_insert_with(|| ZoneState {
                 phase: Phase::Serving,
-                weight: WHOLE,
-                to: WHOLE,
+                weight: FULL_WEIGHT,
+                to: FULL_WEIGHT,
                 ramp: None,
                 epoch: now + 1,
                 by: order.author.clone(),
@@ -304,7 +304,14 @@
     }
 
     /// What has to stay in service beside a zone that goes down to a weight.
-    fn check_rest(&self, map: &Map, place: &Zone, wanted: &ZoneOrder, to: Permille, causes: &mut Vec<Cause>) {
+    fn check_rest(
+        &self,
+        map: &Topology,
+        place: &Zone,
+        wanted: &ZoneOrder,
+        to: Permille,
+        causes: &mut Vec<Cause>,
+    ) {
         let sure = |name: &String| match *name == wanted.zone {
             true => to,
             false => self.zones.get(name).map_or(0, ZoneState::sure),
@@ -373,14 +380,14 @@
 fn meant(order: &Order) -> u64 {
     let mut order = Order { at_ms: 0, ..order.clone() };
     match &mut order.what {
-        What::Adopt { expect, .. } | What::Zone(ZoneOrder { expect, .. }) => *expect = None,
-        What::Step { .. } => {}
+        OrderKind::Adopt { expect, .. } | OrderKind::Zone(ZoneOrder { expect, .. }) => *expect = None,
+        OrderKind::Step { .. } => {}
     }
     crate::wire::digest(&order)
 }
 
 /// The thousandths of all capacity that stay in service, rounded down.
-fn left(map: &Map, sure: impl Fn(&String) -> Permille) -> Permille {
+fn left(map: &Topology, sure: impl Fn(&String) -> Permille) -> Permille {
     let sum: u64 = map.zones.iter().map(|(n, z)| u64::from(z.capacity) * u64::from(sure(n))).sum();
     (sum / map.capacity().max(1)) as Permille
 }
@@ -395,7 +402,7 @@
 fn arrived(phase: Phase, weight: Permille) -> Phase {
     match (phase, weight) {
         (Phase::Draining, 0) => Phase::Out,
-        (Phase::Returning, WHOLE) => Phase::Serving,
+        (Phase::Returning, FULL_WEIGHT) => Phase::Serving,
         _ => phase,
     }
 }
@@ -408,7 +415,7 @@
 ) -> (Phase, Permille, Permille, Option<Ramp>) {
     let mut check = |ramp: Ramp| {
         let paced = (SHORTEST_PACE..=LONGEST_PACE).contains(&ramp.every_ms);
-        if !paced || ramp.step == 0 || ramp.step > WHOLE {
+        if !paced || ramp.step == 0 || ramp.step > FULL_WEIGHT {
             causes.push(Cause::BadRamp);
         }
     };
@@ -429,13 +436,13 @@
         }
         Change::Return { ramp } => {
             check(ramp);
-            if old.weight == WHOLE && old.phase == Phase::Serving
+            if old.weight == FULL_WEIGHT && old.phase == Phase::Serving
                 || old.phase == Phase::Returning && old.ramp == Some(ramp)
             {
                 causes.push(Cause::AlreadySo { phase: old.phase });
             }
-            let weight = stepped(old.weight, WHOLE, ramp.step);
-            (arrived(Phase::Returning, weight), weight, WHOLE, Some(ramp))
+            let weight = stepped(old.weight, FULL_WEIGHT, ramp.step);
+            (arrived(Phase::Returning, weight), weight, FULL_WEIGHT, Some(ramp))
         }
         Change::Hold => {
             if old.phase == Phase::Held {
--- a/crates/starlinghill-failover/src/topology.rs
+++ b/crates/starlinghill-failover/src/topology.rs
@@ -25,7 +25,7 @@
 /// The map.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Map {
+pub struct Topology {
     /// The regions, the most preferred first.
     pub regions: Vec<String>,
     /// The zones by name.
@@ -41,7 +41,7 @@
 
 /// What is wrong with a map.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum MapProblem {
+pub enum TopologyProblem {
     /// It has no zone.
     Empty,
     /// It has too many zones.
@@ -70,33 +70,33 @@
     Floor(u16),
 }
 
-impl fmt::Display for MapProblem {
+impl fmt::Display for TopologyProblem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MapProblem::Empty => f.write_str("expected a zone at least, found none"),
-            MapProblem::TooMany(n) => write!(f, "expected {MOST_ZONES} zones at most, found {n}"),
-            MapProblem::Name(name) => write!(
+            TopologyProblem::Empty => f.write_str("expected a zone at least, found none"),
+            TopologyProblem::TooMany(n) => write!(f, "expected {MOST_ZONES} zones at most, found {n}"),
+            TopologyProblem::Name(name) => write!(
                 f,
                 "expected a name of 1 to {LONGEST_NAME} letters, digits, '-', '_' or '.', found '{}'",
                 name.escape_debug()
             ),
-            MapProblem::Twice(name) => write!(f, "expected each region once, found '{name}' again"),
-            MapProblem::NoRegion { zone, region } => {
+            TopologyProblem::Twice(name) => write!(f, "expected each region once, found '{name}' again"),
+            TopologyProblem::NoRegion { zone, region } => {
                 write!(f, "zone '{zone}': expected one of the regions, found '{region}'")
             }
-            MapProblem::EmptyRegion(name) => {
+            TopologyProblem::EmptyRegion(name) => {
                 write!(f, "region '{name}': expected a zone at least, found none")
             }
-            MapProblem::Capacity { zone, found } => {
+            TopologyProblem::Capacity { zone, found } => {
                 write!(f, "zone '{zone}': expected a capacity from 1 to {LARGEST_CAPACITY}, found {found}")
             }
-            MapProblem::Floor(found) => {
+            TopologyProblem::Floor(found) => {
                 write!(f, "expected a floor of 1000 thousandths at most, found {found}")
             }
         }
     }
 }
-impl std::error::Error for MapProblem {}
+impl std::error::Error for TopologyProblem {}
 
 /// Whether a name can be used: for zones, regions, gateways and members.
 pub fn is_name(name: &str) -> bool {
@@ -104,41 +104,41 @@
     !name.is_empty() && name.len() <= LONGEST_NAME && name.bytes().all(fits)
 }
 
-impl Map {
+impl Topology {
     /// All that is wrong with it.
-    pub fn problems(&self) -> Vec<MapProblem> {
+    pub fn problems(&self) -> Vec<TopologyProblem> {
         let mut found = Vec::new();
         if self.zones.is_empty() {
-            found.push(MapProblem::Empty);
+            found.push(TopologyProblem::Empty);
         }
         if self.zones.len() > MOST_ZONES {
-            found.push(MapProblem::TooMany(self.zones.len()));
+            found.push(TopologyProblem::TooMany(self.zones.len()));
         }
         let mut regions = BTreeSet::new();
         for region in &self.regions {
             if !is_name(region) {
-                found.push(MapProblem::Name(clipped(region)));
+                found.push(TopologyProblem::Name(clipped(region)));
             }
             if !regions.insert(region) {
-                found.push(MapProblem::Twice(clipped(region)));
+                found.push(TopologyProblem::Twice(clipped(region)));
             }
             if !self.zones.values().any(|z| z.region == *region) {
-                found.push(MapProblem::EmptyRegion(clipped(region)));
+                found.push(TopologyProblem::EmptyRegion(clipped(region)));
             }
         }
         for (name, zone) in &self.zones {
             if !is_name(name) {
-                found.push(MapProblem::Name(clipped(name)));
+                found.push(TopologyProblem::Name(clipped(name)));
             }
             if !regions.contains(&zone.region) {
-                found.push(MapProblem::NoRegion { zone: clipped(name), region: clipped(&zone.region) });
+                found.push(TopologyProblem::NoRegion { zone: clipped(name), region: clipped(&zone.region) });
             }
             if zone.capacity == 0 || zone.capacity > LARGEST_CAPACITY {
-                found.push(MapProblem::Capacity { zone: clipped(name), found: zone.capacity });
+                found.push(TopologyProblem::Capacity { zone: clipped(name), found: zone.capacity });
             }
         }
-        if self.floor > crate::WHOLE {
-            found.push(MapProblem::Floor(self.floor));
+        if self.floor > crate::FULL_WEIGHT {
+            found.push(TopologyProblem::Floor(self.floor));
         }
         found
     }
--- a/crates/starlinghill-failover/src/wire.rs
+++ b/crates/starlinghill-failover/src/wire.rs
@@ -29,7 +29,7 @@
 impl Message for crate::state::Outcome {
     const KIND: &'static str = "outcome";
 }
-impl Message for crate::directive::Told {
+impl Message for crate::directive::DirectiveUpdate {
     const KIND: &'static str = "told";
 }
 
--- a/crates/starlinghill-failover/tests/follower.rs
+++ b/crates/starlinghill-failover/tests/follower.rs
@@ -1,41 +1,41 @@
 //! A gateway's follower among members that lag, sleep and answer late, on clocks that differ and run false.
 
 use starlinghill_failover::bounds::Timing;
-use starlinghill_failover::directive::{Directives, Told};
+use starlinghill_failover::directive::{DirectiveUpdate, Directives};
 use starlinghill_failover::follower::{Action, Event, Follower, Mode, Why};
-use starlinghill_failover::order::{Change, Order, Ramp, What, ZoneOrder};
-use starlinghill_failover::staleness::Certainty;
+use starlinghill_failover::order::{Change, Order, OrderKind, Ramp, ZoneOrder};
+use starlinghill_failover::staleness::StalenessBound;
 use starlinghill_failover::state::{Outcome, State};
-use starlinghill_failover::topology::{Map, Zone};
-use starlinghill_failover::{Micros, Position, WHOLE};
+use starlinghill_failover::topology::{Topology, Zone};
+use starlinghill_failover::{Micros, Position, FULL_WEIGHT};
 use std::collections::VecDeque;
 
 fn ms(n: u64) -> Micros {
     Micros(n * 1_000)
 }
 
-fn order(id: u64, what: What) -> Order {
+fn order(id: u64, what: OrderKind) -> Order {
     Order { id: format!("o{id}"), author: "eve".into(), reason: "a drill".into(), at_ms: 0, what }
 }
 
 fn settled(generation: u64) -> State {
     let zone = |name: &str, region: &str| (name.into(), Zone { region: region.into(), capacity: 1 });
     let zones = [zone("a1", "east"), zone("a2", "east"), zone("b1", "west")].into_iter().collect();
-    let map = Map { regions: vec!["east".into(), "west".into()], zones, floor: 0 };
+    let map = Topology { regions: vec!["east".into(), "west".into()], zones, floor: 0 };
     let mut state = State::new(generation);
-    state.apply(&order(0, What::Adopt { map, expect: None }));
+    state.apply(&order(0, OrderKind::Adopt { map, expect: None }));
     state
 }
 
 fn change(state: &mut State, id: u64, zone: &str, change: Change) {
     let (zone, force) = (zone.into(), true);
-    let wanted = What::Zone(ZoneOrder { zone, change, expect: None, next: None, force });
+    let wanted = OrderKind::Zone(ZoneOrder { zone, change, expect: None, next: None, force });
     let outcome = state.apply(&order(id, wanted));
     assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
 }
 
 fn whole(state: &State) -> Event {
-    Event::Told(Told::Whole { directives: Directives::of(state) })
+    Event::Told(DirectiveUpdate::Whole { directives: Directives::of(state) })
 }
 
 fn answer(asked: u64, age: u64, position: Position) -> Event {
@@ -149,7 +149,12 @@
     let mut beyond = old.clone();
     for id in 0..5 {
         change(&mut beyond, 2 * id + 1, "a1", Change::Out);
-        change(&mut beyond, 2 * id + 2, "a1", Change::Return { ramp: Ramp { step: WHOLE, every_ms: 1_000 } });
+        change(
+            &mut beyond,
+            2 * id + 2,
+            "a1",
+            Change::Return { ramp: Ramp { step: FULL_WEIGHT, every_ms: 1_000 } },
+        );
     }
     let mut follower = following(&beyond);
     follower.handle(ms(20), whole(&restored));
@@ -175,7 +180,7 @@
     change(&mut state, 2, "a1", Change::Out);
     let second = Directives::of(&state);
     let lost = second.since(&first);
-    assert!(matches!(&lost, Told::Change { zones, .. } if zones.len() == 1));
+    assert!(matches!(&lost, DirectiveUpdate::Change { zones, .. } if zones.len() == 1));
     assert_eq!(follower.handle(ms(20), Event::Told(lost.clone())), [Action::AskWhole]);
     follower.handle(ms(30), Event::Told(first.since(&Directives::of(&start))));
     follower.handle(ms(30), Event::Told(lost));
@@ -191,17 +196,17 @@
     let mut follower = following(&state);
     let mut other = Directives::of(&state);
     other.zones.get_mut("a1").unwrap().weight = 3;
-    let actions = follower.handle(ms(20), Event::Told(Told::Whole { directives: other.clone() }));
+    let actions = follower.handle(ms(20), Event::Told(DirectiveUpdate::Whole { directives: other.clone() }));
     assert!(matches!(&actions[..], [Action::Leave(Why::Differs(_))]), "{actions:?}");
     other.position.epoch += 1;
-    other.zones.get_mut("a1").unwrap().weight = WHOLE + 1;
-    let actions = follower.handle(ms(20), Event::Told(Told::Whole { directives: other.clone() }));
+    other.zones.get_mut("a1").unwrap().weight = FULL_WEIGHT + 1;
+    let actions = follower.handle(ms(20), Event::Told(DirectiveUpdate::Whole { directives: other.clone() }));
     assert!(matches!(&actions[..], [Action::Leave(Why::Unusable(_))]), "{actions:?}");
     for i in 0..300 {
         let zone = other.zones["b1"].clone();
         other.zones.insert(format!("z{i}"), zone);
     }
-    let actions = follower.handle(ms(20), Event::Told(Told::Whole { directives: other }));
+    let actions = follower.handle(ms(20), Event::Told(DirectiveUpdate::Whole { directives: other }));
     assert!(matches!(&actions[..], [Action::Leave(Why::Unusable(_))]), "{actions:?}");
     assert_eq!(follower.held(), state.position);
 }
@@ -209,7 +214,7 @@
 /// A member as the follower sees it: its log lags, its questions to the leader take time, it sleeps.
 struct Member {
     state: State,
-    certainty: Certainty,
+    certainty: StalenessBound,
     question: Option<(u64, u64)>,
     asleep_until: u64,
     cut_until: u64,
@@ -239,7 +244,7 @@
         let mut members: Vec<Member> = (0..3)
             .map(|_| Member {
                 state: settled(1),
-                certainty: Certainty::default(),
+                certainty: StalenessBound::default(),
                 question: None,
                 asleep_until: 0,
                 cut_until: 0,
@@ -259,7 +264,7 @@
                     Change::Hold,
                     Change::Return { ramp: Ramp { step: 300, every_ms: 600 } },
                 ];
-                let wanted = What::Zone(ZoneOrder {
+                let wanted = OrderKind::Zone(ZoneOrder {
                     zone: zone.into(),
                     change: all[rng.usize(..4)],
                     expect: None,
--- a/crates/starlinghill-failover/tests/model.rs
+++ b/crates/starlinghill-failover/tests/model.rs
@@ -3,9 +3,9 @@
 //! shows that the check is looked at.
 
 use starlinghill_failover::bounds::Timing;
-use starlinghill_failover::directive::{Directives, Told};
+use starlinghill_failover::directive::{DirectiveUpdate, Directives};
 use starlinghill_failover::follower::{Event, Follower, Mode};
-use starlinghill_failover::staleness::Certainty;
+use starlinghill_failover::staleness::StalenessBound;
 use starlinghill_failover::{Micros, Position};
 use stateright::{Checker, Model, Property};
 
@@ -26,7 +26,7 @@
 struct Member {
     /// Of which life of the group it is, and what it has applied.
     position: Position,
-    certainty: Certainty,
+    certainty: StalenessBound,
     /// A question to the leader, and the leader's answer once it is given.
     question: Option<(u64, Option<u64>)>,
 }
@@ -80,7 +80,7 @@
 }
 
 fn told(position: Position) -> Event {
-    Event::Told(Told::Whole { directives: Directives { position, ..Directives::default() } })
+    Event::Told(DirectiveUpdate::Whole { directives: Directives { position, ..Directives::default() } })
 }
 
 impl World {
--- a/crates/starlinghill-failover/tests/state.rs
+++ b/crates/starlinghill-failover/tests/state.rs
@@ -1,22 +1,22 @@
 //! The group's state machine under orders of every kind.
 
 use proptest::prelude::*;
-use starlinghill_failover::order::{Change, Order, Ramp, What, ZoneOrder};
+use starlinghill_failover::order::{Change, Order, OrderKind, Ramp, ZoneOrder};
 use starlinghill_failover::pacer::Pacer;
 use starlinghill_failover::rejection::Cause;
 use starlinghill_failover::state::{Outcome, Phase, State, REMEMBERED};
-use starlinghill_failover::topology::{Map, Zone};
-use starlinghill_failover::{wire, Micros, Position, WHOLE};
+use starlinghill_failover::topology::{Topology, Zone};
+use starlinghill_failover::{wire, Micros, Position, FULL_WEIGHT};
 
 const RAMP: Ramp = Ramp { step: 250, every_ms: 1_000 };
 
-fn map(floor: u16) -> Map {
+fn map(floor: u16) -> Topology {
     let zone = |name: &str, region: &str| (name.into(), Zone { region: region.into(), capacity: 100 });
     let zones = [zone("a1", "east"), zone("a2", "east"), zone("b1", "west")].into_iter().collect();
-    Map { regions: vec!["east".into(), "west".into()], zones, floor }
+    Topology { regions: vec!["east".into(), "west".into()], zones, floor }
 }
 
-fn order(id: &str, what: What) -> Order {
+fn order(id: &str, what: OrderKind) -> Order {
     Order { id: id.into(), author: "eve".into(), reason: "a drill".into(), at_ms: 7, what }
 }
 
@@ -26,21 +26,21 @@
 
 fn settled(floor: u16) -> State {
     let mut state = State::new(1);
-    let adopted = state.apply(&order("map", What::Adopt { map: map(floor), expect: None }));
+    let adopted = state.apply(&order("map", OrderKind::Adopt { map: map(floor), expect: None }));
     assert_eq!(adopted, Outcome::Accepted { position: Position { generation: 1, epoch: 1 } });
     state
 }
 
 #[track_caller]
 fn accepted(state: &mut State, id: &str, wanted: ZoneOrder) {
-    let outcome = state.apply(&order(id, What::Zone(wanted)));
+    let outcome = state.apply(&order(id, OrderKind::Zone(wanted)));
     assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
 }
 
 #[track_caller]
 fn refused(state: &mut State, id: &str, wanted: ZoneOrder) -> Vec<Cause> {
     let position = state.position;
-    match state.apply(&order(id, What::Zone(wanted))) {
+    match state.apply(&order(id, OrderKind::Zone(wanted))) {
         Outcome::Refused { position: at, causes } if at == position => causes,
         other => panic!("{other:?}"),
     }
@@ -49,7 +49,7 @@
 #[test]
 fn the_same_order_sent_again_counts_once_and_another_of_its_id_is_refused() {
     let mut state = settled(300);
-    let out = order("o1", What::Zone(about("a1", Change::Out)));
+    let out = order("o1", OrderKind::Zone(about("a1", Change::Out)));
     let first = state.apply(&out);
     let after = state.clone();
     assert_eq!(state.apply(&out), first);
@@ -57,31 +57,35 @@
     // Also by hand, later, by one who has looked meanwhile.
     let again = Order {
         at_ms: 99,
-        ..order("o1", What::Zone(ZoneOrder { expect: Some(9), ..about("a1", Change::Out) }))
+        ..order("o1", OrderKind::Zone(ZoneOrder { expect: Some(9), ..about("a1", Change::Out) }))
     };
     assert_eq!(state.apply(&again), first);
-    let other = order("o1", What::Zone(about("a2", Change::Hold)));
+    let other = order("o1", OrderKind::Zone(about("a2", Change::Hold)));
     assert!(matches!(state.apply(&other), Outcome::Refused { causes, .. } if causes == [Cause::IdReused]));
     // A refusal is an outcome too: that the state has changed since does not make it good.
-    let late = order("o2", What::Zone(about("a1", Change::Out)));
+    let late = order("o2", OrderKind::Zone(about("a1", Change::Out)));
     let refused = state.apply(&late);
-    accepted(&mut state, "o3", about("a1", Change::Return { ramp: Ramp { step: WHOLE, every_ms: 1_000 } }));
+    accepted(
+        &mut state,
+        "o3",
+        about("a1", Change::Return { ramp: Ramp { step: FULL_WEIGHT, every_ms: 1_000 } }),
+    );
     assert_eq!(state.apply(&late), refused);
 }
 
 #[test]
 fn outcomes_kept_are_bounded_and_steps_push_none_out() {
     let mut state = settled(300);
-    let hold = order("first", What::Zone(about("a1", Change::Out)));
+    let hold = order("first", OrderKind::Zone(about("a1", Change::Out)));
     let first = state.apply(&hold);
     for i in 0..REMEMBERED + 10 {
-        let step = What::Step { zone: "a1".into(), of: i as u64 };
+        let step = OrderKind::Step { zone: "a1".into(), of: i as u64 };
         let step = Order { id: String::new(), ..order("", step) };
         assert!(matches!(state.apply(&step), Outcome::Refused { .. }));
     }
     assert_eq!(state.apply(&hold), first);
     for i in 0..REMEMBERED {
-        let no = order(&format!("n{i}"), What::Zone(about("nowhere", Change::Out)));
+        let no = order(&format!("n{i}"), OrderKind::Zone(about("nowhere", Change::Out)));
         assert!(matches!(state.apply(&no), Outcome::Refused { .. }));
     }
     assert_ne!(state.apply(&hold), first);
@@ -167,7 +171,7 @@
     assert!(other.handle(at(3_600.0), &state, true).is_empty());
     let step = |d: &starlinghill_failover::pacer::Due| Order {
         id: String::new(),
-        ..order("", What::Step { zone: d.zone.clone(), of: d.of })
+        ..order("", OrderKind::Step { zone: d.zone.clone(), of: d.of })
     };
     assert!(matches!(state.apply(&step(&due[0])), Outcome::Accepted { .. }));
     assert_eq!(state.zones["a1"].weight, 500);
@@ -191,7 +195,7 @@
     let mut smaller = map(300);
     smaller.zones.remove("a1");
     smaller.zones.insert("b2".into(), Zone { region: "west".into(), capacity: 50 });
-    let adopt = |state: &State| What::Adopt { map: smaller.clone(), expect: Some(state.position.epoch) };
+    let adopt = |state: &State| OrderKind::Adopt { map: smaller.clone(), expect: Some(state.position.epoch) };
     let what = adopt(&state);
     let outcome = state.apply(&order("m1", what));
     assert!(
@@ -200,7 +204,7 @@
         "{outcome:?}"
     );
     accepted(&mut state, "o1", about("a1", Change::Out));
-    let old = What::Adopt { map: smaller.clone(), expect: Some(1) };
+    let old = OrderKind::Adopt { map: smaller.clone(), expect: Some(1) };
     assert!(
         matches!(state.apply(&order("m2", old)), Outcome::Refused { .. }),
         "by one who saw an older state"
@@ -216,7 +220,7 @@
     let moved = |state: &State| {
         let mut map = map(0);
         map.zones.insert("a2".into(), Zone { region: "west".into(), capacity: 100 });
-        What::Adopt { map, expect: Some(state.position.epoch) }
+        OrderKind::Adopt { map, expect: Some(state.position.epoch) }
     };
     let mut state = settled(0);
     accepted(&mut state, "o1", about("a1", Change::Out));
@@ -236,7 +240,7 @@
 
 #[test]
 fn what_a_later_version_says_is_refused_whole() {
-    let good = order("o1", What::Zone(about("a1", Change::Out)));
+    let good = order("o1", OrderKind::Zone(about("a1", Change::Out)));
     let text = String::from_utf8(wire::encode(&good)).unwrap();
     assert_eq!(wire::decode::<Order>(text.as_bytes()).unwrap(), good);
     let refused = |from: &str, to: &str| {
@@ -269,22 +273,22 @@
     ]
 }
 
-fn any_what() -> impl Strategy<Value = What> {
+fn any_what() -> impl Strategy<Value = OrderKind> {
     let name = prop::sample::select(vec!["a1", "a2", "b1", "c1"]);
     let next = prop::option::of(prop::sample::select(vec!["east", "west"]));
     let zone = (name.clone(), any_change(), prop::option::of(0..30u64), next, any::<bool>()).prop_map(
         |(zone, change, expect, next, force)| {
             let (zone, next) = (zone.into(), next.map(String::from));
-            What::Zone(ZoneOrder { zone, change, expect, next, force })
+            OrderKind::Zone(ZoneOrder { zone, change, expect, next, force })
         },
     );
-    let step = (name, 0..30u64).prop_map(|(zone, of)| What::Step { zone: zone.into(), of });
+    let step = (name, 0..30u64).prop_map(|(zone, of)| OrderKind::Step { zone: zone.into(), of });
     let adopt = (0..1_001u16, 0..30u64, any::<bool>()).prop_map(|(floor, expect, less)| {
         let mut map = map(floor);
         if less {
             map.zones.remove("a2");
         }
-        What::Adopt { map, expect: Some(expect) }
+        OrderKind::Adopt { map, expect: Some(expect) }
     });
     prop_oneof![6 => zone, 4 => step, 1 => adopt]
 }
@@ -302,21 +306,21 @@
         for (i, (what, id, fresh)) in orders.into_iter().enumerate() {
             // Steps mostly name the epoch that there is; else few would count.
             let what = match what {
-                What::Step { zone, of } => {
+                OrderKind::Step { zone, of } => {
                     let of = state.zones.get(&zone).filter(|_| fresh).map_or(of, |z| z.epoch);
-                    What::Step { zone, of }
+                    OrderKind::Step { zone, of }
                 }
-                What::Zone(mut z) => {
+                OrderKind::Zone(mut z) => {
                     z.expect = z.expect.filter(|_| !fresh);
-                    What::Zone(z)
+                    OrderKind::Zone(z)
                 }
-                What::Adopt { map, expect } => {
+                OrderKind::Adopt { map, expect } => {
                     let now = state.position.epoch;
-                    What::Adopt { map, expect: if fresh { Some(now) } else { expect } }
+                    OrderKind::Adopt { map, expect: if fresh { Some(now) } else { expect } }
                 }
             };
             let id = match (&what, fresh) {
-                (What::Step { .. }, _) => String::new(),
+                (OrderKind::Step { .. }, _) => String::new(),
                 (_, true) => format!("n{i}"),
                 // Some ids come again, with the same order or another.
                 (_, false) => format!("o{id}"),
@@ -345,8 +349,8 @@
             prop_assert!(borne > 0);
             prop_assert!(borne / map.capacity() >= u64::from(map.floor), "{borne} of {}", map.capacity());
             for (name, z) in &state.zones {
-                prop_assert!(z.weight <= WHOLE && z.to <= WHOLE);
-                prop_assert_eq!(z.phase == Phase::Serving, z.weight == WHOLE && z.to == WHOLE
+                prop_assert!(z.weight <= FULL_WEIGHT && z.to <= FULL_WEIGHT);
+                prop_assert_eq!(z.phase == Phase::Serving, z.weight == FULL_WEIGHT && z.to == FULL_WEIGHT
                     && z.phase != Phase::Held, "{}: {:?}", name, z);
                 prop_assert!(z.phase != Phase::Out || z.weight == 0);
             }
--- a/crates/starlinghill-operator-config/src/group.rs
+++ b/crates/starlinghill-operator-config/src/group.rs
@@ -3,8 +3,8 @@
 use crate::check::Check;
 use crate::problem::{Problem, Source};
 use serde::Deserialize;
-use starlinghill_failover::bounds::{Misfit, Timing, MOST_DRIFT_PPM};
-use starlinghill_failover::topology::{is_name, Map, MapProblem, Zone, LARGEST_CAPACITY};
+use starlinghill_failover::bounds::{Timing, TimingProblem, MOST_DRIFT_PPM};
+use starlinghill_failover::topology::{is_name, Topology, TopologyProblem, Zone, LARGEST_CAPACITY};
 use starlinghill_failover::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     /// The members.
     pub members: Vec<GroupMember>,
     /// Regions and zones.
-    pub map: Map,
+    pub map: Topology,
     /// Times.
     pub timing: Timing,
     /// The most gateways that may follow by one member.
@@ -110,7 +110,7 @@
     let name = match raw.name {
         Some(name) if is_name(name.get_ref()) => name.into_inner(),
         Some(name) => {
-            let what = MapProblem::Name(name.get_ref().chars().take(64).collect()).to_string();
+            let what = TopologyProblem::Name(name.get_ref().chars().take(64).collect()).to_string();
             c.fail(name.span(), "group.name", what);
             String::new()
         }
@@ -186,7 +186,7 @@
     regions: Vec<Spanned<String>>,
     raw: Vec<Spanned<RawZone>>,
     floor: u16,
-) -> Map {
+) -> Topology {
     let mut zones: BTreeMap<String, Zone> = BTreeMap::new();
     for zone in raw {
         let span = zone.span();
@@ -203,7 +203,7 @@
         }
         zones.insert(name.into_inner(), Zone { region: region.into_inner(), capacity });
     }
-    let map = Map { regions: regions.into_iter().map(Spanned::into_inner).collect(), zones, floor };
+    let map = Topology { regions: regions.into_iter().map(Spanned::into_inner).collect(), zones, floor };
     for problem in map.problems() {
         c.fail(section.clone(), "group.zones", problem.to_string());
     }
@@ -237,9 +237,9 @@
     };
     for misfit in timing.misfits() {
         let key = match misfit {
-            Misfit::Election => "group.timing.election_ms",
-            Misfit::Fresh { .. } => "group.timing.fresh_ms",
-            Misfit::Stale => "group.timing.stale_ms",
+            TimingProblem::Election => "group.timing.election_ms",
+            TimingProblem::Fresh { .. } => "group.timing.fresh_ms",
+            TimingProblem::Stale => "group.timing.stale_ms",
         };
         c.fail(span.clone(), key, misfit.to_string());
     }
--- a/crates/starlinghill-raft/src/machine.rs
+++ b/crates/starlinghill-raft/src/machine.rs
@@ -9,7 +9,7 @@
     StorageError, StorageIOError, StoredMembership,
 };
 use serde::{Deserialize, Serialize};
-use starlinghill_failover::directive::{Directives, Told};
+use starlinghill_failover::directive::{DirectiveUpdate, Directives};
 use starlinghill_failover::state::State;
 use starlinghill_failover::wire::{decode, encode};
 use std::io::Cursor;
@@ -88,11 +88,15 @@
         let same = before.directives == directives && !before.whole.is_empty();
         let whole = match same {
             true => before.whole.clone(),
-            false => encode(&Told::Whole { directives: directives.clone() }),
+            false => encode(&DirectiveUpdate::Whole { directives: directives.clone() }),
         };
         let change = match directives.since(&before.directives) {
-            told @ Told::Change { .. } if !same => Some((before.directives.position, encode(&told))),
-            Told::Change { .. } | Told::Whole { .. } => before.change.clone().filter(|_| same),
+            told @ DirectiveUpdate::Change { .. } if !same => {
+                Some((before.directives.position, encode(&told)))
+            }
+            DirectiveUpdate::Change { .. } | DirectiveUpdate::Whole { .. } => {
+                before.change.clone().filter(|_| same)
+            }
         };
         let index = self.last.map_or(0, |l| l.index);
         self.publish.send_replace(Arc::new(Applied {
--- a/crates/starlinghill-raft/src/member.rs
+++ b/crates/starlinghill-raft/src/member.rs
@@ -9,14 +9,14 @@
 use openraft::error::{CheckIsLeaderError, ClientWriteError, InitializeError, RaftError};
 use openraft::{BasicNode, ChangeMembers, Config, RaftMetrics, SnapshotPolicy};
 use starlinghill_failover::bounds::Timing;
-use starlinghill_failover::order::{Order, What};
+use starlinghill_failover::order::{Order, OrderKind};
 use starlinghill_failover::pacer::Pacer;
-use starlinghill_failover::staleness::Certainty;
+use starlinghill_failover::staleness::StalenessBound;
 use starlinghill_failover::state::{Outcome, State};
-use starlinghill_failover::topology::Map;
+use starlinghill_failover::topology::Topology;
 use starlinghill_failover::wire::{decode, encode};
 use starlinghill_failover::Micros;
-use starlinghill_failover_client::report::{Manage, Managed};
+use starlinghill_failover_client::report::{MembershipChange, MembershipResult};
 use starlinghill_failover_client::wall_clock;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -53,7 +53,7 @@
     /// The least generation that it takes part in.
     pub generation: u64,
     /// The map that the group begins with.
-    pub map: Map,
+    pub map: Topology,
     /// Times.
     pub timing: Timing,
     /// The most that may follow by this member.
@@ -116,7 +116,7 @@
     pub applied: watch::Receiver<Arc<Applied>>,
     pub(crate) speaker: Speaker,
     settings: Settings,
-    certainty: Mutex<Certainty>,
+    certainty: Mutex<StalenessBound>,
     begin: Instant,
     tasks: Mutex<Vec<JoinHandle<()>>>,
 }
@@ -202,7 +202,7 @@
         &self,
         members: &BTreeMap<u64, SocketAddr>,
         restored: Option<State>,
-    ) -> Result<Managed, Status> {
+    ) -> Result<MembershipResult, Status> {
         if !members.contains_key(&self.settings.id) {
             return refused(format!(
                 "member {} is not among the members of the group to be",
@@ -244,7 +244,7 @@
                 tokio::time::sleep(PACE).await;
             }
         }
-        Ok(Managed::Done)
+        Ok(MembershipResult::Done)
     }
 
     /// Resolves when the log has stopped, with the reason: a disk that can't be written, mostly.
@@ -270,8 +270,8 @@
     }
 }
 
-fn refused(why: String) -> Result<Managed, Status> {
-    Ok(Managed::Refused { why })
+fn refused(why: String) -> Result<MembershipResult, Status> {
+    Ok(MembershipResult::Refused { why })
 }
 
 /// Makes another, blank process a member.
@@ -337,7 +337,7 @@
         Micros(u64::try_from(self.begin.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    fn certainty(&self) -> std::sync::MutexGuard<'_, Certainty> {
+    fn certainty(&self) -> std::sync::MutexGuard<'_, StalenessBound> {
         self.certainty.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -507,7 +507,7 @@
                     author: format!("member {}", self.speaker.id),
                     reason: "the next step".into(),
                     at_ms: wall_clock::now_ms(),
-                    what: What::Step { zone: due.zone.clone(), of: due.of },
+                    what: OrderKind::Step { zone: due.zone.clone(), of: due.of },
                 };
                 if let Err(e) = self.write(Record::Order(order)).await {
                     warn!(zone = due.zone, why = e.message(), "a step was not made");
@@ -523,7 +523,7 @@
             author: "operators' file".into(),
             reason: "the group begins".into(),
             at_ms: 0,
-            what: What::Adopt { map: self.settings.map.clone(), expect: None },
+            what: OrderKind::Adopt { map: self.settings.map.clone(), expect: None },
         };
         match self.write(Record::Order(order)).await {
             Ok(Some(Outcome::Refused { causes, .. })) => {
@@ -553,7 +553,7 @@
 
     /// Carries an order out, here or at the leader.
     pub(crate) async fn give(&self, order: &Order, may_forward: bool) -> Result<Outcome, Status> {
-        if let What::Step { .. } = order.what {
+        if let OrderKind::Step { .. } = order.what {
             return Err(Status::invalid_argument("steps are the leader's own"));
         }
         match self.other_leader()? {
@@ -572,10 +572,17 @@
     }
 
     /// Changes the group, here or at the leader.
-    pub(crate) async fn manage(&self, change: &Manage, may_forward: bool) -> Result<Managed, Status> {
-        if let Manage::Snapshot = change {
+    pub(crate) async fn manage(
+        &self,
+        change: &MembershipChange,
+        may_forward: bool,
+    ) -> Result<MembershipResult, Status> {
+        if let MembershipChange::Snapshot = change {
             let done = self.raft.trigger().snapshot().await;
-            return Ok(done.map_or_else(|e| Managed::Refused { why: e.to_string() }, |()| Managed::Done));
+            return Ok(done.map_or_else(
+                |e| MembershipResult::Refused { why: e.to_string() },
+                |()| MembershipResult::Done,
+            ));
         }
         match self.other_leader()? {
             Some((leader, at)) if may_forward => {
@@ -590,12 +597,12 @@
         }
         self.newest().await?;
         let done = match change {
-            Manage::Add { id, address } => self.add(*id, *address).await,
-            Manage::Remove { id } => self.remove(*id).await,
-            Manage::Init { .. } => Err("this group has begun already".into()),
-            Manage::Snapshot => Ok(()),
+            MembershipChange::Add { id, address } => self.add(*id, *address).await,
+            MembershipChange::Remove { id } => self.remove(*id).await,
+            MembershipChange::Init { .. } => Err("this group has begun already".into()),
+            MembershipChange::Snapshot => Ok(()),
         };
-        Ok(done.map_or_else(|why| Managed::Refused { why }, |()| Managed::Done))
+        Ok(done.map_or_else(|why| MembershipResult::Refused { why }, |()| MembershipResult::Done))
     }
 
     async fn add(&self, id: u64, address: SocketAddr) -> Result<(), String> {
--- a/crates/starlinghill-raft/src/serve.rs
+++ b/crates/starlinghill-raft/src/serve.rs
@@ -13,7 +13,7 @@
 use starlinghill_failover_client::proto::{
     down, up, Answer, Down, Frame, Hello, LookRequest, Question, Sealed, Up,
 };
-use starlinghill_failover_client::report::{Manage, Report, Subscriber, PAGE};
+use starlinghill_failover_client::report::{MembershipChange, Report, Subscriber, FOLLOWERS_PER_REPORT};
 use starlinghill_zone_health::report::Report as Evidence;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -117,7 +117,7 @@
         let mut rest = known.range::<str, _>((from, Bound::Unbounded));
         let subscribers: Vec<Subscriber> = rest
             .by_ref()
-            .take(PAGE)
+            .take(FOLLOWERS_PER_REPORT)
             .map(|(name, k)| Subscriber {
                 name: name.clone(),
                 program: k.program.clone(),
@@ -197,11 +197,13 @@
     }
 
     async fn manage(&self, request: Request<Sealed>) -> Result<Response<Sealed>, Status> {
-        let change: Manage =
+        let change: MembershipChange =
             decode(&request.into_inner().bytes).map_err(|e| Status::invalid_argument(e.to_string()))?;
         let _call = self.call().await?;
         let managed = match change {
-            Manage::Init { members, restored } => self.member.init(&members, restored.map(|s| *s)).await?,
+            MembershipChange::Init { members, restored } => {
+                self.member.init(&members, restored.map(|s| *s)).await?
+            }
             change => self.member.alive()?.manage(&change, true).await?,
         };
         Ok(Response::new(Sealed { bytes: encode(&managed) }))
@@ -432,7 +434,7 @@
             "confirm" => Ok(alive.newest().await?.to_string().into_bytes()),
             "give" => Ok(encode(&alive.give(&order(&frame.body)?, false).await?)),
             "manage" => {
-                let change: Manage =
+                let change: MembershipChange =
                     decode(&frame.body).map_err(|e| Status::invalid_argument(e.to_string()))?;
                 Ok(encode(&alive.manage(&change, false).await?))
             }
--- a/crates/starlinghill-raft/tests/store.rs
+++ b/crates/starlinghill-raft/tests/store.rs
@@ -6,7 +6,7 @@
 use openraft::{RaftLogReader, StorageError, Vote};
 use redb::backends::InMemoryBackend;
 use redb::StorageBackend;
-use starlinghill_failover::order::{Change, Order, What, ZoneOrder};
+use starlinghill_failover::order::{Change, Order, OrderKind, ZoneOrder};
 use starlinghill_raft::machine::Machine;
 use starlinghill_raft::store::{Ident, Store};
 use starlinghill_raft::{Record, Recorded, Types};
@@ -110,7 +110,7 @@
         author: "eve".into(),
         reason: "a drill".into(),
         at_ms: 0,
-        what: What::Zone(zone),
+        what: OrderKind::Zone(zone),
     };
     let entry = openraft::Entry::<Types> {
         log_id: openraft::LogId::new(openraft::CommittedLeaderId::new(1, 1), 3),
--- a/crates/starlinghill-testkit/examples/followers.rs
+++ b/crates/starlinghill-testkit/examples/followers.rs
@@ -8,14 +8,14 @@
 use hdrhistogram::Histogram;
 use starlinghill_control::group_follower;
 use starlinghill_failover::follower::{Mode, View};
-use starlinghill_failover::order::{Change, Order, Ramp, What, ZoneOrder};
+use starlinghill_failover::order::{Change, Order, OrderKind, Ramp, ZoneOrder};
 use starlinghill_failover::state::Outcome;
-use starlinghill_failover::{Position, WHOLE};
+use starlinghill_failover::{Position, FULL_WEIGHT};
 use starlinghill_failover_client::client::give;
 use starlinghill_failover_client::subscription::{follow, Evidence};
 use starlinghill_testkit::group::Group;
 use starlinghill_testkit::processes::used;
-use starlinghill_zone_health::attempt_counts::Sums;
+use starlinghill_zone_health::attempt_counts::AttemptCounts;
 use starlinghill_zone_health::report::Report;
 use std::error::Error;
 use std::path::PathBuf;
@@ -38,7 +38,7 @@
 }
 
 fn order(number: u64) -> Order {
-    let ramp = Ramp { step: WHOLE, every_ms: 1_000 };
+    let ramp = Ramp { step: FULL_WEIGHT, every_ms: 1_000 };
     let change = if number.is_multiple_of(2) { Change::Out } else { Change::Return { ramp } };
     let zone = ZoneOrder { zone: "b".into(), change, expect: None, next: None, force: false };
     Order {
@@ -46,7 +46,7 @@
         author: "followers".into(),
         reason: "a measurement".into(),
         at_ms: 0,
-        what: What::Zone(zone),
+        what: OrderKind::Zone(zone),
     }
 }
 
@@ -109,7 +109,14 @@
     shown("order to its outcome, on a majority's disks", &commits);
 
     // Zones that are not on the group's map are read and left out: what they cost on the way is measured all the same.
-    let sums = Sums { answered: 812, late: 17, failed: 3, silent: 2, usual: 790, ..Sums::default() };
+    let sums = AttemptCounts {
+        answered: 812,
+        late: 17,
+        failed: 3,
+        silent: 2,
+        usual: 790,
+        ..AttemptCounts::default()
+    };
     let seen = Report { zones: (0..cli.zones).map(|i| (format!("zone-{i}"), sums)).collect() };
     let evidence = (cli.zones > 0).then(|| -> Evidence { Arc::new(move || seen.clone()) });
     let mut views = Vec::new();
--- a/crates/starlinghill-zone-health/src/attempt_counts.rs
+++ b/crates/starlinghill-zone-health/src/attempt_counts.rs
@@ -25,7 +25,7 @@
 
 /// What became of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Became {
+pub enum AttemptResult {
     /// Answered in time.
     Answered,
     /// Answered, and too late.
@@ -45,7 +45,7 @@
 /// How many became what.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Sums {
+pub struct AttemptCounts {
     /// Answered, in time or late.
     #[serde(skip_serializing_if = "none")]
     pub answered: u32,
@@ -110,20 +110,20 @@
     }
 }
 
-impl Sums {
+impl AttemptCounts {
     /// Notes one attempt.
-    pub fn note(&mut self, became: Became) {
+    pub fn note(&mut self, became: AttemptResult) {
         let count = match became {
-            Became::Answered => &mut self.answered,
-            Became::Late => {
+            AttemptResult::Answered => &mut self.answered,
+            AttemptResult::Late => {
                 self.late = self.late.saturating_add(1);
                 &mut self.answered
             }
-            Became::Failed => &mut self.failed,
-            Became::TurnedAway => &mut self.turned_away,
-            Became::Refused => &mut self.refused,
-            Became::Unreached => &mut self.unreached,
-            Became::Silent => &mut self.silent,
+            AttemptResult::Failed => &mut self.failed,
+            AttemptResult::TurnedAway => &mut self.turned_away,
+            AttemptResult::Refused => &mut self.refused,
+            AttemptResult::Unreached => &mut self.unreached,
+            AttemptResult::Silent => &mut self.silent,
         };
         *count = count.saturating_add(1);
     }
@@ -164,8 +164,8 @@
     }
 }
 
-impl AddAssign for Sums {
-    fn add_assign(&mut self, other: Sums) {
+impl AddAssign for AttemptCounts {
+    fn add_assign(&mut self, other: AttemptCounts) {
         let add = |a: &mut u32, b: u32| *a = a.saturating_add(b);
         add(&mut self.answered, other.answered);
         add(&mut self.late, other.late);
--- a/crates/starlinghill-zone-health/src/attempt_window.rs
+++ b/crates/starlinghill-zone-health/src/attempt_window.rs
@@ -1,6 +1,6 @@
 //! One gateway's counts of each zone over the last seconds. Memory is bounded by the zones of the map, whatever comes.
 
-use crate::attempt_counts::{Became, Sight, Sums, FLOOR};
+use crate::attempt_counts::{AttemptCounts, AttemptResult, Sight, FLOOR};
 use crate::report::{Report, SPAN_MS};
 use starlinghill_failover::Micros;
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Clone)]
 struct Zone {
-    slots: [Sums; SLOTS],
+    slots: [AttemptCounts; SLOTS],
     /// The slot of the first attempt, and of the last of which something came back.
     begun: Option<u64>,
     word: u64,
@@ -31,22 +31,22 @@
 
 impl Default for Zone {
     fn default() -> Zone {
-        Zone { slots: [Sums::default(); SLOTS], begun: None, word: 0, mute: 0, usual: None }
+        Zone { slots: [AttemptCounts::default(); SLOTS], begun: None, word: 0, mute: 0, usual: None }
     }
 }
 
 impl Zone {
     /// The last slots up to this one: those of the usual span, and as many before as it takes to tell anything.
-    fn sums(&self, slot: u64) -> Sums {
+    fn sums(&self, slot: u64) -> AttemptCounts {
         let (sums, span) = self.spanned(slot);
         let usual = self.usual.map_or(0, |rate| (rate * span).round().min(1e6) as u32);
         let quiet = slot >= self.word + USUAL_SLOTS as u64 && sums.attempts() > 0;
-        Sums { usual, mute: if quiet { self.mute } else { 0 }, ..sums }
+        AttemptCounts { usual, mute: if quiet { self.mute } else { 0 }, ..sums }
     }
 
     /// The same, and how many seconds they took.
-    fn spanned(&self, slot: u64) -> (Sums, f64) {
-        let mut all = Sums::default();
+    fn spanned(&self, slot: u64) -> (AttemptCounts, f64) {
+        let mut all = AttemptCounts::default();
         let mut taken = 0;
         while taken < USUAL_SLOTS || taken < SLOTS && all.attempts() < u64::from(FLOOR) {
             all += self.slots[slot.wrapping_sub(taken as u64) as usize % SLOTS];
@@ -58,16 +58,16 @@
 
 /// The counts.
 #[derive(Debug, Clone)]
-pub struct Watch {
+pub struct AttemptWindow {
     zones: BTreeMap<String, Zone>,
     /// The slot that is being filled.
     slot: u64,
 }
 
-impl Watch {
+impl AttemptWindow {
     /// Counts for the zones of the map.
-    pub fn new(zones: impl IntoIterator<Item = String>) -> Watch {
-        Watch { zones: zones.into_iter().map(|name| (name, Zone::default())).collect(), slot: 0 }
+    pub fn new(zones: impl IntoIterator<Item = String>) -> AttemptWindow {
+        AttemptWindow { zones: zones.into_iter().map(|name| (name, Zone::default())).collect(), slot: 0 }
     }
 
     /// Another map holds: zones that stay keep their counts.
@@ -78,13 +78,15 @@
     }
 
     /// An attempt at a zone ended. Zones that are not on the map are not counted.
-    pub fn ended(&mut self, now: Micros, zone: &str, became: Became) {
+    pub fn ended(&mut self, now: Micros, zone: &str, became: AttemptResult) {
         self.roll(now);
         let slot = self.slot;
         if let Some(zone) = self.zones.get_mut(zone) {
             zone.begun.get_or_insert(slot);
             match became {
-                Became::Silent | Became::Unreached => zone.mute = zone.mute.saturating_add(1).min(MOST_MUTE),
+                AttemptResult::Silent | AttemptResult::Unreached => {
+                    zone.mute = zone.mute.saturating_add(1).min(MOST_MUTE)
+                }
                 _ => (zone.word, zone.mute) = (slot, 0),
             }
             zone.slots[slot as usize % SLOTS].note(became);
@@ -110,7 +112,7 @@
                 zone.learn(self.slot, SLOT.0 as f64 / 1e6 * passed as f64);
             }
             for next in 1..=passed {
-                zone.slots[(self.slot + next) as usize % SLOTS] = Sums::default();
+                zone.slots[(self.slot + next) as usize % SLOTS] = AttemptCounts::default();
             }
         }
         self.slot = slot;
--- a/crates/starlinghill-zone-health/src/report.rs
+++ b/crates/starlinghill-zone-health/src/report.rs
@@ -1,6 +1,6 @@
 //! What a gateway tells of what it sees. Whatever a peer puts in has a bound.
 
-use crate::attempt_counts::Sums;
+use crate::attempt_counts::AttemptCounts;
 use serde::{Deserialize, Serialize};
 use starlinghill_failover::topology::{is_name, MOST_ZONES};
 use starlinghill_failover::wire::Message;
@@ -17,7 +17,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Report {
     /// The zones.
-    pub zones: BTreeMap<String, Sums>,
+    pub zones: BTreeMap<String, AttemptCounts>,
 }
 
 impl Message for Report {
--- a/crates/starlinghill-zone-health/tests/findings.rs
+++ b/crates/starlinghill-zone-health/tests/findings.rs
@@ -1,21 +1,21 @@
 //! Findings in worlds with one trouble each, as many gateways see them by chance.
 
 use starlinghill_failover::Micros;
-use starlinghill_zone_health::attempt_counts::{Became, Sums};
+use starlinghill_zone_health::attempt_counts::{AttemptCounts, AttemptResult};
 use starlinghill_zone_health::findings::{find, Finding, Findings, Observer, OLDEST};
 use starlinghill_zone_health::report::Report;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What becomes of attempts: parts of the whole, in the order of [`KINDS`].
 type Way = [f64; 7];
-const KINDS: [Became; 7] = [
-    Became::Answered,
-    Became::Late,
-    Became::Failed,
-    Became::TurnedAway,
-    Became::Refused,
-    Became::Unreached,
-    Became::Silent,
+const KINDS: [AttemptResult; 7] = [
+    AttemptResult::Answered,
+    AttemptResult::Late,
+    AttemptResult::Failed,
+    AttemptResult::TurnedAway,
+    AttemptResult::Refused,
+    AttemptResult::Unreached,
+    AttemptResult::Silent,
 ];
 const WELL: Way = [0.97, 0.02, 0.01, 0.0, 0.0, 0.0, 0.0];
 const CUT: Way = [0.0, 0.0, 0.0, 0.0, 0.0, 0.7, 0.3];
@@ -53,11 +53,11 @@
         }
     }
 
-    fn sums(&mut self, from: usize, to: usize) -> Sums {
+    fn sums(&mut self, from: usize, to: usize) -> AttemptCounts {
         let way = self.ways.get(&(from, to)).copied().unwrap_or(WELL);
         let usual = self.rng.u32(30..120);
         let asked = (f64::from(usual) * self.asked.get(&to).copied().unwrap_or(1.0)) as u32;
-        let mut sums = Sums { usual, ..Sums::default() };
+        let mut sums = AttemptCounts { usual, ..AttemptCounts::default() };
         for _ in 0..asked {
             let mut draw = self.rng.f64() * way.iter().sum::<f64>();
             let kind = way.iter().position(|part| {
@@ -237,7 +237,9 @@
         let zone = world.zones[victim].clone();
         for liar in liars {
             let report = &mut observers.get_mut(&names[liar]).expect("it").report;
-            report.zones.insert(zone.clone(), Sums { unreached: 1_000_000, ..Sums::default() });
+            report
+                .zones
+                .insert(zone.clone(), AttemptCounts { unreached: 1_000_000, ..AttemptCounts::default() });
         }
         let found = world.find_by(&observers);
         assert!(
@@ -260,7 +262,7 @@
     };
     let old = spoilt(&|o| o.age = Micros(OLDEST.0 + 1));
     let absurd = spoilt(&|o| {
-        let sums = Sums { answered: 5, late: 6, ..Sums::default() };
+        let sums = AttemptCounts { answered: 5, late: 6, ..AttemptCounts::default() };
         o.report.zones.insert("z0".into(), sums);
     });
     let elsewhere = spoilt(&|o| o.zone = "nowhere".into());
@@ -271,7 +273,7 @@
     }
     // Seven attempts say nothing, whatever became of them.
     let few = spoilt(&|o| {
-        o.report.zones.insert("z1".into(), Sums { silent: 7, ..Sums::default() });
+        o.report.zones.insert("z1".into(), AttemptCounts { silent: 7, ..AttemptCounts::default() });
     });
     assert_eq!(few.zones["z1"].finding, Finding::Unsure);
 }
