--- a/crates/starlinghill-catalog/src/catalog.rs
+++ b/crates/starlinghill-catalog/src/catalog.rs
@@ -1,6 +1,6 @@
 //! A registry's own list.
 
-use crate::{Gateway, Instance, Liveness, Observation, State};
+use crate::{BackendState, Gateway, Instance, Liveness, Observation};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use std::time::Duration;
@@ -102,7 +102,7 @@
                 let liveness = if newer { Liveness::of(state, since, self.beat) } else { entry.liveness };
                 let news = state != entry.instance.state || liveness != entry.liveness;
                 let moved = newer
-                    && state != State::Gone
+                    && state != BackendState::Gone
                     && (instance.address, &instance.service)
                         != (entry.instance.address, &entry.instance.service);
                 if newer {
@@ -127,7 +127,7 @@
     pub fn left(&mut self, now: Duration, id: &str) -> bool {
         let known = self.backends.get(id).map(|entry| entry.instance.clone());
         let was_known = known.is_some();
-        let instance = Instance { state: State::Gone, ..known.unwrap_or_else(|| Instance::gone(id)) };
+        let instance = Instance { state: BackendState::Gone, ..known.unwrap_or_else(|| Instance::gone(id)) };
         self.heard(now, instance, Duration::ZERO);
         was_known
     }
@@ -226,7 +226,7 @@
 
     /// All backends that are not gone, and how long ago each was heard of, in milliseconds.
     pub fn all(&self, now: Duration) -> Vec<(Observation, u64)> {
-        let here = self.backends.values().filter(|entry| entry.instance.state != State::Gone);
+        let here = self.backends.values().filter(|entry| entry.instance.state != BackendState::Gone);
         let told = |entry: &Entry| {
             let ago = now.saturating_sub(entry.heard).as_millis() as u64;
             (Observation { instance: entry.instance.clone(), liveness: entry.liveness }, ago)
--- a/crates/starlinghill-catalog/src/lib.rs
+++ b/crates/starlinghill-catalog/src/lib.rs
@@ -12,7 +12,7 @@
 
 pub use catalog::{Catalog, News};
 pub use liveness::Liveness;
-pub use merged::{Change, MergedView, Unknown};
+pub use merged::{Change, MergedView, UnknownBackends};
 
 use bitcode::{Decode, Encode};
 use std::net::{IpAddr, SocketAddr};
@@ -20,7 +20,7 @@
 
 /// Whether a backend takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub enum State {
+pub enum BackendState {
     /// It does.
     Ready,
     /// It finishes what it has.
@@ -45,7 +45,7 @@
     /// Requests that it works on at once.
     pub capacity: u32,
     /// Whether it takes work.
-    pub state: State,
+    pub state: BackendState,
     /// Rises with each of its calls.
     pub calls: u64,
     /// When it is warm, in microseconds of the system's time.
@@ -62,7 +62,7 @@
             zone: String::new(),
             version: String::new(),
             capacity: 1,
-            state: State::Gone,
+            state: BackendState::Gone,
             calls: 0,
             warm_at: 0,
         }
--- a/crates/starlinghill-catalog/src/merged.rs
+++ b/crates/starlinghill-catalog/src/merged.rs
@@ -1,6 +1,6 @@
 //! What a gateway makes of several registries' lists.
 
-use crate::{Instance, Liveness, Observation, State};
+use crate::{BackendState, Instance, Liveness, Observation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -35,7 +35,7 @@
 /// What whoever sends requests goes by.
 #[derive(Debug)]
 struct Announced {
-    state: State,
+    state: BackendState,
     address: SocketAddr,
     service: String,
     liveness: Liveness,
@@ -74,7 +74,7 @@
 
 /// Backends of a service that take work and that one registry does not know.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Unknown {
+pub struct UnknownBackends {
     /// The part of the service's capacity that is theirs.
     pub part: f64,
     /// Their numbers.
@@ -149,7 +149,7 @@
 
     /// It takes new work.
     fn serves(&self, seen: &Seen) -> bool {
-        seen.instance.state == State::Ready && self.liveness(seen) == Liveness::Alive
+        seen.instance.state == BackendState::Ready && self.liveness(seen) == Liveness::Alive
     }
 
     /// How lately it was heard of, by each registry that knows it in its present life.
@@ -190,7 +190,7 @@
         for id in unknown {
             let Some(seen) = self.backends.get_mut(&id) else { continue };
             let since = now.saturating_sub(*seen.unknown.get_or_insert(from));
-            if seen.instance.state == State::Gone {
+            if seen.instance.state == BackendState::Gone {
                 continue;
             }
             if since > UNKNOWN {
@@ -221,8 +221,9 @@
     fn forget(&mut self, now: Duration) {
         let is_lost =
             |seen: &Seen| seen.announced.as_ref().is_some_and(|said| said.liveness == Liveness::Lost);
-        let is_dropped =
-            |seen: &Seen| seen.instance.state == State::Gone || is_lost(seen) && !self.is_spoken_for(seen);
+        let is_dropped = |seen: &Seen| {
+            seen.instance.state == BackendState::Gone || is_lost(seen) && !self.is_spoken_for(seen)
+        };
         let is_old = |seen: &Seen| now.saturating_sub(seen.at) >= TOMB;
         let old = self.backends.iter().filter(|(_, seen)| is_old(seen) && is_dropped(seen));
         let old: Vec<String> = old.map(|(id, _)| id.clone()).collect();
@@ -233,7 +234,7 @@
 
     /// What takes work and what that registry, in its present life, has never told of or has lost, by service: it began while it
     /// was cut off from whom these backends call, or has been for long. Nothing where it has not told of anything yet.
-    pub fn unknown_to(&self, rack: usize) -> BTreeMap<&str, Unknown> {
+    pub fn unknown_to(&self, rack: usize) -> BTreeMap<&str, UnknownBackends> {
         let Some(life) = self.lives.get(&rack) else { return BTreeMap::new() };
         let holds = |(of, liveness): &(u64, Liveness)| of == life && *liveness < Liveness::Lost;
         let knows = |seen: &Seen| seen.by.get(&rack).is_some_and(holds);
@@ -249,8 +250,10 @@
         }
         let part = |unknown: u32, capacity: u32| f64::from(unknown) / f64::from(capacity.max(1));
         let some = all.into_iter().filter(|(_, (_, _, backends))| !backends.is_empty());
-        some.map(|(of, (all, unknown, backends))| (of, Unknown { part: part(unknown, all), backends }))
-            .collect()
+        some.map(|(of, (all, unknown, backends))| {
+            (of, UnknownBackends { part: part(unknown, all), backends })
+        })
+        .collect()
     }
 
     /// How many backends of each of these services take new work.
@@ -267,7 +270,7 @@
     /// The services that have a backend which takes work, or may again at any moment.
     pub fn served(&self) -> BTreeSet<&str> {
         let is_here =
-            |seen: &&Seen| seen.instance.state == State::Ready && self.liveness(seen) < Liveness::Lost;
+            |seen: &&Seen| seen.instance.state == BackendState::Ready && self.liveness(seen) < Liveness::Lost;
         let ready = self.backends.values().filter(is_here);
         ready.map(|seen| seen.instance.service.as_str()).collect()
     }
--- a/crates/starlinghill-catalog/tests/lists.rs
+++ b/crates/starlinghill-catalog/tests/lists.rs
@@ -1,6 +1,8 @@
 //! Beats out of order at three registries, drains that are told late, registries that begin with nothing.
 
-use starlinghill_catalog::{Catalog, Gateway, Instance, Liveness, MergedView, Observation, State, Unknown};
+use starlinghill_catalog::{
+    BackendState, Catalog, Gateway, Instance, Liveness, MergedView, Observation, UnknownBackends,
+};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -11,7 +13,7 @@
     Duration::from_millis(ms)
 }
 
-fn instance(id: &str, calls: u64, state: State) -> Instance {
+fn instance(id: &str, calls: u64, state: BackendState) -> Instance {
     Instance {
         id: id.into(),
         service: "tally".into(),
@@ -41,15 +43,16 @@
         let mut merged = MergedView::default();
         let mut seqs = [0; 3];
         // A life of a backend: beats, then a drain, then the end, told at any registry, late, or again.
-        let mut words: Vec<Instance> = (1..8).map(|calls| instance("i-1", calls, State::Ready)).collect();
-        words.push(instance("i-1", 8, State::Draining));
-        words.push(instance("i-1", 9, State::Draining));
+        let mut words: Vec<Instance> =
+            (1..8).map(|calls| instance("i-1", calls, BackendState::Ready)).collect();
+        words.push(instance("i-1", 8, BackendState::Draining));
+        words.push(instance("i-1", 9, BackendState::Draining));
         let mut drained_at = None;
         for step in 0..60 {
             let now = ms(step * 100);
             let at = rng.usize(0..3);
             let word = words[rng.usize(0..words.len())].clone();
-            if word.state == State::Draining && drained_at.is_none() {
+            if word.state == BackendState::Draining && drained_at.is_none() {
                 drained_at = Some(step);
             }
             catalogs[at].heard(now, word, Duration::ZERO);
@@ -60,7 +63,7 @@
             let rack = rng.usize(0..3);
             let news = catalogs[rack].since(seqs[rack]);
             seqs[rack] = catalogs[rack].seq();
-            let drained = catalogs[rack].get("i-1").is_some_and(|known| known.state != State::Ready);
+            let drained = catalogs[rack].get("i-1").is_some_and(|known| known.state != BackendState::Ready);
             merged.told(now, rack, 1, news.backends);
             // From a registry that knows of the drain the gateway has it, and keeps it.
             assert!(!drained || !merged.served().contains("tally"), "seed {seed} step {step}");
@@ -76,12 +79,12 @@
 #[test]
 fn an_address_that_comes_back_under_another_service_is_another_backend() {
     let mut catalog = Catalog::new(BEAT);
-    catalog.heard(ms(0), instance("i-1", 1, State::Ready), Duration::ZERO);
+    catalog.heard(ms(0), instance("i-1", 1, BackendState::Ready), Duration::ZERO);
     catalog.left(ms(10), "i-1");
     let seq = catalog.seq();
     catalog.heard(
         ms(2_100),
-        Instance { service: "other".into(), ..instance("i-2", 1, State::Ready) },
+        Instance { service: "other".into(), ..instance("i-2", 1, BackendState::Ready) },
         Duration::ZERO,
     );
     let news = catalog.since(seq).backends;
@@ -90,14 +93,14 @@
         "{news:?}"
     );
     // A late beat of the first changes nothing.
-    assert!(!catalog.heard(ms(2_200), instance("i-1", 5, State::Ready), Duration::ZERO));
-    assert_eq!(catalog.get("i-1").map(|known| known.state), Some(State::Gone));
+    assert!(!catalog.heard(ms(2_200), instance("i-1", 5, BackendState::Ready), Duration::ZERO));
+    assert_eq!(catalog.get("i-1").map(|known| known.state), Some(BackendState::Gone));
 }
 
 #[test]
 fn a_registry_that_begins_with_nothing_empties_nobodys_list() {
     let mut merged = MergedView::default();
-    merged.told(ms(0), 0, 1, told(instance("i-1", 1, State::Ready)));
+    merged.told(ms(0), 0, 1, told(instance("i-1", 1, BackendState::Ready)));
     // The registry is back in another life and knows none.
     merged.told(ms(500), 0, 2, Vec::new());
     assert!(merged.tick(ms(1_000)).is_empty() && merged.served().contains("tally"));
@@ -114,7 +117,10 @@
             ms(0),
             rack,
             1,
-            vec![Observation { instance: instance("i-1", 1, State::Ready), liveness: Liveness::Alive }],
+            vec![Observation {
+                instance: instance("i-1", 1, BackendState::Ready),
+                liveness: Liveness::Alive,
+            }],
         );
     }
     // Nothing changed for an hour; then all registries are back in other lives, before any beat has come.
@@ -131,10 +137,10 @@
 #[test]
 fn what_nobody_tells_of_yields_to_others_of_its_service_that_are_known() {
     let mut merged = MergedView::default();
-    merged.told(ms(0), 0, 1, told(instance("i-1", 1, State::Ready)));
-    merged.told(ms(0), 0, 1, told(instance("i-2", 1, State::Ready)));
+    merged.told(ms(0), 0, 1, told(instance("i-1", 1, BackendState::Ready)));
+    merged.told(ms(0), 0, 1, told(instance("i-2", 1, BackendState::Ready)));
     // The registry is back, and hears of one of them.
-    merged.told(ms(1_000), 0, 2, told(instance("i-2", 2, State::Ready)));
+    merged.told(ms(1_000), 0, 2, told(instance("i-2", 2, BackendState::Ready)));
     (2..12).for_each(|step| assert_eq!(merged.tick(ms(500 * step)), Vec::new()));
     assert_eq!(merged.tick(ms(6_000)), Vec::new());
     let changes = merged.tick(ms(6_100));
@@ -144,14 +150,14 @@
     );
     assert_eq!(merged.tick(ms(6_600)), Vec::new());
     // It was only slow to find the registry.
-    let changes = merged.told(ms(7_000), 0, 2, told(instance("i-1", 2, State::Ready)));
+    let changes = merged.told(ms(7_000), 0, 2, told(instance("i-1", 2, BackendState::Ready)));
     assert!(changes.len() == 1 && changes[0].liveness == Liveness::Alive, "{changes:?}");
 }
 
 #[test]
 fn what_a_registry_said_that_has_not_answered_for_long_counts_no_more_where_others_answer() {
     let mut merged = MergedView::default();
-    let ready = |id| told(instance(id, 1, State::Ready));
+    let ready = |id| told(instance(id, 1, BackendState::Ready));
     merged.told(ms(0), 0, 1, ready("i-1"));
     merged.told(ms(0), 1, 1, ready("i-2"));
     let unknown = |merged: &mut MergedView, from: u64, to: u64, answers: bool| {
@@ -179,11 +185,11 @@
 #[test]
 fn a_gateway_that_stood_still_does_not_wait_for_what_all_forgot_meanwhile() {
     let mut merged = MergedView::default();
-    merged.told(ms(0), 0, 1, told(instance("i-1", 1, State::Ready)));
-    merged.told(ms(0), 0, 1, told(instance("i-2", 1, State::Ready)));
+    merged.told(ms(0), 0, 1, told(instance("i-1", 1, BackendState::Ready)));
+    merged.told(ms(0), 0, 1, told(instance("i-2", 1, BackendState::Ready)));
     (0..4).for_each(|step| assert_eq!(merged.tick(ms(500 * step)), Vec::new()));
     // It stands still for six seconds: i-1 leaves, and the registry that noted it is killed.
-    merged.told(ms(7_500), 0, 2, told(instance("i-2", 2, State::Ready)));
+    merged.told(ms(7_500), 0, 2, told(instance("i-2", 2, BackendState::Ready)));
     let changes = merged.tick(ms(7_500));
     assert!(
         changes.len() == 1 && changes[0].instance.id == "i-1" && changes[0].liveness == Liveness::Silent,
@@ -194,9 +200,9 @@
 #[test]
 fn what_a_registry_that_began_while_it_was_cut_off_does_not_know_is_told_by_service() {
     let mut merged = MergedView::default();
-    let ready = |id| told(instance(id, 1, State::Ready));
+    let ready = |id| told(instance(id, 1, BackendState::Ready));
     let other = vec![Observation {
-        instance: Instance { service: "other".into(), ..instance("o-1", 1, State::Ready) },
+        instance: Instance { service: "other".into(), ..instance("o-1", 1, BackendState::Ready) },
         liveness: Liveness::Alive,
     }];
     (0..2).for_each(|rack| drop(merged.told(ms(0), rack, 1, ready("i-1"))));
@@ -205,7 +211,7 @@
     // Of one that has told of nothing yet nothing is said.
     assert!(merged.unknown_to(2).is_empty());
     let unknown = merged.unknown_to(1);
-    let i_2 = Unknown { part: 0.5, backends: vec![instance("i-2", 1, State::Ready).number()] };
+    let i_2 = UnknownBackends { part: 0.5, backends: vec![instance("i-2", 1, BackendState::Ready).number()] };
     assert_eq!(unknown, [("tally", i_2)].into());
     // Started again, it knows none of what it knew.
     merged.told(ms(100), 1, 2, Vec::new());
@@ -215,7 +221,7 @@
         ms(200),
         0,
         1,
-        vec![Observation { instance: instance("i-2", 2, State::Draining), liveness: Liveness::Alive }],
+        vec![Observation { instance: instance("i-2", 2, BackendState::Draining), liveness: Liveness::Alive }],
     );
     assert_eq!(merged.unknown_to(1)["tally"].backends.len(), 1);
 }
@@ -223,8 +229,8 @@
 #[test]
 fn one_that_another_registry_has_not_heard_of_for_long_is_silent_from_the_first_word() {
     let mut catalog = Catalog::new(BEAT);
-    catalog.heard(ms(60_000), instance("i-1", 1, State::Ready), BEAT * 4);
-    catalog.heard(ms(60_000), instance("i-2", 1, State::Ready), BEAT);
+    catalog.heard(ms(60_000), instance("i-1", 1, BackendState::Ready), BEAT * 4);
+    catalog.heard(ms(60_000), instance("i-2", 1, BackendState::Ready), BEAT);
     let heard: Vec<Liveness> = catalog.since(0).backends.iter().map(|told| told.liveness).collect();
     assert_eq!(heard, [Liveness::Silent, Liveness::Alive]);
 }
@@ -232,23 +238,23 @@
 #[test]
 fn one_that_leaves_is_noted_where_nobody_knows_it_any_more() {
     let (mut before, mut merged) = (Catalog::new(BEAT), MergedView::default());
-    before.heard(ms(0), instance("i-1", 1, State::Ready), Duration::ZERO);
+    before.heard(ms(0), instance("i-1", 1, BackendState::Ready), Duration::ZERO);
     merged.told(ms(0), 0, 1, before.since(0).backends);
     // The registry is killed and knows nobody when the backend leaves.
     let mut catalog = Catalog::new(BEAT);
     assert!(!catalog.left(ms(100), "i-1"));
     let changes = merged.told(ms(100), 0, 2, catalog.since(0).backends);
-    assert!(changes.len() == 1 && changes[0].instance.state == State::Gone, "{changes:?}");
+    assert!(changes.len() == 1 && changes[0].instance.state == BackendState::Gone, "{changes:?}");
     assert!(merged.served().is_empty());
     // A beat that was on its way brings it back nowhere.
-    assert!(!catalog.heard(ms(200), instance("i-1", 9, State::Ready), Duration::ZERO));
+    assert!(!catalog.heard(ms(200), instance("i-1", 9, BackendState::Ready), Duration::ZERO));
     assert!(merged.told(ms(200), 0, 2, catalog.since(0).backends).is_empty() && merged.served().is_empty());
 }
 
 #[test]
 fn a_missed_beat_is_no_death_and_silence_counts_only_where_all_agree() {
     let mut catalog = Catalog::new(BEAT);
-    catalog.heard(ms(0), instance("i-1", 1, State::Ready), Duration::ZERO);
+    catalog.heard(ms(0), instance("i-1", 1, BackendState::Ready), Duration::ZERO);
     let seq = catalog.seq();
     catalog.tick(BEAT * 2);
     assert_eq!(catalog.seq(), seq);
@@ -256,7 +262,7 @@
     let news = catalog.since(seq).backends;
     assert!(news.len() == 1 && news[0].liveness == Liveness::Silent);
     let mut merged = MergedView::default();
-    let told = |liveness| vec![Observation { instance: instance("i-1", 1, State::Ready), liveness }];
+    let told = |liveness| vec![Observation { instance: instance("i-1", 1, BackendState::Ready), liveness }];
     assert_eq!(merged.told(ms(0), 0, 1, told(Liveness::Alive))[0].liveness, Liveness::Alive);
     assert!(merged.told(ms(1), 1, 1, told(Liveness::Silent)).is_empty());
     assert_eq!(merged.told(ms(2), 0, 1, told(Liveness::Silent))[0].liveness, Liveness::Silent);
@@ -372,7 +378,7 @@
         if step % 3 == 0 {
             calls += 1;
             for (side, id) in ["i-1", "i-2"].into_iter().enumerate() {
-                catalogs[side].heard(now, instance(id, calls, State::Ready), Duration::ZERO);
+                catalogs[side].heard(now, instance(id, calls, BackendState::Ready), Duration::ZERO);
             }
         }
         let is_joined = step < 6 || now > cut;
@@ -402,7 +408,7 @@
     for away in [10, 24, 30, 100, 200] {
         let mut catalogs = [Catalog::new(BEAT), Catalog::new(BEAT)];
         let mut gateway = Followed::default();
-        catalogs[0].heard(ms(0), instance("i-1", 1, State::Ready), Duration::ZERO);
+        catalogs[0].heard(ms(0), instance("i-1", 1, BackendState::Ready), Duration::ZERO);
         gateway.follow(ms(0), &catalogs);
         for step in 1..away * 2 {
             catalogs.iter_mut().for_each(|catalog| drop(catalog.tick(ms(step * 500))));
@@ -410,7 +416,7 @@
         }
         assert_eq!(gateway.serving(), 0, "away for {away} s");
         let back = ms(away * 1_000);
-        catalogs[1].heard(back, instance("i-1", 2, State::Ready), Duration::ZERO);
+        catalogs[1].heard(back, instance("i-1", 2, BackendState::Ready), Duration::ZERO);
         gateway.follow(back, &catalogs);
         assert_eq!(gateway.serving(), 1, "away for {away} s");
     }
@@ -423,7 +429,7 @@
         let (mut near, mut far) = (Catalog::new(BEAT), Catalog::new(BEAT));
         let mut gateway = Followed::default();
         for catalog in [&mut near, &mut far] {
-            catalog.heard(ms(0), instance("i-1", 1, State::Ready), Duration::ZERO);
+            catalog.heard(ms(0), instance("i-1", 1, BackendState::Ready), Duration::ZERO);
         }
         let both = [near, far];
         gateway.follow(ms(0), &both);
@@ -433,7 +439,7 @@
         for step in 1..away * 2 {
             let now = ms(step * 500);
             if step % 3 == 0 {
-                far.heard(now, instance("i-1", 1 + step, State::Ready), Duration::ZERO);
+                far.heard(now, instance("i-1", 1 + step, BackendState::Ready), Duration::ZERO);
             }
             drop((near.tick(now), far.tick(now)));
             let news = near.since(gateway.seqs[0]);
@@ -460,7 +466,7 @@
 #[test]
 fn a_backend_that_only_an_absent_registry_knows_serves_again_once_that_one_answers() {
     let mut gateway = MergedView::default();
-    gateway.told(ms(0), 0, 1, told(instance("i-1", 1, State::Ready)));
+    gateway.told(ms(0), 0, 1, told(instance("i-1", 1, BackendState::Ready)));
     gateway.told(ms(0), 1, 1, Vec::new());
     let serving = |gateway: &MergedView| gateway.serving(["tally"])["tally"];
     let mut last = None;
@@ -480,8 +486,8 @@
 #[test]
 fn a_backend_that_all_had_lost_is_not_taken_for_alive_where_all_registries_begin_anew() {
     let mut gateway = MergedView::default();
-    let lost = Observation { instance: instance("i-1", 1, State::Ready), liveness: Liveness::Lost };
-    let mut changes = gateway.told(ms(0), 0, 1, told(instance("i-1", 1, State::Ready)));
+    let lost = Observation { instance: instance("i-1", 1, BackendState::Ready), liveness: Liveness::Lost };
+    let mut changes = gateway.told(ms(0), 0, 1, told(instance("i-1", 1, BackendState::Ready)));
     (0..50).for_each(|step| assert_eq!(gateway.tick(ms(500 * step)), []));
     changes.extend(gateway.told(ms(25_000), 0, 1, vec![lost]));
     (50..60).for_each(|step| assert_eq!(gateway.tick(ms(500 * step)), []));
--- a/crates/starlinghill-config-store/src/acceptor.rs
+++ b/crates/starlinghill-config-store/src/acceptor.rs
@@ -6,8 +6,8 @@
 use starlinghill_consensus::{
     Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Member, Members, RequiredWrite,
 };
-use starlinghill_runtime::essential_tasks::Essentials;
-use starlinghill_runtime::queue::Fill;
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::queue::QueueGauge;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
@@ -47,7 +47,7 @@
 
 impl Keeper {
     /// Runs the owner. Without it the process is of no use.
-    pub fn start(voter: Acceptor<Value>, disk: Disk, essentials: &Essentials) -> Keeper {
+    pub fn start(voter: Acceptor<Value>, disk: Disk, essentials: &EssentialTasks) -> Keeper {
         let (queue, commands) = mpsc::channel(QUEUE);
         let (show, view) = watch::channel(view(&voter));
         let me = voter.me();
@@ -77,7 +77,7 @@
 ) {
     // A disk has refused what the voter holds since: it says nothing until that is kept.
     let mut unkept = false;
-    let mut fill = Fill::new("votes", QUEUE);
+    let mut fill = QueueGauge::new("votes", QUEUE);
     while let Some((to, ask, reply)) = commands.recv().await {
         fill.log(commands.len() + 1);
         if reply.is_closed() {
--- a/crates/starlinghill-config-store/src/admission.rs
+++ b/crates/starlinghill-config-store/src/admission.rs
@@ -6,7 +6,7 @@
     MembershipDelay, MembershipOrder, MembershipOutcome, MembershipStatus, State, StoreRequest, StoreResponse,
 };
 use starlinghill_consensus::{AcceptorReply, AcceptorRequest, Member, MemberChange, Members};
-use starlinghill_lease::contact::ORDER_TRIED;
+use starlinghill_lease::contact::ORDER_COMMIT_TIMEOUT;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -159,7 +159,7 @@
                 return MembershipOutcome::Waits(MembershipDelay::NotSynced);
             }
         }
-        let agreed = self.agree(Instant::now() + ORDER_TRIED, |base| {
+        let agreed = self.agree(Instant::now() + ORDER_COMMIT_TIMEOUT, |base| {
             if base.members.epoch != epoch {
                 return (None, MembershipOutcome::Waits(MembershipDelay::TooSoon));
             }
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -8,11 +8,11 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_config_model::Item;
 use starlinghill_consensus::{Acceptor, Member, Members};
-use starlinghill_lease::contact::Chain;
-use starlinghill_runtime::essential_tasks::Essentials;
-use starlinghill_runtime::net::{self, Net};
+use starlinghill_lease::contact::StalenessBudget;
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::net::{self, NetworkHandle};
 use starlinghill_runtime::rpc::serve;
-use starlinghill_runtime::settings::{Node, SettingsError};
+use starlinghill_runtime::settings::{NodeSettings, SettingsError};
 use starlinghill_runtime::signals::{Reread, Signals};
 use starlinghill_runtime::CONFIG_STORE_PORT_OFFSET;
 use std::future::Future;
@@ -72,9 +72,9 @@
 }
 
 /// The same, on a network of the caller's.
-pub async fn run_on(net: Net, mut signals: Signals) -> Result<(), StartError> {
+pub async fn run_on(net: NetworkHandle, mut signals: Signals) -> Result<(), StartError> {
     let reread = signals.reread();
-    let node = Node::from_environment().context(SettingsSnafu)?;
+    let node = NodeSettings::from_environment().context(SettingsSnafu)?;
     let folder = node.data_dir.clone().ok_or(StartError::Diskless)?;
     std::fs::create_dir_all(&folder).context(SystemSnafu { what: folder.display().to_string() })?;
     let end = signals.end();
@@ -84,7 +84,7 @@
         opened = open(&folder, node.ip) => opened,
     };
     // A store whose files are spoilt has lost them, also at the first start of all.
-    let node = Node { first_start: node.first_start && !shelf.is_spoilt(), ..node };
+    let node = NodeSettings { first_start: node.first_start && !shelf.is_spoilt(), ..node };
     store(&node, &net, reread, found, disk::run(shelf), end).await
 }
 
@@ -101,8 +101,8 @@
 
 /// Runs a store on a network until it is to end, with what stood on its disk.
 pub async fn store(
-    node: &Node,
-    net: &Net,
+    node: &NodeSettings,
+    net: &NetworkHandle,
     reread: Reread,
     found: Option<Found>,
     disk: Disk,
@@ -111,7 +111,7 @@
     tokio::pin!(end);
     let address = node.port(node.ip, CONFIG_STORE_PORT_OFFSET);
     let listener = net.listen(address).await.context(SystemSnafu { what: format!("listen on {address}") })?;
-    let seeds = |node: &Node| -> Vec<IpAddr> { node.seeds.iter().map(|seed| seed.ip()).collect() };
+    let seeds = |node: &NodeSettings| -> Vec<IpAddr> { node.seeds.iter().map(|seed| seed.ip()).collect() };
     let was_there = found.is_some();
     let voter = match found {
         Some(found) => Acceptor::again(found.kept, found.state),
@@ -134,10 +134,10 @@
         !was_there,
         node.first_start
     );
-    let (essentials, mut first_end) = Essentials::new();
+    let (essentials, mut first_end) = EssentialTasks::new();
     let keeper = Keeper::start(voter, disk, &essentials);
     let by = fastrand::u32(1..);
-    let chain = Chain::of(node.bounds.apply);
+    let chain = StalenessBudget::of(node.bounds.apply);
     let times = Times::of(node.bounds.sync_time, chain.contact + chain.store_holds + LEASE);
     let stores = Rc::new(Stores::new(net, keeper, address.port(), by, times, chain));
     essentials.spawn("follow", stores.clone().follow());
@@ -162,7 +162,7 @@
 }
 
 /// A disk that is empty: a founder's, or the beginning of an incarnation that knows of no members yet.
-async fn begin(node: &Node, seeds: &[IpAddr], disk: &Disk) -> Result<Acceptor<Value>, StartError> {
+async fn begin(node: &NodeSettings, seeds: &[IpAddr], disk: &Disk) -> Result<Acceptor<Value>, StartError> {
     let founders = Members::first(seeds.iter().copied());
     let founds = node.first_start && founders.at(node.ip).is_some();
     let incarnation = if founds { 0 } else { fastrand::u64(1..u64::MAX) };
@@ -177,7 +177,7 @@
     Ok(voter)
 }
 
-async fn answer(question: StoreRequest, stores: &Rc<Stores>, chain: Chain) -> StoreResponse {
+async fn answer(question: StoreRequest, stores: &Rc<Stores>, chain: StalenessBudget) -> StoreResponse {
     match question {
         StoreRequest::Vote(to, ask) => {
             stores.vote(to, ask).await.map_or(StoreResponse::NotNow, StoreResponse::Vote)
--- a/crates/starlinghill-config-store/src/proposer.rs
+++ b/crates/starlinghill-config-store/src/proposer.rs
@@ -9,9 +9,9 @@
 use starlinghill_consensus::{
     AcceptorReply, AcceptorRequest, Ballot, Member, Members, ProposerRound, ProposerStep,
 };
-use starlinghill_lease::contact::{Chain, Contact, LastContact, ORDER_TRIED};
-use starlinghill_runtime::net::Net;
-use starlinghill_runtime::rpc::Caller;
+use starlinghill_lease::contact::{LastQuorumContact, QuorumContact, StalenessBudget, ORDER_COMMIT_TIMEOUT};
+use starlinghill_runtime::net::NetworkHandle;
+use starlinghill_runtime::rpc::RpcClient;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -29,10 +29,10 @@
     pub(crate) me: Member,
     pub(crate) keeper: Keeper,
     pub(crate) times: Times,
-    net: Net,
+    net: NetworkHandle,
     port: u16,
     /// The ways to other stores. Those of members, and of whoever asks to be one.
-    callers: RefCell<BTreeMap<IpAddr, Rc<Caller>>>,
+    callers: RefCell<BTreeMap<IpAddr, Rc<RpcClient>>>,
     /// The newest members that are known to be agreed on, and since when.
     members: watch::Sender<Members>,
     stands_since: Cell<Instant>,
@@ -45,10 +45,10 @@
     chosen: watch::Sender<(Ballot, Rc<State>)>,
     /// What changed with the last ones.
     recent: RefCell<Recent>,
-    pub(crate) chain: Chain,
+    pub(crate) chain: StalenessBudget,
     start: Instant,
     /// A majority's word that all which it had agreed on is known here.
-    contact: Cell<Option<LastContact>>,
+    contact: Cell<Option<LastQuorumContact>>,
     fresh: watch::Sender<bool>,
     /// When each member was heard last.
     heard: RefCell<BTreeMap<Member, Instant>>,
@@ -80,7 +80,14 @@
 
 impl Stores {
     /// As the voter here knows them. Ballots of this process are its own by that number.
-    pub fn new(net: &Net, keeper: Keeper, port: u16, by: u32, times: Times, chain: Chain) -> Stores {
+    pub fn new(
+        net: &NetworkHandle,
+        keeper: Keeper,
+        port: u16,
+        by: u32,
+        times: Times,
+        chain: StalenessBudget,
+    ) -> Stores {
         let view = keeper.view.borrow().clone();
         Stores {
             me: keeper.me,
@@ -117,7 +124,7 @@
     }
 
     /// A majority's word that nothing newer was agreed on, in answer to a question of that moment.
-    pub fn contact(&self, asked: Instant) -> Option<Contact> {
+    pub fn contact(&self, asked: Instant) -> Option<QuorumContact> {
         let (now, asked) = (self.start.elapsed(), asked.saturating_duration_since(self.start));
         let contact = self.contact.get().filter(|contact| self.chain.may_vouch(Some(contact.age(now))));
         contact.map(|contact| contact.pass_on(now, asked))
@@ -129,7 +136,8 @@
     fn hear(&self, asked: Instant, members: &Members, heard: &BTreeSet<Member>, newest: Ballot) {
         let same_members = self.members.borrow().epoch == members.epoch;
         if members.majority(heard) && same_members && newest <= self.chosen.borrow().0 {
-            self.contact.set(Some(LastContact::from_majority(asked.saturating_duration_since(self.start))));
+            self.contact
+                .set(Some(LastQuorumContact::from_majority(asked.saturating_duration_since(self.start))));
         }
     }
 
@@ -206,9 +214,9 @@
     }
 
     /// The way to the store at an address.
-    pub(crate) fn caller(&self, ip: IpAddr) -> Rc<Caller> {
+    pub(crate) fn caller(&self, ip: IpAddr) -> Rc<RpcClient> {
         let mut callers = self.callers.borrow_mut();
-        let new = || Rc::new(Caller::new(&self.net, SocketAddr::new(ip, self.port)));
+        let new = || Rc::new(RpcClient::new(&self.net, SocketAddr::new(ip, self.port)));
         callers.entry(ip).or_insert_with(new).clone()
     }
 
@@ -331,7 +339,7 @@
             Ok(change) => change,
             Err(refusal) => return apply_change::refused(refusal),
         };
-        let by = Instant::now() + ORDER_TRIED;
+        let by = Instant::now() + ORDER_COMMIT_TIMEOUT;
         let made = self.agree(by, |base| {
             let (value, outcome) = apply_change::take(&base.value, &change);
             (value.map(|value| State { members: base.members.clone(), value }), outcome)
@@ -341,7 +349,7 @@
 
     /// All that was agreed on before this was asked.
     pub async fn read(self: &Rc<Self>) -> Option<Value> {
-        self.agree(Instant::now() + ORDER_TRIED, |base| (None, base.value.clone())).await
+        self.agree(Instant::now() + ORDER_COMMIT_TIMEOUT, |base| (None, base.value.clone())).await
     }
 
     /// Looks at the other stores again and again: learns what was agreed on, and ends what was left half done.
@@ -385,7 +393,7 @@
             let fresh = self.is_fresh();
             self.fresh.send_if_modified(|known| std::mem::replace(known, fresh) != fresh);
             if majority && unsettled && std::mem::replace(&mut half_done, true) {
-                let settled = self.agree(Instant::now() + ORDER_TRIED, |_| (None, ())).await;
+                let settled = self.agree(Instant::now() + ORDER_COMMIT_TIMEOUT, |_| (None, ())).await;
                 log::info!("event=settled_half_done_change ok={}", settled.is_some());
                 half_done = false;
             } else if !unsettled {
--- a/crates/starlinghill-config-store/src/wire.rs
+++ b/crates/starlinghill-config-store/src/wire.rs
@@ -3,7 +3,7 @@
 use bitcode::{Decode, Encode};
 use starlinghill_config_model::Item;
 use starlinghill_consensus::{AcceptorReply, AcceptorRequest, Ballot, Member, MemberChange, Members};
-use starlinghill_lease::contact::Contact;
+use starlinghill_lease::contact::QuorumContact;
 
 /// The value that stores agree on.
 pub type Value = Vec<Item>;
@@ -52,7 +52,7 @@
         /// The ballot.
         ballot: Ballot,
         /// A majority's word that nothing newer was agreed on; none where the last one is too old to go by.
-        contact: Option<Contact>,
+        contact: Option<QuorumContact>,
         /// The members that are known here to be agreed on.
         members: Members,
         /// This store is one of them.
--- a/crates/starlinghill-config-store/tests/acceptor.rs
+++ b/crates/starlinghill-config-store/tests/acceptor.rs
@@ -3,7 +3,7 @@
 use starlinghill_config_store::acceptor::Keeper;
 use starlinghill_config_store::disk::{Order, ShelfError};
 use starlinghill_consensus::{Acceptor, AcceptorReply, AcceptorRequest, Ballot, Members, State};
-use starlinghill_runtime::essential_tasks::Essentials;
+use starlinghill_runtime::essential_tasks::EssentialTasks;
 use std::net::IpAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -25,8 +25,11 @@
     let task = LocalSet::new();
     task.run_until(async {
         let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
-        let keeper =
-            Keeper::start(Acceptor::new(members.voters[0], members.clone()), disk, &Essentials::default());
+        let keeper = Keeper::start(
+            Acceptor::new(members.voters[0], members.clone()),
+            disk,
+            &EssentialTasks::default(),
+        );
         let ballot = Ballot { round: 1, by: 1 };
         let state = State { members, value: Vec::new() };
         let accept = AcceptorRequest::Accept { ballot, epoch: 0, state };
@@ -46,8 +49,11 @@
     let task = LocalSet::new();
     task.run_until(async {
         let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
-        let keeper =
-            Keeper::start(Acceptor::new(members.voters[0], members.clone()), disk, &Essentials::default());
+        let keeper = Keeper::start(
+            Acceptor::new(members.voters[0], members.clone()),
+            disk,
+            &EssentialTasks::default(),
+        );
         let ballot = Ballot { round: 1, by: 1 };
         let state = State { members, value: Vec::new() };
         let accept = AcceptorRequest::Accept { ballot, epoch: 0, state };
@@ -82,8 +88,11 @@
     let task = LocalSet::new();
     task.run_until(async {
         let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
-        let keeper =
-            Keeper::start(Acceptor::new(members.voters[0], members.clone()), disk, &Essentials::default());
+        let keeper = Keeper::start(
+            Acceptor::new(members.voters[0], members.clone()),
+            disk,
+            &EssentialTasks::default(),
+        );
         let accept = |round| {
             let (keeper, ballot) = (keeper.clone(), Ballot { round, by: 1 });
             let state = State { members: members.clone(), value: Vec::new() };
@@ -115,7 +124,7 @@
     let task = LocalSet::new();
     task.run_until(async {
         let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
-        let (essentials, mut first_end) = Essentials::new();
+        let (essentials, mut first_end) = EssentialTasks::new();
         let keeper = Keeper::start(Acceptor::new(members.voters[0], members.clone()), disk, &essentials);
         let state = State { members, value: Vec::new() };
         let accept = AcceptorRequest::Accept { ballot: Ballot { round: 1, by: 1 }, epoch: 0, state };
--- a/crates/starlinghill-console/src/client.rs
+++ b/crates/starlinghill-console/src/client.rs
@@ -10,8 +10,8 @@
 use snafu::Snafu;
 use starlinghill_registry::wire::{RegistryRequest, RegistryResponse, RegistryStatus};
 use starlinghill_runtime::net;
-use starlinghill_runtime::rpc::Caller;
-use starlinghill_runtime::settings::Node;
+use starlinghill_runtime::rpc::RpcClient;
+use starlinghill_runtime::settings::NodeSettings;
 use starlinghill_runtime::{CONFIG_STORE_PORT_OFFSET, REGISTRY_PORT_OFFSET};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -61,7 +61,7 @@
 
 impl Places {
     /// As a machine's settings tell.
-    pub fn of(node: &Node) -> Places {
+    pub fn of(node: &NodeSettings) -> Places {
         let racks = node.seeds.iter().map(|seed| node.port(seed.ip(), REGISTRY_PORT_OFFSET)).collect();
         let stores = node.seeds.iter().map(|seed| node.port(seed.ip(), CONFIG_STORE_PORT_OFFSET)).collect();
         Places { racks, stores, controls: node.seeds.clone() }
@@ -71,11 +71,11 @@
     pub async fn statuses(&self) -> Vec<(SocketAddr, Option<RegistryStatus>)> {
         let mut all = Vec::new();
         for rack in &self.racks {
-            let status = match Caller::new(&net::tcp(), *rack).call(&RegistryRequest::Status, PATIENCE).await
-            {
-                Ok(RegistryResponse::Status(status)) => Some(*status),
-                _ => None,
-            };
+            let status =
+                match RpcClient::new(&net::tcp(), *rack).call(&RegistryRequest::Status, PATIENCE).await {
+                    Ok(RegistryResponse::Status(status)) => Some(*status),
+                    _ => None,
+                };
             all.push((*rack, status));
         }
         all
@@ -85,7 +85,8 @@
     pub async fn drain(&self, id: &str) -> Result<usize, AskError> {
         let (mut noted, mut unknown) = (0, 0);
         for rack in &self.racks {
-            match Caller::new(&net::tcp(), *rack).call(&RegistryRequest::Drain(id.into()), PATIENCE).await {
+            match RpcClient::new(&net::tcp(), *rack).call(&RegistryRequest::Drain(id.into()), PATIENCE).await
+            {
                 Ok(RegistryResponse::Noted) => noted += 1,
                 Ok(RegistryResponse::Unknown) => unknown += 1,
                 _ => {}
--- a/crates/starlinghill-console/src/explain.rs
+++ b/crates/starlinghill-console/src/explain.rs
@@ -2,7 +2,7 @@
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use starlinghill_catalog::State;
+use starlinghill_catalog::BackendState;
 use starlinghill_config_model::{ChangeError, ConfigChange, ItemSet, RoutingTable};
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
@@ -92,7 +92,7 @@
             ids.dedup();
             ids.len()
         };
-        let (ready, draining) = (of(State::Ready), of(State::Draining));
+        let (ready, draining) = (of(BackendState::Ready), of(BackendState::Draining));
         let part = 100.0 * weight / all.max(1e-9);
         let none = if ready == 0 { " - 503: no backend takes work" } else { "" };
         said.push(format!(
--- a/crates/starlinghill-console/src/main.rs
+++ b/crates/starlinghill-console/src/main.rs
@@ -10,7 +10,7 @@
 use starlinghill_console::status::{Events, Picture};
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
-use starlinghill_runtime::settings::Node;
+use starlinghill_runtime::settings::NodeSettings;
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -54,8 +54,8 @@
     };
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let node = match settings {
-        Some(path) => Node::from_file(&path),
-        None => Node::from_environment(),
+        Some(path) => NodeSettings::from_file(&path),
+        None => NodeSettings::from_environment(),
     };
     let places = match node {
         Ok(node) => Places::of(&node),
--- a/crates/starlinghill-console/src/membership.rs
+++ b/crates/starlinghill-console/src/membership.rs
@@ -6,7 +6,7 @@
 };
 use starlinghill_consensus::{Member, Members};
 use starlinghill_runtime::net;
-use starlinghill_runtime::rpc::Caller;
+use starlinghill_runtime::rpc::RpcClient;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 
@@ -29,7 +29,7 @@
         let mut open: BTreeSet<IpAddr> = self.stores.iter().map(|store| store.ip()).collect();
         while let Some(ip) = open.pop_first() {
             let at = SocketAddr::new(ip, self.stores.first().map_or(0, |store| store.port()));
-            let standing = match Caller::new(&net::tcp(), at).call(&StoreRequest::Why, PATIENCE).await {
+            let standing = match RpcClient::new(&net::tcp(), at).call(&StoreRequest::Why, PATIENCE).await {
                 Ok(StoreResponse::Why(standing)) => Some(standing),
                 _ => None,
             };
@@ -51,7 +51,7 @@
                 continue;
             }
             let at = SocketAddr::new(ip, self.stores.first().map_or(0, |store| store.port()));
-            match Caller::new(&net::tcp(), at).call(&StoreRequest::Order(order), PATIENCE).await {
+            match RpcClient::new(&net::tcp(), at).call(&StoreRequest::Order(order), PATIENCE).await {
                 Ok(StoreResponse::Admission(MembershipOutcome::Done(change))) => {
                     return Ok(format!("agreed on: {change:?}"))
                 }
--- a/crates/starlinghill-console/src/status.rs
+++ b/crates/starlinghill-console/src/status.rs
@@ -1,6 +1,6 @@
 //! How things stand over all registries, as one picture, and what changed since the last one.
 
-use starlinghill_catalog::{Instance, Liveness, State};
+use starlinghill_catalog::{BackendState, Instance, Liveness};
 use starlinghill_config_model::ItemKind;
 use starlinghill_quota_counter::BackendLoad;
 use starlinghill_registry::wire::RegistryStatus;
@@ -106,10 +106,10 @@
             for (told, _) in &status.backends {
                 let service = picture.services.entry(told.instance.service.clone()).or_default();
                 let seen_as = match (told.instance.state, told.liveness) {
-                    (State::Gone, _) | (_, Liveness::Lost) => continue,
-                    (State::Draining, _) => &mut service.draining,
-                    (State::Ready, Liveness::Silent) => &mut service.silent,
-                    (State::Ready, Liveness::Alive) => &mut service.ready,
+                    (BackendState::Gone, _) | (_, Liveness::Lost) => continue,
+                    (BackendState::Draining, _) => &mut service.draining,
+                    (BackendState::Ready, Liveness::Silent) => &mut service.silent,
+                    (BackendState::Ready, Liveness::Alive) => &mut service.ready,
                 };
                 seen_as.insert(told.instance.id.clone());
             }
--- a/crates/starlinghill-console/tests/words.rs
+++ b/crates/starlinghill-console/tests/words.rs
@@ -1,6 +1,6 @@
 //! What the console says of how things stand.
 
-use starlinghill_catalog::{Gateway, Instance, Liveness, Observation, State};
+use starlinghill_catalog::{BackendState, Gateway, Instance, Liveness, Observation};
 use starlinghill_config_model::items::digest;
 use starlinghill_config_model::{ConfigChange, Item, ItemKind, VersionHistory};
 use starlinghill_console::explain::{book, differences, explain, Asked};
@@ -28,7 +28,7 @@
     IpAddr::from([10, 0, 0, last])
 }
 
-fn told(id: &str, state: State, liveness: Liveness) -> (Observation, u64) {
+fn told(id: &str, state: BackendState, liveness: Liveness) -> (Observation, u64) {
     let (version, zone, service) = ("v1".into(), "a".into(), "ledger".into());
     let address = SocketAddr::new(ip(9), 80);
     let instance =
@@ -52,7 +52,7 @@
         fresh: true,
         items: list,
         digest: digest(items.iter()),
-        backends: vec![told("i-1", State::Ready, Liveness::Alive)],
+        backends: vec![told("i-1", BackendState::Ready, Liveness::Alive)],
         gateways: vec![(gateway, 100, digest([item("r-1", 8)].iter()))],
         holder: Some((3, ip(1))),
         count: None,
@@ -93,10 +93,14 @@
 #[test]
 fn a_drain_that_one_registry_knows_of_holds_and_silence_counts_only_where_nobody_hears() {
     let (mut one, mut two) = (status(1, &[]), status(2, &[]));
-    one.backends =
-        vec![told("i-1", State::Draining, Liveness::Alive), told("i-2", State::Ready, Liveness::Silent)];
-    two.backends =
-        vec![told("i-1", State::Ready, Liveness::Alive), told("i-2", State::Ready, Liveness::Alive)];
+    one.backends = vec![
+        told("i-1", BackendState::Draining, Liveness::Alive),
+        told("i-2", BackendState::Ready, Liveness::Silent),
+    ];
+    two.backends = vec![
+        told("i-1", BackendState::Ready, Liveness::Alive),
+        told("i-2", BackendState::Ready, Liveness::Alive),
+    ];
     let picture = Picture::of(&[(at(1), Some(one)), (at(2), Some(two))]);
     let ledger = &picture.services["ledger"];
     assert!(ledger.draining.contains("i-1") && !ledger.ready.contains("i-1"));
@@ -106,7 +110,8 @@
 #[test]
 fn backends_that_are_slow_or_ill_are_named_as_the_counter_sees_them() {
     let mut status = status(1, &[]);
-    status.backends = (1..=3).map(|i| told(&format!("i-{i}"), State::Ready, Liveness::Alive)).collect();
+    status.backends =
+        (1..=3).map(|i| told(&format!("i-{i}"), BackendState::Ready, Liveness::Alive)).collect();
     let before = Picture::of(&[(at(1), Some(status.clone()))]);
     let seen = |i: usize, slow: f32, ill: f32| {
         let backend = status.backends[i].0.instance.number();
@@ -129,7 +134,7 @@
 fn what_changed_is_said_once() {
     let before = Picture::of(&[(at(1), Some(status(1, &[item("r-1", 7)])))]);
     let mut next = status(1, &[item("r-1", 8)]);
-    next.backends = vec![told("i-1", State::Draining, Liveness::Alive)];
+    next.backends = vec![told("i-1", BackendState::Draining, Liveness::Alive)];
     next.holder = Some((4, ip(2)));
     next.gateways[0].0.life = 2;
     let after = Picture::of(&[(at(1), Some(next))]);
--- a/crates/starlinghill-control/src/program.rs
+++ b/crates/starlinghill-control/src/program.rs
@@ -17,7 +17,7 @@
 use starlinghill_gateway::discovery::{self, Follower, Source};
 use starlinghill_operator_config::Problem;
 use starlinghill_settings::members::MemberList;
-use starlinghill_signals::{Signals, Told};
+use starlinghill_signals::{SignalEvent, Signals};
 use starlinghill_xds::hub::{publish, Clock};
 use starlinghill_xds::resources::route_tables;
 use starlinghill_xds::server::contents;
@@ -92,7 +92,7 @@
         let mut signals = Signals::listen()?;
         let prepared = prepare(file).map_err(told)?;
         let mut running = start(prepared).await?;
-        while signals.next().await == Told::Reload {
+        while signals.next().await == SignalEvent::Reload {
             match prepare(file) {
                 Ok(prepared) => running.reload(prepared).await,
                 Err(problems) => {
--- a/crates/starlinghill-control/src/program/group.rs
+++ b/crates/starlinghill-control/src/program/group.rs
@@ -11,7 +11,7 @@
 use starlinghill_raft::member::Settings;
 use starlinghill_raft::serve::Running;
 use starlinghill_raft::store::Store;
-use starlinghill_signals::{Signals, Told};
+use starlinghill_signals::{SignalEvent, Signals};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -164,7 +164,7 @@
 /// Waits to be told to end. Members and times are those of the start; the file is checked again, so that a broken one is
 /// known before that.
 async fn ended(signals: &mut Signals, file: &Path) {
-    while signals.next().await == Told::Reload {
+    while signals.next().await == SignalEvent::Reload {
         match read(file) {
             Ok(_) => info!("the operators' file is sound; this member goes by it from its next start on"),
             Err(problem) => warn!(%problem, "the operators' file is not usable; what was read before stays"),
--- a/crates/starlinghill-gateway/src/process.rs
+++ b/crates/starlinghill-gateway/src/process.rs
@@ -4,7 +4,7 @@
 use crate::attempt_events::Watcher;
 use crate::config::{Config, Reloaded};
 use crate::{Control, Parts};
-use starlinghill_signals::{Signals, Told};
+use starlinghill_signals::{SignalEvent, Signals};
 use std::error::Error;
 use std::rc::Rc;
 use tokio::sync::watch;
@@ -36,7 +36,7 @@
         let shape = config.shape().clone();
         tokio::task::spawn_local(async move {
             loop {
-                if signals.next().await == Told::End {
+                if signals.next().await == SignalEvent::End {
                     info!("stopping");
                     // The gateway may have ended by itself.
                     let _ = stop.send(true);
--- a/crates/starlinghill-lease/src/contact.rs
+++ b/crates/starlinghill-lease/src/contact.rs
@@ -8,19 +8,19 @@
 use std::time::Duration;
 
 /// Whoever orders something goes elsewhere after so much silence, as the protocol says.
-pub const CALLER_WAITS: Duration = Duration::from_secs(1);
+pub const CALLER_TIMEOUT: Duration = Duration::from_secs(1);
 /// A registry answers an order within this, counted from when it has read it: what is left are two round trips between
 /// regions, of 40 ms each, and the turns of a processor of which a process may have a third.
-pub const ORDER_ANSWERED: Duration = Duration::from_millis(800);
+pub const ORDER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 /// The store tries for so long to have a change agreed on; the rest is the registry's way to it and back.
-pub const ORDER_TRIED: Duration = Duration::from_millis(700);
+pub const ORDER_COMMIT_TIMEOUT: Duration = Duration::from_millis(700);
 /// A store that says nothing to an order for so long is not waited for: the next one is asked as well. The agreement takes
 /// some 10 ms, and two round trips between regions.
-pub const ORDER_PASSED_ON: Duration = Duration::from_millis(250);
+pub const ORDER_HEDGE_DELAY: Duration = Duration::from_millis(250);
 
 /// The times between a majority's word and those who go by it, worked out from the rules' bound on a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Chain {
+pub struct StalenessBudget {
     /// The bound: what was confirmed is in force within this.
     pub apply: Duration,
     /// How often a store looks at the others.
@@ -39,10 +39,10 @@
     pub contact: Duration,
 }
 
-impl Chain {
+impl StalenessBudget {
     /// From the rules' bound.
-    pub const fn of(apply: Duration) -> Chain {
-        Chain {
+    pub const fn of(apply: Duration) -> StalenessBudget {
+        StalenessBudget {
             apply,
             look: hundredths(apply, 10),
             look_again: hundredths(apply, 2),
@@ -63,7 +63,7 @@
     /// A change whose confirmer died right behind its answer is known to all stores within this: they see it twice, wait for
     /// the dead one each time, and settle it. Registries and gateways wait for that word with open questions.
     pub fn known_after_loss(&self) -> Duration {
-        (self.look + self.voter) * 2 + ORDER_TRIED
+        (self.look + self.voter) * 2 + ORDER_COMMIT_TIMEOUT
     }
 
     /// The same of a change that stores have, where a question on its way was lost.
@@ -101,7 +101,7 @@
 
 /// A majority's word as it goes from one process to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct Contact {
+pub struct QuorumContact {
     /// How old it was when it was passed on.
     age_ms: u32,
     /// How long the question had been waiting there.
@@ -110,24 +110,24 @@
 
 /// A majority's word as one process has it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LastContact {
+pub struct LastQuorumContact {
     /// By this process's clock.
     at: Duration,
     /// How old it was then, at the most.
     older: Duration,
 }
 
-impl LastContact {
+impl LastQuorumContact {
     /// The majority itself answered what was asked at that moment: nothing older is missing.
-    pub fn from_majority(asked: Duration) -> LastContact {
-        LastContact { at: asked, older: Duration::ZERO }
+    pub fn from_majority(asked: Duration) -> LastQuorumContact {
+        LastQuorumContact { at: asked, older: Duration::ZERO }
     }
 
     /// Another process passed it on, in answer to what was asked at that moment. All of the way counts as the word's age,
     /// but for the time that the question is known to have waited.
-    pub fn passed_on(contact: Contact, asked: Duration, now: Duration) -> LastContact {
+    pub fn passed_on(contact: QuorumContact, asked: Duration, now: Duration) -> LastQuorumContact {
         let at = (asked + Duration::from_millis(contact.held_ms.into())).min(now);
-        LastContact { at, older: Duration::from_millis(contact.age_ms.into()) }
+        LastQuorumContact { at, older: Duration::from_millis(contact.age_ms.into()) }
     }
 
     /// How old it is.
@@ -136,18 +136,18 @@
     }
 
     /// Passes it on, in answer to a question that came at that moment.
-    pub fn pass_on(&self, now: Duration, asked: Duration) -> Contact {
+    pub fn pass_on(&self, now: Duration, asked: Duration) -> QuorumContact {
         let ms = |time: Duration| u32::try_from(time.as_millis()).unwrap_or(u32::MAX);
         let age = self.age(now) + Duration::from_millis(1);
-        Contact { age_ms: ms(age), held_ms: ms(now.saturating_sub(asked)) }
+        QuorumContact { age_ms: ms(age), held_ms: ms(now.saturating_sub(asked)) }
     }
 
     /// The newer one of what is known and what was heard now.
     pub fn newer(
-        known: Option<LastContact>,
-        heard: Option<LastContact>,
+        known: Option<LastQuorumContact>,
+        heard: Option<LastQuorumContact>,
         now: Duration,
-    ) -> Option<LastContact> {
+    ) -> Option<LastQuorumContact> {
         [known, heard].into_iter().flatten().min_by_key(|contact| contact.age(now))
     }
 }
--- a/crates/starlinghill-lease/tests/contact.rs
+++ b/crates/starlinghill-lease/tests/contact.rs
@@ -2,8 +2,8 @@
 //! that are slow and processes that stand still: nobody takes it for younger than it is. And what may be said by it.
 
 use starlinghill_lease::contact::{
-    is_majority, may_confirm_drain, Chain, LastContact, CALLER_WAITS, ORDER_ANSWERED, ORDER_PASSED_ON,
-    ORDER_TRIED,
+    is_majority, may_confirm_drain, LastQuorumContact, StalenessBudget, CALLER_TIMEOUT, ORDER_COMMIT_TIMEOUT,
+    ORDER_HEDGE_DELAY, ORDER_RESPONSE_TIMEOUT,
 };
 use starlinghill_lease::{LeaseParticipant, LeaseRequest, LEASE};
 use std::time::Duration;
@@ -17,7 +17,7 @@
 #[test_case(2_500; "the bound of all known deployments")]
 #[test_case(20_000; "a long bound")]
 fn the_whole_chain_stays_under_the_bound_with_room(apply: u64) {
-    let chain = Chain::of(ms(apply));
+    let chain = StalenessBudget::of(ms(apply));
     // By no word that is older may anybody begin to serve: two fifths are left for what was confirmed since to arrive.
     assert!(chain.contact <= chain.apply.mul_f64(0.6));
     // One silent voter must not make gateways wait that start.
@@ -30,11 +30,13 @@
 #[test]
 fn a_change_whose_confirmer_died_is_known_within_the_bound_and_an_order_is_answered_before_its_caller_leaves()
 {
-    let chain = Chain::of(ms(2_500));
+    let chain = StalenessBudget::of(ms(2_500));
     assert!(chain.known_after_loss() + ms(500) <= chain.apply);
-    assert!(ORDER_PASSED_ON + ms(400) < ORDER_TRIED && ORDER_TRIED < ORDER_ANSWERED);
+    assert!(
+        ORDER_HEDGE_DELAY + ms(400) < ORDER_COMMIT_TIMEOUT && ORDER_COMMIT_TIMEOUT < ORDER_RESPONSE_TIMEOUT
+    );
     // Two round trips between regions, of 40 ms, and as much again for the processor.
-    assert!(ORDER_ANSWERED + ms(160) < CALLER_WAITS);
+    assert!(ORDER_RESPONSE_TIMEOUT + ms(160) < CALLER_TIMEOUT);
 }
 
 /// Three clocks that began at different moments; each hop's question is asked, waits, is answered, and the answer comes late.
@@ -46,7 +48,7 @@
         let mut now = ms(10_000);
         // The majority knew all that was confirmed until this moment, and may have known no more.
         let spoke = now;
-        let mut known = LastContact::from_majority(now - began[0]);
+        let mut known = LastQuorumContact::from_majority(now - began[0]);
         let (mut ways, hop) = (ms(0), |rng: &mut fastrand::Rng, most| ms(rng.u64(0..most)));
         now += hop(&mut rng, 700);
         for i in 1..3 {
@@ -59,7 +61,7 @@
             let told = known.pass_on(now - began[i - 1], came);
             let back = hop(&mut rng, 60) + if rng.u8(0..4) == 0 { hop(&mut rng, 3_000) } else { ms(0) };
             now += back;
-            known = LastContact::passed_on(told, asked - began[i], now - began[i]);
+            known = LastQuorumContact::passed_on(told, asked - began[i], now - began[i]);
             ways += there + freeze + back + ms(3);
             let age = known.age(now - began[i]);
             assert!(age >= now - spoke, "seed {seed}: {age:?} of {:?}", now - spoke);
@@ -71,21 +73,21 @@
 
 #[test]
 fn a_peer_that_lies_of_how_long_it_held_a_question_makes_no_word_younger_than_its_answer() {
-    let peer = LastContact::from_majority(ms(0));
+    let peer = LastQuorumContact::from_majority(ms(0));
     // As if the question had come an hour before it was asked here.
     let told = peer.pass_on(ms(3_600_000), ms(0));
-    let heard = LastContact::passed_on(told, ms(100), ms(150));
+    let heard = LastQuorumContact::passed_on(told, ms(100), ms(150));
     assert!(heard.age(ms(150)) >= ms(3_600_000));
 }
 
 #[test]
 fn the_newer_word_counts_and_an_old_one_that_comes_late_changes_nothing() {
-    let (now, old) = (ms(9_000), LastContact::from_majority(ms(5_000)));
-    let new = LastContact::from_majority(ms(8_000));
-    assert_eq!(LastContact::newer(Some(new), Some(old), now), Some(new));
-    assert_eq!(LastContact::newer(Some(old), Some(new), now), Some(new));
-    assert_eq!(LastContact::newer(None, None, now), None);
-    assert_eq!(LastContact::newer(Some(old), None, now), Some(old));
+    let (now, old) = (ms(9_000), LastQuorumContact::from_majority(ms(5_000)));
+    let new = LastQuorumContact::from_majority(ms(8_000));
+    assert_eq!(LastQuorumContact::newer(Some(new), Some(old), now), Some(new));
+    assert_eq!(LastQuorumContact::newer(Some(old), Some(new), now), Some(new));
+    assert_eq!(LastQuorumContact::newer(None, None, now), None);
+    assert_eq!(LastQuorumContact::newer(Some(old), None, now), Some(old));
 }
 
 #[test_case(None, false; "nothing heard, as after a start")]
@@ -93,7 +95,7 @@
 #[test_case(Some(1_500), true; "heard just within the time")]
 #[test_case(Some(1_501), false; "cut off for longer, or thawed")]
 fn the_configuration_is_vouched_for_by_a_young_word_alone(age: Option<u64>, may: bool) {
-    assert_eq!(Chain::of(ms(2_500)).may_vouch(age.map(ms)), may);
+    assert_eq!(StalenessBudget::of(ms(2_500)).may_vouch(age.map(ms)), may);
 }
 
 #[test_case(Some(100), 2, 3, true; "two of three registries, and a majority's word")]
@@ -103,7 +105,7 @@
 #[test_case(Some(100), 2, 4, false; "half is no majority")]
 #[test_case(Some(100), 1, 1, true; "there is only one")]
 fn a_gateway_that_has_just_started_serves_by_a_majority(age: Option<u64>, told: usize, of: usize, may: bool) {
-    assert_eq!(Chain::of(ms(2_500)).may_begin_to_serve(age.map(ms), told, of), may);
+    assert_eq!(StalenessBudget::of(ms(2_500)).may_begin_to_serve(age.map(ms), told, of), may);
 }
 
 #[test]
--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -15,9 +15,9 @@
 use starlinghill_gateway::driver::Driver;
 use starlinghill_gateway::inbox::{Clock, Input};
 use starlinghill_gateway::server::{serve, Desk, Intake};
-use starlinghill_runtime::essential_tasks::Essentials;
-use starlinghill_runtime::net::{self, Net};
-use starlinghill_runtime::settings::{Node, SettingsError};
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::net::{self, NetworkHandle};
+use starlinghill_runtime::settings::{NodeSettings, SettingsError};
 use starlinghill_runtime::signals::Signals;
 use starlinghill_runtime::PROXY_PORT_OFFSET;
 use std::cell::RefCell;
@@ -126,8 +126,8 @@
 }
 
 /// The same, with the system's own calls on a network of the caller's.
-pub async fn run_on(net: Net, mut signals: Signals) -> Result<(), StartError> {
-    let node = Node::from_environment().context(SettingsSnafu)?;
+pub async fn run_on(net: NetworkHandle, mut signals: Signals) -> Result<(), StartError> {
+    let node = NodeSettings::from_environment().context(SettingsSnafu)?;
     let front_at = node.front.context(UnreachableSnafu { which: "front" })?;
     let ready_at = node.ready.context(UnreachableSnafu { which: "ready" })?;
     let (clients, asked) = (listen(front_at).await?, listen(ready_at).await?);
@@ -138,7 +138,7 @@
     let shared = Rc::new(Shared { view: RefCell::new(view), ready, stopping });
     let life = fastrand::u64(1..);
     let (holder, held) = registry_client::nowhere();
-    let (essentials, mut first_end) = Essentials::new();
+    let (essentials, mut first_end) = EssentialTasks::new();
     let counter = Counter::start(net.clone(), life, held, &essentials);
     let clock = Clock::from(BEGINNING);
     let sockets = node.open_files.saturating_sub(OTHERS).max(16) as usize;
--- a/crates/starlinghill-proxy/src/quota_client.rs
+++ b/crates/starlinghill-proxy/src/quota_client.rs
@@ -1,6 +1,6 @@
 //! The way to the shared count: draws go to whoever keeps it, many in one message, and what the stores hold comes back.
 
-use starlinghill_catalog::Unknown;
+use starlinghill_catalog::UnknownBackends;
 use starlinghill_decision::api::{CountName, Micros, Outcome, ServerId, ServiceId};
 use starlinghill_gateway::counter::{Count, Counting};
 use starlinghill_gateway::inbox::Counted;
@@ -8,9 +8,9 @@
     BackendOffer, Draw, LoadReport, QuotaClient, QuotaLevel, KEEPALIVE_INTERVAL,
 };
 use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
-use starlinghill_runtime::essential_tasks::Essentials;
+use starlinghill_runtime::essential_tasks::EssentialTasks;
 use starlinghill_runtime::frame::{self, Reader};
-use starlinghill_runtime::net::Net;
+use starlinghill_runtime::net::NetworkHandle;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -107,7 +107,7 @@
 
 /// The count, as a gateway reaches it.
 pub struct Counter {
-    net: Net,
+    net: NetworkHandle,
     /// What was heard and what is owed, with times since this.
     client: RefCell<QuotaClient>,
     start: Instant,
@@ -126,7 +126,7 @@
     /// The system's time, the highest that was heard.
     pub time: watch::Sender<u64>,
     /// Backends that this gateway knows and the registry with the count does not, by the numbers of their services.
-    pub unknown: RefCell<HashMap<u32, Unknown>>,
+    pub unknown: RefCell<HashMap<u32, UnknownBackends>>,
     draw_counts: Cell<DrawCounts>,
 }
 
@@ -136,10 +136,10 @@
 impl Counter {
     /// The count, for the gateway process of that life, over a network.
     pub fn start(
-        net: Net,
+        net: NetworkHandle,
         life: u64,
         holder: watch::Receiver<Holder>,
-        essentials: &Essentials,
+        essentials: &EssentialTasks,
     ) -> Rc<Counter> {
         let (calls, queue) = mpsc::channel(QUEUE);
         let counter = Rc::new(Counter {
--- a/crates/starlinghill-proxy/src/registry_client.rs
+++ b/crates/starlinghill-proxy/src/registry_client.rs
@@ -4,7 +4,7 @@
 use crate::heartbeat::Ring;
 use crate::quota_client::{Counter, Holder};
 use hyper::header::HeaderValue;
-use starlinghill_catalog::{number, service_number, Change, Gateway, Liveness, MergedView, State};
+use starlinghill_catalog::{number, service_number, BackendState, Change, Gateway, Liveness, MergedView};
 use starlinghill_config_model::items::digest;
 use starlinghill_config_model::routing::Tenant;
 use starlinghill_config_model::{ItemSet, RoutingTable};
@@ -12,12 +12,12 @@
 use starlinghill_decision::api::*;
 use starlinghill_decision::store_name;
 use starlinghill_gateway::inbox::{Clock, Inbox, Input, Listing};
-use starlinghill_lease::contact::{Chain, LastContact};
+use starlinghill_lease::contact::{LastQuorumContact, StalenessBudget};
 use starlinghill_registry::wire::{KnownState, RegistryRequest, RegistryResponse, RegistryUpdate};
-use starlinghill_runtime::essential_tasks::Essentials;
-use starlinghill_runtime::net::Net;
-use starlinghill_runtime::rpc::Caller;
-use starlinghill_runtime::settings::Node;
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::net::NetworkHandle;
+use starlinghill_runtime::rpc::RpcClient;
+use starlinghill_runtime::settings::NodeSettings;
 use starlinghill_runtime::REGISTRY_PORT_OFFSET;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -72,7 +72,7 @@
 /// Where news come from, and go.
 pub struct Ways {
     /// Where registries are reached.
-    pub net: Net,
+    pub net: NetworkHandle,
     /// To the driver.
     pub driver: Inbox,
     /// The module's clock.
@@ -86,16 +86,16 @@
 }
 
 /// Asks all registries, again and again, and takes in what they tell.
-pub fn start(node: &Node, shared: Rc<Shared>, ways: Ways, life: u64, essentials: &Essentials) {
+pub fn start(node: &NodeSettings, shared: Rc<Shared>, ways: Ways, life: u64, essentials: &EssentialTasks) {
     let Ways { net, driver, clock, counter, holder, ring } = ways;
     let (tell, told) = mpsc::channel(QUEUE);
     let me = Gateway { ip: node.ip, life, zone: node.zone.clone(), node: node.name.clone() };
     let term = Rc::new(std::cell::Cell::new(0));
     let in_force = Rc::new(std::cell::Cell::new(0));
-    let chain = Chain::of(node.bounds.apply);
+    let chain = StalenessBudget::of(node.bounds.apply);
     let asking = Asking {
         rack: 0,
-        caller: Rc::new(Caller::new(&net, node.port(node.ip, REGISTRY_PORT_OFFSET))),
+        caller: Rc::new(RpcClient::new(&net, node.port(node.ip, REGISTRY_PORT_OFFSET))),
         me,
         term: term.clone(),
         digest: in_force.clone(),
@@ -143,7 +143,7 @@
 
 /// The registries that are asked.
 struct Racks {
-    net: Net,
+    net: NetworkHandle,
     port: u16,
     /// The epoch of the members that they are of, once one has told.
     epoch: Option<u64>,
@@ -164,7 +164,7 @@
         }
         for ip in ips {
             if !self.all.contains_key(&ip) {
-                let caller = Rc::new(Caller::new(&self.net, SocketAddr::new(ip, self.port)));
+                let caller = Rc::new(RpcClient::new(&self.net, SocketAddr::new(ip, self.port)));
                 let asking = Asking { rack: self.last, caller, ..self.asking.clone() };
                 self.all.insert(ip, (self.last, spawn_local(asking.run())));
                 self.last += 1;
@@ -192,7 +192,7 @@
 #[derive(Clone)]
 struct Asking {
     rack: usize,
-    caller: Rc<Caller>,
+    caller: Rc<RpcClient>,
     me: Gateway,
     term: Rc<std::cell::Cell<u64>>,
     digest: Rc<std::cell::Cell<u64>>,
@@ -240,7 +240,7 @@
 
 struct Owner {
     racks: Racks,
-    node: Node,
+    node: NodeSettings,
     shared: Rc<Shared>,
     driver: Inbox,
     clock: Clock,
@@ -264,9 +264,9 @@
     fleet: Fleet,
     /// When a registry that hears a majority first told of a configuration.
     first_news: Option<Instant>,
-    chain: Chain,
+    chain: StalenessBudget,
     /// The newest word of a majority that what is in force here is all that was agreed on when it spoke.
-    contact: Option<LastContact>,
+    contact: Option<LastQuorumContact>,
 }
 
 impl Owner {
@@ -313,8 +313,8 @@
             self.follow_items().await;
         }
         let (now, asked) = (self.start.elapsed(), asked.saturating_duration_since(self.start));
-        let heard = news.contact.map(|contact| LastContact::passed_on(contact, asked, now));
-        self.contact = LastContact::newer(self.contact, heard, now);
+        let heard = news.contact.map(|contact| LastQuorumContact::passed_on(contact, asked, now));
+        self.contact = LastQuorumContact::newer(self.contact, heard, now);
         if self.chain.may_vouch(self.contact.map(|contact| contact.age(now))) && !self.book.is_empty() {
             self.first_news.get_or_insert_with(Instant::now);
         }
@@ -392,9 +392,9 @@
         let listing = |change: Change| {
             let Change { instance, liveness } = change;
             let listed = match (instance.state, liveness) {
-                (State::Gone, _) | (_, Liveness::Lost) => Listed::Gone,
-                (State::Ready, Liveness::Alive) => Listed::InService,
-                (State::Ready, Liveness::Silent) | (State::Draining, _) => Listed::Draining,
+                (BackendState::Gone, _) | (_, Liveness::Lost) => Listed::Gone,
+                (BackendState::Ready, Liveness::Alive) => Listed::InService,
+                (BackendState::Ready, Liveness::Silent) | (BackendState::Draining, _) => Listed::Draining,
             };
             let warm_in = instance.warm_at.saturating_sub(time);
             let started = (warm_in > 0).then(|| now + Micros(warm_in.min(COLD.0)) - COLD);
--- a/crates/starlinghill-proxy/tests/quota_client.rs
+++ b/crates/starlinghill-proxy/tests/quota_client.rs
@@ -1,6 +1,6 @@
 //! A gateway's line to the counter, against one that a test plays over a socket.
 
-use starlinghill_catalog::Unknown;
+use starlinghill_catalog::UnknownBackends;
 use starlinghill_decision::api::{CountName, Micros, Outcome, ServerId, ServiceId};
 use starlinghill_gateway::counter::Count;
 use starlinghill_gateway::inbox::Counted;
@@ -8,7 +8,7 @@
 use starlinghill_proxy::registry_client::nowhere;
 use starlinghill_quota_counter::{BackendOffer, Draw, QuotaLevel};
 use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
-use starlinghill_runtime::essential_tasks::Essentials;
+use starlinghill_runtime::essential_tasks::EssentialTasks;
 use starlinghill_runtime::frame::{self, Reader};
 use starlinghill_runtime::net::tcp;
 use std::cell::Cell;
@@ -46,7 +46,7 @@
 
 /// The same with all that came, where each answer takes `delay`, for requests of a service of which the counter does not
 /// know those.
-fn counted(plays: Plays, long: Duration, delay: Duration, unknown: Option<Unknown>) -> Played {
+fn counted(plays: Plays, long: Duration, delay: Duration, unknown: Option<UnknownBackends>) -> Played {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -78,7 +78,7 @@
             }
         });
         let (holder, held) = nowhere();
-        let counter = Counter::start(tcp(), 7, held, &Essentials::default());
+        let counter = Counter::start(tcp(), 7, held, &EssentialTasks::default());
         counter.quotas.borrow_mut().insert(NAME.0, (10.0, 10.0));
         counter.unknown.borrow_mut().extend(unknown.map(|unknown| (SERVICE.0, unknown)));
         holder.send_replace(Some((TERM, address)));
@@ -143,7 +143,7 @@
         )
     };
     let named = |part| {
-        let unknown = Unknown { part, backends: vec![7, 8, 9, 10] };
+        let unknown = UnknownBackends { part, backends: vec![7, 8, 9, 10] };
         let played = counted(names_one, Duration::from_millis(1_500), Duration::ZERO, Some(unknown));
         let first: Vec<_> = played.ends.iter().filter_map(|counted| counted.rooms.first().copied()).collect();
         assert!(first.len() > 20, "{}", first.len());
@@ -164,7 +164,7 @@
     let play = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (holder, held) = nowhere();
-        let counter = Counter::start(tcp(), 7, held, &Essentials::default());
+        let counter = Counter::start(tcp(), 7, held, &EssentialTasks::default());
         counter.quotas.borrow_mut().insert(NAME.0, (rate, rate));
         let begun = Instant::now();
         counter.charge(NAME, charged);
--- a/crates/starlinghill-registry/src/http.rs
+++ b/crates/starlinghill-registry/src/http.rs
@@ -13,11 +13,11 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use starlinghill_catalog::{Instance, State};
+use starlinghill_catalog::{BackendState, Instance};
 use starlinghill_config_model::ItemSet;
 use starlinghill_config_store::wire::{ChangeOutcome, StoreRequest as Ask, StoreResponse};
-use starlinghill_lease::contact::ORDER_ANSWERED;
-use starlinghill_runtime::net::{Listener, Net};
+use starlinghill_lease::contact::ORDER_RESPONSE_TIMEOUT;
+use starlinghill_runtime::net::{Listener, NetworkHandle};
 use starlinghill_runtime::validation::{At, Faults};
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -39,7 +39,7 @@
 /// What calls need.
 pub struct Desk {
     /// Where the stores are reached.
-    pub net: Net,
+    pub net: NetworkHandle,
     /// The tables.
     pub owner: Owner,
     /// The other registries.
@@ -168,7 +168,7 @@
 
     async fn change(&self, body: Bytes) -> Reply {
         let begun = Instant::now();
-        let asked = ask_store(&self.net, self.stores(), Ask::Change(body.to_vec()), ORDER_ANSWERED);
+        let asked = ask_store(&self.net, self.stores(), Ask::Change(body.to_vec()), ORDER_RESPONSE_TIMEOUT);
         let outcome = match asked.await {
             Some(StoreResponse::Changed(outcome)) => outcome,
             _ => ChangeOutcome::Unclear,
@@ -187,7 +187,7 @@
     }
 
     async fn read(&self) -> Reply {
-        match ask_store(&self.net, self.stores(), Ask::Read, ORDER_ANSWERED).await {
+        match ask_store(&self.net, self.stores(), Ask::Read, ORDER_RESPONSE_TIMEOUT).await {
             Some(StoreResponse::Whole(items)) => {
                 reply(StatusCode::OK, ItemSet::of(items).layout().encode().into_bytes())
             }
@@ -205,11 +205,11 @@
     let (details, observed) = (root.at("details"), root.at("observed"));
     let state = observed.at("state");
     let state = match state.text(f).as_str() {
-        "ready" => State::Ready,
-        "draining" => State::Draining,
+        "ready" => BackendState::Ready,
+        "draining" => BackendState::Draining,
         _ => {
             f.add("observed.state", state.value, "ready or draining");
-            State::Ready
+            BackendState::Ready
         }
     };
     let address = root.at("address").address(f);
--- a/crates/starlinghill-registry/src/peers.rs
+++ b/crates/starlinghill-registry/src/peers.rs
@@ -5,9 +5,9 @@
 use starlinghill_catalog::Instance;
 use starlinghill_config_store::wire as store;
 use starlinghill_consensus::{Ballot, Member, Members};
-use starlinghill_lease::contact::{may_confirm_drain, Chain, ORDER_PASSED_ON};
-use starlinghill_runtime::net::Net;
-use starlinghill_runtime::rpc::Caller;
+use starlinghill_lease::contact::{may_confirm_drain, StalenessBudget, ORDER_HEDGE_DELAY};
+use starlinghill_runtime::net::NetworkHandle;
+use starlinghill_runtime::rpc::RpcClient;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -27,11 +27,11 @@
 const LEARN: Duration = Duration::from_secs(1);
 
 /// The way to another registry: two, as the duty must not wait behind lists.
-type Lines = (Rc<Caller>, Rc<Caller>);
+type Lines = (Rc<RpcClient>, Rc<RpcClient>);
 
 /// The registries of the members, as they are known here.
 pub struct Peers {
-    net: Net,
+    net: NetworkHandle,
     me: IpAddr,
     port: u16,
     members: RefCell<Members>,
@@ -44,7 +44,7 @@
 
 impl Peers {
     /// On a network, without this one.
-    pub fn new(net: &Net, me: IpAddr, port: u16, seeds: Vec<IpAddr>) -> Peers {
+    pub fn new(net: &NetworkHandle, me: IpAddr, port: u16, seeds: Vec<IpAddr>) -> Peers {
         let (members, lines, missed) = (RefCell::default(), RefCell::default(), RefCell::default());
         Peers { net: net.clone(), me, port, members, seeds, lines, missed }
     }
@@ -77,7 +77,7 @@
     }
 
     fn lines(&self, ip: IpAddr) -> Lines {
-        let line = || Rc::new(Caller::new(&self.net, SocketAddr::new(ip, self.port)));
+        let line = || Rc::new(RpcClient::new(&self.net, SocketAddr::new(ip, self.port)));
         self.lines.borrow_mut().entry(ip).or_insert_with(|| (line(), line())).clone()
     }
 
@@ -215,8 +215,14 @@
 }
 
 /// Follows the store on this machine: what was agreed on, and who the members are.
-pub async fn follow_store(net: Net, address: SocketAddr, owner: Owner, peers: Rc<Peers>, chain: Chain) {
-    let caller = Caller::new(&net, address);
+pub async fn follow_store(
+    net: NetworkHandle,
+    address: SocketAddr,
+    owner: Owner,
+    peers: Rc<Peers>,
+    chain: StalenessBudget,
+) {
+    let caller = RpcClient::new(&net, address);
     let (mut have, mut was_fresh, mut silent) = (Ballot::default(), false, false);
     let mut learned = None;
     loop {
@@ -265,9 +271,9 @@
 
 /// Who the members are, by the store here, which may have no news yet, or by others: for drains to be confirmed while it is
 /// not up. Its word alone lets this registry vote on who keeps the count.
-async fn learn_members(net: &Net, store: SocketAddr, owner: &Owner, peers: &Peers) {
+async fn learn_members(net: &NetworkHandle, store: SocketAddr, owner: &Owner, peers: &Peers) {
     for ip in std::iter::once(store.ip()).chain(peers.others()) {
-        let other = Caller::new(net, SocketAddr::new(ip, store.port()));
+        let other = RpcClient::new(net, SocketAddr::new(ip, store.port()));
         if let Ok(store::StoreResponse::Members(members, _)) =
             other.call(&store::StoreRequest::Members, PATIENCE).await
         {
@@ -284,7 +290,7 @@
 /// Asks the stores, the one on this machine first: one that is not there is passed over, and one that is silent is not
 /// waited for alone. An order may be tried by two stores at once: to be taken twice is to be taken.
 pub async fn ask_store(
-    net: &Net,
+    net: &NetworkHandle,
     stores: Vec<SocketAddr>,
     question: store::StoreRequest,
     within: Duration,
@@ -292,7 +298,7 @@
     let net = net.clone();
     let question = Rc::new(question);
     first_clear(stores.len(), within, move |i, left| {
-        let (caller, question) = (Caller::new(&net, stores[i]), question.clone());
+        let (caller, question) = (RpcClient::new(&net, stores[i]), question.clone());
         async move {
             match caller.call(question.as_ref(), left).await {
                 Ok(answer) => Some(answer),
@@ -325,7 +331,7 @@
             next += 1;
         }
         let more = next < stores && refused.is_none();
-        let patience = if more { by.min(Instant::now() + ORDER_PASSED_ON) } else { by };
+        let patience = if more { by.min(Instant::now() + ORDER_HEDGE_DELAY) } else { by };
         match timeout_at(patience, asked.join_next()).await {
             Ok(Some(Ok(Some(answer)))) if is_refusal(&answer) => refused = Some(answer),
             Ok(Some(Ok(Some(answer)))) if is_clear(&answer) => return Some(answer),
--- a/crates/starlinghill-registry/src/program.rs
+++ b/crates/starlinghill-registry/src/program.rs
@@ -6,11 +6,11 @@
 use crate::state::{self, Command};
 use crate::wire::RegistryResponse;
 use snafu::{OptionExt, ResultExt, Snafu};
-use starlinghill_lease::contact::Chain;
-use starlinghill_runtime::essential_tasks::Essentials;
-use starlinghill_runtime::net::{self, Listener, Net};
+use starlinghill_lease::contact::StalenessBudget;
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::net::{self, Listener, NetworkHandle};
 use starlinghill_runtime::rpc;
-use starlinghill_runtime::settings::{Node, SettingsError};
+use starlinghill_runtime::settings::{NodeSettings, SettingsError};
 use starlinghill_runtime::signals::Signals;
 use starlinghill_runtime::{CONFIG_STORE_PORT_OFFSET, REGISTRY_PORT_OFFSET};
 use std::future::Future;
@@ -51,7 +51,7 @@
     },
 }
 
-async fn listen(net: &Net, address: SocketAddr) -> Result<Box<dyn Listener>, StartError> {
+async fn listen(net: &NetworkHandle, address: SocketAddr) -> Result<Box<dyn Listener>, StartError> {
     net.listen(address).await.context(SystemSnafu { what: format!("listen on {address}") })
 }
 
@@ -61,24 +61,28 @@
 }
 
 /// The same, on a network of the caller's.
-pub async fn run_on(net: Net, mut signals: Signals) -> Result<(), StartError> {
-    let node = Node::from_environment().context(SettingsSnafu)?;
+pub async fn run_on(net: NetworkHandle, mut signals: Signals) -> Result<(), StartError> {
+    let node = NodeSettings::from_environment().context(SettingsSnafu)?;
     registry(&node, &net, signals.end()).await
 }
 
 /// Runs a registry on a network until it is to end.
-pub async fn registry(node: &Node, net: &Net, end: impl Future<Output = ()>) -> Result<(), StartError> {
+pub async fn registry(
+    node: &NodeSettings,
+    net: &NetworkHandle,
+    end: impl Future<Output = ()>,
+) -> Result<(), StartError> {
     let control = listen(net, node.control.context(UnreachableSnafu)?).await?;
     let own = listen(net, node.port(node.ip, REGISTRY_PORT_OFFSET)).await?;
     log::info!("event=start program=toolrack node={}", node.name);
     let seeds: Vec<IpAddr> = node.seeds.iter().map(|seed| seed.ip()).collect();
     let peers = Rc::new(Peers::new(net, node.ip, node.port(node.ip, REGISTRY_PORT_OFFSET).port(), seeds));
     let store = node.port(node.ip, CONFIG_STORE_PORT_OFFSET);
-    let (essentials, mut first_end) = Essentials::new();
+    let (essentials, mut first_end) = EssentialTasks::new();
     let owner = state::start(node, &essentials);
     let (stop, stopping) = watch::channel(false);
     essentials.spawn("peers", peers.clone().run(owner.clone()));
-    let chain = Chain::of(node.bounds.apply);
+    let chain = StalenessBudget::of(node.bounds.apply);
     essentials.spawn("store", follow_store(net.clone(), store, owner.clone(), peers.clone(), chain));
     let desk = Desk {
         net: net.clone(),
--- a/crates/starlinghill-registry/src/state.rs
+++ b/crates/starlinghill-registry/src/state.rs
@@ -4,19 +4,19 @@
 use crate::wire::{
     CounterStatus, KnownState, PeerReport, RegistryRequest, RegistryResponse, RegistryStatus, RegistryUpdate,
 };
-use starlinghill_catalog::{number, service_number, Catalog, Instance, Liveness, Observation, State};
+use starlinghill_catalog::{number, service_number, BackendState, Catalog, Instance, Liveness, Observation};
 use starlinghill_config_model::items::digest;
 use starlinghill_config_model::{Item, ItemKind};
 use starlinghill_config_store::wire::Value;
 use starlinghill_consensus::Members;
 use starlinghill_failure_detector::GatewayLiveness;
-use starlinghill_lease::contact::{Chain, Contact, LastContact};
+use starlinghill_lease::contact::{LastQuorumContact, QuorumContact, StalenessBudget};
 use starlinghill_lease::{self as lease, LeaseParticipant};
 use starlinghill_quota_counter::{ListedBackend, QuotaCounter};
 use starlinghill_rate_limit::Allowance;
-use starlinghill_runtime::essential_tasks::Essentials;
-use starlinghill_runtime::queue::Fill;
-use starlinghill_runtime::settings::Node;
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::queue::QueueGauge;
+use starlinghill_runtime::settings::NodeSettings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::time::Duration;
@@ -39,7 +39,7 @@
     /// A backend leaves.
     Leave(String, oneshot::Sender<()>),
     /// The store beside it says what was agreed on, with a majority's word on that, asked at that moment.
-    Store(Option<Value>, Option<Contact>, Instant),
+    Store(Option<Value>, Option<QuorumContact>, Instant),
     /// It says, asked at that moment if it votes, who the members are, and whom it accepted beyond those.
     Members(Option<Duration>, Members, Option<Members>),
     /// Another registry says who the members are.
@@ -81,9 +81,9 @@
     catalog: Catalog,
     /// The items with the number of their last change.
     items: BTreeMap<(ItemKind, String), (Item, u64)>,
-    chain: Chain,
+    chain: StalenessBudget,
     /// A majority's word that the items are all.
-    contact: Option<LastContact>,
+    contact: Option<LastQuorumContact>,
     sets: Sets,
     me: IpAddr,
     /// Until when the store's word on the members counts.
@@ -108,10 +108,10 @@
 }
 
 /// Runs the owner of a registry. Without it the process is of no use.
-pub fn start(node: &Node, essentials: &Essentials) -> Owner {
+pub fn start(node: &NodeSettings, essentials: &EssentialTasks) -> Owner {
     let me = node.ip;
     let (queue, mut commands) = mpsc::channel(QUEUE);
-    let chain = Chain::of(node.bounds.apply);
+    let chain = StalenessBudget::of(node.bounds.apply);
     let mut tables = Tables {
         life: fastrand::u64(1..),
         first: node.first_start,
@@ -139,7 +139,7 @@
         rounds: 0,
     };
     essentials.spawn("tables", async move {
-        let mut fill = Fill::new("tables", QUEUE);
+        let mut fill = QueueGauge::new("tables", QUEUE);
         while let Some(command) = commands.recv().await {
             fill.log(commands.len() + 1);
             tables.take(command);
@@ -191,8 +191,8 @@
             Command::Store(items, contact, asked) => {
                 let had = self.may_vouch(now);
                 let asked = asked.saturating_duration_since(self.start);
-                let heard = contact.map(|contact| LastContact::passed_on(contact, asked, now));
-                self.contact = LastContact::newer(self.contact, heard, now);
+                let heard = contact.map(|contact| LastQuorumContact::passed_on(contact, asked, now));
+                self.contact = LastQuorumContact::newer(self.contact, heard, now);
                 if !had && self.may_vouch(now) {
                     // Gateways that have just started wait for this word.
                     self.catalog.number();
@@ -255,7 +255,7 @@
                     service: service_number(&instance.service),
                     zone: number(&instance.zone),
                     capacity: instance.capacity,
-                    serves: instance.state == State::Ready && liveness < Liveness::Lost,
+                    serves: instance.state == BackendState::Ready && liveness < Liveness::Lost,
                     silent: liveness == Liveness::Silent,
                     cold_for: Duration::from_micros(instance.warm_at.saturating_sub(time)),
                 },
@@ -346,7 +346,7 @@
             RegistryRequest::Drain(id) => match self.catalog.get(&id).cloned() {
                 Some(instance) => {
                     log::info!("event=drain_ordered id={id}");
-                    let state = instance.state.max(State::Draining);
+                    let state = instance.state.max(BackendState::Draining);
                     self.catalog.heard(now, Instance { state, ..instance }, Duration::ZERO);
                     answer(reply, RegistryResponse::Noted);
                 }
@@ -518,5 +518,5 @@
 
 /// A backend says that it takes no new work.
 pub fn is_last_word(instance: &Instance) -> bool {
-    instance.state != State::Ready
+    instance.state != BackendState::Ready
 }
--- a/crates/starlinghill-registry/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -6,7 +6,7 @@
 use starlinghill_consensus::Members;
 use starlinghill_failure_detector::PeerSighting;
 use starlinghill_lease as lease;
-use starlinghill_lease::contact::Contact;
+use starlinghill_lease::contact::QuorumContact;
 use starlinghill_quota_counter::{BackendLoad as Sight, Draw, LevelReading, LoadReport, QuotaLevel};
 use std::net::IpAddr;
 
@@ -92,7 +92,7 @@
     pub seq: u64,
     /// The word of a majority of stores that the items are all that was agreed on, as the store beside it has it; none where
     /// it is too old to go by.
-    pub contact: Option<Contact>,
+    pub contact: Option<QuorumContact>,
     /// Items that changed.
     pub items: Vec<Item>,
     /// Backends that changed.
--- a/crates/starlinghill-registry/tests/contact.rs
+++ b/crates/starlinghill-registry/tests/contact.rs
@@ -2,11 +2,11 @@
 //! while the process stands still.
 
 use starlinghill_catalog::Gateway;
-use starlinghill_lease::contact::{Chain, LastContact};
+use starlinghill_lease::contact::{LastQuorumContact, StalenessBudget};
 use starlinghill_registry::state::{self, Command, Owner};
 use starlinghill_registry::wire::{KnownState, RegistryRequest, RegistryResponse, RegistryUpdate};
-use starlinghill_runtime::essential_tasks::Essentials;
-use starlinghill_runtime::settings::{Bounds, Node};
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::settings::{Bounds, NodeSettings};
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
@@ -14,8 +14,8 @@
 
 const APPLY: Duration = Duration::from_millis(2_500);
 
-fn node() -> Node {
-    Node {
+fn node() -> NodeSettings {
+    NodeSettings {
         name: "core-1".into(),
         ip: [10, 0, 0, 1].into(),
         zone: "zone-1".into(),
@@ -55,7 +55,7 @@
 
 /// The store passes on a word that a majority gave so long ago.
 async fn store_says(owner: &Owner, ago: Duration) {
-    let majority = LastContact::from_majority(Duration::ZERO);
+    let majority = LastQuorumContact::from_majority(Duration::ZERO);
     let contact = Some(majority.pass_on(ago, ago));
     assert!(owner.send(Command::Store(None, contact, Instant::now())).await.is_ok());
 }
@@ -64,7 +64,7 @@
 async fn a_registry_vouches_for_no_word_that_is_older_than_the_chain_allows() {
     let task = LocalSet::new();
     task.run_until(async {
-        let owner = state::start(&node(), &Essentials::default());
+        let owner = state::start(&node(), &EssentialTasks::default());
         assert!(ask(&owner, 0, 0).await.contact.is_none(), "nothing was heard yet");
         // The oldest that a store went by before; the registry went by it for 1.5 s more.
         let ago = Duration::from_millis(899);
@@ -77,7 +77,7 @@
             }
             advance(Duration::from_millis(40)).await;
         }
-        let chain = Chain::of(APPLY);
+        let chain = StalenessBudget::of(APPLY);
         assert!(oldest <= chain.contact && oldest + chain.look >= chain.contact, "{oldest:?}");
     })
     .await;
@@ -87,7 +87,7 @@
 async fn a_question_that_waits_is_answered_with_the_word_s_age_of_then() {
     let task = LocalSet::new();
     task.run_until(async {
-        let owner = state::start(&node(), &Essentials::default());
+        let owner = state::start(&node(), &EssentialTasks::default());
         let (ago, start) = (Duration::from_millis(200), Instant::now());
         store_says(&owner, ago).await;
         let known = ask(&owner, 0, 0).await;
@@ -101,9 +101,13 @@
         });
         let asked = Instant::now();
         let news = ask(&owner, known.rack, known.seq).await;
-        assert!(asked.elapsed() >= Chain::of(APPLY).registry_holds, "it waited {:?}", asked.elapsed());
+        assert!(
+            asked.elapsed() >= StalenessBudget::of(APPLY).registry_holds,
+            "it waited {:?}",
+            asked.elapsed()
+        );
         let (asked, now) = (asked.duration_since(start), start.elapsed());
-        let heard = news.contact.map(|word| LastContact::passed_on(word, asked, now).age(now));
+        let heard = news.contact.map(|word| LastQuorumContact::passed_on(word, asked, now).age(now));
         let (heard, age) = (heard.expect("still young"), ago + now);
         assert!(heard >= age && heard <= age + Duration::from_millis(5), "{heard:?} of {age:?}");
     })
--- a/crates/starlinghill-registry/tests/orders.rs
+++ b/crates/starlinghill-registry/tests/orders.rs
@@ -2,7 +2,7 @@
 //! store beside the registry does.
 
 use starlinghill_config_store::wire::{ChangeOutcome, StoreResponse};
-use starlinghill_lease::contact::{ORDER_ANSWERED, ORDER_PASSED_ON, ORDER_TRIED};
+use starlinghill_lease::contact::{ORDER_COMMIT_TIMEOUT, ORDER_HEDGE_DELAY, ORDER_RESPONSE_TIMEOUT};
 use starlinghill_registry::peers::first_clear;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -36,7 +36,7 @@
             Some(StoreResponse::Changed(ChangeOutcome::Taken))
         }
         Finds => {
-            sleep(ORDER_TRIED).await;
+            sleep(ORDER_COMMIT_TIMEOUT).await;
             Some(StoreResponse::Changed(ChangeOutcome::Unclear))
         }
         Nothing => std::future::pending().await,
@@ -79,7 +79,7 @@
     task.run_until(async {
         let (begun, seen) = (Instant::now(), Rc::new(RefCell::new(0)));
         let count = seen.clone();
-        let answer = first_clear(stores.len(), ORDER_ANSWERED, move |i, _| {
+        let answer = first_clear(stores.len(), ORDER_RESPONSE_TIMEOUT, move |i, _| {
             *count.borrow_mut() += 1;
             one(stores[i])
         });
@@ -97,5 +97,5 @@
         assert_eq!(*seen.borrow(), asked);
     })
     .await;
-    assert!(ORDER_PASSED_ON * 2 + Duration::from_millis(200) < ORDER_ANSWERED);
+    assert!(ORDER_HEDGE_DELAY * 2 + Duration::from_millis(200) < ORDER_RESPONSE_TIMEOUT);
 }
--- a/crates/starlinghill-runtime/src/essential_tasks.rs
+++ b/crates/starlinghill-runtime/src/essential_tasks.rs
@@ -9,7 +9,7 @@
 
 /// Where such tasks are started. Clones stand for the same process.
 #[derive(Debug, Clone)]
-pub struct Essentials {
+pub struct EssentialTasks {
     ended: mpsc::UnboundedSender<&'static str>,
 }
 
@@ -19,18 +19,18 @@
     ended: mpsc::UnboundedReceiver<&'static str>,
 }
 
-impl Default for Essentials {
+impl Default for EssentialTasks {
     /// Of a process, or a test, that goes on whichever task ends: the log is told all the same.
-    fn default() -> Essentials {
-        Essentials::new().0
+    fn default() -> EssentialTasks {
+        EssentialTasks::new().0
     }
 }
 
-impl Essentials {
+impl EssentialTasks {
     /// Those of one process, and the way to hear of them.
-    pub fn new() -> (Essentials, FirstEnd) {
+    pub fn new() -> (EssentialTasks, FirstEnd) {
         let (tell, ended) = mpsc::unbounded_channel();
-        (Essentials { ended: tell }, FirstEnd { ended })
+        (EssentialTasks { ended: tell }, FirstEnd { ended })
     }
 
     /// Starts one on this thread. Its name is for the log.
--- a/crates/starlinghill-runtime/src/net.rs
+++ b/crates/starlinghill-runtime/src/net.rs
@@ -24,45 +24,45 @@
 pub type Stream = Box<dyn Connection>;
 
 /// What may take a while and fail.
-pub type Waiting<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + 'a>>;
+pub type IoFuture<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + 'a>>;
 
 /// A network, as one machine sees it.
 pub trait Network {
     /// Connects to an address.
-    fn connect(&self, to: SocketAddr) -> Waiting<'_, Stream>;
+    fn connect(&self, to: SocketAddr) -> IoFuture<'_, Stream>;
     /// Listens on an address.
-    fn listen(&self, at: SocketAddr) -> Waiting<'_, Box<dyn Listener>>;
+    fn listen(&self, at: SocketAddr) -> IoFuture<'_, Box<dyn Listener>>;
 }
 
 /// The way to a network.
-pub type Net = Rc<dyn Network>;
+pub type NetworkHandle = Rc<dyn Network>;
 
 /// A port that is listened on.
 pub trait Listener {
     /// The next connection, and where it comes from.
-    fn accept(&self) -> Waiting<'_, (Stream, SocketAddr)>;
+    fn accept(&self) -> IoFuture<'_, (Stream, SocketAddr)>;
 }
 
 /// The machine's own network.
 pub struct Tcp;
 
 /// The way to the machine's own network.
-pub fn tcp() -> Net {
+pub fn tcp() -> NetworkHandle {
     Rc::new(Tcp)
 }
 
 impl Network for Tcp {
-    fn connect(&self, to: SocketAddr) -> Waiting<'_, Stream> {
+    fn connect(&self, to: SocketAddr) -> IoFuture<'_, Stream> {
         Box::pin(async move { Ok(Box::new(TcpStream::connect(to).await?) as Stream) })
     }
 
-    fn listen(&self, at: SocketAddr) -> Waiting<'_, Box<dyn Listener>> {
+    fn listen(&self, at: SocketAddr) -> IoFuture<'_, Box<dyn Listener>> {
         Box::pin(async move { Ok(Box::new(TcpListener::bind(at).await?) as Box<dyn Listener>) })
     }
 }
 
 impl Listener for TcpListener {
-    fn accept(&self) -> Waiting<'_, (Stream, SocketAddr)> {
+    fn accept(&self) -> IoFuture<'_, (Stream, SocketAddr)> {
         Box::pin(async move {
             let (stream, from) = TcpListener::accept(self).await?;
             Ok((Box::new(stream) as Stream, from))
--- a/crates/starlinghill-runtime/src/program.rs
+++ b/crates/starlinghill-runtime/src/program.rs
@@ -1,6 +1,6 @@
 //! What the command lines of all programs have in common.
 
-use crate::settings::Node;
+use crate::settings::NodeSettings;
 use crate::signals::Signals;
 use std::future::Future;
 use std::io;
@@ -78,7 +78,7 @@
             return ExitCode::from(2);
         }
     };
-    match Node::from_file(&path) {
+    match NodeSettings::from_file(&path) {
         Ok(node) => {
             println!("{}: sound: node {}, zone {}", path.display(), node.name, node.zone);
             ExitCode::SUCCESS
--- a/crates/starlinghill-runtime/src/queue.rs
+++ b/crates/starlinghill-runtime/src/queue.rs
@@ -10,17 +10,17 @@
 
 /// What a queue held at most of late.
 #[derive(Debug)]
-pub struct Fill {
+pub struct QueueGauge {
     name: &'static str,
     of: usize,
     most: usize,
     told: Option<Instant>,
 }
 
-impl Fill {
+impl QueueGauge {
     /// Of a queue that holds so many.
-    pub fn new(name: &'static str, of: usize) -> Fill {
-        Fill { name, of, most: 0, told: None }
+    pub fn new(name: &'static str, of: usize) -> QueueGauge {
+        QueueGauge { name, of, most: 0, told: None }
     }
 
     /// So many wait in it now: the most since it was last said, where it is to be said again.
--- a/crates/starlinghill-runtime/src/rpc.rs
+++ b/crates/starlinghill-runtime/src/rpc.rs
@@ -1,7 +1,7 @@
 //! Calls between the system's own processes: a question, an answer, a time limit. Every call may be made again.
 
 use crate::frame::{self, Reader};
-use crate::net::{Listener, Net, Stream};
+use crate::net::{Listener, NetworkHandle, Stream};
 use bitcode::{DecodeOwned, Encode};
 use snafu::Snafu;
 use std::cell::Cell;
@@ -44,16 +44,16 @@
 }
 
 /// The way to one port of another process; calls go one after the other.
-pub struct Caller {
-    net: Net,
+pub struct RpcClient {
+    net: NetworkHandle,
     address: SocketAddr,
     line: Mutex<Option<(Stream, Reader)>>,
 }
 
-impl Caller {
+impl RpcClient {
     /// To that address over a network; nothing is connected yet.
-    pub fn new(net: &Net, address: SocketAddr) -> Caller {
-        Caller { net: net.clone(), address, line: Mutex::new(None) }
+    pub fn new(net: &NetworkHandle, address: SocketAddr) -> RpcClient {
+        RpcClient { net: net.clone(), address, line: Mutex::new(None) }
     }
 
     /// Where it leads.
--- a/crates/starlinghill-runtime/src/settings.rs
+++ b/crates/starlinghill-runtime/src/settings.rs
@@ -79,7 +79,7 @@
 
 /// A process's settings.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Node {
+pub struct NodeSettings {
     /// The machine's name.
     pub name: String,
     /// Its address.
@@ -110,25 +110,25 @@
     pub bounds: Bounds,
 }
 
-impl Node {
+impl NodeSettings {
     /// Reads the file that the environment names.
-    pub fn from_environment() -> Result<Node, SettingsError> {
+    pub fn from_environment() -> Result<NodeSettings, SettingsError> {
         let path = std::env::var_os(VARIABLE).ok_or(SettingsError::Unnamed)?;
-        Node::from_file(Path::new(&path))
+        NodeSettings::from_file(Path::new(&path))
     }
 
     /// Reads a file.
-    pub fn from_file(path: &Path) -> Result<Node, SettingsError> {
+    pub fn from_file(path: &Path) -> Result<NodeSettings, SettingsError> {
         let text = std::fs::read_to_string(path).context(UnreadableSnafu { path })?;
         let value: OwnedValue = toml::from_str(&text).map_err(|e| SettingsError::Unparsable {
             path: path.into(),
             problem: e.to_string().lines().collect::<Vec<_>>().join(" "),
         })?;
-        Node::check(&value).map_err(|faults| SettingsError::Faulty { path: path.into(), faults })
+        NodeSettings::check(&value).map_err(|faults| SettingsError::Faulty { path: path.into(), faults })
     }
 
     /// Checks values; fields that are not known are ignored.
-    pub fn check(value: &OwnedValue) -> Result<Node, Vec<Fault>> {
+    pub fn check(value: &OwnedValue) -> Result<NodeSettings, Vec<Fault>> {
         let mut faults = Faults::default();
         let f = &mut faults;
         let root = At::root(value);
@@ -152,7 +152,7 @@
         let seeds = net.at("seeds").list(f).iter().filter_map(|at| at.address(f)).collect();
         let data_dir = own.at("data_dir");
         let sync_time = bounds.at("sync_time");
-        let node = Node {
+        let node = NodeSettings {
             name: own.at("node").text(f),
             ip: address.unwrap_or(IpAddr::from([0, 0, 0, 0])),
             zone: own.at("zone").text(f),
--- a/crates/starlinghill-runtime/src/signals.rs
+++ b/crates/starlinghill-runtime/src/signals.rs
@@ -1,18 +1,18 @@
 //! What signals do to the system's processes: the settings file is read again, or the process ends.
 
-use crate::settings::Node;
-use starlinghill_signals::Told;
+use crate::settings::NodeSettings;
+use starlinghill_signals::SignalEvent;
 use std::io;
 use std::rc::Rc;
 use tokio::sync::watch;
 
 /// The settings file as it was last read again; `None` until it was.
-pub type Reread = watch::Receiver<Option<Rc<Node>>>;
+pub type Reread = watch::Receiver<Option<Rc<NodeSettings>>>;
 
 /// The signals of a process of the system.
 pub struct Signals {
     told: starlinghill_signals::Signals,
-    reread: watch::Sender<Option<Rc<Node>>>,
+    reread: watch::Sender<Option<Rc<NodeSettings>>>,
 }
 
 impl Signals {
@@ -29,8 +29,8 @@
     /// Waits to be told to end. The settings file is read and checked meanwhile whenever it should be; a broken one is
     /// logged and changes nothing. What comes after the first SIGTERM changes nothing any more.
     pub async fn end(&mut self) {
-        while self.told.next().await == Told::Reload {
-            match Node::from_environment() {
+        while self.told.next().await == SignalEvent::Reload {
+            match NodeSettings::from_environment() {
                 Ok(node) => {
                     log::info!("event=settings_read node={} seeds={}", node.name, node.seeds.len());
                     self.reread.send_replace(Some(Rc::new(node)));
--- a/crates/starlinghill-runtime/tests/essential_tasks.rs
+++ b/crates/starlinghill-runtime/tests/essential_tasks.rs
@@ -1,6 +1,6 @@
 //! Tasks that a process can't do without.
 
-use starlinghill_runtime::essential_tasks::Essentials;
+use starlinghill_runtime::essential_tasks::EssentialTasks;
 use std::time::Duration;
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout};
@@ -14,7 +14,7 @@
 fn the_first_task_that_panics_or_returns_is_named() {
     for panics in [true, false] {
         let name = run(async move {
-            let (essentials, mut first_end) = Essentials::new();
+            let (essentials, mut first_end) = EssentialTasks::new();
             essentials.spawn("goes on", std::future::pending());
             essentials.spawn("ends", async move {
                 sleep(Duration::from_secs(1)).await;
@@ -29,7 +29,7 @@
 #[test]
 fn a_task_that_serves_one_call_may_panic() {
     run(async {
-        let (essentials, mut first_end) = Essentials::new();
+        let (essentials, mut first_end) = EssentialTasks::new();
         essentials.spawn("goes on", std::future::pending());
         let call = spawn_local(async { panic!("on purpose") });
         assert!(call.await.is_err());
--- a/crates/starlinghill-runtime/tests/queue.rs
+++ b/crates/starlinghill-runtime/tests/queue.rs
@@ -1,12 +1,12 @@
 //! How full a queue gets is said, and not for every command.
 
-use starlinghill_runtime::queue::Fill;
+use starlinghill_runtime::queue::QueueGauge;
 use std::time::Duration;
 use tokio::time::Instant;
 
 #[test]
 fn the_most_of_late_is_said_once_in_some_seconds_from_half_on() {
-    let (mut fill, start) = (Fill::new("tables", 100), Instant::now());
+    let (mut fill, start) = (QueueGauge::new("tables", 100), Instant::now());
     let at = |ms| start + Duration::from_millis(ms);
     assert_eq!(fill.saw(at(0), 49), None);
     assert_eq!(fill.saw(at(1), 50), Some(50));
--- a/crates/starlinghill-runtime/tests/rpc.rs
+++ b/crates/starlinghill-runtime/tests/rpc.rs
@@ -1,7 +1,7 @@
 //! How many callers a port takes.
 
 use starlinghill_runtime::net::{tcp, Listener};
-use starlinghill_runtime::rpc::{serve, Caller};
+use starlinghill_runtime::rpc::{serve, RpcClient};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, yield_now, LocalSet};
@@ -18,11 +18,11 @@
         spawn_local(serve(listener, MOST, |_| false, |question: u32, _| async move { question + 1 }));
         let mut kept = Vec::new();
         for i in 0..MOST as u32 {
-            let caller = Caller::new(&tcp(), at);
+            let caller = RpcClient::new(&tcp(), at);
             assert_eq!(caller.call::<_, u32>(&i, PATIENCE).await.ok(), Some(i + 1));
             kept.push(caller);
         }
-        let late = Caller::new(&tcp(), at);
+        let late = RpcClient::new(&tcp(), at);
         assert!(late.call::<_, u32>(&7, PATIENCE).await.is_err());
         drop(kept.pop());
         // The end of its connection is on its way.
--- a/crates/starlinghill-runtime/tests/settings.rs
+++ b/crates/starlinghill-runtime/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings files with faults, and messages that are none.
 
 use starlinghill_runtime::frame::{encode, Reader, LONGEST, VERSION};
-use starlinghill_runtime::settings::Node;
+use starlinghill_runtime::settings::NodeSettings;
 use std::io::ErrorKind;
 use test_case::test_case;
 
@@ -33,9 +33,9 @@
 quota_extra = 20
 "#;
 
-fn check(text: &str) -> Result<Node, Vec<String>> {
+fn check(text: &str) -> Result<NodeSettings, Vec<String>> {
     let value = toml::from_str(text).unwrap_or_else(|error| panic!("{error}"));
-    Node::check(&value).map_err(|faults| faults.iter().map(ToString::to_string).collect())
+    NodeSettings::check(&value).map_err(|faults| faults.iter().map(ToString::to_string).collect())
 }
 
 #[test]
--- a/crates/starlinghill-signals/src/lib.rs
+++ b/crates/starlinghill-signals/src/lib.rs
@@ -6,7 +6,7 @@
 
 /// What a process was told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum SignalEvent {
     /// SIGTERM, or SIGINT: to end, in its own good order.
     End,
     /// SIGHUP: to read its settings again.
@@ -35,12 +35,12 @@
     }
 
     /// Waits for the next. Several of a kind that came since the last call count as one; the end goes first.
-    pub async fn next(&mut self) -> Told {
+    pub async fn next(&mut self) -> SignalEvent {
         tokio::select! {
             biased;
-            _ = self.terminate.recv() => Told::End,
-            _ = self.interrupt.recv() => Told::End,
-            _ = self.hang_up.recv() => Told::Reload,
+            _ = self.terminate.recv() => SignalEvent::End,
+            _ = self.interrupt.recv() => SignalEvent::End,
+            _ = self.hang_up.recv() => SignalEvent::Reload,
         }
     }
 }
--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -9,9 +9,9 @@
 use starlinghill_decision::store_name;
 use starlinghill_gateway::counter::Count;
 use starlinghill_gateway::inbox::{Clock, Input, Listing};
-use starlinghill_runtime::essential_tasks::Essentials;
-use starlinghill_runtime::net::Net;
-use starlinghill_runtime::settings::{Bounds, Node};
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::net::NetworkHandle;
+use starlinghill_runtime::settings::{Bounds, NodeSettings};
 use starlinghill_runtime::{CONFIG_STORE_PORT_OFFSET, PROXY_PORT_OFFSET, REGISTRY_PORT_OFFSET};
 
 use starlinghill_config_model::RoutingTable;
@@ -122,10 +122,10 @@
         }
     }
 
-    fn node(&self, ip: IpAddr, first_start: bool) -> Node {
+    fn node(&self, ip: IpAddr, first_start: bool) -> NodeSettings {
         let there = self.cores.iter().filter(|core| core.is_there.get());
         let seeds = there.map(|core| SocketAddr::new(core.ip, CONTROL)).take(SEEDS).collect();
-        Node {
+        NodeSettings {
             name: ip.to_string(),
             ip,
             zone: "a".into(),
@@ -153,7 +153,7 @@
         }
     }
 
-    fn net(&self, ip: IpAddr) -> Net {
+    fn net(&self, ip: IpAddr) -> NetworkHandle {
         self.fabric.at(ip)
     }
 
@@ -355,7 +355,7 @@
                 Rc::new(Shared { view: RefCell::new(view), ready: watch::channel(false).0, stopping });
             *slot.borrow_mut() = Some(shared.clone());
             let (holder, held) = registry_client::nowhere();
-            let essentials = Essentials::default();
+            let essentials = EssentialTasks::default();
             let counter = Counter::start(net.clone(), life, held, &essentials);
             // What the module would hear of it.
             let (driver, mut inputs) = mpsc::channel(64);
--- a/crates/starlinghill-simulator/src/faults.rs
+++ b/crates/starlinghill-simulator/src/faults.rs
@@ -3,7 +3,7 @@
 use crate::cluster::ip;
 use crate::scenario::Run;
 use starlinghill_config_store::wire::{MembershipOrder, MembershipOutcome, StoreRequest, StoreResponse};
-use starlinghill_runtime::rpc::Caller;
+use starlinghill_runtime::rpc::RpcClient;
 use std::net::IpAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -272,7 +272,7 @@
 async fn order(run: &Rc<Run>, order: MembershipOrder) -> bool {
     for _ in 0..ORDERED {
         let store = run.world.store(run.any_core());
-        let answer = Caller::new(&run.world.fabric.at(ip(2, 0)), store)
+        let answer = RpcClient::new(&run.world.fabric.at(ip(2, 0)), store)
             .call::<_, StoreResponse>(&StoreRequest::Order(order), Duration::from_secs(1))
             .await;
         if matches!(
--- a/crates/starlinghill-simulator/src/network.rs
+++ b/crates/starlinghill-simulator/src/network.rs
@@ -1,7 +1,7 @@
 //! Links between machines that are played in one thread: streams stay streams, and what a link does is decided by whoever
 //! plays. What is cut is sent again once the link is back, as TCP does it.
 
-use starlinghill_runtime::net::{Connection, Listener, Net, Network, Stream, Waiting};
+use starlinghill_runtime::net::{Connection, IoFuture, Listener, Network, NetworkHandle, Stream};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::future::Future;
@@ -81,7 +81,7 @@
     }
 
     /// The network as a machine sees it.
-    pub fn at(self: &Rc<Self>, ip: IpAddr) -> Net {
+    pub fn at(self: &Rc<Self>, ip: IpAddr) -> NetworkHandle {
         Rc::new(Machine { fabric: self.clone(), ip })
     }
 
@@ -186,7 +186,7 @@
 }
 
 impl Network for Machine {
-    fn connect(&self, to: SocketAddr) -> Waiting<'_, Stream> {
+    fn connect(&self, to: SocketAddr) -> IoFuture<'_, Stream> {
         Box::pin(async move {
             let fabric = &self.fabric;
             let (here, there) = (self.ip, to.ip());
@@ -214,7 +214,7 @@
         })
     }
 
-    fn listen(&self, at: SocketAddr) -> Waiting<'_, Box<dyn Listener>> {
+    fn listen(&self, at: SocketAddr) -> IoFuture<'_, Box<dyn Listener>> {
         Box::pin(async move {
             let (tell, told) = mpsc::unbounded_channel();
             if self.fabric.state.borrow_mut().ports.insert(at, tell).is_some() {
@@ -233,7 +233,7 @@
 }
 
 impl Listener for Port {
-    fn accept(&self) -> Waiting<'_, Accepted> {
+    fn accept(&self) -> IoFuture<'_, Accepted> {
         Box::pin(async move {
             let next = std::future::poll_fn(|cx| self.told.borrow_mut().poll_recv(cx)).await;
             next.ok_or(io::ErrorKind::NotConnected.into())
--- a/crates/starlinghill-simulator/src/scenario.rs
+++ b/crates/starlinghill-simulator/src/scenario.rs
@@ -11,8 +11,8 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
-use starlinghill_runtime::net::Net;
-use starlinghill_runtime::rpc::Caller;
+use starlinghill_runtime::net::NetworkHandle;
+use starlinghill_runtime::rpc::RpcClient;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -307,7 +307,7 @@
 
 /// One call from outside, over a connection of its own; `None` where no answer came in time.
 pub async fn call(
-    net: &Net,
+    net: &NetworkHandle,
     to: SocketAddr,
     method: Method,
     path: &str,
@@ -393,7 +393,7 @@
 /// Asks a registry, on its own machine, whether it holds the count.
 async fn watch_holder(run: Rc<Run>, core: usize) {
     let at = run.world.cores[core].ip;
-    let caller = Caller::new(&run.world.fabric.at(at), run.world.own(core));
+    let caller = RpcClient::new(&run.world.fabric.at(at), run.world.own(core));
     loop {
         sleep(LOOK).await;
         let asked = run.now();
--- a/crates/starlinghill-simulator/tests/control.rs
+++ b/crates/starlinghill-simulator/tests/control.rs
@@ -6,9 +6,9 @@
 //! (`SEED` is the first; with `LONG=1` both play long days).
 
 use hyper::Method;
-use starlinghill_catalog::State;
+use starlinghill_catalog::BackendState;
 use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
-use starlinghill_runtime::rpc::Caller;
+use starlinghill_runtime::rpc::RpcClient;
 use starlinghill_simulator::backends::beat;
 use starlinghill_simulator::checker::{Attempt, Held, History, InForce, Items, Order, Read, APPLY};
 use starlinghill_simulator::cluster::{ip, World};
@@ -301,11 +301,11 @@
         world.fabric.mend();
         sleep(s(3)).await;
         let at = world.fabric.at(ip(0, 1));
-        let asked = Caller::new(&at, world.own(1)).call(&RegistryRequest::All, s(1)).await;
+        let asked = RpcClient::new(&at, world.own(1)).call(&RegistryRequest::All, s(1)).await;
         let Ok(RegistryResponse::All(heard)) = asked else { panic!("{asked:?}") };
         let states: Vec<_> =
             heard.backends.iter().map(|(instance, _)| (instance.id.as_str(), instance.state)).collect();
-        assert_eq!(states, [("b", State::Gone)]);
+        assert_eq!(states, [("b", BackendState::Gone)]);
     });
 }
 
--- a/crates/starlinghill-testkit/examples/scale/hollow.rs
+++ b/crates/starlinghill-testkit/examples/scale/hollow.rs
@@ -1,7 +1,7 @@
 //! Gateways and backends that only speak: tasks of this process, each from a loopback address of its own.
 
 use crate::machines::Net;
-use starlinghill_catalog::{number, service_number, Gateway, Observation, State};
+use starlinghill_catalog::{number, service_number, BackendState, Gateway, Observation};
 use starlinghill_failure_detector::PeerSighting;
 use starlinghill_quota_counter::{Draw, LoadReport};
 use starlinghill_registry::wire::{KnownState, RegistryRequest, RegistryResponse, RegistryUpdate};
@@ -232,7 +232,7 @@
         for Observation { instance, .. } in &news.backends {
             let Some(index) = instance.id.strip_prefix("b-").and_then(|n| n.parse().ok()) else { continue };
             match instance.state {
-                State::Ready => listed.told(index),
+                BackendState::Ready => listed.told(index),
                 _ => drains.push(index),
             }
         }
--- a/crates/starlinghill-testkit/examples/scale/pieces.rs
+++ b/crates/starlinghill-testkit/examples/scale/pieces.rs
@@ -1,7 +1,7 @@
 //! What single messages weigh, and what single acts cost.
 
 use starlinghill_catalog::{
-    number, service_number, Catalog, Gateway, Instance, Liveness, Observation, State,
+    number, service_number, BackendState, Catalog, Gateway, Instance, Liveness, Observation,
 };
 use starlinghill_config_model::{ConfigChange, Item, ItemSet};
 use starlinghill_failure_detector::{GatewayLiveness, PeerSighting};
@@ -33,7 +33,7 @@
         zone: format!("mu-north-{}", i % 21),
         version: "v1".into(),
         capacity: 4,
-        state: State::Ready,
+        state: BackendState::Ready,
         calls: 1_000 + i as u64,
         warm_at: 90_000_000_000 + i as u64,
     }
--- a/crates/starlinghill-testkit/src/catch_up.rs
+++ b/crates/starlinghill-testkit/src/catch_up.rs
@@ -4,7 +4,7 @@
 use crate::system::{change, first_items, patch, rule, Machine, System};
 use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
 use starlinghill_runtime::net;
-use starlinghill_runtime::rpc::Caller;
+use starlinghill_runtime::rpc::RpcClient;
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
@@ -56,7 +56,7 @@
 
 /// The highest number that the registry of a machine has, where a majority is behind it.
 async fn has(machine: &Machine) -> Option<u64> {
-    let caller = Caller::new(&net::tcp(), machine.registry());
+    let caller = RpcClient::new(&net::tcp(), machine.registry());
     match caller.call(&RegistryRequest::Status, ASKED).await {
         Ok(RegistryResponse::Status(status)) if status.fresh => status.items.iter().map(|item| item.2).max(),
         _ => None,
--- a/crates/starlinghill-testkit/src/partitions.rs
+++ b/crates/starlinghill-testkit/src/partitions.rs
@@ -4,7 +4,7 @@
 //! Bytes that a cut holds up come through once it is mended, as a sender's kernel would send them again. The side that
 //! connects plays both directions, as it knows who both are; datagrams are not cut.
 
-use starlinghill_runtime::net::{tcp, Connection, Listener, Net, Network, Stream, Waiting};
+use starlinghill_runtime::net::{tcp, Connection, IoFuture, Listener, Network, NetworkHandle, Stream};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::io;
@@ -72,7 +72,7 @@
 }
 
 /// A network of the machine at that address, cut as the file says. Must be called inside a `LocalSet`.
-pub fn net(me: IpAddr, file: PathBuf) -> Net {
+pub fn net(me: IpAddr, file: PathBuf) -> NetworkHandle {
     let cuts = Rc::new(Cuts::default());
     let followed = cuts.clone();
     spawn_local(async move {
@@ -87,11 +87,11 @@
 struct CutNetwork {
     me: IpAddr,
     cuts: Rc<Cuts>,
-    inner: Net,
+    inner: NetworkHandle,
 }
 
 impl Network for CutNetwork {
-    fn connect(&self, to: SocketAddr) -> Waiting<'_, Stream> {
+    fn connect(&self, to: SocketAddr) -> IoFuture<'_, Stream> {
         Box::pin(async move {
             let (there, back) = ((self.me, to.ip()), (to.ip(), self.me));
             while self.cuts.is_cut(there) || self.cuts.is_cut(back) {
@@ -102,7 +102,7 @@
         })
     }
 
-    fn listen(&self, at: SocketAddr) -> Waiting<'_, Box<dyn Listener>> {
+    fn listen(&self, at: SocketAddr) -> IoFuture<'_, Box<dyn Listener>> {
         self.inner.listen(at)
     }
 }
--- a/crates/starlinghill-testkit/src/system.rs
+++ b/crates/starlinghill-testkit/src/system.rs
@@ -9,8 +9,8 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use starlinghill_runtime::net::Net;
-use starlinghill_runtime::settings::Node;
+use starlinghill_runtime::net::NetworkHandle;
+use starlinghill_runtime::settings::NodeSettings;
 use std::collections::{BTreeSet, HashMap};
 use std::net::{IpAddr, SocketAddr};
 use std::os::unix::fs::MetadataExt;
@@ -34,10 +34,10 @@
 const CUTS: &str = "cuts";
 
 /// The network of the part of a system that this process is, by its settings file: cut as the system's test says.
-pub fn cut_net() -> Net {
+pub fn cut_net() -> NetworkHandle {
     let file = PathBuf::from(std::env::var_os("STARLINGHILL_CONFIG").expect("a settings file"));
     let folder = file.parent().and_then(Path::parent).expect("a system's folder");
-    let node = Node::from_file(&file).expect("sound settings");
+    let node = NodeSettings::from_file(&file).expect("sound settings");
     partitions::net(node.ip, folder.join(CUTS))
 }
 
--- a/crates/starlinghill-testkit/tests/members.rs
+++ b/crates/starlinghill-testkit/tests/members.rs
@@ -3,7 +3,7 @@
 use starlinghill_config_store::wire::MembershipOrder;
 use starlinghill_console::client::Places;
 use starlinghill_console::membership::{list, why};
-use starlinghill_runtime::settings::Node;
+use starlinghill_runtime::settings::NodeSettings;
 use starlinghill_testkit::system::{change, eventually, first_items, program, rule, System};
 use std::net::IpAddr;
 use std::time::Duration;
@@ -36,7 +36,7 @@
         core.processes[1].wait_for_log("event=start program=patternbook", PATIENCE);
     }
     assert_eq!(system.change(&first_items(0)).await.status, 200);
-    let places = Places::of(&Node::from_file(&system.cores[2].file()).expect("settings"));
+    let places = Places::of(&NodeSettings::from_file(&system.cores[2].file()).expect("settings"));
     for core in 3..5 {
         system.add_core(&program());
         // Nobody has gone: it waits, and says why, until people want it.
