--- a/crates/starlinghill-control-state/src/fleet.rs
+++ b/crates/starlinghill-control-state/src/fleet.rs
@@ -25,7 +25,7 @@
 
 /// What a proxy may do with a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Use {
+pub enum EndpointUse {
     /// Send it work by its weight.
     Healthy,
     /// Send nothing for now; it failed at the proxies.
@@ -44,7 +44,7 @@
     /// Its zone.
     pub zone: String,
     /// What may be done with it.
-    pub usage: Use,
+    pub usage: EndpointUse,
     /// Its part of the work against the others; 1 at the least.
     pub weight: u32,
     /// Its zone's region, where operators say one.
@@ -55,7 +55,7 @@
 
 /// Where operators see a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct EndpointLocation {
     /// Its region.
     pub region: String,
     /// How many regions are preferred to it.
@@ -64,7 +64,7 @@
 
 /// All that proxies are told of the fleet.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Picture {
+pub struct FleetSnapshot {
     /// The servers, by zone and id; each address once.
     pub endpoints: Vec<Endpoint>,
     /// Parts in 10,000 of all requests that a proxy is to turn away: where most of the fleet is cold, weights
@@ -117,7 +117,7 @@
     /// The parts of their work that zones get by order; those not named have their whole part.
     zones: BTreeMap<String, ZonePart>,
     /// The regions of zones.
-    places: BTreeMap<String, Place>,
+    places: BTreeMap<String, EndpointLocation>,
 }
 
 impl Fleet {
@@ -140,7 +140,7 @@
     }
 
     /// Regions of zones, from now on.
-    pub fn places(&mut self, places: BTreeMap<String, Place>) {
+    pub fn places(&mut self, places: BTreeMap<String, EndpointLocation>) {
         self.places = places;
     }
 
@@ -217,7 +217,7 @@
 
     /// The picture now; `None` while no whole list has come: for want of news nobody is told that the fleet is
     /// empty.
-    pub fn picture(&mut self, now: Micros) -> Option<Picture> {
+    pub fn picture(&mut self, now: Micros) -> Option<FleetSnapshot> {
         let cold = self.site.settings.cold;
         let members = self.members.as_ref()?;
         let facts: BTreeMap<ServerId, _> =
@@ -230,14 +230,14 @@
             let server = self.at.get(&address);
             let fact = server.and_then(|id| facts.get(id)).filter(|_| member.phase == Phase::Ready);
             let size = if member.size > 0.0 { member.size.min(LARGEST) } else { 1.0 };
-            let (mut part, mut usage) = (1.0, Use::Healthy);
+            let (mut part, mut usage) = (1.0, EndpointUse::Healthy);
             match fact {
-                None => usage = Use::Draining,
+                None => usage = EndpointUse::Draining,
                 Some(fact) => {
                     match fact.health {
                         Health::Sound => {}
                         Health::OnTrial => part = TRIAL_PART,
-                        Health::Ejected(_) => usage = Use::Ejected,
+                        Health::Ejected(_) => usage = EndpointUse::Ejected,
                     }
                     let warm_part =
                         fact.cold_since.map(|since| self.judged.warm_part(step(now, since, cold)));
@@ -248,13 +248,15 @@
                     let bears = size * zone_part;
                     all += bears;
                     match (usage, warm_part) {
-                        (Use::Healthy, None) => warm += bears,
-                        (Use::Healthy, Some(part)) => part_of_cold += bears * part,
+                        (EndpointUse::Healthy, None) => warm += bears,
+                        (EndpointUse::Healthy, Some(part)) => part_of_cold += bears * part,
                         _ => {}
                     }
-                    if let Some(ordered) = ordered.filter(|_| usage == Use::Healthy && zone_part <= 0.0) {
+                    if let Some(ordered) =
+                        ordered.filter(|_| usage == EndpointUse::Healthy && zone_part <= 0.0)
+                    {
                         held.push((endpoints.len(), ordered.yields));
-                        usage = Use::Draining;
+                        usage = EndpointUse::Draining;
                     }
                 }
             }
@@ -268,9 +270,9 @@
             let priority = if stands_in { 1 + place.map_or(0, |place| place.rank) } else { 0 };
             endpoints.push(Endpoint { id, address, zone, usage, weight, region, priority });
         }
-        if !endpoints.iter().any(|e: &Endpoint| e.usage == Use::Healthy) {
+        if !endpoints.iter().any(|e: &Endpoint| e.usage == EndpointUse::Healthy) {
             for (i, _) in held.into_iter().filter(|(_, yields)| *yields) {
-                endpoints[i].usage = Use::Healthy;
+                endpoints[i].usage = EndpointUse::Healthy;
             }
         }
         close_gaps(&mut endpoints);
@@ -279,7 +281,7 @@
         // of what each server would get if all were warm, and what is left over is turned away.
         let short = part_of_cold > 0.0 && warm * 3.0 < all;
         let drop = if short { ((1.0 - (warm + part_of_cold) / all) * 10_000.0) as u32 } else { 0 };
-        Some(Picture { endpoints, drop: drop.min(9_999) })
+        Some(FleetSnapshot { endpoints, drop: drop.min(9_999) })
     }
 
     /// When the picture changes next by time alone.
@@ -302,7 +304,7 @@
 /// Proxies refuse priorities with gaps, and gRPC clients count only those with something that serves: what does not is
 /// put beside what does.
 fn close_gaps(endpoints: &mut [Endpoint]) {
-    let serve = endpoints.iter().filter(|e| e.usage == Use::Healthy);
+    let serve = endpoints.iter().filter(|e| e.usage == EndpointUse::Healthy);
     let found: BTreeSet<u32> = serve.map(|e| e.priority).collect();
     let last = found.len().saturating_sub(1);
     for e in endpoints {
--- a/crates/starlinghill-control-state/src/ledger.rs
+++ b/crates/starlinghill-control-state/src/ledger.rs
@@ -344,7 +344,7 @@
 
 /// All accounts.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct QuotaLedger {
     set: LedgerSettings,
     plans: Vec<(f64, f64)>,
     most_units: f64,
@@ -355,10 +355,10 @@
     holders: BTreeMap<HolderId, BTreeSet<BucketKey>>,
 }
 
-impl Ledger {
+impl QuotaLedger {
     /// A ledger that knows nothing. What an earlier one gave out counts as out until all of it must have lapsed.
-    pub fn new(now: Micros, set: LedgerSettings, platform: &Settings) -> Ledger {
-        Ledger {
+    pub fn new(now: Micros, set: LedgerSettings, platform: &Settings) -> QuotaLedger {
+        QuotaLedger {
             set,
             plans: platform.plans.iter().map(|p| (p.rate, p.burst)).collect(),
             most_units: platform.most_units,
--- a/crates/starlinghill-control-state/tests/fleet.rs
+++ b/crates/starlinghill-control-state/tests/fleet.rs
@@ -39,7 +39,7 @@
     MemberList { revision: 1, complete, members: members.to_vec() }
 }
 
-fn usage(fleet: &mut Fleet, now: u64, id: &str) -> Option<(Use, u32)> {
+fn usage(fleet: &mut Fleet, now: u64, id: &str) -> Option<(EndpointUse, u32)> {
     let picture = fleet.picture(Micros(now)).expect("known");
     picture.endpoints.iter().find(|e| e.id == id).map(|e| (e.usage, e.weight))
 }
@@ -55,7 +55,7 @@
     fleet.list(Micros(NOW), list(false, &[])).expect("taken");
     assert!(usage(&mut fleet, NOW, "s-1").is_some(), "no changes, no change");
     fleet.list(Micros(NOW), list(true, &[])).expect("taken");
-    assert_eq!(fleet.picture(Micros(NOW)), Some(Picture::default()), "told whole, and empty");
+    assert_eq!(fleet.picture(Micros(NOW)), Some(FleetSnapshot::default()), "told whole, and empty");
 }
 
 #[test]
@@ -76,10 +76,10 @@
     let both = [member("s-1", 1, Phase::Ready, 0), member("s-2", 2, Phase::Ready, 0)];
     fleet.list(Micros(NOW), list(true, &both)).expect("taken");
     fleet.list(Micros(NOW), list(false, &[member("s-1", 1, Phase::Draining, 0)])).expect("taken");
-    assert_eq!(usage(&mut fleet, NOW, "s-1").map(|u| u.0), Some(Use::Draining));
+    assert_eq!(usage(&mut fleet, NOW, "s-1").map(|u| u.0), Some(EndpointUse::Draining));
     fleet.list(Micros(NOW), list(false, &[member("s-1", 1, Phase::Gone, 0)])).expect("taken");
     assert_eq!(usage(&mut fleet, NOW, "s-1"), None);
-    assert_eq!(usage(&mut fleet, NOW, "s-2").map(|u| u.0), Some(Use::Healthy));
+    assert_eq!(usage(&mut fleet, NOW, "s-2").map(|u| u.0), Some(EndpointUse::Healthy));
 }
 
 #[test]
@@ -93,7 +93,10 @@
         fleet.list(Micros(NOW), list(false, &both)).expect("taken");
         let picture = fleet.picture(Micros(NOW)).expect("known");
         assert_eq!(picture.endpoints.len(), 1, "each address once");
-        assert_eq!((picture.endpoints[0].id.as_str(), picture.endpoints[0].usage), ("a-9", Use::Healthy));
+        assert_eq!(
+            (picture.endpoints[0].id.as_str(), picture.endpoints[0].usage),
+            ("a-9", EndpointUse::Healthy)
+        );
         // What was reported of the address before is not held against the newcomer: its life is new.
         assert!(picture.endpoints[0].weight < 300, "and cold");
     }
@@ -148,7 +151,7 @@
     let mut fleet = fleet();
     let ahead = member("s-1", 1, Phase::Ready, (NOW + 60 * S) / 1000);
     fleet.list(Micros(NOW), list(true, &[ahead])).expect("taken");
-    assert_eq!(usage(&mut fleet, NOW, "s-1"), Some((Use::Healthy, 250)));
+    assert_eq!(usage(&mut fleet, NOW, "s-1"), Some((EndpointUse::Healthy, 250)));
     assert!(fleet.next_change(Micros(NOW)).expect("a step").0 > NOW);
 }
 
@@ -164,14 +167,18 @@
     assert!(!seen(&mut fleet, NOW, 77, 0, 100), "nobody stands there");
     seen(&mut fleet, NOW, 1, 950, 50);
     seen(&mut fleet, NOW, 2, 1000, 0);
-    assert_eq!(usage(&mut fleet, NOW, "s-1").map(|u| u.0), Some(Use::Healthy), "one failure in twenty");
+    assert_eq!(
+        usage(&mut fleet, NOW, "s-1").map(|u| u.0),
+        Some(EndpointUse::Healthy),
+        "one failure in twenty"
+    );
     seen(&mut fleet, NOW, 3, 0, u64::MAX);
-    assert_eq!(usage(&mut fleet, NOW, "s-3").map(|u| u.0), Some(Use::Ejected));
+    assert_eq!(usage(&mut fleet, NOW, "s-3").map(|u| u.0), Some(EndpointUse::Ejected));
     let back = fleet.next_change(Micros(NOW)).expect("it comes back").0;
     assert!(back < NOW + 2 * S);
-    assert_eq!(usage(&mut fleet, back, "s-3"), Some((Use::Healthy, 50)), "a little, on trial");
+    assert_eq!(usage(&mut fleet, back, "s-3"), Some((EndpointUse::Healthy, 50)), "a little, on trial");
     seen(&mut fleet, back, 3, 1, 0);
-    assert_eq!(usage(&mut fleet, back + MS, "s-3"), Some((Use::Healthy, 1000)));
+    assert_eq!(usage(&mut fleet, back + MS, "s-3"), Some((EndpointUse::Healthy, 1000)));
 }
 
 #[test]
@@ -220,7 +227,7 @@
                 let m = truth.get(&e.id).unwrap_or_else(|| panic!("seed {seed}: {} is gone", e.id));
                 assert_eq!(m.host_port, e.address, "seed {seed}");
                 if m.phase == Phase::Draining {
-                    assert_eq!(e.usage, Use::Draining, "seed {seed}: {} drains", e.id);
+                    assert_eq!(e.usage, EndpointUse::Draining, "seed {seed}: {} drains", e.id);
                 }
             }
             for m in truth.values() {
@@ -254,19 +261,19 @@
     let order =
         |fleet: &mut Fleet, weight, yields| fleet.zones(vec![("b".into(), ZonePart { weight, yields })]);
     order(&mut fleet, 0.25, false);
-    assert_eq!(usage(&mut fleet, NOW, "s-2"), Some((Use::Healthy, 250)));
+    assert_eq!(usage(&mut fleet, NOW, "s-2"), Some((EndpointUse::Healthy, 250)));
     order(&mut fleet, 0.0, false);
-    assert_eq!(usage(&mut fleet, NOW, "s-2").map(|(u, _)| u), Some(Use::Draining));
-    assert_eq!(usage(&mut fleet, NOW, "s-1"), Some((Use::Healthy, 1000)));
+    assert_eq!(usage(&mut fleet, NOW, "s-2").map(|(u, _)| u), Some(EndpointUse::Draining));
+    assert_eq!(usage(&mut fleet, NOW, "s-1"), Some((EndpointUse::Healthy, 1000)));
     // The only other one goes: what is out stays out, unless nobody can call the order off.
     fleet
         .list(Micros(NOW), list(false, &[Member { phase: Phase::Gone, ..members[0].clone() }]))
         .expect("taken");
-    assert_eq!(usage(&mut fleet, NOW, "s-2").map(|(u, _)| u), Some(Use::Draining));
+    assert_eq!(usage(&mut fleet, NOW, "s-2").map(|(u, _)| u), Some(EndpointUse::Draining));
     order(&mut fleet, 0.0, true);
-    assert_eq!(usage(&mut fleet, NOW, "s-2").map(|(u, _)| u), Some(Use::Healthy));
+    assert_eq!(usage(&mut fleet, NOW, "s-2").map(|(u, _)| u), Some(EndpointUse::Healthy));
     fleet.zones(Vec::new());
-    assert_eq!(usage(&mut fleet, NOW, "s-2"), Some((Use::Healthy, 1000)));
+    assert_eq!(usage(&mut fleet, NOW, "s-2"), Some((EndpointUse::Healthy, 1000)));
 }
 
 #[test]
@@ -275,7 +282,8 @@
     let there = |id, port, zone: &str| Member { locality: zone.into(), ..member(id, port, Phase::Ready, 0) };
     let members = ["a", "b", "c", "d"].iter().zip(1..).map(|(zone, port)| there(zone, port, zone));
     fleet.list(Micros(NOW), list(true, &members.collect::<Vec<_>>())).expect("taken");
-    let place = |zone: &str, region: &str, rank| (zone.into(), Place { region: region.into(), rank });
+    let place =
+        |zone: &str, region: &str, rank| (zone.into(), EndpointLocation { region: region.into(), rank });
     let places =
         [place("a", "east", 0), place("b", "east", 0), place("c", "north", 1), place("d", "west", 2)];
     fleet.places(places.into_iter().collect());
@@ -284,7 +292,7 @@
         fleet.zones(zones.iter().map(|zone| (zone.to_string(), part)).collect());
         let picture = fleet.picture(Micros(NOW)).expect("known");
         let told = picture.endpoints.into_iter();
-        told.map(|e| (e.id, e.region, e.priority, e.usage == Use::Healthy)).collect::<Vec<_>>()
+        told.map(|e| (e.id, e.region, e.priority, e.usage == EndpointUse::Healthy)).collect::<Vec<_>>()
     };
     let row = |id: &str, region: &str, priority, serves| (id.into(), region.into(), priority, serves);
     // An order that is followed takes a zone out whatever becomes of the rest: it stands in for nobody.
--- a/crates/starlinghill-control-state/tests/ledger.rs
+++ b/crates/starlinghill-control-state/tests/ledger.rs
@@ -99,7 +99,7 @@
 
 struct World {
     now: u64,
-    ledger: Ledger,
+    ledger: QuotaLedger,
     platform: Settings,
     /// What each proxy's stream is called; a new one at each connection.
     streams: Vec<Option<HolderId>>,
@@ -118,7 +118,7 @@
         let platform = settings(rate, burst);
         World {
             now: 0,
-            ledger: Ledger::new(Micros(0), SET, &platform),
+            ledger: QuotaLedger::new(Micros(0), SET, &platform),
             platform,
             streams: vec![None; proxies],
             next: 1,
@@ -219,7 +219,7 @@
                 for p in 0..proxies {
                     w.streams[p] = None;
                 }
-                w.ledger = Ledger::new(Micros(w.now), SET, &w.platform);
+                w.ledger = QuotaLedger::new(Micros(w.now), SET, &w.platform);
             }
         }
         most = most.max(w.quota.passed / (burst + rate * 30.0));
@@ -294,7 +294,7 @@
 
 #[test]
 fn a_service_that_comes_back_empty_gives_nothing_out_before_the_old_slices_lapsed() {
-    let mut ledger = Ledger::new(Micros(100 * S), SET, &settings(10.0, 20.0));
+    let mut ledger = QuotaLedger::new(Micros(100 * S), SET, &settings(10.0, 20.0));
     for at in [100_000, 101_000, 102_240] {
         let told = ledger.report(Micros(at * MS), HolderId(1), key(1, 1), usage(0, 1, 0)).expect("taken");
         assert_eq!(told, Assignment::Keep, "at {at}");
@@ -307,7 +307,7 @@
 
 #[test]
 fn two_streams_of_one_proxy_share_a_quota_and_do_not_double_it() {
-    let mut ledger = Ledger::new(Micros(0), SET, &settings(10.0, 20.0));
+    let mut ledger = QuotaLedger::new(Micros(0), SET, &settings(10.0, 20.0));
     let mut sums: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
     for round in 0..20_u64 {
         for holder in [1, 2] {
@@ -326,10 +326,10 @@
 
 #[test]
 fn hostile_reports_cost_bounded_memory_and_get_a_clear_no() {
-    let mut ledger = Ledger::new(Micros(0), SET, &settings(10.0, 20.0));
+    let mut ledger = QuotaLedger::new(Micros(0), SET, &settings(10.0, 20.0));
     let now = Micros(100 * S);
     let ask =
-        |l: &mut Ledger, holder, key| l.report(now, HolderId(holder), key, usage(u64::MAX, u64::MAX, 1));
+        |l: &mut QuotaLedger, holder, key| l.report(now, HolderId(holder), key, usage(u64::MAX, u64::MAX, 1));
     assert_eq!(ask(&mut ledger, 1, key(1, 0)), Err(LedgerError::BadUnits(0)));
     assert_eq!(ask(&mut ledger, 1, key(1, 5)), Err(LedgerError::BadUnits(5)));
     let plan = BucketKey { plan: PlanId(9), ..key(1, 1) };
@@ -347,7 +347,7 @@
 
 #[test]
 fn idle_buckets_are_given_up_and_idle_customers_forgotten() {
-    let mut ledger = Ledger::new(Micros(0), SET, &settings(10.0, 20.0));
+    let mut ledger = QuotaLedger::new(Micros(0), SET, &settings(10.0, 20.0));
     for second in 0..60 {
         let told = ledger.report(Micros((100 + second) * S), HolderId(1), key(1, 1), usage(0, 0, S));
         assert_ne!(told, Ok(Assignment::Abandon));
@@ -360,7 +360,7 @@
 
 #[test]
 fn a_bucket_given_up_and_asked_for_again_is_paid_for_anew_and_ends_with_its_stream() {
-    let mut ledger = Ledger::new(Micros(0), SET, &settings(10.0, 20.0));
+    let mut ledger = QuotaLedger::new(Micros(0), SET, &settings(10.0, 20.0));
     let tokens = |told| if let Assignment::Tokens { most, .. } = told { f64::from(most) } else { 0.0 };
     let (mut at, mut held) = (100 * S, 0.0);
     loop {
--- a/crates/starlinghill-control/src/group_follower.rs
+++ b/crates/starlinghill-control/src/group_follower.rs
@@ -6,13 +6,13 @@
 use starlinghill_failover::topology::{is_name, TopologyProblem};
 use starlinghill_failover::FULL_WEIGHT;
 use starlinghill_failover_client::subscription::{follow, Evidence, Settings};
-use starlinghill_gateway::Parts;
+use starlinghill_gateway::ZoneParts;
 use starlinghill_operator_config::Group;
 use tokio::sync::watch;
 use tracing::{info, warn};
 
 /// What is told of a view: zones with their whole part need no word.
-fn parts(view: &View) -> Parts {
+fn parts(view: &View) -> ZoneParts {
     let less = view.zones.iter().filter(|(_, z)| z.weight < FULL_WEIGHT);
     less.map(|(name, z)| {
         (name.clone(), ZonePart { weight: f64::from(z.weight) / f64::from(FULL_WEIGHT), yields: z.yields })
@@ -39,7 +39,7 @@
 /// One who follows.
 pub struct Following {
     /// The parts of zones.
-    pub parts: watch::Receiver<Parts>,
+    pub parts: watch::Receiver<ZoneParts>,
     /// Told when the operators' file was read again.
     pub renew: Renew,
 }
@@ -74,7 +74,7 @@
     info!(members = settings.members.len(), "follows the group");
     let (renew, changes) = watch::channel(settings);
     let (views, mut seen) = watch::channel(View::of_own_sight());
-    let (tell, told) = watch::channel(Parts::new());
+    let (tell, told) = watch::channel(ZoneParts::new());
     tokio::spawn(follow(changes, views, evidence));
     tokio::spawn(async move {
         loop {
--- a/crates/starlinghill-control/src/lib.rs
+++ b/crates/starlinghill-control/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod group_follower;
 pub mod program;
 
-use starlinghill_control_state::fleet::Place;
+use starlinghill_control_state::fleet::EndpointLocation;
 use starlinghill_control_state::ledger::LedgerSettings;
 use starlinghill_decision::api::{Micros, PlanId, SettingsError};
 use starlinghill_failover::topology::{Topology, TopologyProblem, Zone};
@@ -148,7 +148,10 @@
         |map: &Topology, region: &String| map.regions.iter().position(|r| r == region).unwrap_or(0) as u32;
     let places = group.map(|group| {
         let zones = group.map.zones.iter();
-        let place = |zone: &Zone| Place { region: zone.region.clone(), rank: rank(&group.map, &zone.region) };
+        let place = |zone: &Zone| EndpointLocation {
+            region: zone.region.clone(),
+            rank: rank(&group.map, &zone.region),
+        };
         zones.map(|(name, zone)| (name.clone(), place(zone))).collect()
     });
     hub::Plan {
@@ -217,7 +220,7 @@
 
 /// Tells the hub the parts of zones, as gateways are told them.
 async fn tell_zones(
-    mut parts: watch::Receiver<starlinghill_gateway::Parts>,
+    mut parts: watch::Receiver<starlinghill_gateway::ZoneParts>,
     news: tokio::sync::mpsc::Sender<News>,
 ) {
     loop {
--- a/crates/starlinghill-control/src/program.rs
+++ b/crates/starlinghill-control/src/program.rs
@@ -11,7 +11,7 @@
 use crate::{plan, prepare, start, Prepared};
 use clap::{Parser, Subcommand};
 use serde_json::json;
-use starlinghill_control_state::fleet::{Fleet, Use};
+use starlinghill_control_state::fleet::{EndpointUse, Fleet};
 use starlinghill_control_state::routes::routes;
 use starlinghill_gateway::config::Upstreams;
 use starlinghill_gateway::discovery::{self, Follower, Source};
@@ -134,9 +134,9 @@
     let set = published.sets.get(node).ok_or("no resources for this node")?;
     let endpoints = picture.endpoints.iter().map(|e| {
         let usage = match e.usage {
-            Use::Healthy => "healthy",
-            Use::Ejected => "ejected",
-            Use::Draining => "draining",
+            EndpointUse::Healthy => "healthy",
+            EndpointUse::Ejected => "ejected",
+            EndpointUse::Draining => "draining",
         };
         json!({"id": e.id, "address": e.address, "zone": e.zone, "use": usage, "weight": e.weight,
             "region": e.region, "priority": e.priority})
--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -6,7 +6,7 @@
 use starlinghill_failover::Micros;
 use starlinghill_gateway::attempt_events::Attempted;
 use starlinghill_gateway::config::Config;
-use starlinghill_gateway::process::{self, Beside};
+use starlinghill_gateway::process::{self, ProcessOptions};
 use starlinghill_operator_config::Group;
 use starlinghill_zone_health::attempt_counts::AttemptResult;
 use starlinghill_zone_health::attempt_window::AttemptWindow;
@@ -54,7 +54,7 @@
     watch.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn beside(file: &Path, group: &Group, config: &Config) -> Result<Beside, Box<dyn Error>> {
+fn beside(file: &Path, group: &Group, config: &Config) -> Result<ProcessOptions, Box<dyn Error>> {
     let hang_up = signal(SignalKind::hangup())?;
     let begun = Instant::now();
     let now = move || Micros(u64::try_from(begun.elapsed().as_micros()).unwrap_or(u64::MAX));
@@ -69,7 +69,7 @@
     let following = begin(group, config.name(), config.zone(), Some(Arc::new(evidence)));
     let Following { parts, renew } = following.map_err(|e| format!("NODE_NAME: {e}"))?;
     tokio::spawn(read_again(file.to_path_buf(), hang_up, renew, watch));
-    Ok(Beside { zones: parts, watcher: Box::new(watcher) })
+    Ok(ProcessOptions { zones: parts, watcher: Box::new(watcher) })
 }
 
 /// Runs the gateway until SIGTERM.
--- a/crates/starlinghill-control/tests/hostile.rs
+++ b/crates/starlinghill-control/tests/hostile.rs
@@ -176,8 +176,9 @@
     discovery.tell(342, false, &member("s-0", nodes[0].address, "draining", 0));
     let published = || running.hub.published.borrow().clone();
     until("the last state", || {
-        published()
-            .is_some_and(|p| p.picture.endpoints[0].usage != starlinghill_control_state::fleet::Use::Healthy)
+        published().is_some_and(|p| {
+            p.picture.endpoints[0].usage != starlinghill_control_state::fleet::EndpointUse::Healthy
+        })
     })
     .await;
     let newest = published().expect("there");
--- a/crates/starlinghill-gateway/src/answer.rs
+++ b/crates/starlinghill-gateway/src/answer.rs
@@ -1,6 +1,6 @@
 //! What goes back to a client: held whole, or passed on as it comes.
 
-use crate::connections::Line;
+use crate::connections::ConnectionHandle;
 use crate::download::Download;
 use crate::upload::BodyError;
 use bytes::Bytes;
@@ -16,12 +16,12 @@
 /// An answer that is passed on keeps its connection busy until its last byte.
 pub struct Passing {
     download: Box<Download>,
-    line: Rc<Line>,
+    line: Rc<ConnectionHandle>,
 }
 
 impl Passing {
     /// On that client's connection.
-    pub fn new(download: Box<Download>, line: Rc<Line>) -> Passing {
+    pub fn new(download: Box<Download>, line: Rc<ConnectionHandle>) -> Passing {
         line.passes();
         Passing { download, line }
     }
--- a/crates/starlinghill-gateway/src/backend.rs
+++ b/crates/starlinghill-gateway/src/backend.rs
@@ -1,6 +1,6 @@
 //! Attempts at backends: a pool of connections, and the outcome of each attempt by what was written.
 
-use crate::backend_protocol::{Dialect, Reading};
+use crate::backend_protocol::{BackendProtocol, ResponseVerdict};
 use crate::download::{Download, GiveBack};
 use crate::forward::{Ended, Forward, Head, Payload, Served};
 use crate::http::{CallError, Connection};
@@ -105,7 +105,7 @@
     places: Arc<Semaphore>,
     dial_timeout: Duration,
     longest_idle: Duration,
-    dialect: Rc<dyn Dialect>,
+    dialect: Rc<dyn BackendProtocol>,
     stir: Arc<Stir>,
     counts: Cell<Counts>,
 }
@@ -116,7 +116,7 @@
         connections: usize,
         dial_timeout: Duration,
         conn_idle: Duration,
-        dialect: Rc<dyn Dialect>,
+        dialect: Rc<dyn BackendProtocol>,
     ) -> Pool {
         Pool {
             idle: RefCell::default(),
@@ -345,7 +345,7 @@
     async fn answer(
         self: &Rc<Self>,
         backend: &Rc<Backend>,
-        Reading { outcome, pass, head: keeps_head, .. }: Reading,
+        ResponseVerdict { outcome, pass, head: keeps_head, .. }: ResponseVerdict,
         mut head: Head,
         mut body: Incoming,
         mut connection: Connection,
--- a/crates/starlinghill-gateway/src/backend_protocol.rs
+++ b/crates/starlinghill-gateway/src/backend_protocol.rs
@@ -8,16 +8,16 @@
 use starlinghill_decision::api::Outcome;
 
 /// A protocol that backends speak.
-pub trait Dialect {
+pub trait BackendProtocol {
     /// Puts into a head what this backend is to be told: how many milliseconds are left, and whatever else is its own.
     fn address(&self, headers: &mut HeaderMap, backend: &Backend, left_ms: u64);
     /// Reads the head of an answer to a request with these headers.
-    fn read(&self, asked: &HeaderMap, head: &Parts) -> Reading;
+    fn read(&self, asked: &HeaderMap, head: &Parts) -> ResponseVerdict;
 }
 
 /// What an answer's head says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reading {
+pub struct ResponseVerdict {
     /// How the attempt ends, if its body comes whole.
     pub outcome: Outcome,
     /// The body may be the client's: it is held, or passed on.
@@ -36,19 +36,19 @@
 /// The platform's.
 pub struct Platform;
 
-impl Dialect for Platform {
+impl BackendProtocol for Platform {
     fn address(&self, headers: &mut HeaderMap, _: &Backend, left_ms: u64) {
         headers.insert(BUDGET, HeaderValue::from(left_ms));
     }
 
     /// Guards against taking a bare 503 or 504 for a turn-away: only the header proves that the request never ran.
-    fn read(&self, _: &HeaderMap, head: &Parts) -> Reading {
+    fn read(&self, _: &HeaderMap, head: &Parts) -> ResponseVerdict {
         let rejected = head.headers.get(REJECTED).is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match head.status {
             StatusCode::OK => Outcome::Ok,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Full,
             _ => Outcome::Error,
         };
-        Reading { outcome, pass: outcome == Outcome::Ok, head: false, own: true }
+        ResponseVerdict { outcome, pass: outcome == Outcome::Ok, head: false, own: true }
     }
 }
--- a/crates/starlinghill-gateway/src/connections.rs
+++ b/crates/starlinghill-gateway/src/connections.rs
@@ -40,7 +40,7 @@
 }
 
 /// A client's connection as those see it who may close it.
-pub struct Line {
+pub struct ConnectionHandle {
     pub(crate) phase: Cell<Phase>,
     pub(crate) since: Cell<Instant>,
     /// Of the body that is being received: how many bytes came, and since when its client is waited for.
@@ -55,12 +55,12 @@
     pub(crate) told: Notify,
 }
 
-impl Line {
-    pub(crate) fn new() -> Line {
+impl ConnectionHandle {
+    pub(crate) fn new() -> ConnectionHandle {
         let (phase, since) = (Cell::new(Phase::Receiving), Cell::new(Instant::now()));
         let (came, waits_since, head) = (Cell::new(0), Cell::new(None), Rc::new(Head::default()));
         let (closing, cut, told) = (Cell::new(false), Cell::new(false), Notify::new());
-        Line { phase, since, came, waits_since, head, closing, cut, told }
+        ConnectionHandle { phase, since, came, waits_since, head, closing, cut, told }
     }
     /// Its answer moves.
     pub(crate) fn passes(&self) {
@@ -109,14 +109,14 @@
 
 /// The open connections of clients, a bounded number.
 pub(crate) struct Lines {
-    pub(crate) open: RefCell<HashMap<u64, Rc<Line>>>,
+    pub(crate) open: RefCell<HashMap<u64, Rc<ConnectionHandle>>>,
     pub(crate) most: usize,
     /// One has ended.
     pub(crate) ended: Notify,
 }
 
 impl Lines {
-    pub(crate) fn all(&self) -> Vec<Rc<Line>> {
+    pub(crate) fn all(&self) -> Vec<Rc<ConnectionHandle>> {
         self.open.borrow().values().cloned().collect()
     }
 
@@ -163,7 +163,7 @@
     }
 }
 
-impl Follower for Line {
+impl Follower for ConnectionHandle {
     fn came(&self, bytes: usize) {
         self.came.set(self.came.get() + bytes as u64);
     }
--- a/crates/starlinghill-gateway/src/counter.rs
+++ b/crates/starlinghill-gateway/src/counter.rs
@@ -1,7 +1,7 @@
 //! The shared counter: calls over a few connections, each made once, their answers told as they come.
 
 use crate::http::{CallError, Connection};
-use crate::inbox::Counted;
+use crate::inbox::CounterResult;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{header, Method, Request, StatusCode};
@@ -21,14 +21,14 @@
 const LONGEST_IDLE: Duration = Duration::from_secs(4);
 
 /// A call that is under way.
-pub type Counting = Pin<Box<dyn Future<Output = Counted>>>;
+pub type CounterCall = Pin<Box<dyn Future<Output = CounterResult>>>;
 
 /// A way to the counter, wherever that is.
-pub trait Count {
+pub trait CounterTransport {
     /// Makes one call; it ends by itself.
-    fn count(self: Rc<Self>, name: CountName, amount: f64, life: Micros) -> Counting;
+    fn count(self: Rc<Self>, name: CountName, amount: f64, life: Micros) -> CounterCall;
     /// Draws from a store that the counter keeps; it ends by itself. The platform's counter keeps none.
-    fn draw(self: Rc<Self>, _: CountName, _units: f64, _: (ServiceId, Micros)) -> Counting {
+    fn draw(self: Rc<Self>, _: CountName, _units: f64, _: (ServiceId, Micros)) -> CounterCall {
         Box::pin(async { Outcome::Moot.into() })
     }
     /// Units of such a store were used without a word of the counter's; fewer than none where drawn ones were not used.
@@ -43,8 +43,8 @@
     }
 }
 
-impl Count for Counter {
-    fn count(self: Rc<Self>, name: CountName, amount: f64, life: Micros) -> Counting {
+impl CounterTransport for Counter {
+    fn count(self: Rc<Self>, name: CountName, amount: f64, life: Micros) -> CounterCall {
         Box::pin(async move { self.add(name, amount, life).await })
     }
     fn at(&self) -> Option<SocketAddr> {
@@ -67,7 +67,7 @@
     }
 
     /// Makes one call. An unanswered one closes its connection, so that a late answer meets no later call.
-    pub async fn add(&self, name: CountName, amount: f64, life: Micros) -> Counted {
+    pub async fn add(&self, name: CountName, amount: f64, life: Micros) -> CounterResult {
         let wrote = Cell::new(false);
         match timeout(self.timeout, self.exchange(name, amount, life, &wrote)).await {
             Ok(counted) => counted,
@@ -76,7 +76,13 @@
         }
     }
 
-    async fn exchange(&self, name: CountName, amount: f64, life: Micros, wrote: &Cell<bool>) -> Counted {
+    async fn exchange(
+        &self,
+        name: CountName,
+        amount: f64,
+        life: Micros,
+        wrote: &Cell<bool>,
+    ) -> CounterResult {
         // The semaphore is never closed.
         let Ok(_line) = self.lines.acquire().await else { return Outcome::Moot.into() };
         loop {
@@ -130,12 +136,12 @@
     }
 }
 
-fn reading(status: StatusCode, body: &Bytes) -> Counted {
+fn reading(status: StatusCode, body: &Bytes) -> CounterResult {
     match status {
         StatusCode::OK => {
             let text = std::str::from_utf8(body).unwrap_or("").trim();
             match text.parse::<f64>() {
-                Ok(total) if total.is_finite() => Counted { total, ..Outcome::Ok.into() },
+                Ok(total) if total.is_finite() => CounterResult { total, ..Outcome::Ok.into() },
                 _ => {
                     warn!("the counter answered 200 without a number");
                     Outcome::Error.into()
--- a/crates/starlinghill-gateway/src/driver.rs
+++ b/crates/starlinghill-gateway/src/driver.rs
@@ -5,10 +5,10 @@
 use crate::backend::{Backend, Pool};
 use crate::backend_protocol::Platform;
 use crate::config::{Config, ConfigError, Upstreams};
-use crate::counter::{Calls, Count, Counter, Counting};
+use crate::counter::{Calls, Counter, CounterCall, CounterTransport};
 use crate::forward::{Ended, Forward, Head, Served};
 use crate::handover::Handover;
-use crate::inbox::{Answer, Clock, Inbox, Input, Listing, Ordered, Post, Taken};
+use crate::inbox::{Answer, Clock, Inbox, Input, Listing, Ordered, PeerSender, Taken};
 use crate::maintenance_file::Orders;
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
@@ -74,12 +74,12 @@
     inbox: Inbox,
     inputs: mpsc::Receiver<Input>,
     pool: Rc<Pool>,
-    counter: Option<Rc<dyn Count>>,
+    counter: Option<Rc<dyn CounterTransport>>,
     /// The way to the counter at another address.
-    counter_at: Box<dyn Fn(SocketAddr) -> Rc<dyn Count>>,
+    counter_at: Box<dyn Fn(SocketAddr) -> Rc<dyn CounterTransport>>,
     calls: Calls,
     /// The way to the other gateways.
-    post: Option<Rc<dyn Post>>,
+    post: Option<Rc<dyn PeerSender>>,
     backends: HashMap<ServerId, Rc<Backend>>,
     /// The list as discovery told it, and the orders under which it stands.
     roster: Roster,
@@ -120,7 +120,7 @@
         let gateway = Gateway::new(seed, site.settings.clone()).map_err(ConfigError::from)?;
         let (inbox, inputs) = mpsc::channel(INBOX);
         let (timeout, lines) = (duration(site.settings.count_timeout), sockets.counter);
-        let counter_at: Box<dyn Fn(SocketAddr) -> Rc<dyn Count>> =
+        let counter_at: Box<dyn Fn(SocketAddr) -> Rc<dyn CounterTransport>> =
             Box::new(move |address| Rc::new(Counter::new(address, timeout, lines)));
         let mut driver = Driver {
             gateway,
@@ -166,7 +166,7 @@
         seed: u64,
         clock: Clock,
         pool: Pool,
-        counter: Rc<dyn Count>,
+        counter: Rc<dyn CounterTransport>,
     ) -> Result<Driver, ConfigError> {
         let gateway = Gateway::new(seed, settings.clone()).map_err(ConfigError::from)?;
         let (inbox, inputs) = mpsc::channel(INBOX);
@@ -583,7 +583,7 @@
         });
     }
 
-    fn count(&mut self, name: CountName, call: impl FnOnce(Rc<dyn Count>) -> Counting) {
+    fn count(&mut self, name: CountName, call: impl FnOnce(Rc<dyn CounterTransport>) -> CounterCall) {
         let serial = self.calls.made(name);
         let (counting, inbox) = (self.counter.clone().map(call), self.inbox.clone());
         tokio::task::spawn_local(async move {
--- a/crates/starlinghill-gateway/src/forward.rs
+++ b/crates/starlinghill-gateway/src/forward.rs
@@ -1,7 +1,7 @@
 //! A client's request as it goes on to backends, and what comes of an attempt.
 
 use crate::backend::Backend;
-use crate::backend_protocol::Dialect;
+use crate::backend_protocol::BackendProtocol;
 use crate::download::Download;
 use crate::http::Outgoing;
 use crate::idle::Reuse;
@@ -76,7 +76,7 @@
     pub(crate) fn request(
         &self,
         until: Instant,
-        dialect: &dyn Dialect,
+        dialect: &dyn BackendProtocol,
         backend: &Backend,
     ) -> Option<Request<Outgoing>> {
         let body = match &self.body {
--- a/crates/starlinghill-gateway/src/inbox.rs
+++ b/crates/starlinghill-gateway/src/inbox.rs
@@ -50,7 +50,7 @@
     /// A message from another gateway, by its number.
     Peer(u32, Vec<u8>),
     /// Other gateways can be reached from now on.
-    Post(Rc<dyn Post>),
+    Post(Rc<dyn PeerSender>),
     /// New rules for what comes from now on.
     Rules(Rules),
     /// Whether this gateway hears nobody, so that others may use its shares.
@@ -69,7 +69,7 @@
         reply: oneshot::Sender<Ordered>,
     },
     /// A call to the counter ended.
-    Counted(CountName, u64, Counted),
+    Counted(CountName, u64, CounterResult),
     /// An attempt's answer has begun and goes on: its request, number and backend, and how long it took to begin.
     Began(RequestId, usize, ServerId, Box<Download>, Option<Box<Head>>, Micros),
     /// The last byte came of a request whose body is passed on.
@@ -131,7 +131,7 @@
 }
 
 /// A way to the other gateways.
-pub trait Post {
+pub trait PeerSender {
     /// Sends a message, if it can go now: it may be lost anyway.
     fn send(&self, to: u32, message: &[u8]);
 }
@@ -151,7 +151,7 @@
 
 /// How one call ended, and the total where it was answered.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Counted {
+pub struct CounterResult {
     /// The outcome.
     pub outcome: Outcome,
     /// The total after this call.
@@ -162,8 +162,8 @@
     pub rooms: Vec<(ServerId, Micros)>,
 }
 
-impl From<Outcome> for Counted {
-    fn from(outcome: Outcome) -> Counted {
-        Counted { outcome, total: 0.0, share: None, rooms: Vec::new() }
+impl From<Outcome> for CounterResult {
+    fn from(outcome: Outcome) -> CounterResult {
+        CounterResult { outcome, total: 0.0, share: None, rooms: Vec::new() }
     }
 }
--- a/crates/starlinghill-gateway/src/lib.rs
+++ b/crates/starlinghill-gateway/src/lib.rs
@@ -33,7 +33,7 @@
 use inbox::{Clock, Inbox, Input};
 use ops::Door;
 use peers::{Peers, Socket};
-use server::{Front, Intake};
+use server::{Front, RequestIntake};
 use starlinghill_decision::api::{Micros, PlanId, ZonePart};
 use starlinghill_settings::classes::Classes;
 use starlinghill_settings::Site;
@@ -88,7 +88,7 @@
     /// The settings, when they change.
     pub site: watch::Receiver<Option<Rc<Site>>>,
     /// The parts of their work that zones get by order, where there is a group that orders.
-    pub zones: Option<watch::Receiver<Parts>>,
+    pub zones: Option<watch::Receiver<ZoneParts>>,
     /// Hears of each attempt that ends, where somebody wants to know.
     pub watcher: Option<Watcher>,
     /// It is to end.
@@ -96,7 +96,7 @@
 }
 
 /// The parts of zones, by name.
-pub type Parts = Vec<(String, ZonePart)>;
+pub type ZoneParts = Vec<(String, ZonePart)>;
 
 /// Runs a gateway until it is to end and all that it took is answered.
 pub async fn run(config: Config, control: Control) -> Result<(), RunError> {
@@ -147,7 +147,7 @@
     }
     let driving = spawn_local(driver.run());
     let front = Rc::new(Front {
-        intake: Intake {
+        intake: RequestIntake {
             inbox: inbox.clone(),
             clock,
             bodies: Semaphore::new(bodies),
@@ -220,7 +220,7 @@
 }
 
 /// Hands on the parts that zones get.
-async fn follow_zones(mut zones: watch::Receiver<Parts>, inbox: Inbox) {
+async fn follow_zones(mut zones: watch::Receiver<ZoneParts>, inbox: Inbox) {
     loop {
         let parts = zones.borrow_and_update().clone();
         if inbox.send(Input::Zones(parts)).await.is_err() || zones.changed().await.is_err() {
--- a/crates/starlinghill-gateway/src/peers.rs
+++ b/crates/starlinghill-gateway/src/peers.rs
@@ -1,6 +1,6 @@
 //! Messages between gateways: one datagram each, lost or late as it happens.
 
-use crate::inbox::{Inbox, Input, Post};
+use crate::inbox::{Inbox, Input, PeerSender};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -99,7 +99,7 @@
     }
 }
 
-impl Post for Socket {
+impl PeerSender for Socket {
     fn send(&self, to: u32, message: &[u8]) {
         let to = usize::try_from(to).ok().and_then(|to| self.peers.all.get(to));
         if let (Some(to), true) = (to, message.len() <= LONGEST) {
--- a/crates/starlinghill-gateway/src/process.rs
+++ b/crates/starlinghill-gateway/src/process.rs
@@ -3,7 +3,7 @@
 
 use crate::attempt_events::Watcher;
 use crate::config::{Config, Reloaded};
-use crate::{Control, Parts};
+use crate::{Control, ZoneParts};
 use starlinghill_signals::{SignalEvent, Signals};
 use std::error::Error;
 use std::rc::Rc;
@@ -12,9 +12,9 @@
 use tracing::{info, warn};
 
 /// What stands beside a gateway.
-pub struct Beside {
+pub struct ProcessOptions {
     /// Tells the parts that zones get.
-    pub zones: watch::Receiver<Parts>,
+    pub zones: watch::Receiver<ZoneParts>,
     /// Hears of each attempt that ends.
     pub watcher: Watcher,
 }
@@ -22,7 +22,7 @@
 /// Runs until SIGTERM and until all that was taken is answered. `beside` is called once the runtime runs, with the
 /// configuration.
 pub fn run(
-    beside: impl FnOnce(&Config) -> Result<Option<Beside>, Box<dyn Error>>,
+    beside: impl FnOnce(&Config) -> Result<Option<ProcessOptions>, Box<dyn Error>>,
 ) -> Result<(), Box<dyn Error>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
--- a/crates/starlinghill-gateway/src/server.rs
+++ b/crates/starlinghill-gateway/src/server.rs
@@ -4,7 +4,7 @@
 use crate::backend::{joined, strip_hop_by_hop};
 use crate::backend_protocol::BUDGET;
 use crate::class_names::Names;
-use crate::connections::{Line, Lines, Phase, ACCEPT_PAUSE, BODY_RATE, RECEIVE_TIME};
+use crate::connections::{ConnectionHandle, Lines, Phase, ACCEPT_PAUSE, BODY_RATE, RECEIVE_TIME};
 use crate::forward::{Forward, Payload, Served};
 use crate::idle::Reuse;
 use crate::inbox::{Answer, Clock, Inbox, Input, Taken};
@@ -54,12 +54,12 @@
 const LAST_USE: Duration = Duration::from_millis(800);
 
 /// Who answers clients: what differs between the platform's protocol and that of the whole system.
-pub trait Desk {
+pub trait RequestHandler {
     /// Answers one request.
     fn respond(
         &self,
         request: Request<Incoming>,
-        line: &Rc<Line>,
+        line: &Rc<ConnectionHandle>,
     ) -> impl Future<Output = Response<AnswerBody>>;
     /// Set by SIGTERM.
     fn stopping(&self) -> watch::Receiver<bool>;
@@ -74,7 +74,7 @@
 }
 
 /// What takes a request from its head to its answer.
-pub struct Intake {
+pub struct RequestIntake {
     /// The way to the driver.
     pub inbox: Inbox,
     /// The module's clock.
@@ -88,7 +88,7 @@
 /// What all connections of the platform's clients share.
 pub struct Front {
     /// What takes their requests.
-    pub intake: Intake,
+    pub intake: RequestIntake,
     /// The list of backends is in hand.
     pub ready: watch::Receiver<bool>,
     /// The names of classes.
@@ -107,8 +107,8 @@
     pub shared: bool,
 }
 
-impl Desk for Front {
-    async fn respond(&self, request: Request<Incoming>, line: &Rc<Line>) -> Response<AnswerBody> {
+impl RequestHandler for Front {
+    async fn respond(&self, request: Request<Incoming>, line: &Rc<ConnectionHandle>) -> Response<AnswerBody> {
         match request.uri().path() {
             "/_health" => match *self.ready.borrow() && !self.is_stopping() {
                 true => plain(StatusCode::OK, "ready\n").map(AnswerBody::Left),
@@ -139,7 +139,7 @@
 }
 
 /// Takes clients until SIGTERM, answers what was taken, and returns.
-pub async fn serve<D: Desk + 'static>(listener: TcpListener, front: Rc<D>, connections: usize) {
+pub async fn serve<D: RequestHandler + 'static>(listener: TcpListener, front: Rc<D>, connections: usize) {
     let lines = Rc::new(Lines { open: RefCell::default(), most: connections, ended: Notify::new() });
     let (mut stopping, shared) = (front.stopping(), front.is_shared());
     let mut last_call: Option<Instant> = None;
@@ -153,7 +153,7 @@
             biased;
             // Guards the limit on descriptors: one at a time is accepted and then waits for its place.
             () = lines.place(), if waiting.is_some() => {
-                let line = Rc::new(Line::new());
+                let line = Rc::new(ConnectionHandle::new());
                 serial += 1;
                 lines.open.borrow_mut().insert(serial, line.clone());
                 let (stream, front, lines) = (waiting.take(), front.clone(), lines.clone());
@@ -175,7 +175,7 @@
                 // on one of them. What is being received is answered and then closed.
                 // Where other processes accept, each ends with the next answer on it instead: guards against a request
                 // that crosses the closing, which then nobody reads.
-                let past = |line: &Rc<Line>| line.phase.get() != Phase::Receiving && !shared;
+                let past = |line: &Rc<ConnectionHandle>| line.phase.get() != Phase::Receiving && !shared;
                 lines.all().into_iter().filter(past).for_each(|line| line.close());
             }
             () = sleep_until(last_call.unwrap_or_else(Instant::now) + last_use), if last_call.is_some() => break,
@@ -212,7 +212,7 @@
 }
 
 /// Serves one connection to its end.
-async fn connection<D: Desk>(stream: TcpStream, line: &Rc<Line>, front: Rc<D>) {
+async fn connection<D: RequestHandler>(stream: TcpStream, line: &Rc<ConnectionHandle>, front: Rc<D>) {
     let service = service_fn(|request| {
         let (front, line) = (front.clone(), line.clone());
         async move { Ok::<_, Infallible>(respond(request, &*front, &line).await) }
@@ -239,7 +239,11 @@
     }
 }
 
-async fn respond<D: Desk>(request: Request<Incoming>, front: &D, line: &Rc<Line>) -> Response<AnswerBody> {
+async fn respond<D: RequestHandler>(
+    request: Request<Incoming>,
+    front: &D,
+    line: &Rc<ConnectionHandle>,
+) -> Response<AnswerBody> {
     line.turn(Phase::Receiving);
     line.came.set(0);
     line.waits_since.set(None);
@@ -327,7 +331,7 @@
     Passing(VecDeque<Bytes>, Incoming),
 }
 
-async fn receive(mut body: Incoming, line: &Rc<Line>) -> Result<Received, Malformed> {
+async fn receive(mut body: Incoming, line: &Rc<ConnectionHandle>) -> Result<Received, Malformed> {
     let (mut held, mut size) = (VecDeque::new(), 0);
     while size <= MAX_BODY {
         line.waits(true);
@@ -357,7 +361,7 @@
     pub reuse: Reuse,
 }
 
-impl Intake {
+impl RequestIntake {
     /// Reads a body to its end, or its first part, and has the request decided and made. `read` is called once the body is
     /// there: what it returns lives as long as the request.
     pub async fn take<T>(
@@ -365,7 +369,7 @@
         (method, uri): (Method, Uri),
         body: Incoming,
         wanted: Wanted,
-        line: &Rc<Line>,
+        line: &Rc<ConnectionHandle>,
         read: impl FnOnce() -> Result<T, Malformed>,
     ) -> Result<Answer, Malformed> {
         // Guards memory: where its length is known, that is before any of it is read.
@@ -416,7 +420,7 @@
 }
 
 /// Answered before its body was read to the end: what still comes of it is nobody's.
-pub fn unless_read(response: Response<AnswerBody>, line: &Rc<Line>) -> Response<AnswerBody> {
+pub fn unless_read(response: Response<AnswerBody>, line: &Rc<ConnectionHandle>) -> Response<AnswerBody> {
     if line.phase.get() == Phase::Receiving {
         return last(response);
     }
@@ -424,7 +428,7 @@
 }
 
 /// The body that a client gets.
-pub fn body_of(served: Served, line: &Rc<Line>) -> AnswerBody {
+pub fn body_of(served: Served, line: &Rc<ConnectionHandle>) -> AnswerBody {
     match served {
         Served::Whole(body) => AnswerBody::Left(Full::new(body)),
         Served::Passing(download) => AnswerBody::Right(Passing::new(download, line.clone())),
@@ -434,7 +438,7 @@
 async fn take(
     request: Request<Incoming>,
     front: &Front,
-    line: &Rc<Line>,
+    line: &Rc<ConnectionHandle>,
 ) -> Result<Response<AnswerBody>, Malformed> {
     let (head, body) = request.into_parts();
     let asked = Asked::read(&head.method, head.uri.query(), &head.headers, front, &line.head)?;
--- a/crates/starlinghill-gateway/tests/counter.rs
+++ b/crates/starlinghill-gateway/tests/counter.rs
@@ -2,14 +2,14 @@
 
 use starlinghill_decision::api::{CountName, Micros, Outcome};
 use starlinghill_gateway::counter::{Calls, Counter};
-use starlinghill_gateway::inbox::Counted;
+use starlinghill_gateway::inbox::CounterResult;
 use starlinghill_testkit::stubs::{http, on_runtime, Reply, Stub};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
 const TIMEOUT: Duration = Duration::from_millis(80);
 
-async fn add(counter: &Counter, name: u64) -> Counted {
+async fn add(counter: &Counter, name: u64) -> CounterResult {
     counter.add(CountName(name), -2.5, Micros(4_000_000)).await
 }
 
@@ -18,7 +18,7 @@
     let stub = Stub::start(|_| http("200 OK", "38.5\n"));
     let counter = Counter::new(stub.address, Duration::from_secs(5), 2);
     let counted = on_runtime(add(&counter, 9041552));
-    assert_eq!(counted, Counted { total: 38.5, ..Outcome::Ok.into() });
+    assert_eq!(counted, CounterResult { total: 38.5, ..Outcome::Ok.into() });
     assert_eq!(stub.requests()[0].line, "POST /v1/count/9041552?add=-2.5&ttl_ms=4000 HTTP/1.1");
 }
 
@@ -57,7 +57,7 @@
     on_runtime(async {
         assert_eq!(add(&counter, 1).await.outcome, Outcome::Timeout);
         for _ in 0..4 {
-            assert_eq!(add(&counter, 1).await, Counted { total: 2.0, ..Outcome::Ok.into() });
+            assert_eq!(add(&counter, 1).await, CounterResult { total: 2.0, ..Outcome::Ok.into() });
         }
     });
 }
@@ -92,7 +92,7 @@
     let counter = Counter::new(stub.address, Duration::from_secs(5), 2);
     on_runtime(async {
         assert_eq!(add(&counter, 1).await.outcome, Outcome::Error);
-        assert_eq!(add(&counter, 1).await, Counted { total: 7.0, ..Outcome::Ok.into() });
+        assert_eq!(add(&counter, 1).await, CounterResult { total: 7.0, ..Outcome::Ok.into() });
     });
     stub.wait_for("the first connection's end", |log| log.closed >= 1);
 }
--- a/crates/starlinghill-gateway/tests/peers.rs
+++ b/crates/starlinghill-gateway/tests/peers.rs
@@ -1,6 +1,6 @@
 //! Datagrams between gateways, on loopback sockets.
 
-use starlinghill_gateway::inbox::{Input, Post};
+use starlinghill_gateway::inbox::{Input, PeerSender};
 use starlinghill_gateway::peers::{Peers, Socket};
 use starlinghill_testkit::stubs::on_runtime;
 use std::net::{SocketAddr, UdpSocket};
--- a/crates/starlinghill-proxy/src/backend_protocol.rs
+++ b/crates/starlinghill-proxy/src/backend_protocol.rs
@@ -5,7 +5,7 @@
 use hyper::StatusCode;
 use starlinghill_decision::api::Outcome;
 use starlinghill_gateway::backend::Backend;
-use starlinghill_gateway::backend_protocol::{Dialect, Reading};
+use starlinghill_gateway::backend_protocol::{BackendProtocol, ResponseVerdict};
 
 /// A try's own id.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("attempt-id");
@@ -21,7 +21,7 @@
 /// The system's own protocol.
 pub struct System;
 
-impl Dialect for System {
+impl BackendProtocol for System {
     fn address(&self, headers: &mut HeaderMap, backend: &Backend, left_ms: u64) {
         headers.insert(TIME_LEFT, HeaderValue::from(left_ms));
         if let Some(name) = &backend.name {
@@ -29,7 +29,7 @@
         }
     }
 
-    fn read(&self, asked: &HeaderMap, head: &Parts) -> Reading {
+    fn read(&self, asked: &HeaderMap, head: &Parts) -> ResponseVerdict {
         let (told, refused) = (head.headers.get(ATTEMPT), head.headers.contains_key(NOT_RUN));
         let refused = refused || head.status == StatusCode::MISDIRECTED_REQUEST;
         // A surplus answer stands where the next one is due: only the id tells. A turn-away may come without.
@@ -40,12 +40,12 @@
             // Another one has the address: this backend is not there any more.
             let elsewhere = head.status == StatusCode::MISDIRECTED_REQUEST;
             let outcome = if elsewhere { Outcome::ConnectFailed } else { Outcome::Full };
-            return Reading { outcome, pass: false, head: false, own };
+            return ResponseVerdict { outcome, pass: false, head: false, own };
         }
         // A success without its stamp, or encoded, is not what the backend made.
         let sound = head.headers.contains_key(SEAL) && !head.headers.contains_key(CONTENT_ENCODING);
         let success = head.status.is_success();
         let outcome = if head.status.is_server_error() { Outcome::Error } else { Outcome::Ok };
-        Reading { outcome, pass: true, head: true, own: own && (sound || !success) }
+        ResponseVerdict { outcome, pass: true, head: true, own: own && (sound || !success) }
     }
 }
--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -14,7 +14,7 @@
 use starlinghill_gateway::config::ConfigError;
 use starlinghill_gateway::driver::Driver;
 use starlinghill_gateway::inbox::{Clock, Input};
-use starlinghill_gateway::server::{serve, Desk, Intake};
+use starlinghill_gateway::server::{serve, RequestHandler, RequestIntake};
 use starlinghill_runtime::essential_tasks::EssentialTasks;
 use starlinghill_runtime::net::{self, NetworkHandle};
 use starlinghill_runtime::settings::{NodeSettings, SettingsError};
@@ -158,7 +158,7 @@
     registry_client::start(&node, shared.clone(), ways, life, &essentials);
     essentials.spawn("ready", crate::readiness::serve(asked, shared.clone()));
     let bodies = (node.memory_mb << 20) / BODIES_PART;
-    let intake = Intake {
+    let intake = RequestIntake {
         inbox: inbox.clone(),
         clock,
         bodies: Semaphore::new(bodies as usize),
--- a/crates/starlinghill-proxy/src/quota_client.rs
+++ b/crates/starlinghill-proxy/src/quota_client.rs
@@ -2,8 +2,8 @@
 
 use starlinghill_catalog::UnknownBackends;
 use starlinghill_decision::api::{CountName, Micros, Outcome, ServerId, ServiceId};
-use starlinghill_gateway::counter::{Count, Counting};
-use starlinghill_gateway::inbox::Counted;
+use starlinghill_gateway::counter::{CounterCall, CounterTransport};
+use starlinghill_gateway::inbox::CounterResult;
 use starlinghill_quota_counter::{
     BackendOffer, Draw, LoadReport, QuotaClient, QuotaLevel, KEEPALIVE_INTERVAL,
 };
@@ -43,7 +43,7 @@
 /// A draw, and who waits for it: nobody where it only tells a debt.
 struct Waiting {
     draw: Draw,
-    reply: Option<oneshot::Sender<Counted>>,
+    reply: Option<oneshot::Sender<CounterResult>>,
 }
 
 impl Waiting {
@@ -53,7 +53,7 @@
     }
 
     /// Answers whoever asked; returns whether they still waited.
-    fn answer(self, counted: Counted) -> bool {
+    fn answer(self, counted: CounterResult) -> bool {
         self.reply.is_some_and(|reply| reply.send(counted).is_ok())
     }
 }
@@ -351,7 +351,7 @@
         let rooms = self.beside(draw.service).unwrap_or_else(named);
         let asked = call.reply.is_some();
         let (outcome, total, share) = (Outcome::Ok, level.level, Some(level.share));
-        let waited = call.answer(Counted { outcome, total, share, rooms });
+        let waited = call.answer(CounterResult { outcome, total, share, rooms });
         if asked {
             self.count_answer(waited, granted);
         }
@@ -448,9 +448,9 @@
     (ServerId(room.backend), Micros(u64::from(room.takes_ms) * 1_000))
 }
 
-impl Count for Counter {
+impl CounterTransport for Counter {
     /// All counts are stores here.
-    fn count(self: Rc<Self>, _: CountName, _: f64, _: Micros) -> Counting {
+    fn count(self: Rc<Self>, _: CountName, _: f64, _: Micros) -> CounterCall {
         Box::pin(async { Outcome::Moot.into() })
     }
 
@@ -480,7 +480,12 @@
         });
     }
 
-    fn draw(self: Rc<Self>, name: CountName, units: f64, (service, within): (ServiceId, Micros)) -> Counting {
+    fn draw(
+        self: Rc<Self>,
+        name: CountName,
+        units: f64,
+        (service, within): (ServiceId, Micros),
+    ) -> CounterCall {
         if !self.reached.get() {
             return Box::pin(async { Outcome::ConnectFailed.into() });
         }
--- a/crates/starlinghill-proxy/src/request_handler.rs
+++ b/crates/starlinghill-proxy/src/request_handler.rs
@@ -11,11 +11,11 @@
 use starlinghill_config_model::routing::Route;
 use starlinghill_decision::api::*;
 use starlinghill_gateway::answer::AnswerBody;
-use starlinghill_gateway::connections::Line;
+use starlinghill_gateway::connections::ConnectionHandle;
 use starlinghill_gateway::idle::Reuse;
 use starlinghill_gateway::inbox::Answer;
 use starlinghill_gateway::server::{
-    body_of, come_back, last, plain, unless_read, Desk, Intake, Malformed, Wanted,
+    body_of, come_back, last, plain, unless_read, Malformed, RequestHandler, RequestIntake, Wanted,
 };
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -37,7 +37,7 @@
 /// The clients' side of a proxy.
 pub struct Front {
     /// What takes requests.
-    pub intake: Intake,
+    pub intake: RequestIntake,
     /// What they are decided by.
     pub shared: Rc<Shared>,
     /// How long after SIGTERM the process is killed.
@@ -53,7 +53,11 @@
 }
 
 impl Front {
-    fn read(&self, head: &hyper::http::request::Parts, line: &Rc<Line>) -> Result<Taken, Malformed> {
+    fn read(
+        &self,
+        head: &hyper::http::request::Parts,
+        line: &Rc<ConnectionHandle>,
+    ) -> Result<Taken, Malformed> {
         let bad = |problem| Err((StatusCode::BAD_REQUEST, problem));
         // Guards against a 404 or 401 of a process that knows no routes yet: clients come to one that is not ready, too, and
         // go nowhere else after that.
@@ -134,8 +138,8 @@
     }
 }
 
-impl Desk for Front {
-    async fn respond(&self, request: Request<Incoming>, line: &Rc<Line>) -> Response<AnswerBody> {
+impl RequestHandler for Front {
+    async fn respond(&self, request: Request<Incoming>, line: &Rc<ConnectionHandle>) -> Response<AnswerBody> {
         let (head, body) = request.into_parts();
         let taken = match self.read(&head, line) {
             Ok(taken) => taken,
--- a/crates/starlinghill-proxy/tests/backend_protocol.rs
+++ b/crates/starlinghill-proxy/tests/backend_protocol.rs
@@ -3,7 +3,7 @@
 use hyper::header::HeaderMap;
 use hyper::{Response, StatusCode};
 use starlinghill_decision::api::Outcome::{self, *};
-use starlinghill_gateway::backend_protocol::Dialect;
+use starlinghill_gateway::backend_protocol::BackendProtocol;
 use starlinghill_proxy::backend_protocol::System;
 use test_case::test_case;
 
--- a/crates/starlinghill-proxy/tests/quota_client.rs
+++ b/crates/starlinghill-proxy/tests/quota_client.rs
@@ -2,8 +2,8 @@
 
 use starlinghill_catalog::UnknownBackends;
 use starlinghill_decision::api::{CountName, Micros, Outcome, ServerId, ServiceId};
-use starlinghill_gateway::counter::Count;
-use starlinghill_gateway::inbox::Counted;
+use starlinghill_gateway::counter::CounterTransport;
+use starlinghill_gateway::inbox::CounterResult;
 use starlinghill_proxy::quota_client::{Counter, DrawCounts, PATIENCE};
 use starlinghill_proxy::registry_client::nowhere;
 use starlinghill_quota_counter::{BackendOffer, Draw, QuotaLevel};
@@ -39,7 +39,7 @@
 
 /// What came of a played counter.
 struct Played {
-    ends: Vec<Counted>,
+    ends: Vec<CounterResult>,
     connections: u32,
     counts: DrawCounts,
 }
--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -7,7 +7,7 @@
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::{CustomerId, Listed, Micros, Outcome, ServiceId};
 use starlinghill_decision::store_name;
-use starlinghill_gateway::counter::Count;
+use starlinghill_gateway::counter::CounterTransport;
 use starlinghill_gateway::inbox::{Clock, Input, Listing};
 use starlinghill_runtime::essential_tasks::EssentialTasks;
 use starlinghill_runtime::net::NetworkHandle;
--- a/crates/starlinghill-xds/src/hub.rs
+++ b/crates/starlinghill-xds/src/hub.rs
@@ -2,8 +2,8 @@
 //! moment. Streams take the newest state when they have room, so no slow one keeps others from it.
 
 use crate::resources::{self, Kind, ResourceSet, TypeSet, Wiring, KINDS};
-use starlinghill_control_state::fleet::{Fleet, Observed, Picture, Place};
-use starlinghill_control_state::ledger::{Ledger, LedgerSettings};
+use starlinghill_control_state::fleet::{EndpointLocation, Fleet, FleetSnapshot, Observed};
+use starlinghill_control_state::ledger::{LedgerSettings, QuotaLedger};
 use starlinghill_control_state::routes::routes;
 use starlinghill_decision::api::{Micros, PlanId, SettingsError, ZonePart};
 use starlinghill_settings::members::MemberList;
@@ -57,7 +57,7 @@
     /// What else resources hold.
     pub wiring: Wiring,
     /// The regions of zones, where there is a map of them.
-    pub places: BTreeMap<String, Place>,
+    pub places: BTreeMap<String, EndpointLocation>,
 }
 
 /// What the hub hears.
@@ -83,7 +83,7 @@
 #[derive(Debug)]
 pub struct Published {
     /// The fleet.
-    pub picture: Picture,
+    pub picture: FleetSnapshot,
     /// What each proxy gets, by node id.
     pub sets: BTreeMap<String, Arc<ResourceSet>>,
 }
@@ -105,12 +105,12 @@
     pub lease: LedgerSettings,
     /// The plans of which proxies get slices; of others they let nothing through.
     pub plans: Arc<BTreeSet<PlanId>>,
-    ledger: Arc<Mutex<Ledger>>,
+    ledger: Arc<Mutex<QuotaLedger>>,
 }
 
 impl Hub {
     /// The ledger. It is held for one report at a time and never across a wait.
-    pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
+    pub fn ledger(&self) -> MutexGuard<'_, QuotaLedger> {
         // A panic elsewhere leaves sums that were paid and not told, which errs to the safe side.
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -149,7 +149,7 @@
     let clock = Clock::start();
     let mut fleet = Fleet::new(seed, site.clone())?;
     fleet.places(plan.places.clone());
-    let ledger = Arc::new(Mutex::new(Ledger::new(clock.now(), lease, &site.settings)));
+    let ledger = Arc::new(Mutex::new(QuotaLedger::new(clock.now(), lease, &site.settings)));
     let (news, inbox) = mpsc::channel(INBOX);
     let (publish, published) = watch::channel(None);
     let (allow, allowed) = watch::channel(allowed(&plan));
@@ -163,7 +163,7 @@
 /// What each proxy gets of a picture. The parts that all share are made once; listeners depend on the plan alone,
 /// and those of `old` serve again unless the plan changed (`stale`).
 pub fn publish(
-    picture: Picture,
+    picture: FleetSnapshot,
     plan: &Plan,
     routes: &Arc<TypeSet>,
     old: Option<&Published>,
--- a/crates/starlinghill-xds/src/resources.rs
+++ b/crates/starlinghill-xds/src/resources.rs
@@ -14,7 +14,7 @@
 use envoy_types::pb::google::protobuf::{value, Any, Duration, Struct, UInt32Value, Value};
 use envoy_types::pb::xds;
 use prost::{Message, Name};
-use starlinghill_control_state::fleet::{Endpoint, Picture, Use};
+use starlinghill_control_state::fleet::{Endpoint, EndpointUse, FleetSnapshot};
 use starlinghill_control_state::routes::{ClassRoute, RetryOn};
 use starlinghill_decision::api::Micros;
 use starlinghill_decision::BOUNDS;
@@ -321,17 +321,17 @@
 const NOTHING_ELSE: u32 = 1_000_000;
 
 /// The endpoints, by locality.
-pub fn endpoints(picture: &Picture) -> TypeSet {
+pub fn endpoints(picture: &FleetSnapshot) -> TypeSet {
     let full = picture.endpoints.iter().map(|e| e.weight).max().unwrap_or(1);
     let mut localities: BTreeMap<(u32, &str, &str, String), Vec<&Endpoint>> = BTreeMap::new();
     for e in &picture.endpoints {
         // gRPC clients weigh localities, not endpoints: what warms up or is on trial has one of its own.
-        let lesser = e.usage == Use::Healthy && e.weight < full / 2;
+        let lesser = e.usage == EndpointUse::Healthy && e.weight < full / 2;
         let sub = if lesser { format!("{LESSER}{}", e.id) } else { String::new() };
         localities.entry((e.priority, &e.region, &e.zone, sub)).or_default().push(e);
     }
     let groups = localities.into_iter().map(|((priority, region, zone, sub_zone), members)| {
-        let usable = members.iter().filter(|e| e.usage == Use::Healthy);
+        let usable = members.iter().filter(|e| e.usage == EndpointUse::Healthy);
         let weight: u32 = usable.map(|e| e.weight).fold(0, u32::saturating_add);
         endpoint::LocalityLbEndpoints {
             locality: Some(core::Locality { region: region.into(), zone: zone.into(), sub_zone }),
@@ -371,9 +371,9 @@
 
 fn lb_endpoint(e: &Endpoint) -> endpoint::LbEndpoint {
     let status = match e.usage {
-        Use::Healthy => core::HealthStatus::Healthy,
-        Use::Ejected => core::HealthStatus::Unhealthy,
-        Use::Draining => core::HealthStatus::Draining,
+        EndpointUse::Healthy => core::HealthStatus::Healthy,
+        EndpointUse::Ejected => core::HealthStatus::Unhealthy,
+        EndpointUse::Draining => core::HealthStatus::Draining,
     };
     // Maps of one entry: their order can't differ from one process to the next.
     let id = Value { kind: Some(value::Kind::StringValue(e.id.clone())) };
--- a/crates/starlinghill-xds/tests/resources.rs
+++ b/crates/starlinghill-xds/tests/resources.rs
@@ -13,7 +13,7 @@
 };
 use envoy_types::pb::xds::r#type::matcher::v3::matcher::on_match::OnMatch;
 use prost::Message;
-use starlinghill_control_state::fleet::{Endpoint, Picture, Use};
+use starlinghill_control_state::fleet::{Endpoint, EndpointUse, FleetSnapshot};
 use starlinghill_control_state::routes::{ClassRoute, RetryOn};
 use starlinghill_decision::api::Micros;
 use starlinghill_xds::resources::*;
@@ -29,7 +29,7 @@
     Wiring { connect_timeout: Micros(250_000), attempts_out: Some(10), quotas }
 }
 
-fn endpoint(id: &str, port: u16, usage: Use, weight: u32) -> Endpoint {
+fn endpoint(id: &str, port: u16, usage: EndpointUse, weight: u32) -> Endpoint {
     Endpoint {
         id: id.into(),
         address: ([127, 0, 0, 1], port).into(),
@@ -53,12 +53,12 @@
 
 #[test]
 fn endpoints_tell_state_weight_and_what_is_to_be_turned_away() {
-    let picture = Picture {
+    let picture = FleetSnapshot {
         endpoints: vec![
-            endpoint("s-0", 1, Use::Healthy, 1000),
-            endpoint("s-1", 2, Use::Draining, 1000),
-            endpoint("s-2", 3, Use::Ejected, 1000),
-            endpoint("s-3", 4, Use::Healthy, 170),
+            endpoint("s-0", 1, EndpointUse::Healthy, 1000),
+            endpoint("s-1", 2, EndpointUse::Draining, 1000),
+            endpoint("s-2", 3, EndpointUse::Ejected, 1000),
+            endpoint("s-3", 4, EndpointUse::Healthy, 170),
         ],
         drop: 2_500,
     };
@@ -78,7 +78,7 @@
     assert_eq!(health, wanted.map(|h| h as i32));
     let drop = &all.policy.expect("a policy").drop_overloads[0];
     assert_eq!(drop.drop_percentage.expect("a part").numerator, 2_500);
-    let empty: ClusterLoadAssignment = one(endpoints(&Picture::default()), Kind::Endpoints, SAVE_NODES);
+    let empty: ClusterLoadAssignment = one(endpoints(&FleetSnapshot::default()), Kind::Endpoints, SAVE_NODES);
     assert!(empty.endpoints.is_empty() && empty.policy.is_none());
 }
 
@@ -88,10 +88,10 @@
         zone: zone.into(),
         region: region.into(),
         priority,
-        ..endpoint(id, port, Use::Healthy, 1000)
+        ..endpoint(id, port, EndpointUse::Healthy, 1000)
     };
-    let here = Endpoint { region: "east".into(), ..endpoint("s-0", 1, Use::Ejected, 1000) };
-    let picture = Picture {
+    let here = Endpoint { region: "east".into(), ..endpoint("s-0", 1, EndpointUse::Ejected, 1000) };
+    let picture = FleetSnapshot {
         endpoints: vec![here.clone(), away("s-1", 2, "b", "east", 1), away("s-2", 3, "c", "west", 2)],
         drop: 0,
     };
@@ -111,13 +111,13 @@
     // A proxy reckons a priority's health in percent, times this: one in a hundred that serves is enough.
     assert!(policy.overprovisioning_factor.is_some_and(|f| f.value >= 10_000));
     let alone: ClusterLoadAssignment =
-        one(endpoints(&Picture { endpoints: vec![here], drop: 0 }), Kind::Endpoints, SAVE_NODES);
+        one(endpoints(&FleetSnapshot { endpoints: vec![here], drop: 0 }), Kind::Endpoints, SAVE_NODES);
     assert!(alone.policy.is_none());
 }
 
 #[test]
 fn a_locality_of_which_nothing_can_be_used_has_no_weight() {
-    let picture = Picture { endpoints: vec![endpoint("s-1", 2, Use::Draining, 1000)], drop: 0 };
+    let picture = FleetSnapshot { endpoints: vec![endpoint("s-1", 2, EndpointUse::Draining, 1000)], drop: 0 };
     let all: ClusterLoadAssignment = one(endpoints(&picture), Kind::Endpoints, SAVE_NODES);
     assert_eq!(all.endpoints[0].load_balancing_weight, None);
 }
