--- a/crates/starlinghill-proxy/src/main.rs
+++ b/crates/starlinghill-proxy/src/main.rs
@@ -6,7 +6,7 @@
 
     starlinghill-proxy              runs; STARLINGHILL_CONFIG names the settings file
     starlinghill-proxy check FILE   says what is wrong with a settings file
-    -v, --verbose                       logs the small events too
+    -v, --verbose                   logs the small events too
 ";
 
 fn main() -> ExitCode {
