--- a/crates/starlinghill-template/src/history.rs
+++ b/crates/starlinghill-config-model/src/version_history.rs
@@ -8,7 +8,7 @@
 /// The most that all items together remember: at 7,300 changes a day nine days, in 1 MiB of the 8 that a message holds.
 /// Three for each item where there are as many items as there may be.
 pub const MOST_IN_ALL: usize = 65_536;
-const _: () = assert!(MOST_IN_ALL >= 3 * crate::book::MOST_ITEMS);
+const _: () = assert!(MOST_IN_ALL >= 3 * crate::items::MOST_ITEMS);
 
 /// A number that was confirmed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
@@ -32,17 +32,17 @@
 
 /// The numbers that an item had, whether they ever came into force or not.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
-pub struct History {
+pub struct VersionHistory {
     /// By number, each once.
     confirmed: Vec<Confirmed>,
     /// Nothing is known of numbers up to this, but of those that stand above.
     forgotten: Option<u64>,
 }
 
-impl History {
+impl VersionHistory {
     /// Of an item that was kept without one: all below its version may have been confirmed.
-    pub fn unknown_below(version: u64) -> History {
-        History { confirmed: Vec::new(), forgotten: version.checked_sub(1) }
+    pub fn unknown_below(version: u64) -> VersionHistory {
+        VersionHistory { confirmed: Vec::new(), forgotten: version.checked_sub(1) }
     }
 
     /// How many numbers it remembers.
--- a/crates/starlinghill-patternbook/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -1,20 +1,20 @@
 //! The store as a process.
 
-use crate::agree::Stores;
-use crate::keeper::Keeper;
-use crate::rules::Times;
-use crate::shelf::{self, Disk, Found, Order, Shelf, ShelfError};
-use crate::wire::{Answer, Question, Value};
+use crate::acceptor::Keeper;
+use crate::disk::{self, Disk, Found, Order, Shelf, ShelfError};
+use crate::member_replacement::Times;
+use crate::proposer::Stores;
+use crate::wire::{StoreRequest, StoreResponse, Value};
 use snafu::{OptionExt, ResultExt, Snafu};
-use starlinghill_clamp::{Member, Members, Voter};
-use starlinghill_dovetail::call::serve;
-use starlinghill_dovetail::essential::Essentials;
-use starlinghill_dovetail::net::{self, Net};
-use starlinghill_dovetail::settings::{Node, SettingsError};
-use starlinghill_dovetail::signals::{Reread, Signals};
-use starlinghill_dovetail::PATTERNBOOK;
-use starlinghill_holdfast::contact::Chain;
-use starlinghill_template::Item;
+use starlinghill_config_model::Item;
+use starlinghill_consensus::{Acceptor, Member, Members};
+use starlinghill_lease::contact::StalenessBudget;
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::net::{self, NetworkHandle};
+use starlinghill_runtime::rpc::serve;
+use starlinghill_runtime::settings::{NodeSettings, SettingsError};
+use starlinghill_runtime::signals::{Reread, Signals};
+use starlinghill_runtime::CONFIG_STORE_PORT_OFFSET;
 use std::future::Future;
 use std::net::IpAddr;
 use std::path::Path;
@@ -72,9 +72,9 @@
 }
 
 /// The same, on a network of the caller's.
-pub async fn run_on(net: Net, mut signals: Signals) -> Result<(), StartError> {
+pub async fn run_on(net: NetworkHandle, mut signals: Signals) -> Result<(), StartError> {
     let reread = signals.reread();
-    let node = Node::from_environment().context(SettingsSnafu)?;
+    let node = NodeSettings::from_environment().context(SettingsSnafu)?;
     let folder = node.data_dir.clone().ok_or(StartError::Diskless)?;
     std::fs::create_dir_all(&folder).context(SystemSnafu { what: folder.display().to_string() })?;
     let end = signals.end();
@@ -84,8 +84,8 @@
         opened = open(&folder, node.ip) => opened,
     };
     // A store whose files are spoilt has lost them, also at the first start of all.
-    let node = Node { first_start: node.first_start && !shelf.is_spoilt(), ..node };
-    store(&node, &net, reread, found, shelf::run(shelf), end).await
+    let node = NodeSettings { first_start: node.first_start && !shelf.is_spoilt(), ..node };
+    store(&node, &net, reread, found, disk::run(shelf), end).await
 }
 
 /// Waits for a disk that refuses: to end would change nothing.
@@ -101,20 +101,20 @@
 
 /// Runs a store on a network until it is to end, with what stood on its disk.
 pub async fn store(
-    node: &Node,
-    net: &Net,
+    node: &NodeSettings,
+    net: &NetworkHandle,
     reread: Reread,
     found: Option<Found>,
     disk: Disk,
     end: impl Future<Output = ()>,
 ) -> Result<(), StartError> {
     tokio::pin!(end);
-    let address = node.port(node.ip, PATTERNBOOK);
+    let address = node.port(node.ip, CONFIG_STORE_PORT_OFFSET);
     let listener = net.listen(address).await.context(SystemSnafu { what: format!("listen on {address}") })?;
-    let seeds = |node: &Node| -> Vec<IpAddr> { node.seeds.iter().map(|seed| seed.ip()).collect() };
+    let seeds = |node: &NodeSettings| -> Vec<IpAddr> { node.seeds.iter().map(|seed| seed.ip()).collect() };
     let was_there = found.is_some();
     let voter = match found {
-        Some(found) => Voter::again(found.kept, found.state),
+        Some(found) => Acceptor::again(found.kept, found.state),
         None => {
             let seeds = seeds(node);
             tokio::select! {
@@ -134,10 +134,10 @@
         !was_there,
         node.first_start
     );
-    let (essentials, mut first_end) = Essentials::new();
+    let (essentials, mut first_end) = EssentialTasks::new();
     let keeper = Keeper::start(voter, disk, &essentials);
     let by = fastrand::u32(1..);
-    let chain = Chain::of(node.bounds.apply);
+    let chain = StalenessBudget::of(node.bounds.apply);
     let times = Times::of(node.bounds.sync_time, chain.contact + chain.store_holds + LEASE);
     let stores = Rc::new(Stores::new(net, keeper, address.port(), by, times, chain));
     essentials.spawn("follow", stores.clone().follow());
@@ -146,7 +146,7 @@
     essentials.spawn("belong", stores.clone().belong(move || latest().unwrap_or_else(|| first.clone())));
     let asked = stores.clone();
     // An order whose caller has left may be refused by another store meanwhile.
-    let order = |question: &Question| matches!(question, Question::Change(_));
+    let order = |question: &StoreRequest| matches!(question, StoreRequest::Change(_));
     let answer = move |question, _| {
         let stores = asked.clone();
         async move { answer(question, &stores, chain).await }
@@ -162,12 +162,12 @@
 }
 
 /// A disk that is empty: a founder's, or the beginning of an incarnation that knows of no members yet.
-async fn begin(node: &Node, seeds: &[IpAddr], disk: &Disk) -> Result<Voter<Value>, StartError> {
+async fn begin(node: &NodeSettings, seeds: &[IpAddr], disk: &Disk) -> Result<Acceptor<Value>, StartError> {
     let founders = Members::first(seeds.iter().copied());
     let founds = node.first_start && founders.at(node.ip).is_some();
     let incarnation = if founds { 0 } else { fastrand::u64(1..u64::MAX) };
     let members = if node.first_start { founders } else { Members::default() };
-    let voter = Voter::new(Member { ip: node.ip, incarnation }, members);
+    let voter = Acceptor::new(Member { ip: node.ip, incarnation }, members);
     // Before it says anything: an incarnation remembers all that it said.
     let (done, saved) = oneshot::channel();
     let (kept, state) = (voter.kept().clone(), Some(voter.state().clone()));
@@ -177,16 +177,20 @@
     Ok(voter)
 }
 
-async fn answer(question: Question, stores: &Rc<Stores>, chain: Chain) -> Answer {
+async fn answer(question: StoreRequest, stores: &Rc<Stores>, chain: StalenessBudget) -> StoreResponse {
     match question {
-        Question::Vote(to, ask) => stores.vote(to, ask).await.map_or(Answer::NotNow, Answer::Vote),
-        Question::Members => {
+        StoreRequest::Vote(to, ask) => {
+            stores.vote(to, ask).await.map_or(StoreResponse::NotNow, StoreResponse::Vote)
+        }
+        StoreRequest::Members => {
             let (members, ballot) = stores.members();
-            Answer::Members(members, ballot)
+            StoreResponse::Members(members, ballot)
+        }
+        StoreRequest::Change(body) => StoreResponse::Changed(stores.change(&body).await),
+        StoreRequest::Read => {
+            stores.read().await.map_or(StoreResponse::NotNow, |items| StoreResponse::Whole(as_news(&items)))
         }
-        Question::Change(body) => Answer::Changed(stores.change(&body).await),
-        Question::Read => stores.read().await.map_or(Answer::NotNow, |items| Answer::Whole(as_news(&items))),
-        Question::News(have, was_fresh) => {
+        StoreRequest::News(have, was_fresh) => {
             let asked = Instant::now();
             let (mut chosen, mut fresh) = (stores.chosen(), stores.fresh());
             // Without news it says after a while that there is none.
@@ -199,15 +203,15 @@
             let (ballot, items) = (chosen.borrow().0, stores.news(have).map(|items| as_news(&items)));
             let (members, proposed) = (stores.members().0, stores.proposed());
             let (contact, votes) = (stores.contact(asked), members.has(stores.me));
-            Answer::News { ballot, contact, members, votes, proposed, items }
+            StoreResponse::News { ballot, contact, members, votes, proposed, items }
         }
-        Question::Join(candidate) => Answer::Admission(stores.admit(candidate).await),
-        Question::Sight => {
+        StoreRequest::Join(candidate) => StoreResponse::Admission(stores.admit(candidate).await),
+        StoreRequest::Sight => {
             let ms = |(member, ago): (Member, Duration)| (member, ago.as_millis() as u64);
-            Answer::Sight(stores.sight().into_iter().map(ms).collect())
+            StoreResponse::Sight(stores.sight().into_iter().map(ms).collect())
         }
-        Question::Order(order) => Answer::Admission(stores.order(order).await),
-        Question::Why => Answer::Why(stores.standing()),
+        StoreRequest::Order(order) => StoreResponse::Admission(stores.order(order).await),
+        StoreRequest::Why => StoreResponse::Why(stores.standing()),
     }
 }
 
--- a/crates/starlinghill-patternbook/src/agree.rs
+++ b/crates/starlinghill-config-store/src/proposer.rs
@@ -1,15 +1,17 @@
 //! Rounds over all members: changes, reads, settling what was left half done, and following what others agree on.
 
-use crate::keeper::Keeper;
-use crate::orders;
-use crate::recent::Recent;
-use crate::rules::{Sight, Times};
-use crate::wire::{Answer, Outcome, Question, State, Value};
-use starlinghill_clamp::{Ask, Ballot, Member, Members, Round, Step, Tell};
-use starlinghill_dovetail::call::Caller;
-use starlinghill_dovetail::net::Net;
-use starlinghill_holdfast::contact::{Chain, Contact, LastContact, ORDER_TRIED};
-use starlinghill_template::Change;
+use crate::acceptor::Keeper;
+use crate::apply_change;
+use crate::member_replacement::{Sight, Times};
+use crate::recent_changes::Recent;
+use crate::wire::{ChangeOutcome, State, StoreRequest, StoreResponse, Value};
+use starlinghill_config_model::ConfigChange;
+use starlinghill_consensus::{
+    AcceptorReply, AcceptorRequest, Ballot, Member, Members, ProposerRound, ProposerStep,
+};
+use starlinghill_lease::contact::{LastQuorumContact, QuorumContact, StalenessBudget, ORDER_COMMIT_TIMEOUT};
+use starlinghill_runtime::net::NetworkHandle;
+use starlinghill_runtime::rpc::RpcClient;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -27,10 +29,10 @@
     pub(crate) me: Member,
     pub(crate) keeper: Keeper,
     pub(crate) times: Times,
-    net: Net,
+    net: NetworkHandle,
     port: u16,
     /// The ways to other stores. Those of members, and of whoever asks to be one.
-    callers: RefCell<BTreeMap<IpAddr, Rc<Caller>>>,
+    callers: RefCell<BTreeMap<IpAddr, Rc<RpcClient>>>,
     /// The newest members that are known to be agreed on, and since when.
     members: watch::Sender<Members>,
     stands_since: Cell<Instant>,
@@ -43,28 +45,28 @@
     chosen: watch::Sender<(Ballot, Rc<State>)>,
     /// What changed with the last ones.
     recent: RefCell<Recent>,
-    pub(crate) chain: Chain,
+    pub(crate) chain: StalenessBudget,
     start: Instant,
     /// A majority's word that all which it had agreed on is known here.
-    contact: Cell<Option<LastContact>>,
+    contact: Cell<Option<LastQuorumContact>>,
     fresh: watch::Sender<bool>,
     /// When each member was heard last.
     heard: RefCell<BTreeMap<Member, Instant>>,
     begun: Instant,
     /// Stores that would vote: when they asked last, and why they don't.
-    pub(crate) candidates: RefCell<BTreeMap<Member, (Instant, crate::wire::Wait)>>,
+    pub(crate) candidates: RefCell<BTreeMap<Member, (Instant, crate::wire::MembershipDelay)>>,
 }
 
 /// Questions on their way, and the answers that came.
 struct Asking {
-    tell: mpsc::UnboundedSender<(Member, Option<Tell<Value>>)>,
-    told: mpsc::UnboundedReceiver<(Member, Option<Tell<Value>>)>,
+    tell: mpsc::UnboundedSender<(Member, Option<AcceptorReply<Value>>)>,
+    told: mpsc::UnboundedReceiver<(Member, Option<AcceptorReply<Value>>)>,
     out: usize,
 }
 
 impl Asking {
     /// The next answer; `None` when all have answered or failed, or it is late.
-    async fn next(&mut self, until: Instant) -> Option<(Member, Tell<Value>)> {
+    async fn next(&mut self, until: Instant) -> Option<(Member, AcceptorReply<Value>)> {
         while self.out > 0 {
             let (from, tell) = timeout_at(until, self.told.recv()).await.ok()??;
             self.out -= 1;
@@ -78,7 +80,14 @@
 
 impl Stores {
     /// As the voter here knows them. Ballots of this process are its own by that number.
-    pub fn new(net: &Net, keeper: Keeper, port: u16, by: u32, times: Times, chain: Chain) -> Stores {
+    pub fn new(
+        net: &NetworkHandle,
+        keeper: Keeper,
+        port: u16,
+        by: u32,
+        times: Times,
+        chain: StalenessBudget,
+    ) -> Stores {
         let view = keeper.view.borrow().clone();
         Stores {
             me: keeper.me,
@@ -115,7 +124,7 @@
     }
 
     /// A majority's word that nothing newer was agreed on, in answer to a question of that moment.
-    pub fn contact(&self, asked: Instant) -> Option<Contact> {
+    pub fn contact(&self, asked: Instant) -> Option<QuorumContact> {
         let (now, asked) = (self.start.elapsed(), asked.saturating_duration_since(self.start));
         let contact = self.contact.get().filter(|contact| self.chain.may_vouch(Some(contact.age(now))));
         contact.map(|contact| contact.pass_on(now, asked))
@@ -127,7 +136,8 @@
     fn hear(&self, asked: Instant, members: &Members, heard: &BTreeSet<Member>, newest: Ballot) {
         let same_members = self.members.borrow().epoch == members.epoch;
         if members.majority(heard) && same_members && newest <= self.chosen.borrow().0 {
-            self.contact.set(Some(LastContact::from_majority(asked.saturating_duration_since(self.start))));
+            self.contact
+                .set(Some(LastQuorumContact::from_majority(asked.saturating_duration_since(self.start))));
         }
     }
 
@@ -204,39 +214,44 @@
     }
 
     /// The way to the store at an address.
-    pub(crate) fn caller(&self, ip: IpAddr) -> Rc<Caller> {
+    pub(crate) fn caller(&self, ip: IpAddr) -> Rc<RpcClient> {
         let mut callers = self.callers.borrow_mut();
-        let new = || Rc::new(Caller::new(&self.net, SocketAddr::new(ip, self.port)));
+        let new = || Rc::new(RpcClient::new(&self.net, SocketAddr::new(ip, self.port)));
         callers.entry(ip).or_insert_with(new).clone()
     }
 
     /// Asks one voter.
-    pub(crate) async fn put(&self, to: Member, ask: Ask<Value>) -> Option<Tell<Value>> {
+    pub(crate) async fn put(&self, to: Member, ask: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
         if to.ip == self.me.ip {
             let asked = self.keeper.ask_as(to, ask);
             return tokio::time::timeout(self.chain.voter, asked).await.ok()?;
         }
-        match self.caller(to.ip).call(&Question::Vote(to, ask), self.chain.voter).await {
-            Ok(Answer::Vote(tell)) => Some(tell),
+        match self.caller(to.ip).call(&StoreRequest::Vote(to, ask), self.chain.voter).await {
+            Ok(StoreResponse::Vote(tell)) => Some(tell),
             _ => None,
         }
     }
 
     /// Asks these at once; answers come as they come.
-    fn ask(self: &Rc<Self>, to: impl IntoIterator<Item = Member>, ask: &Ask<Value>) -> Asking {
+    fn ask(self: &Rc<Self>, to: impl IntoIterator<Item = Member>, ask: &AcceptorRequest<Value>) -> Asking {
         let (tell, told) = mpsc::unbounded_channel();
         let mut asking = Asking { tell, told, out: 0 };
         self.ask_more(&mut asking, to, ask);
         asking
     }
 
-    fn ask_more(self: &Rc<Self>, on: &mut Asking, to: impl IntoIterator<Item = Member>, ask: &Ask<Value>) {
+    fn ask_more(
+        self: &Rc<Self>,
+        on: &mut Asking,
+        to: impl IntoIterator<Item = Member>,
+        ask: &AcceptorRequest<Value>,
+    ) {
         for member in to {
             on.out += 1;
             let (stores, ask, tell) = (self.clone(), ask.clone(), on.tell.clone());
             spawn_local(async move {
                 let answer = stores.put(member, ask).await;
-                if matches!(answer, Some(Tell::Has { .. } | Tell::Accepted)) {
+                if matches!(answer, Some(AcceptorReply::Has { .. } | AcceptorReply::Accepted)) {
                     stores.heard.borrow_mut().insert(member, Instant::now());
                 }
                 // The round may be over.
@@ -261,15 +276,15 @@
                 let known = self.chosen.borrow();
                 (known.0, known.1.as_ref().clone())
             };
-            let mut round = Round::new(ballot, members, have);
+            let mut round = ProposerRound::new(ballot, members, have);
             let mut asking = self.ask(round.asked(), &round.ask());
             let until = by.min(Instant::now() + self.chain.voter * 2);
             let mut made = None;
             while let Some((from, tell)) = asking.next(until).await {
                 match round.told(from, tell) {
-                    Step::Wait => {}
-                    Step::Extend(more) => self.ask_more(&mut asking, more, &round.ask()),
-                    Step::Base(base, known) => {
+                    ProposerStep::Wait => {}
+                    ProposerStep::Extend(more) => self.ask_more(&mut asking, more, &round.ask()),
+                    ProposerStep::Base(base, known) => {
                         let (next, came) = make(&base);
                         // What is known to be agreed on needs no second word.
                         if next.is_none() && known {
@@ -285,11 +300,11 @@
                             asking = self.ask(round.asked(), &ask);
                         }
                     }
-                    Step::Chosen => {
+                    ProposerStep::Chosen => {
                         let (next, came) = made.take()?;
                         let newer = (next.members.epoch > round.epoch()).then(|| next.members.clone());
                         self.learn(ballot, Rc::new(next));
-                        let told = self.ask(round.asked(), &Ask::Chosen(ballot));
+                        let told = self.ask(round.asked(), &AcceptorRequest::Chosen(ballot));
                         // Nothing is said of newer members before a majority of them has on disk that they count: the set
                         // before may lose its own in the next moment.
                         if let Some(members) = newer {
@@ -302,11 +317,11 @@
                             None => break,
                         }
                     }
-                    Step::Lost(higher) => {
+                    ProposerStep::Lost(higher) => {
                         self.seen.set(self.seen.get().max(higher));
                         break;
                     }
-                    Step::Newer(members, ballot) => {
+                    ProposerStep::Newer(members, ballot) => {
                         self.follow_members(members, ballot);
                         break;
                     }
@@ -319,22 +334,22 @@
     }
 
     /// Takes an operator's change, or says why not.
-    pub async fn change(self: &Rc<Self>, body: &[u8]) -> Outcome {
-        let change = match Change::read(body) {
+    pub async fn change(self: &Rc<Self>, body: &[u8]) -> ChangeOutcome {
+        let change = match ConfigChange::read(body) {
             Ok(change) => change,
-            Err(refusal) => return orders::refused(refusal),
+            Err(refusal) => return apply_change::refused(refusal),
         };
-        let by = Instant::now() + ORDER_TRIED;
+        let by = Instant::now() + ORDER_COMMIT_TIMEOUT;
         let made = self.agree(by, |base| {
-            let (value, outcome) = orders::take(&base.value, &change);
+            let (value, outcome) = apply_change::take(&base.value, &change);
             (value.map(|value| State { members: base.members.clone(), value }), outcome)
         });
-        made.await.unwrap_or(Outcome::Unclear)
+        made.await.unwrap_or(ChangeOutcome::Unclear)
     }
 
     /// All that was agreed on before this was asked.
     pub async fn read(self: &Rc<Self>) -> Option<Value> {
-        self.agree(Instant::now() + ORDER_TRIED, |base| (None, base.value.clone())).await
+        self.agree(Instant::now() + ORDER_COMMIT_TIMEOUT, |base| (None, base.value.clone())).await
     }
 
     /// Looks at the other stores again and again: learns what was agreed on, and ends what was left half done.
@@ -344,11 +359,11 @@
             let asked = Instant::now();
             let have = self.chosen.borrow().0;
             let members = self.members.borrow().clone();
-            let mut asking = self.ask(members.voters.iter().copied(), &Ask::Look(have));
+            let mut asking = self.ask(members.voters.iter().copied(), &AcceptorRequest::Look(have));
             let (mut heard, mut newest) = (BTreeSet::new(), Ballot::default());
             let mut accepted_by: BTreeMap<Ballot, (BTreeSet<Member>, bool, Option<State>)> = BTreeMap::new();
             while let Some((from, tell)) = asking.next(asked + self.chain.voter).await {
-                let Tell::Has { promised, accepted, chosen, state, .. } = tell else { continue };
+                let AcceptorReply::Has { promised, accepted, chosen, state, .. } = tell else { continue };
                 heard.insert(from);
                 self.seen.set(self.seen.get().max(promised));
                 newest = newest.max(chosen).max(accepted);
@@ -378,7 +393,7 @@
             let fresh = self.is_fresh();
             self.fresh.send_if_modified(|known| std::mem::replace(known, fresh) != fresh);
             if majority && unsettled && std::mem::replace(&mut half_done, true) {
-                let settled = self.agree(Instant::now() + ORDER_TRIED, |_| (None, ())).await;
+                let settled = self.agree(Instant::now() + ORDER_COMMIT_TIMEOUT, |_| (None, ())).await;
                 log::info!("event=settled_half_done_change ok={}", settled.is_some());
                 half_done = false;
             } else if !unsettled {
@@ -400,14 +415,14 @@
             (view.accepted, view.chosen)
         };
         if ballot > accepted {
-            self.keeper.ask(Ask::Learn { ballot, state: state.as_ref().clone() }).await;
+            self.keeper.ask(AcceptorRequest::Learn { ballot, state: state.as_ref().clone() }).await;
         } else if ballot == accepted && ballot > chosen {
-            self.keeper.ask(Ask::Chosen(ballot)).await;
+            self.keeper.ask(AcceptorRequest::Chosen(ballot)).await;
         }
     }
 
     /// The voter here is asked something.
-    pub async fn vote(&self, to: Member, ask: Ask<Value>) -> Option<Tell<Value>> {
+    pub async fn vote(&self, to: Member, ask: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
         self.keeper.ask_as(to, ask).await
     }
 
@@ -427,7 +442,7 @@
 async fn is_known(members: &Members, ballot: Ballot, mut told: Asking, by: Instant) -> bool {
     let mut know = BTreeSet::new();
     while let Some((from, tell)) = told.next(by).await {
-        if matches!(tell, Tell::Has { chosen, .. } if chosen >= ballot) {
+        if matches!(tell, AcceptorReply::Has { chosen, .. } if chosen >= ballot) {
             know.insert(from);
         }
         if members.majority(&know) {
--- a/crates/starlinghill-patternbook/tests/shelf.rs
+++ b/crates/starlinghill-config-store/tests/disk.rs
@@ -1,20 +1,20 @@
 //! What is on disk after writes, kills of the process, and files that were cut short.
 
-use starlinghill_clamp::{Ballot, Kept, Member, Members};
-use starlinghill_patternbook::shelf::Shelf;
-use starlinghill_patternbook::wire::State;
-use starlinghill_template::{History, Item, Kind};
+use starlinghill_config_model::{Item, ItemKind, VersionHistory};
+use starlinghill_config_store::disk::Shelf;
+use starlinghill_config_store::wire::State;
+use starlinghill_consensus::{AcceptorState, Ballot, Member, Members};
 use std::net::IpAddr;
 use std::path::Path;
 
 fn item(name: &str, version: u64) -> Item {
     Item {
-        kind: Kind::Route,
+        kind: ItemKind::Route,
         name: name.into(),
         version,
         host: "a".into(),
         body: Some(format!("{{\"v\":{version}}}")),
-        history: History::default(),
+        history: VersionHistory::default(),
     }
 }
 
@@ -22,17 +22,17 @@
     Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])))
 }
 
-fn kept(round: u64) -> Kept {
+fn kept(round: u64) -> AcceptorState {
     let ballot = Ballot { round, by: 1 };
     let me = members().voters[2];
-    Kept { me, promised: ballot, accepted: ballot, chosen: Ballot::default(), members: members() }
+    AcceptorState { me, promised: ballot, accepted: ballot, chosen: Ballot::default(), members: members() }
 }
 
 fn state(value: Vec<Item>) -> State {
     State { members: members(), value }
 }
 
-fn open(folder: &Path) -> (Shelf, Option<starlinghill_patternbook::shelf::Found>) {
+fn open(folder: &Path) -> (Shelf, Option<starlinghill_config_store::disk::Found>) {
     Shelf::open(folder, members().voters[2].ip).unwrap_or_else(|error| panic!("{error}"))
 }
 
@@ -66,7 +66,7 @@
 /// An item as the version before kept it: no history.
 #[derive(bitcode::Encode)]
 struct ItemBefore {
-    kind: Kind,
+    kind: ItemKind,
     name: String,
     version: u64,
     host: String,
@@ -83,7 +83,7 @@
         let records = records.unwrap_or_else(|error| panic!("{error}"));
         let mut batch = database.batch().durability(Some(fjall::PersistMode::SyncAll));
         let ips: Vec<IpAddr> = members().voters.iter().map(|member| member.ip).collect();
-        let Kept { promised, accepted, chosen, .. } = kept(4);
+        let AcceptorState { promised, accepted, chosen, .. } = kept(4);
         let before = KeptBefore { promised, accepted, chosen, lives: vec![0, 2, 1] };
         batch.insert(&records, "voters", bitcode::encode(&ips));
         batch.insert(&records, "kept", bitcode::encode(&before));
@@ -96,14 +96,15 @@
         batch.commit().unwrap_or_else(|error| panic!("{error}"));
     }
     // Whatever was confirmed below is not known, and is not guessed.
-    let unknown = |name, version| Item { history: History::unknown_below(version), ..item(name, version) };
+    let unknown =
+        |name, version| Item { history: VersionHistory::unknown_below(version), ..item(name, version) };
     let items = vec![unknown("r-1", 7), unknown("r-2", 8)];
     // Lives are incarnations.
     let lives = members().voters.into_iter().zip([0, 2, 1]);
     let voters: Vec<Member> = lives.map(|(m, incarnation)| Member { incarnation, ..m }).collect();
     let me = voters[2];
     let members = Members { voters, ..members() };
-    let kept = |round| Kept { me, members: members.clone(), ..kept(round) };
+    let kept = |round| AcceptorState { me, members: members.clone(), ..kept(round) };
     let state = |value| State { members: members.clone(), value };
     // A promise alone leaves the state as it is.
     for _ in 0..2 {
--- a/crates/starlinghill-patternbook/tests/records.rs
+++ b/crates/starlinghill-config-store/tests/records.rs
@@ -1,10 +1,10 @@
 //! Disks that refuse, tear, rot, and fill: what a store finds on them afterwards is all that was told, or nothing.
 
-use starlinghill_clamp::{Ballot, Kept, Members};
-use starlinghill_patternbook::records::REPLACED_AT;
-use starlinghill_patternbook::shelf::{self, Found, Order, Shelf};
-use starlinghill_patternbook::wire::State;
-use starlinghill_template::{History, Item, Kind};
+use starlinghill_config_model::{Item, ItemKind, VersionHistory};
+use starlinghill_config_store::disk::{self, Found, Order, Shelf};
+use starlinghill_config_store::records::REPLACED_AT;
+use starlinghill_config_store::wire::State;
+use starlinghill_consensus::{AcceptorState, Ballot, Members};
 use std::fs;
 use std::io::Read;
 use std::net::IpAddr;
@@ -15,18 +15,18 @@
 
 fn item(name: &str, version: u64, long: usize) -> Item {
     let body = Some(format!("{{\"v\":{version},\"t\":\"{}\"}}", "x".repeat(long)));
-    let history = History::default();
-    Item { kind: Kind::Route, name: name.into(), version, host: "a".into(), body, history }
+    let history = VersionHistory::default();
+    Item { kind: ItemKind::Route, name: name.into(), version, host: "a".into(), body, history }
 }
 
 fn members() -> Members {
     Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])))
 }
 
-fn kept(round: u64) -> Kept {
+fn kept(round: u64) -> AcceptorState {
     let ballot = Ballot { round, by: 1 };
     let me = members().voters[0];
-    Kept { me, promised: ballot, accepted: ballot, chosen: Ballot::default(), members: members() }
+    AcceptorState { me, promised: ballot, accepted: ballot, chosen: Ballot::default(), members: members() }
 }
 
 fn state(value: Vec<Item>) -> State {
@@ -124,7 +124,7 @@
     let value = vec![item("r-1", 4, 4_000), item("r-2", 4, 10)];
     assert_eq!(found, Some(Found { kept: kept(4), state: state(value) }));
     // Through the thread that writes: silent while the disk refuses, and done when it is back.
-    let disk = shelf::run(shelf);
+    let disk = disk::run(shelf);
     longest_file("1000");
     let (done, mut saved) = oneshot::channel();
     let order = Order { kept: kept(5), state: Some(state(vec![item("r-1", 5, 4_000)])), done };
--- a/crates/starlinghill-console/src/ask.rs
+++ b/crates/starlinghill-console/src/client.rs
@@ -8,11 +8,11 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use snafu::Snafu;
-use starlinghill_dovetail::call::Caller;
-use starlinghill_dovetail::net;
-use starlinghill_dovetail::settings::Node;
-use starlinghill_dovetail::{PATTERNBOOK, TOOLRACK};
-use starlinghill_toolrack::wire::{Answer, Question, Status};
+use starlinghill_registry::wire::{RegistryRequest, RegistryResponse, RegistryStatus};
+use starlinghill_runtime::net;
+use starlinghill_runtime::rpc::RpcClient;
+use starlinghill_runtime::settings::NodeSettings;
+use starlinghill_runtime::{CONFIG_STORE_PORT_OFFSET, REGISTRY_PORT_OFFSET};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -61,20 +61,21 @@
 
 impl Places {
     /// As a machine's settings tell.
-    pub fn of(node: &Node) -> Places {
-        let racks = node.seeds.iter().map(|seed| node.port(seed.ip(), TOOLRACK)).collect();
-        let stores = node.seeds.iter().map(|seed| node.port(seed.ip(), PATTERNBOOK)).collect();
+    pub fn of(node: &NodeSettings) -> Places {
+        let racks = node.seeds.iter().map(|seed| node.port(seed.ip(), REGISTRY_PORT_OFFSET)).collect();
+        let stores = node.seeds.iter().map(|seed| node.port(seed.ip(), CONFIG_STORE_PORT_OFFSET)).collect();
         Places { racks, stores, controls: node.seeds.clone() }
     }
 
     /// How things stand at each registry, in their order; `None` where one does not answer.
-    pub async fn statuses(&self) -> Vec<(SocketAddr, Option<Status>)> {
+    pub async fn statuses(&self) -> Vec<(SocketAddr, Option<RegistryStatus>)> {
         let mut all = Vec::new();
         for rack in &self.racks {
-            let status = match Caller::new(&net::tcp(), *rack).call(&Question::Status, PATIENCE).await {
-                Ok(Answer::Status(status)) => Some(*status),
-                _ => None,
-            };
+            let status =
+                match RpcClient::new(&net::tcp(), *rack).call(&RegistryRequest::Status, PATIENCE).await {
+                    Ok(RegistryResponse::Status(status)) => Some(*status),
+                    _ => None,
+                };
             all.push((*rack, status));
         }
         all
@@ -84,9 +85,10 @@
     pub async fn drain(&self, id: &str) -> Result<usize, AskError> {
         let (mut noted, mut unknown) = (0, 0);
         for rack in &self.racks {
-            match Caller::new(&net::tcp(), *rack).call(&Question::Drain(id.into()), PATIENCE).await {
-                Ok(Answer::Noted) => noted += 1,
-                Ok(Answer::Unknown) => unknown += 1,
+            match RpcClient::new(&net::tcp(), *rack).call(&RegistryRequest::Drain(id.into()), PATIENCE).await
+            {
+                Ok(RegistryResponse::Noted) => noted += 1,
+                Ok(RegistryResponse::Unknown) => unknown += 1,
                 _ => {}
             }
         }
--- a/crates/starlinghill-console/src/lib.rs
+++ b/crates/starlinghill-console/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' terminal: how things stand over all registries, and orders for scripts.
 
-pub mod ask;
+pub mod client;
 pub mod explain;
 pub mod membership;
-pub mod picture;
 pub mod screen;
+pub mod status;
--- a/crates/starlinghill-console/src/main.rs
+++ b/crates/starlinghill-console/src/main.rs
@@ -2,15 +2,15 @@
 
 use ratatui::crossterm::event::{self, Event, KeyCode};
 use simd_json::prelude::*;
-use starlinghill_console::ask::{AskError, Places};
+use starlinghill_config_model::{ConfigChange, RoutingTable};
+use starlinghill_console::client::{AskError, Places};
 use starlinghill_console::explain::{book, differences, explain, Asked};
 use starlinghill_console::membership;
-use starlinghill_console::picture::{Events, Picture};
 use starlinghill_console::screen::{draw, Beside};
+use starlinghill_console::status::{Events, Picture};
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
-use starlinghill_dovetail::settings::Node;
-use starlinghill_template::{Change, Table};
+use starlinghill_runtime::settings::NodeSettings;
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -54,8 +54,8 @@
     };
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let node = match settings {
-        Some(path) => Node::from_file(&path),
-        None => Node::from_environment(),
+        Some(path) => NodeSettings::from_file(&path),
+        None => NodeSettings::from_environment(),
     };
     let places = match node {
         Ok(node) => Places::of(&node),
@@ -142,7 +142,7 @@
 async fn diff(places: &Places, file: &str) -> Result<(), AskError> {
     let nonsense = |what: String| AskError::Nonsense { what };
     let text = std::fs::read(file).map_err(|error| nonsense(format!("{file}: {error}")))?;
-    let change = Change::read(&text).map_err(|refusal| nonsense(format!("{file}: {refusal}")))?;
+    let change = ConfigChange::read(&text).map_err(|refusal| nonsense(format!("{file}: {refusal}")))?;
     let stand = book(&places.items().await?).map_err(|refusal| nonsense(refusal.to_string()))?;
     let next = stand.with(&change).map_err(|refusal| nonsense(format!("{file}: {refusal}")))?;
     differences(&stand, &next).iter().for_each(|line| println!("{line}"));
@@ -174,7 +174,8 @@
             if let Ok(book) = places.items().await.map_err(drop).and_then(|items| book(&items).map_err(drop))
             {
                 let name = |name: &str| store_name(CustomerId(xxh3_64(name.as_bytes()))).0;
-                tenants = Table::of(&book).tenants.iter().map(|t| (name(&t.name), t.name.clone())).collect();
+                tenants =
+                    RoutingTable::of(&book).tenants.iter().map(|t| (name(&t.name), t.name.clone())).collect();
             }
         }
         let until = Instant::now() + LOOK;
--- a/crates/starlinghill-console/src/picture.rs
+++ b/crates/starlinghill-console/src/status.rs
@@ -1,9 +1,9 @@
 //! How things stand over all registries, as one picture, and what changed since the last one.
 
-use starlinghill_catalog::{Instance, Liveness, State};
-use starlinghill_gauge::Seen;
-use starlinghill_template::Kind;
-use starlinghill_toolrack::wire::Status;
+use starlinghill_catalog::{BackendState, Instance, Liveness};
+use starlinghill_config_model::ItemKind;
+use starlinghill_quota_counter::BackendLoad;
+use starlinghill_registry::wire::RegistryStatus;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 
@@ -57,7 +57,7 @@
     /// Services by name.
     pub services: BTreeMap<String, Service>,
     /// Items by kind and name: version, and whether they stand.
-    pub items: BTreeMap<(Kind, String), (u64, bool)>,
+    pub items: BTreeMap<(ItemKind, String), (u64, bool)>,
     /// Who keeps the count, its term, gateways that it does not hear.
     pub holder: Option<(IpAddr, u64, u64)>,
     /// Stores: what they hold, the rate, what is asked for a second.
@@ -66,7 +66,7 @@
 
 impl Picture {
     /// Of what registries said.
-    pub fn of(statuses: &[(SocketAddr, Option<Status>)]) -> Picture {
+    pub fn of(statuses: &[(SocketAddr, Option<RegistryStatus>)]) -> Picture {
         let mut picture = Picture {
             racks: statuses.iter().map(|(at, status)| (*at, status.as_ref().map(|s| s.fresh))).collect(),
             ..Picture::default()
@@ -106,10 +106,10 @@
             for (told, _) in &status.backends {
                 let service = picture.services.entry(told.instance.service.clone()).or_default();
                 let seen_as = match (told.instance.state, told.liveness) {
-                    (State::Gone, _) | (_, Liveness::Lost) => continue,
-                    (State::Draining, _) => &mut service.draining,
-                    (State::Ready, Liveness::Silent) => &mut service.silent,
-                    (State::Ready, Liveness::Alive) => &mut service.ready,
+                    (BackendState::Gone, _) | (_, Liveness::Lost) => continue,
+                    (BackendState::Draining, _) => &mut service.draining,
+                    (BackendState::Ready, Liveness::Silent) => &mut service.silent,
+                    (BackendState::Ready, Liveness::Alive) => &mut service.ready,
                 };
                 seen_as.insert(told.instance.id.clone());
             }
@@ -129,7 +129,7 @@
     }
 
     /// How backends do, as whoever keeps the count sees it.
-    fn see(&mut self, instances: &HashMap<u64, &Instance>, rooms: &[Seen]) {
+    fn see(&mut self, instances: &HashMap<u64, &Instance>, rooms: &[BackendLoad]) {
         for room in rooms {
             let Some(instance) = instances.get(&room.backend) else { continue };
             let service = self.services.entry(instance.service.clone()).or_default();
--- a/crates/starlinghill-console/tests/words.rs
+++ b/crates/starlinghill-console/tests/words.rs
@@ -1,14 +1,14 @@
 //! What the console says of how things stand.
 
-use starlinghill_catalog::{Gateway, Instance, Liveness, Observation, State};
+use starlinghill_catalog::{BackendState, Gateway, Instance, Liveness, Observation};
+use starlinghill_config_model::items::digest;
+use starlinghill_config_model::{ConfigChange, Item, ItemKind, VersionHistory};
 use starlinghill_console::explain::{book, differences, explain, Asked};
-use starlinghill_console::picture::Picture;
+use starlinghill_console::status::Picture;
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
-use starlinghill_gauge::Seen;
-use starlinghill_template::book::digest;
-use starlinghill_template::{Change, History, Item, Kind};
-use starlinghill_toolrack::wire::{Count, Status};
+use starlinghill_quota_counter::BackendLoad;
+use starlinghill_registry::wire::{CounterStatus, RegistryStatus};
 use std::net::{IpAddr, SocketAddr};
 use test_case::test_case;
 use xxhash_rust::xxh3::xxh3_64;
@@ -28,7 +28,7 @@
     IpAddr::from([10, 0, 0, last])
 }
 
-fn told(id: &str, state: State, liveness: Liveness) -> (Observation, u64) {
+fn told(id: &str, state: BackendState, liveness: Liveness) -> (Observation, u64) {
     let (version, zone, service) = ("v1".into(), "a".into(), "ledger".into());
     let address = SocketAddr::new(ip(9), 80);
     let instance =
@@ -38,13 +38,13 @@
 
 fn item(name: &str, version: u64) -> Item {
     let (host, body) = ("a".into(), Some("{}".into()));
-    Item { kind: Kind::Route, name: name.into(), version, host, body, history: History::default() }
+    Item { kind: ItemKind::Route, name: name.into(), version, host, body, history: VersionHistory::default() }
 }
 
-fn status(rack: u8, items: &[Item]) -> Status {
+fn status(rack: u8, items: &[Item]) -> RegistryStatus {
     let gateway = Gateway { ip: ip(20), life: 1, zone: "a".into(), node: "edge-1".into() };
     let list = items.iter().map(|item| (item.kind, item.name.clone(), item.version, true)).collect();
-    Status {
+    RegistryStatus {
         members: Default::default(),
         ip: ip(rack),
         life: 1,
@@ -52,7 +52,7 @@
         fresh: true,
         items: list,
         digest: digest(items.iter()),
-        backends: vec![told("i-1", State::Ready, Liveness::Alive)],
+        backends: vec![told("i-1", BackendState::Ready, Liveness::Alive)],
         gateways: vec![(gateway, 100, digest([item("r-1", 8)].iter()))],
         holder: Some((3, ip(1))),
         count: None,
@@ -72,7 +72,8 @@
 fn a_request_is_explained(host: &str, path: &str, key: Option<&str>, wanted: &str) {
     let mut status = status(1, &[]);
     let store = store_name(CustomerId(xxh3_64(b"studio"))).0;
-    status.count = Some(Count { silent: 0, stores: vec![(store, 0.2, 10.0, 55.0)], rooms: Vec::new() });
+    status.count =
+        Some(CounterStatus { silent: 0, stores: vec![(store, 0.2, 10.0, 55.0)], rooms: Vec::new() });
     let said = explain(&items(), &[status], Asked { host, path, key }).unwrap_or_default();
     assert!(said.iter().any(|line| line.contains(wanted)), "{said:#?}");
 }
@@ -92,10 +93,14 @@
 #[test]
 fn a_drain_that_one_registry_knows_of_holds_and_silence_counts_only_where_nobody_hears() {
     let (mut one, mut two) = (status(1, &[]), status(2, &[]));
-    one.backends =
-        vec![told("i-1", State::Draining, Liveness::Alive), told("i-2", State::Ready, Liveness::Silent)];
-    two.backends =
-        vec![told("i-1", State::Ready, Liveness::Alive), told("i-2", State::Ready, Liveness::Alive)];
+    one.backends = vec![
+        told("i-1", BackendState::Draining, Liveness::Alive),
+        told("i-2", BackendState::Ready, Liveness::Silent),
+    ];
+    two.backends = vec![
+        told("i-1", BackendState::Ready, Liveness::Alive),
+        told("i-2", BackendState::Ready, Liveness::Alive),
+    ];
     let picture = Picture::of(&[(at(1), Some(one)), (at(2), Some(two))]);
     let ledger = &picture.services["ledger"];
     assert!(ledger.draining.contains("i-1") && !ledger.ready.contains("i-1"));
@@ -105,15 +110,16 @@
 #[test]
 fn backends_that_are_slow_or_ill_are_named_as_the_counter_sees_them() {
     let mut status = status(1, &[]);
-    status.backends = (1..=3).map(|i| told(&format!("i-{i}"), State::Ready, Liveness::Alive)).collect();
+    status.backends =
+        (1..=3).map(|i| told(&format!("i-{i}"), BackendState::Ready, Liveness::Alive)).collect();
     let before = Picture::of(&[(at(1), Some(status.clone()))]);
     let seen = |i: usize, slow: f32, ill: f32| {
         let backend = status.backends[i].0.instance.number();
-        Seen { backend, out: 2, capacity: 3, slow, ill }
+        BackendLoad { backend, out: 2, capacity: 3, slow, ill }
     };
-    let unknown = Seen { backend: 7, out: 9, capacity: 9, slow: 9.0, ill: 1.0 };
+    let unknown = BackendLoad { backend: 7, out: 9, capacity: 9, slow: 9.0, ill: 1.0 };
     let rooms = vec![seen(0, 1.0, 0.0), seen(1, 2.5, 0.1), seen(2, 0.8, 0.4), unknown];
-    status.count = Some(Count { silent: 0, stores: Vec::new(), rooms });
+    status.count = Some(CounterStatus { silent: 0, stores: Vec::new(), rooms });
     let after = Picture::of(&[(at(1), Some(status))]);
     let ledger = &after.services["ledger"];
     assert_eq!((ledger.out, ledger.places), (6, 9));
@@ -128,7 +134,7 @@
 fn what_changed_is_said_once() {
     let before = Picture::of(&[(at(1), Some(status(1, &[item("r-1", 7)])))]);
     let mut next = status(1, &[item("r-1", 8)]);
-    next.backends = vec![told("i-1", State::Draining, Liveness::Alive)];
+    next.backends = vec![told("i-1", BackendState::Draining, Liveness::Alive)];
     next.holder = Some((4, ip(2)));
     next.gateways[0].0.life = 2;
     let after = Picture::of(&[(at(1), Some(next))]);
@@ -143,6 +149,7 @@
 fn a_file_is_compared_with_what_stands() {
     let stand = book(&items()).unwrap_or_default();
     let change = r#"{"upsert":{},"remove":{"routes":[{"name":"r-1","version":"r9"}]}}"#;
-    let next = Change::read(change.as_bytes()).and_then(|change| stand.with(&change)).unwrap_or_default();
+    let next =
+        ConfigChange::read(change.as_bytes()).and_then(|change| stand.with(&change)).unwrap_or_default();
     assert_eq!(differences(&stand, &next), ["- Route r-1 r7", "+ Route r-1 r9 dropped"]);
 }
--- a/crates/starlinghill-control/src/following.rs
+++ b/crates/starlinghill-control/src/group_follower.rs
@@ -1,29 +1,29 @@
 //! What follows the group inside this program: gateways, and the control service for other proxies. Both are told the
 //! parts of their work that zones get.
 
-use starlinghill_accord::follower::View;
-use starlinghill_accord::map::{is_name, MapProblem};
-use starlinghill_accord::WHOLE;
 use starlinghill_decision::api::ZonePart;
-use starlinghill_follow::link::{follow, Evidence, Settings};
-use starlinghill_gateway::Parts;
-use starlinghill_operators::Group;
+use starlinghill_failover::follower::View;
+use starlinghill_failover::topology::{is_name, TopologyProblem};
+use starlinghill_failover::FULL_WEIGHT;
+use starlinghill_failover_client::subscription::{follow, Evidence, Settings};
+use starlinghill_gateway::ZoneParts;
+use starlinghill_operator_config::Group;
 use tokio::sync::watch;
 use tracing::{info, warn};
 
 /// What is told of a view: zones with their whole part need no word.
-fn parts(view: &View) -> Parts {
-    let less = view.zones.iter().filter(|(_, z)| z.weight < WHOLE);
+fn parts(view: &View) -> ZoneParts {
+    let less = view.zones.iter().filter(|(_, z)| z.weight < FULL_WEIGHT);
     less.map(|(name, z)| {
-        (name.clone(), ZonePart { weight: f64::from(z.weight) / f64::from(WHOLE), yields: z.yields })
+        (name.clone(), ZonePart { weight: f64::from(z.weight) / f64::from(FULL_WEIGHT), yields: z.yields })
     })
     .collect()
 }
 
 /// Whom to follow by the operators' file, under this name, from this zone; empty: from none of them.
-pub fn settings(group: &Group, name: &str, zone: &str, seed: u64) -> Result<Settings, MapProblem> {
+pub fn settings(group: &Group, name: &str, zone: &str, seed: u64) -> Result<Settings, TopologyProblem> {
     if !is_name(name) {
-        return Err(MapProblem::Name(name.chars().take(64).collect()));
+        return Err(TopologyProblem::Name(name.chars().take(64).collect()));
     }
     Ok(Settings {
         members: group.members.iter().map(|m| m.listen).collect(),
@@ -39,7 +39,7 @@
 /// One who follows.
 pub struct Following {
     /// The parts of zones.
-    pub parts: watch::Receiver<Parts>,
+    pub parts: watch::Receiver<ZoneParts>,
     /// Told when the operators' file was read again.
     pub renew: Renew,
 }
@@ -69,12 +69,12 @@
     name: &str,
     zone: &str,
     evidence: Option<Evidence>,
-) -> Result<Following, MapProblem> {
+) -> Result<Following, TopologyProblem> {
     let settings = settings(group, name, zone, fastrand::u64(..))?;
     info!(members = settings.members.len(), "follows the group");
     let (renew, changes) = watch::channel(settings);
     let (views, mut seen) = watch::channel(View::of_own_sight());
-    let (tell, told) = watch::channel(Parts::new());
+    let (tell, told) = watch::channel(ZoneParts::new());
     tokio::spawn(follow(changes, views, evidence));
     tokio::spawn(async move {
         loop {
--- a/crates/starlinghill-control/src/lib.rs
+++ b/crates/starlinghill-control/src/lib.rs
@@ -1,17 +1,17 @@
 //! The control service, to be run by its program or inside a test: it follows discovery, keeps the picture of the
 //! fleet, and tells proxies over xDS.
 
-pub mod following;
+pub mod group_follower;
 pub mod program;
 
-use starlinghill_accord::map::{Map, MapProblem, Zone};
+use starlinghill_control_state::fleet::EndpointLocation;
+use starlinghill_control_state::ledger::LedgerSettings;
 use starlinghill_decision::api::{Micros, PlanId, SettingsError};
+use starlinghill_failover::topology::{Topology, TopologyProblem, Zone};
 use starlinghill_gateway::config::{Config, Upstreams};
 use starlinghill_gateway::discovery::{self, Follower, Source};
-use starlinghill_operators::{Control, Group, Problem, Quotas};
+use starlinghill_operator_config::{Control, Group, Problem, Quotas};
 use starlinghill_settings::Site;
-use starlinghill_view::fleet::Place;
-use starlinghill_view::ledger::LedgerSettings;
 use starlinghill_xds::hub::{self, Hub, News};
 use starlinghill_xds::resources::{QuotaWiring, Wiring};
 use starlinghill_xds::server::{Limits, Service};
@@ -36,7 +36,7 @@
     /// It could not listen.
     Listen(SocketAddr, std::io::Error),
     /// The group can't be followed.
-    Group(MapProblem),
+    Group(TopologyProblem),
     /// Encryption could not be set up.
     Tls(tonic::transport::Error),
     /// A thread could not be started.
@@ -78,7 +78,7 @@
 pub fn prepare(path: &Path) -> Result<Prepared, Vec<Problem>> {
     let file = path.display().to_string();
     let problem = |line, key: &str, what: String| Problem { file: file.clone(), line, key: key.into(), what };
-    let operators = starlinghill_operators::read(path)?;
+    let operators = starlinghill_operator_config::read(path)?;
     let Some(control) = operators.control else {
         return Err(vec![problem(0, "control", "expected a section [control], found nothing".into())]);
     };
@@ -143,11 +143,15 @@
         units_header: q.units_header.clone(),
         interval: micros(q.interval),
     };
-    let proxy = |p: &starlinghill_operators::Proxy| hub::Proxy { id: p.id.clone(), listen: p.listen };
-    let rank = |map: &Map, region: &String| map.regions.iter().position(|r| r == region).unwrap_or(0) as u32;
+    let proxy = |p: &starlinghill_operator_config::Proxy| hub::Proxy { id: p.id.clone(), listen: p.listen };
+    let rank =
+        |map: &Topology, region: &String| map.regions.iter().position(|r| r == region).unwrap_or(0) as u32;
     let places = group.map(|group| {
         let zones = group.map.zones.iter();
-        let place = |zone: &Zone| Place { region: zone.region.clone(), rank: rank(&group.map, &zone.region) };
+        let place = |zone: &Zone| EndpointLocation {
+            region: zone.region.clone(),
+            rank: rank(&group.map, &zone.region),
+        };
         zones.map(|(name, zone)| (name.clone(), place(zone))).collect()
     });
     hub::Plan {
@@ -181,7 +185,7 @@
     control: Control,
     stop: watch::Sender<bool>,
     upstreams: watch::Sender<Upstreams>,
-    renew: Option<following::Renew>,
+    renew: Option<group_follower::Renew>,
     serving: JoinHandle<Result<(), tonic::transport::Error>>,
     running: JoinHandle<()>,
 }
@@ -199,7 +203,7 @@
     let mut renew = None;
     if let Some(group) = group {
         let name = format!("control-{}", address.port());
-        let following = following::begin(&group, &name, "", None).map_err(StartError::Group)?;
+        let following = group_follower::begin(&group, &name, "", None).map_err(StartError::Group)?;
         tokio::spawn(tell_zones(following.parts, hub.news.clone()));
         renew = Some(following.renew);
     }
@@ -216,7 +220,7 @@
 
 /// Tells the hub the parts of zones, as gateways are told them.
 async fn tell_zones(
-    mut parts: watch::Receiver<starlinghill_gateway::Parts>,
+    mut parts: watch::Receiver<starlinghill_gateway::ZoneParts>,
     news: tokio::sync::mpsc::Sender<News>,
 ) {
     loop {
--- a/crates/starlinghill-control/src/program.rs
+++ b/crates/starlinghill-control/src/program.rs
@@ -3,21 +3,21 @@
 //!
 //! It stands in the library so that a demo can run it as processes of its own without a second build.
 
+mod explain;
 mod group;
 mod node;
-mod why;
 mod zones;
 
 use crate::{plan, prepare, start, Prepared};
 use clap::{Parser, Subcommand};
 use serde_json::json;
+use starlinghill_control_state::fleet::{EndpointUse, Fleet};
+use starlinghill_control_state::routes::routes;
 use starlinghill_gateway::config::Upstreams;
 use starlinghill_gateway::discovery::{self, Follower, Source};
-use starlinghill_operators::Problem;
+use starlinghill_operator_config::Problem;
 use starlinghill_settings::members::MemberList;
-use starlinghill_signals::{Signals, Told};
-use starlinghill_view::fleet::{Fleet, Use};
-use starlinghill_view::routes::routes;
+use starlinghill_signals::{SignalEvent, Signals};
 use starlinghill_xds::hub::{publish, Clock};
 use starlinghill_xds::resources::route_tables;
 use starlinghill_xds::server::contents;
@@ -74,7 +74,7 @@
     /// Show the zones: state, epoch, who, why, and which gateways follow.
     Zones(zones::ListArgs),
     /// Say what is found of the zones by what all gateways see, and who sees what.
-    Why(why::Args),
+    Why(explain::Args),
     /// Order something about a zone.
     #[command(subcommand)]
     Zone(zones::ZoneCommand),
@@ -92,7 +92,7 @@
         let mut signals = Signals::listen()?;
         let prepared = prepare(file).map_err(told)?;
         let mut running = start(prepared).await?;
-        while signals.next().await == Told::Reload {
+        while signals.next().await == SignalEvent::Reload {
             match prepare(file) {
                 Ok(prepared) => running.reload(prepared).await,
                 Err(problems) => {
@@ -134,9 +134,9 @@
     let set = published.sets.get(node).ok_or("no resources for this node")?;
     let endpoints = picture.endpoints.iter().map(|e| {
         let usage = match e.usage {
-            Use::Healthy => "healthy",
-            Use::Ejected => "ejected",
-            Use::Draining => "draining",
+            EndpointUse::Healthy => "healthy",
+            EndpointUse::Ejected => "ejected",
+            EndpointUse::Draining => "draining",
         };
         json!({"id": e.id, "address": e.address, "zone": e.zone, "use": usage, "weight": e.weight,
             "region": e.region, "priority": e.priority})
@@ -161,13 +161,13 @@
 
 /// Checks each section that there is, and prints the bounds that follow from the group's times.
 fn check(file: &Path) -> Result<(), Box<dyn Error>> {
-    let operators = starlinghill_operators::read(file).map_err(told)?;
+    let operators = starlinghill_operator_config::read(file).map_err(told)?;
     if operators.control.is_some() || operators.group.is_none() {
         prepare(file).map_err(told)?;
     }
     println!("{}: good", file.display());
     if let Some(group) = operators.group {
-        let ms = |m: starlinghill_accord::Micros| m.0.div_ceil(1_000);
+        let ms = |m: starlinghill_failover::Micros| m.0.div_ceil(1_000);
         let t = group.timing;
         println!("a change reaches every connected gateway within {} ms", ms(t.reaches_within()));
         println!("the same where a member dies meanwhile: {} ms", ms(t.reaches_within_after_a_death()));
@@ -190,7 +190,7 @@
         Command::Group(args) => return group::main(args),
         Command::Zones(args) => return zones::list(&args),
         Command::Zone(command) => return zones::order(command),
-        Command::Why(args) => return why::main(&args),
+        Command::Why(args) => return explain::main(&args),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/starlinghill-control/src/program/group.rs
+++ b/crates/starlinghill-control/src/program/group.rs
@@ -3,15 +3,15 @@
 use crate::program::zones::{newest, print_json, runtime, usage, Exit};
 use clap::Subcommand;
 use serde_json::json;
-use starlinghill_accord::order::{Order, What};
-use starlinghill_accord::state::Outcome;
-use starlinghill_follow::client::{give, look_at_all, manage, NotDone};
-use starlinghill_follow::report::{Manage, Managed, Report};
-use starlinghill_group::member::Settings;
-use starlinghill_group::serve::Running;
-use starlinghill_group::store::Store;
-use starlinghill_operators::Group;
-use starlinghill_signals::{Signals, Told};
+use starlinghill_failover::order::{Order, OrderKind};
+use starlinghill_failover::state::Outcome;
+use starlinghill_failover_client::client::{give, look_at_all, manage, OrderError};
+use starlinghill_failover_client::report::{MembershipChange, MembershipResult, Report};
+use starlinghill_operator_config::Group;
+use starlinghill_raft::member::Settings;
+use starlinghill_raft::serve::Running;
+use starlinghill_raft::store::Store;
+use starlinghill_signals::{SignalEvent, Signals};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -89,7 +89,7 @@
 
 /// Reads the file, which has to have a group.
 pub fn read(file: &Path) -> Result<Group, String> {
-    let operators = starlinghill_operators::read(file)
+    let operators = starlinghill_operator_config::read(file)
         .map_err(|problems| problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))?;
     let nothing = || format!("{}: group: expected a section [group], found nothing", file.display());
     operators.group.ok_or_else(nothing)
@@ -108,7 +108,7 @@
         (Some(Command::Init { file }), _) => init(&file, None),
         (Some(Command::Show { file, json }), _) => show(&file, json),
         (Some(Command::Add { file, id }), _) => add(&file, id),
-        (Some(Command::Remove { file, id }), _) => change(&file, &Manage::Remove { id }),
+        (Some(Command::Remove { file, id }), _) => change(&file, &MembershipChange::Remove { id }),
         (Some(Command::Adopt { file, reason }), _) => adopt(&file, reason),
         (Some(Command::Snapshot { file }), _) => snapshot(&file),
         (Some(Command::Restore { file, from }), _) => restore(&file, &from),
@@ -164,7 +164,7 @@
 /// Waits to be told to end. Members and times are those of the start; the file is checked again, so that a broken one is
 /// known before that.
 async fn ended(signals: &mut Signals, file: &Path) {
-    while signals.next().await == Told::Reload {
+    while signals.next().await == SignalEvent::Reload {
         match read(file) {
             Ok(_) => info!("the operators' file is sound; this member goes by it from its next start on"),
             Err(problem) => warn!(%problem, "the operators' file is not usable; what was read before stays"),
@@ -172,23 +172,23 @@
     }
 }
 
-fn managed(done: Result<Managed, NotDone>) -> Result<(), Exit> {
+fn managed(done: Result<MembershipResult, OrderError>) -> Result<(), Exit> {
     match done {
-        Ok(Managed::Done) => Ok(()),
-        Ok(Managed::Refused { why }) => Err(Exit::Refused(vec![why])),
+        Ok(MembershipResult::Done) => Ok(()),
+        Ok(MembershipResult::Refused { why }) => Err(Exit::Refused(vec![why])),
         Err(e) => Err(e.into()),
     }
 }
 
-fn change(file: &Path, change: &Manage) -> Result<(), Exit> {
+fn change(file: &Path, change: &MembershipChange) -> Result<(), Exit> {
     let group = read(file).map_err(usage)?;
     managed(runtime()?.block_on(manage(&addresses(&group), change, PATIENCE)))
 }
 
-fn init(file: &Path, restored: Option<Box<starlinghill_accord::state::State>>) -> Result<(), Exit> {
+fn init(file: &Path, restored: Option<Box<starlinghill_failover::state::State>>) -> Result<(), Exit> {
     let group = read(file).map_err(usage)?;
     let members = group.members.iter().map(|m| (m.id, m.listen)).collect();
-    let begin = Manage::Init { members, restored };
+    let begin = MembershipChange::Init { members, restored };
     // One member alone is asked: two that begin the same group would each find the other's members taken.
     let first = &addresses(&group)[..1];
     managed(runtime()?.block_on(manage(first, &begin, PATIENCE)))
@@ -198,7 +198,7 @@
     let group = read(file).map_err(usage)?;
     let found = group.members.iter().find(|m| m.id == id);
     let address = found.ok_or_else(|| usage(format!("{}: no member {id}", file.display())))?.listen;
-    managed(runtime()?.block_on(manage(&addresses(&group), &Manage::Add { id, address }, PATIENCE)))
+    managed(runtime()?.block_on(manage(&addresses(&group), &MembershipChange::Add { id, address }, PATIENCE)))
 }
 
 fn adopt(file: &Path, reason: String) -> Result<(), Exit> {
@@ -206,7 +206,7 @@
     let members = addresses(&group);
     runtime()?.block_on(async {
         let (report, _) = newest(&members).await?;
-        let what = What::Adopt { map: group.map.clone(), expect: Some(report.state.position.epoch) };
+        let what = OrderKind::Adopt { map: group.map.clone(), expect: Some(report.state.position.epoch) };
         let order = Order { what, ..crate::program::zones::signed(None, None, reason) };
         match give(&members, &order, crate::program::zones::GIVE).await? {
             Outcome::Accepted { position } => {
@@ -225,7 +225,7 @@
     runtime()?.block_on(async {
         let mut failed = Vec::new();
         for member in addresses(&group) {
-            let done = manage(&[member], &Manage::Snapshot, Duration::from_secs(2)).await;
+            let done = manage(&[member], &MembershipChange::Snapshot, Duration::from_secs(2)).await;
             match managed(done) {
                 Ok(()) => println!("{member}: kept"),
                 Err(e) => failed.push(format!("{member}: {e}")),
--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -1,15 +1,15 @@
 //! `gateway`: a gateway that follows the group. It is told the rest by its environment, as the platform's own is. At
 //! SIGHUP it reads the operators' file again, beside the platform's settings.
 
-use crate::following::{begin, Following, Renew};
-use starlinghill_accord::Micros;
+use crate::group_follower::{begin, Following, Renew};
 use starlinghill_decision::api::Outcome;
-use starlinghill_evidence::sums::Became;
-use starlinghill_evidence::watch::Watch;
+use starlinghill_failover::Micros;
+use starlinghill_gateway::attempt_events::Attempted;
 use starlinghill_gateway::config::Config;
-use starlinghill_gateway::process::{self, Beside};
-use starlinghill_gateway::watched::Attempted;
-use starlinghill_operators::Group;
+use starlinghill_gateway::process::{self, ProcessOptions};
+use starlinghill_operator_config::Group;
+use starlinghill_zone_health::attempt_counts::AttemptResult;
+use starlinghill_zone_health::attempt_window::AttemptWindow;
 use std::error::Error;
 use std::path::Path;
 use std::path::PathBuf;
@@ -19,9 +19,9 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tracing::warn;
 
-async fn read_again(file: PathBuf, mut hang_up: Signal, renew: Renew, watch: Arc<Mutex<Watch>>) {
+async fn read_again(file: PathBuf, mut hang_up: Signal, renew: Renew, watch: Arc<Mutex<AttemptWindow>>) {
     while hang_up.recv().await.is_some() {
-        match starlinghill_operators::read(&file) {
+        match starlinghill_operator_config::read(&file) {
             Ok(operators) => {
                 renew.renew(operators.group.as_ref());
                 let zones = operators.group.map(|group| group.map.zones.into_keys());
@@ -37,28 +37,28 @@
 }
 
 /// What became of an attempt, as evidence on its server's zone; `None`: it says nothing of it.
-fn became(attempted: &Attempted) -> Option<Became> {
+fn became(attempted: &Attempted) -> Option<AttemptResult> {
     Some(match attempted.outcome {
-        Outcome::Ok if attempted.late => Became::Late,
-        Outcome::Ok => Became::Answered,
-        Outcome::Error | Outcome::Reset => Became::Failed,
-        Outcome::Full => Became::TurnedAway,
-        Outcome::Timeout => Became::Silent,
-        Outcome::ConnectFailed if attempted.refused => Became::Refused,
-        Outcome::ConnectFailed => Became::Unreached,
+        Outcome::Ok if attempted.late => AttemptResult::Late,
+        Outcome::Ok => AttemptResult::Answered,
+        Outcome::Error | Outcome::Reset => AttemptResult::Failed,
+        Outcome::Full => AttemptResult::TurnedAway,
+        Outcome::Timeout => AttemptResult::Silent,
+        Outcome::ConnectFailed if attempted.refused => AttemptResult::Refused,
+        Outcome::ConnectFailed => AttemptResult::Unreached,
         Outcome::Cancelled | Outcome::Moot => return None,
     })
 }
 
-fn locked(watch: &Mutex<Watch>) -> MutexGuard<'_, Watch> {
+fn locked(watch: &Mutex<AttemptWindow>) -> MutexGuard<'_, AttemptWindow> {
     watch.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn beside(file: &Path, group: &Group, config: &Config) -> Result<Beside, Box<dyn Error>> {
+fn beside(file: &Path, group: &Group, config: &Config) -> Result<ProcessOptions, Box<dyn Error>> {
     let hang_up = signal(SignalKind::hangup())?;
     let begun = Instant::now();
     let now = move || Micros(u64::try_from(begun.elapsed().as_micros()).unwrap_or(u64::MAX));
-    let watch = Arc::new(Mutex::new(Watch::new(group.map.zones.keys().cloned())));
+    let watch = Arc::new(Mutex::new(AttemptWindow::new(group.map.zones.keys().cloned())));
     // One thread has both; nobody waits for the other.
     let (seen, told) = (watch.clone(), watch.clone());
     let watcher = move |attempted: &Attempted| {
@@ -69,13 +69,13 @@
     let following = begin(group, config.name(), config.zone(), Some(Arc::new(evidence)));
     let Following { parts, renew } = following.map_err(|e| format!("NODE_NAME: {e}"))?;
     tokio::spawn(read_again(file.to_path_buf(), hang_up, renew, watch));
-    Ok(Beside { zones: parts, watcher: Box::new(watcher) })
+    Ok(ProcessOptions { zones: parts, watcher: Box::new(watcher) })
 }
 
 /// Runs the gateway until SIGTERM.
 pub fn run(file: &Path) -> ExitCode {
     let done = process::run(|config| {
-        let group = starlinghill_operators::read(file).map_err(super::told)?.group;
+        let group = starlinghill_operator_config::read(file).map_err(super::told)?.group;
         group.map(|group| beside(file, &group, config)).transpose()
     });
     match done {
--- a/crates/starlinghill-control/tests/group.rs
+++ b/crates/starlinghill-control/tests/group.rs
@@ -1,12 +1,12 @@
 //! Groups of real member processes: they are killed, stopped, cut from each other and lose their disks.
 
-use starlinghill_accord::follower::{Mode, View};
-use starlinghill_evidence::report::Report;
-use starlinghill_evidence::sums::Sums;
-use starlinghill_follow::client::look;
-use starlinghill_follow::link::{follow, Evidence};
-use starlinghill_rig::group::{Group, LIMIT};
-use starlinghill_rig::processes::Process;
+use starlinghill_failover::follower::{Mode, View};
+use starlinghill_failover_client::client::look;
+use starlinghill_failover_client::subscription::{follow, Evidence};
+use starlinghill_testkit::group::{Group, LIMIT};
+use starlinghill_testkit::processes::Process;
+use starlinghill_zone_health::attempt_counts::AttemptCounts;
+use starlinghill_zone_health::report::Report;
 use std::path::Path;
 use std::process::Output;
 use std::time::Duration;
@@ -341,12 +341,14 @@
 async fn when_a_leader_dies_its_followers_come_to_the_others_spread_out_and_miss_nothing() {
     const FOLLOWERS: usize = 1_000;
     let mut group = group(&["a", "b", "c"]).await;
-    let file = starlinghill_operators::read(&group.operators()).expect("a file").group.expect("a group");
+    let file =
+        starlinghill_operator_config::read(&group.operators()).expect("a file").group.expect("a group");
     let mut views = Vec::new();
     for i in 0..FOLLOWERS {
         let (tx, rx) = tokio::sync::watch::channel(View::of_own_sight());
         let (_fixed, changes) = tokio::sync::watch::channel(
-            starlinghill_control::following::settings(&file, &format!("f{i}"), "", i as u64).expect("a name"),
+            starlinghill_control::group_follower::settings(&file, &format!("f{i}"), "", i as u64)
+                .expect("a name"),
         );
         tokio::spawn(follow(changes, tx, None));
         views.push(rx);
@@ -449,9 +451,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn what_a_gateway_says_of_zones_is_kept_within_bounds_and_nonsense_ends_no_stream() {
     let group = group(&["a"]).await;
-    let file = starlinghill_operators::read(&group.operators()).expect("a file").group.expect("a group");
-    let good = Sums { answered: 90, late: 2, ..Sums::default() };
-    let absurd = Sums { answered: 1, late: 2, ..Sums::default() };
+    let file =
+        starlinghill_operator_config::read(&group.operators()).expect("a file").group.expect("a group");
+    let good = AttemptCounts { answered: 90, late: 2, ..AttemptCounts::default() };
+    let absurd = AttemptCounts { answered: 1, late: 2, ..AttemptCounts::default() };
     let said = [
         ("wide", vec![("a", good), ("nowhere", good)]),
         ("absurd", vec![("a", good), ("b", absurd)]),
@@ -460,7 +463,7 @@
     let mut views = Vec::new();
     for (name, zones) in said {
         let (tx, rx) = tokio::sync::watch::channel(View::of_own_sight());
-        let settings = starlinghill_control::following::settings(&file, name, "c", 1).expect("a name");
+        let settings = starlinghill_control::group_follower::settings(&file, name, "c", 1).expect("a name");
         let (_fixed, changes) = tokio::sync::watch::channel(settings);
         let report = Report { zones: zones.into_iter().map(|(zone, sums)| (zone.into(), sums)).collect() };
         let evidence: Option<Evidence> = match name {
--- a/crates/starlinghill-control/tests/hostile.rs
+++ b/crates/starlinghill-control/tests/hostile.rs
@@ -9,8 +9,8 @@
 use envoy_types::pb::envoy::service::rate_limit_quota::v3::rate_limit_quota_service_client::RateLimitQuotaServiceClient;
 use envoy_types::pb::envoy::service::rate_limit_quota::v3::RateLimitQuotaUsageReports;
 use starlinghill_control::{prepare, start};
-use starlinghill_rig::proxy::{Flavour, Proxy, Settings};
-use starlinghill_rig::world::list;
+use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
+use starlinghill_testkit::stubs::list;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use tokio::sync::mpsc;
@@ -113,7 +113,7 @@
     let mut raw = TcpStream::connect(at).expect("it listens");
     raw.write_all(&[0xff; 4096]).expect("written");
     let mut answer = Vec::new();
-    raw.set_read_timeout(Some(starlinghill_rig::world::LIMIT)).expect("a socket");
+    raw.set_read_timeout(Some(starlinghill_testkit::stubs::LIMIT)).expect("a socket");
     let _ = raw.read_to_end(&mut answer);
 
     discovery.say(42, &list(42, false, &member("s-1", nodes[1].address, "gone", 0)));
@@ -176,7 +176,9 @@
     discovery.tell(342, false, &member("s-0", nodes[0].address, "draining", 0));
     let published = || running.hub.published.borrow().clone();
     until("the last state", || {
-        published().is_some_and(|p| p.picture.endpoints[0].usage != starlinghill_view::fleet::Use::Healthy)
+        published().is_some_and(|p| {
+            p.picture.endpoints[0].usage != starlinghill_control_state::fleet::EndpointUse::Healthy
+        })
     })
     .await;
     let newest = published().expect("there");
--- a/crates/starlinghill-decision/src/admission.rs
+++ b/crates/starlinghill-decision/src/admission.rs
@@ -6,10 +6,10 @@
 use crate::calls::{Asked, Call, Purpose};
 use crate::context::{Context, SMOOTH};
 use crate::customer::{quota_of, span, Customer};
-use crate::repeats::{Refusal, Repeats};
-use starlinghill_estimate::asking::Asking;
-use starlinghill_ledger::shares::Exchange;
-use starlinghill_ledger::usual::Usual;
+use crate::repeated_requests::{Refusal, Repeats};
+use starlinghill_estimate::counter_sampling::Asking;
+use starlinghill_rate_limit::shares::Exchange;
+use starlinghill_rate_limit::unknown_customers::Usual;
 use std::collections::{BTreeMap, VecDeque};
 
 /// The share of repeats that ask is the share of first tries to this power.
--- a/crates/starlinghill-estimate/tests/estimates.rs
+++ b/crates/starlinghill-estimate/tests/estimates.rs
@@ -1,10 +1,10 @@
 //! Estimates against simple worlds: a counter with a capacity, servers in and out of overload.
 
-use starlinghill_estimate::asking::Asking;
-use starlinghill_estimate::borne::Borne;
+use starlinghill_estimate::counter_sampling::Asking;
+use starlinghill_estimate::server_capacity::Borne;
 use starlinghill_estimate::throttle::Throttle;
 use starlinghill_estimate::LEAST_PART;
-use starlinghill_ledger::Micros;
+use starlinghill_rate_limit::Micros;
 
 fn ms(n: u64) -> Micros {
     Micros(n * 1_000)
--- a/crates/starlinghill-follow/src/lib.rs
+++ b/crates/starlinghill-failover-client/src/lib.rs
@@ -1,10 +1,10 @@
-//! The group's protocol and its clients: [`link`] is how a gateway follows, [`client`] how operators give orders.
+//! The group's protocol and its clients: [`subscription`] is how a gateway follows, [`client`] how operators give orders.
 //! Whoever links this needs nothing of the replicated log.
 
 pub mod client;
-pub mod link;
 pub mod report;
-pub mod wall;
+pub mod subscription;
+pub mod wall_clock;
 
 /// The types of `proto/group.proto`.
 #[allow(missing_docs, clippy::doc_markdown)]
@@ -12,7 +12,7 @@
     tonic::include_proto!("starlinghill.group.v1");
 }
 
-use starlinghill_accord::Position;
+use starlinghill_failover::Position;
 
 impl From<Position> for proto::At {
     fn from(p: Position) -> proto::At {
--- a/crates/starlinghill-follow/src/link.rs
+++ b/crates/starlinghill-failover-client/src/subscription.rs
@@ -4,12 +4,12 @@
 
 use crate::proto::group_client::GroupClient;
 use crate::proto::{down, up, At, Hello, Question, Up};
-use starlinghill_accord::bounds::Timing;
-use starlinghill_accord::directive::Told;
-use starlinghill_accord::follower::{Action, Event, Follower, View};
-use starlinghill_accord::wire::{decode, encode, LONGEST};
-use starlinghill_accord::{Micros, Position};
-use starlinghill_evidence::report::Report;
+use starlinghill_failover::bounds::Timing;
+use starlinghill_failover::directive::DirectiveUpdate;
+use starlinghill_failover::follower::{Action, Event, Follower, View};
+use starlinghill_failover::wire::{decode, encode, LONGEST};
+use starlinghill_failover::{Micros, Position};
+use starlinghill_zone_health::report::Report;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -52,7 +52,7 @@
 
 /// What a connection brings.
 enum Heard {
-    Told(Told),
+    Told(DirectiveUpdate),
     Answer { asked: Micros, age: Option<Micros>, position: Position },
     Lost(String),
 }
@@ -240,7 +240,7 @@
                     Err(status) => return status.message().to_string(),
                 };
                 let heard = match heard {
-                    Some(down::What::Told(bytes)) => match decode::<Told>(&bytes) {
+                    Some(down::What::Told(bytes)) => match decode::<DirectiveUpdate>(&bytes) {
                         Ok(told) => Heard::Told(told),
                         Err(e) => return e.to_string(),
                     },
--- a/crates/starlinghill-gateway/src/lib.rs
+++ b/crates/starlinghill-gateway/src/lib.rs
@@ -1,38 +1,39 @@
 //! The real gateway: the decision module on sockets.
 
 pub mod answer;
+pub mod attempt_events;
 pub mod backend;
+pub mod backend_protocol;
+pub mod class_names;
 pub mod config;
+pub mod connections;
 pub mod counter;
-pub mod dialect;
 pub mod discovery;
 pub mod download;
 pub mod driver;
 pub mod forward;
 pub mod handover;
-pub mod head;
 pub mod http;
 pub mod idle;
 pub mod inbox;
-pub mod inherit;
-pub mod lines;
+pub mod inherited_socket;
 pub mod listen;
-pub mod names;
+pub mod maintenance_file;
 pub mod ops;
-pub mod orders;
 pub mod peers;
 pub mod process;
+pub mod request_head;
 pub mod server;
 pub mod upload;
-pub mod watched;
 
+use attempt_events::Watcher;
+use class_names::Names;
 use config::{Config, ConfigError, Upstreams};
 use driver::Driver;
 use inbox::{Clock, Inbox, Input};
-use names::Names;
 use ops::Door;
 use peers::{Peers, Socket};
-use server::{Front, Intake};
+use server::{Front, RequestIntake};
 use starlinghill_decision::api::{Micros, PlanId, ZonePart};
 use starlinghill_settings::classes::Classes;
 use starlinghill_settings::Site;
@@ -44,7 +45,6 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::task::spawn_local;
 use tracing::{info, warn};
-use watched::Watcher;
 
 /// The part of the memory that clients' bodies may fill.
 const BODIES_PART: usize = 8;
@@ -88,7 +88,7 @@
     /// The settings, when they change.
     pub site: watch::Receiver<Option<Rc<Site>>>,
     /// The parts of their work that zones get by order, where there is a group that orders.
-    pub zones: Option<watch::Receiver<Parts>>,
+    pub zones: Option<watch::Receiver<ZoneParts>>,
     /// Hears of each attempt that ends, where somebody wants to know.
     pub watcher: Option<Watcher>,
     /// It is to end.
@@ -96,7 +96,7 @@
 }
 
 /// The parts of zones, by name.
-pub type Parts = Vec<(String, ZonePart)>;
+pub type ZoneParts = Vec<(String, ZonePart)>;
 
 /// Runs a gateway until it is to end and all that it took is answered.
 pub async fn run(config: Config, control: Control) -> Result<(), RunError> {
@@ -107,7 +107,7 @@
         (config.listen, config.ops, config.sockets, config.inherited.is_some());
     // Before anything else is opened, so that the number means what it meant when the process started.
     let listener = match config.inherited {
-        Some(number) => inherit::listener(number)
+        Some(number) => inherited_socket::listener(number)
             .inspect(listen::send_at_once)
             .and_then(TcpListener::from_std)
             .map_err(|e| RunError::Inherit(number, e))?,
@@ -147,7 +147,7 @@
     }
     let driving = spawn_local(driver.run());
     let front = Rc::new(Front {
-        intake: Intake {
+        intake: RequestIntake {
             inbox: inbox.clone(),
             clock,
             bodies: Semaphore::new(bodies),
@@ -220,7 +220,7 @@
 }
 
 /// Hands on the parts that zones get.
-async fn follow_zones(mut zones: watch::Receiver<Parts>, inbox: Inbox) {
+async fn follow_zones(mut zones: watch::Receiver<ZoneParts>, inbox: Inbox) {
     loop {
         let parts = zones.borrow_and_update().clone();
         if inbox.send(Input::Zones(parts)).await.is_err() || zones.changed().await.is_err() {
--- a/crates/starlinghill-gateway/src/process.rs
+++ b/crates/starlinghill-gateway/src/process.rs
@@ -1,10 +1,10 @@
 //! A gateway as a process: it is told where and how by the environment, reads its configuration again at SIGHUP, and
 //! ends at SIGTERM.
 
+use crate::attempt_events::Watcher;
 use crate::config::{Config, Reloaded};
-use crate::watched::Watcher;
-use crate::{Control, Parts};
-use starlinghill_signals::{Signals, Told};
+use crate::{Control, ZoneParts};
+use starlinghill_signals::{SignalEvent, Signals};
 use std::error::Error;
 use std::rc::Rc;
 use tokio::sync::watch;
@@ -12,9 +12,9 @@
 use tracing::{info, warn};
 
 /// What stands beside a gateway.
-pub struct Beside {
+pub struct ProcessOptions {
     /// Tells the parts that zones get.
-    pub zones: watch::Receiver<Parts>,
+    pub zones: watch::Receiver<ZoneParts>,
     /// Hears of each attempt that ends.
     pub watcher: Watcher,
 }
@@ -22,7 +22,7 @@
 /// Runs until SIGTERM and until all that was taken is answered. `beside` is called once the runtime runs, with the
 /// configuration.
 pub fn run(
-    beside: impl FnOnce(&Config) -> Result<Option<Beside>, Box<dyn Error>>,
+    beside: impl FnOnce(&Config) -> Result<Option<ProcessOptions>, Box<dyn Error>>,
 ) -> Result<(), Box<dyn Error>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
@@ -36,7 +36,7 @@
         let shape = config.shape().clone();
         tokio::task::spawn_local(async move {
             loop {
-                if signals.next().await == Told::End {
+                if signals.next().await == SignalEvent::End {
                     info!("stopping");
                     // The gateway may have ended by itself.
                     let _ = stop.send(true);
--- a/crates/starlinghill-workbench/src/rules.rs
+++ b/crates/starlinghill-proxy/src/decision_settings.rs
@@ -1,10 +1,10 @@
 //! What the configuration comes to in the decision module's terms: classes of requests and plans, each of which keeps its
 //! place for as long as the process lives, since requests that are open go by it.
 
+use starlinghill_config_model::routing::{Route, Tenant};
+use starlinghill_config_model::RoutingTable;
 use starlinghill_decision::api::*;
-use starlinghill_dovetail::settings::Bounds;
-use starlinghill_template::table::{Route, Tenant};
-use starlinghill_template::Table;
+use starlinghill_runtime::settings::Bounds;
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -74,7 +74,7 @@
 
 impl Places {
     /// Takes in a configuration: every class and plan that a request may have from now on gets its place.
-    pub fn follow(&mut self, table: &Table) {
+    pub fn follow(&mut self, table: &RoutingTable) {
         for route in table.routes() {
             let tenants = table.tenants.iter().map(|tenant| Some(tenant.as_ref()));
             for tenant in tenants.chain([None]) {
@@ -171,7 +171,7 @@
         retry_after: true,
         max_retry_after: Micros(10_000_000),
         counter: true,
-        count_timeout: micros(crate::count::PATIENCE),
+        count_timeout: micros(crate::quota_client::PATIENCE),
         peers_per_s: 0.0,
         most_units: 1.0,
         must_subscribe: false,
--- a/crates/starlinghill-workbench/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -1,25 +1,25 @@
 //! The proxy as a process.
 
-use crate::answers::System;
-use crate::count::{Counter, DrawCounts};
-use crate::desk::Front;
-use crate::news::{self, Shared, View, Ways};
-use crate::refusals::Refusals;
-use crate::ring::Ring;
-use crate::rules::{self, Places};
+use crate::backend_protocol::System;
+use crate::decision_settings::{self, Places};
+use crate::heartbeat::Ring;
+use crate::quota_client::{Counter, DrawCounts};
+use crate::registry_client::{self, Shared, View, Ways};
+use crate::rejections::Refusals;
+use crate::request_handler::Front;
 use snafu::{OptionExt, ResultExt, Snafu};
+use starlinghill_config_model::RoutingTable;
 use starlinghill_decision::api::Micros;
-use starlinghill_dovetail::essential::Essentials;
-use starlinghill_dovetail::net::{self, Net};
-use starlinghill_dovetail::settings::{Node, SettingsError};
-use starlinghill_dovetail::signals::Signals;
-use starlinghill_dovetail::WORKBENCH;
 use starlinghill_gateway::backend::{Counts, Pool};
 use starlinghill_gateway::config::ConfigError;
 use starlinghill_gateway::driver::Driver;
 use starlinghill_gateway::inbox::{Clock, Input};
-use starlinghill_gateway::server::{serve, Desk, Intake};
-use starlinghill_template::Table;
+use starlinghill_gateway::server::{serve, RequestHandler, RequestIntake};
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::net::{self, NetworkHandle};
+use starlinghill_runtime::settings::{NodeSettings, SettingsError};
+use starlinghill_runtime::signals::Signals;
+use starlinghill_runtime::PROXY_PORT_OFFSET;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -126,39 +126,39 @@
 }
 
 /// The same, with the system's own calls on a network of the caller's.
-pub async fn run_on(net: Net, mut signals: Signals) -> Result<(), StartError> {
-    let node = Node::from_environment().context(SettingsSnafu)?;
+pub async fn run_on(net: NetworkHandle, mut signals: Signals) -> Result<(), StartError> {
+    let node = NodeSettings::from_environment().context(SettingsSnafu)?;
     let front_at = node.front.context(UnreachableSnafu { which: "front" })?;
     let ready_at = node.ready.context(UnreachableSnafu { which: "ready" })?;
     let (clients, asked) = (listen(front_at).await?, listen(ready_at).await?);
     log::info!("event=start program=workbench node={} zone={}", node.name, node.zone);
     let (stop, stopping) = watch::channel(false);
     let (ready, _) = watch::channel(false);
-    let view = View { table: Table::default(), places: Places::default(), gateways: 1 };
+    let view = View { table: RoutingTable::default(), places: Places::default(), gateways: 1 };
     let shared = Rc::new(Shared { view: RefCell::new(view), ready, stopping });
     let life = fastrand::u64(1..);
-    let (holder, held) = news::nowhere();
-    let (essentials, mut first_end) = Essentials::new();
+    let (holder, held) = registry_client::nowhere();
+    let (essentials, mut first_end) = EssentialTasks::new();
     let counter = Counter::start(net.clone(), life, held, &essentials);
     let clock = Clock::from(BEGINNING);
     let sockets = node.open_files.saturating_sub(OTHERS).max(16) as usize;
     let pool = Pool::new(sockets / 3, DIAL, KEPT, Rc::new(System));
-    let settings = rules::settings(news::zone(&node.zone), &node.bounds);
+    let settings = decision_settings::settings(registry_client::zone(&node.zone), &node.bounds);
     let driver = Driver::hosted(settings, life, clock, pool, counter.clone()).context(ModuleSnafu)?;
     let inbox = driver.inbox();
     spawn_local(tell_connections(driver.pool()));
     spawn_local(tell_draws(counter.clone()));
     let refusals = Rc::new(Refusals::default());
     spawn_local(refusals.clone().log(counter.clone()));
-    let at = node.port(node.ip, WORKBENCH);
+    let at = node.port(node.ip, PROXY_PORT_OFFSET);
     let socket = UdpSocket::bind(at).await.context(SystemSnafu { what: format!("listen on {at}") })?;
     let ring = Rc::new(Ring::new(at, life));
     essentials.spawn("ring", ring.clone().run(socket));
     let ways = Ways { net, driver: inbox.clone(), clock, counter, holder, ring };
-    news::start(&node, shared.clone(), ways, life, &essentials);
-    essentials.spawn("ready", crate::ready::serve(asked, shared.clone()));
+    registry_client::start(&node, shared.clone(), ways, life, &essentials);
+    essentials.spawn("ready", crate::readiness::serve(asked, shared.clone()));
     let bodies = (node.memory_mb << 20) / BODIES_PART;
-    let intake = Intake {
+    let intake = RequestIntake {
         inbox: inbox.clone(),
         clock,
         bodies: Semaphore::new(bodies as usize),
--- a/crates/starlinghill-workbench/src/count.rs
+++ b/crates/starlinghill-proxy/src/quota_client.rs
@@ -1,14 +1,16 @@
 //! The way to the shared count: draws go to whoever keeps it, many in one message, and what the stores hold comes back.
 
-use starlinghill_catalog::Unknown;
+use starlinghill_catalog::UnknownBackends;
 use starlinghill_decision::api::{CountName, Micros, Outcome, ServerId, ServiceId};
-use starlinghill_dovetail::essential::Essentials;
-use starlinghill_dovetail::frame::{self, Reader};
-use starlinghill_dovetail::net::Net;
-use starlinghill_gateway::counter::{Count, Counting};
-use starlinghill_gateway::inbox::Counted;
-use starlinghill_gauge::{Client, Draw, Level, Room, Word, KEEP_IN_TOUCH};
-use starlinghill_toolrack::wire::{Answer, Question};
+use starlinghill_gateway::counter::{CounterCall, CounterTransport};
+use starlinghill_gateway::inbox::CounterResult;
+use starlinghill_quota_counter::{
+    BackendOffer, Draw, LoadReport, QuotaClient, QuotaLevel, KEEPALIVE_INTERVAL,
+};
+use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::frame::{self, Reader};
+use starlinghill_runtime::net::NetworkHandle;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -41,7 +43,7 @@
 /// A draw, and who waits for it: nobody where it only tells a debt.
 struct Waiting {
     draw: Draw,
-    reply: Option<oneshot::Sender<Counted>>,
+    reply: Option<oneshot::Sender<CounterResult>>,
 }
 
 impl Waiting {
@@ -51,7 +53,7 @@
     }
 
     /// Answers whoever asked; returns whether they still waited.
-    fn answer(self, counted: Counted) -> bool {
+    fn answer(self, counted: CounterResult) -> bool {
         self.reply.is_some_and(|reply| reply.send(counted).is_ok())
     }
 }
@@ -105,9 +107,9 @@
 
 /// The count, as a gateway reaches it.
 pub struct Counter {
-    net: Net,
+    net: NetworkHandle,
     /// What was heard and what is owed, with times since this.
-    client: RefCell<Client>,
+    client: RefCell<QuotaClient>,
     start: Instant,
     /// The quotas by the names of their stores.
     pub quotas: RefCell<HashMap<u64, (f64, f64)>>,
@@ -116,7 +118,7 @@
     /// Whoever keeps the count granted what was asked last: else it may be cut off together with this gateway.
     granted: Cell<bool>,
     /// How things stand between this gateway and backends, and where that is not told yet.
-    words: RefCell<HashMap<u64, Word>>,
+    words: RefCell<HashMap<u64, LoadReport>>,
     changed: RefCell<HashSet<u64>>,
     new_words: Notify,
     /// How many gateways there are.
@@ -124,7 +126,7 @@
     /// The system's time, the highest that was heard.
     pub time: watch::Sender<u64>,
     /// Backends that this gateway knows and the registry with the count does not, by the numbers of their services.
-    pub unknown: RefCell<HashMap<u32, Unknown>>,
+    pub unknown: RefCell<HashMap<u32, UnknownBackends>>,
     draw_counts: Cell<DrawCounts>,
 }
 
@@ -134,15 +136,15 @@
 impl Counter {
     /// The count, for the gateway process of that life, over a network.
     pub fn start(
-        net: Net,
+        net: NetworkHandle,
         life: u64,
         holder: watch::Receiver<Holder>,
-        essentials: &Essentials,
+        essentials: &EssentialTasks,
     ) -> Rc<Counter> {
         let (calls, queue) = mpsc::channel(QUEUE);
         let counter = Rc::new(Counter {
             net,
-            client: RefCell::new(Client::new(Duration::ZERO)),
+            client: RefCell::new(QuotaClient::new(Duration::ZERO)),
             start: Instant::now(),
             quotas: RefCell::default(),
             calls,
@@ -204,8 +206,8 @@
         if frame::write(&mut stream, &recall).await.is_err() {
             return "broken";
         }
-        match timeout(CONNECT, reader.read::<Answer>(&mut stream)).await {
-            Ok(Ok(Some(Answer::Noted))) => {}
+        match timeout(CONNECT, reader.read::<RegistryResponse>(&mut stream)).await {
+            Ok(Ok(Some(RegistryResponse::Noted))) => {}
             Ok(Ok(Some(_))) => return "not_the_holder",
             _ => return "silent",
         }
@@ -223,24 +225,24 @@
             let silent = last_word + SILENCE;
             tokio::select! {
                 biased;
-                answer = reader.read::<Answer>(&mut from) => {
+                answer = reader.read::<RegistryResponse>(&mut from) => {
                     last_word = Instant::now();
                     let Ok(Some(answer)) = answer else { break "broken" };
                     match answer {
-                        Answer::Levels(..) => self.granted.set(true),
-                        Answer::NotMine(_) => self.granted.set(false),
+                        RegistryResponse::Levels(..) => self.granted.set(true),
+                        RegistryResponse::NotMine(_) => self.granted.set(false),
                         // To have noted what was recalled grants nothing, and takes nothing back.
                         _ => {}
                     }
                     // The order says which question it answers: one life of one holder answers them one after the other on
                     // this connection, which ends where the kind or the number of levels does not fit.
                     match (out.pop_front(), answer) {
-                        (Some(Sent::Draws(calls, _)), Answer::Levels(levels, time)) if levels.len() == calls.len() => {
+                        (Some(Sent::Draws(calls, _)), RegistryResponse::Levels(levels, time)) if levels.len() == calls.len() => {
                             self.hear_time(time);
                             self.client.borrow_mut().hears(self.start.elapsed(), term);
                             calls.into_iter().zip(levels).for_each(|(call, level)| self.answered(call, level, time));
                         }
-                        (Some(Sent::Draws(calls, told)), Answer::NotMine(known)) => {
+                        (Some(Sent::Draws(calls, told)), RegistryResponse::NotMine(known)) => {
                             // It took in none of them.
                             self.changed.borrow_mut().extend(told);
                             calls.into_iter().for_each(|call| self.failed(call, Outcome::Full));
@@ -259,7 +261,7 @@
                                 }
                             }
                         }
-                        (Some(Sent::Recall), Answer::Noted) => {}
+                        (Some(Sent::Recall), RegistryResponse::Noted) => {}
                         (sent, _) => {
                             out.extend(sent);
                             break "nonsense";
@@ -320,13 +322,13 @@
     }
 
     /// What a counter that begins, or that has forgotten this gateway, must know.
-    fn recall(&self, life: u64, term: u64) -> Question {
+    fn recall(&self, life: u64, term: u64) -> RegistryRequest {
         let readings = self.client.borrow_mut().recall(self.start.elapsed(), *self.time.borrow());
-        Question::Recall { term, from: life, readings }
+        RegistryRequest::Recall { term, from: life, readings }
     }
 
     /// One message with these draws, and with what else is to be told.
-    fn message(&self, (life, term): (u64, u64), mut calls: Vec<Waiting>) -> (Sent, Question) {
+    fn message(&self, (life, term): (u64, u64), mut calls: Vec<Waiting>) -> (Sent, RegistryRequest) {
         let drawn = calls.iter_mut().map(|call| &mut call.draw);
         let owed_elsewhere = self.client.borrow_mut().tells(self.start.elapsed(), drawn, BATCH);
         let quotas = self.quotas.borrow();
@@ -339,17 +341,17 @@
         let words = self.words();
         let told = words.iter().map(|word| word.backend).collect();
         let draws = calls.iter().map(|call| call.draw).collect();
-        (Sent::Draws(calls, told), Question::Count { term, from: life, draws, words })
+        (Sent::Draws(calls, told), RegistryRequest::Count { term, from: life, draws, words })
     }
 
     /// What became of a draw, as the counter tells it.
-    fn answered(&self, call: Waiting, level: Level, time: u64) {
+    fn answered(&self, call: Waiting, level: QuotaLevel, time: u64) {
         let (draw, granted) = (call.draw, level.level >= 0.0);
         let named = || level.rooms.iter().copied().map(named).collect();
         let rooms = self.beside(draw.service).unwrap_or_else(named);
         let asked = call.reply.is_some();
         let (outcome, total, share) = (Outcome::Ok, level.level, Some(level.share));
-        let waited = call.answer(Counted { outcome, total, share, rooms });
+        let waited = call.answer(CounterResult { outcome, total, share, rooms });
         if asked {
             self.count_answer(waited, granted);
         }
@@ -358,24 +360,24 @@
 
     /// What has to be told of backends. How attempts ended is told once: what is lost of it is no harm. What is out is told
     /// again where the word may have been lost.
-    fn words(&self) -> Vec<Word> {
+    fn words(&self) -> Vec<LoadReport> {
         let mut words = self.words.borrow_mut();
         let tell = |backend| {
-            let nothing = Word { backend, out: 0, well: 0, took_ms: 0, ill: 0 };
+            let nothing = LoadReport { backend, out: 0, well: 0, took_ms: 0, ill: 0 };
             let Some(word) = words.get_mut(&backend) else { return nothing };
             let told = *word;
             match told.out {
                 0 => drop(words.remove(&backend)),
-                out => *word = Word { out, ..nothing },
+                out => *word = LoadReport { out, ..nothing },
             }
             told
         };
         std::mem::take(&mut *self.changed.borrow_mut()).into_iter().map(tell).collect()
     }
 
-    fn note(&self, server: ServerId, change: impl FnOnce(&mut Word)) {
+    fn note(&self, server: ServerId, change: impl FnOnce(&mut LoadReport)) {
         let backend = server.0;
-        let nothing = Word { backend, out: 0, well: 0, took_ms: 0, ill: 0 };
+        let nothing = LoadReport { backend, out: 0, well: 0, took_ms: 0, ill: 0 };
         change(self.words.borrow_mut().entry(backend).or_insert(nothing));
         self.changed.borrow_mut().insert(backend);
         self.new_words.notify_one();
@@ -393,7 +395,7 @@
         tokio::select! {
             biased;
             () = told => {}
-            () = sleep(KEEP_IN_TOUCH) => {}
+            () = sleep(KEEPALIVE_INTERVAL) => {}
         }
     }
 
@@ -442,13 +444,13 @@
 }
 
 /// A backend that the counter named, in the module's terms.
-fn named(room: Room) -> (ServerId, Micros) {
+fn named(room: BackendOffer) -> (ServerId, Micros) {
     (ServerId(room.backend), Micros(u64::from(room.takes_ms) * 1_000))
 }
 
-impl Count for Counter {
+impl CounterTransport for Counter {
     /// All counts are stores here.
-    fn count(self: Rc<Self>, _: CountName, _: f64, _: Micros) -> Counting {
+    fn count(self: Rc<Self>, _: CountName, _: f64, _: Micros) -> CounterCall {
         Box::pin(async { Outcome::Moot.into() })
     }
 
@@ -478,7 +480,12 @@
         });
     }
 
-    fn draw(self: Rc<Self>, name: CountName, units: f64, (service, within): (ServiceId, Micros)) -> Counting {
+    fn draw(
+        self: Rc<Self>,
+        name: CountName,
+        units: f64,
+        (service, within): (ServiceId, Micros),
+    ) -> CounterCall {
         if !self.reached.get() {
             return Box::pin(async { Outcome::ConnectFailed.into() });
         }
--- a/crates/starlinghill-workbench/src/news.rs
+++ b/crates/starlinghill-proxy/src/registry_client.rs
@@ -1,24 +1,24 @@
 //! What the registries tell, and the owner of what this gateway makes of it: one task, which works through a queue.
 
-use crate::count::{Counter, Holder};
-use crate::ring::Ring;
-use crate::rules::{Fleet, Places, COLD};
+use crate::decision_settings::{Fleet, Places, COLD};
+use crate::heartbeat::Ring;
+use crate::quota_client::{Counter, Holder};
 use hyper::header::HeaderValue;
-use starlinghill_catalog::{number, service_number, Change, Gateway, Liveness, MergedView, State};
-use starlinghill_clamp::Members;
+use starlinghill_catalog::{number, service_number, BackendState, Change, Gateway, Liveness, MergedView};
+use starlinghill_config_model::items::digest;
+use starlinghill_config_model::routing::Tenant;
+use starlinghill_config_model::{ItemSet, RoutingTable};
+use starlinghill_consensus::Members;
 use starlinghill_decision::api::*;
 use starlinghill_decision::store_name;
-use starlinghill_dovetail::call::Caller;
-use starlinghill_dovetail::essential::Essentials;
-use starlinghill_dovetail::net::Net;
-use starlinghill_dovetail::settings::Node;
-use starlinghill_dovetail::TOOLRACK;
 use starlinghill_gateway::inbox::{Clock, Inbox, Input, Listing};
-use starlinghill_holdfast::contact::{Chain, LastContact};
-use starlinghill_template::book::digest;
-use starlinghill_template::table::Tenant;
-use starlinghill_template::{Book, Table};
-use starlinghill_toolrack::wire::{Answer, Have, News, Question};
+use starlinghill_lease::contact::{LastQuorumContact, StalenessBudget};
+use starlinghill_registry::wire::{KnownState, RegistryRequest, RegistryResponse, RegistryUpdate};
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::net::NetworkHandle;
+use starlinghill_runtime::rpc::RpcClient;
+use starlinghill_runtime::settings::NodeSettings;
+use starlinghill_runtime::REGISTRY_PORT_OFFSET;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{IpAddr, SocketAddr};
@@ -42,7 +42,7 @@
 /// What a request is decided by.
 pub struct View {
     /// Routes, keys, tenants.
-    pub table: Table,
+    pub table: RoutingTable,
     /// Their places in the module.
     pub places: Places,
     /// Through how many gateways a tenant's traffic can come.
@@ -72,7 +72,7 @@
 /// Where news come from, and go.
 pub struct Ways {
     /// Where registries are reached.
-    pub net: Net,
+    pub net: NetworkHandle,
     /// To the driver.
     pub driver: Inbox,
     /// The module's clock.
@@ -86,16 +86,16 @@
 }
 
 /// Asks all registries, again and again, and takes in what they tell.
-pub fn start(node: &Node, shared: Rc<Shared>, ways: Ways, life: u64, essentials: &Essentials) {
+pub fn start(node: &NodeSettings, shared: Rc<Shared>, ways: Ways, life: u64, essentials: &EssentialTasks) {
     let Ways { net, driver, clock, counter, holder, ring } = ways;
     let (tell, told) = mpsc::channel(QUEUE);
     let me = Gateway { ip: node.ip, life, zone: node.zone.clone(), node: node.name.clone() };
     let term = Rc::new(std::cell::Cell::new(0));
     let in_force = Rc::new(std::cell::Cell::new(0));
-    let chain = Chain::of(node.bounds.apply);
+    let chain = StalenessBudget::of(node.bounds.apply);
     let asking = Asking {
         rack: 0,
-        caller: Rc::new(Caller::new(&net, node.port(node.ip, TOOLRACK))),
+        caller: Rc::new(RpcClient::new(&net, node.port(node.ip, REGISTRY_PORT_OFFSET))),
         me,
         term: term.clone(),
         digest: in_force.clone(),
@@ -108,7 +108,7 @@
     // Seeds are a beginning only: registries tell who the members are.
     let mut racks = Racks {
         net,
-        port: node.port(node.ip, TOOLRACK).port(),
+        port: node.port(node.ip, REGISTRY_PORT_OFFSET).port(),
         epoch: None,
         asking,
         all: BTreeMap::new(),
@@ -128,7 +128,7 @@
         ring,
         alone: false,
         start: Instant::now(),
-        book: Book::default(),
+        book: ItemSet::default(),
         merged: MergedView::default(),
         changed_services: BTreeSet::new(),
         lists: BTreeMap::new(),
@@ -143,7 +143,7 @@
 
 /// The registries that are asked.
 struct Racks {
-    net: Net,
+    net: NetworkHandle,
     port: u16,
     /// The epoch of the members that they are of, once one has told.
     epoch: Option<u64>,
@@ -164,7 +164,7 @@
         }
         for ip in ips {
             if !self.all.contains_key(&ip) {
-                let caller = Rc::new(Caller::new(&self.net, SocketAddr::new(ip, self.port)));
+                let caller = Rc::new(RpcClient::new(&self.net, SocketAddr::new(ip, self.port)));
                 let asking = Asking { rack: self.last, caller, ..self.asking.clone() };
                 self.all.insert(ip, (self.last, spawn_local(asking.run())));
                 self.last += 1;
@@ -192,13 +192,13 @@
 #[derive(Clone)]
 struct Asking {
     rack: usize,
-    caller: Rc<Caller>,
+    caller: Rc<RpcClient>,
     me: Gateway,
     term: Rc<std::cell::Cell<u64>>,
     digest: Rc<std::cell::Cell<u64>>,
     ring: Rc<Ring>,
     clock: Rc<Counter>,
-    tell: mpsc::Sender<(usize, Instant, News)>,
+    tell: mpsc::Sender<(usize, Instant, RegistryUpdate)>,
     stopping: watch::Receiver<bool>,
     /// A registry that takes longer is asked anew.
     patience: Duration,
@@ -208,7 +208,7 @@
     async fn run(self) {
         let (mut rack, mut seq, mut silent) = (0, 0, false);
         loop {
-            let have = Have {
+            let have = KnownState {
                 gateway: self.me.clone(),
                 rack,
                 seq,
@@ -219,8 +219,8 @@
                 seen: self.ring.seen(),
             };
             let asked = Instant::now();
-            match self.caller.call(&Question::News(have), self.patience).await {
-                Ok(Answer::News(news)) => {
+            match self.caller.call(&RegistryRequest::News(have), self.patience).await {
+                Ok(RegistryResponse::News(news)) => {
                     (rack, seq, silent) = (news.rack, news.seq, false);
                     if self.tell.send((self.rack, asked, *news)).await.is_err() {
                         return;
@@ -240,7 +240,7 @@
 
 struct Owner {
     racks: Racks,
-    node: Node,
+    node: NodeSettings,
     shared: Rc<Shared>,
     driver: Inbox,
     clock: Clock,
@@ -253,7 +253,7 @@
     /// It hears neither the counter nor another gateway, as the module was told last.
     alone: bool,
     start: Instant,
-    book: Book,
+    book: ItemSet,
     merged: MergedView,
     /// Services with a backend that changed since the last tick.
     changed_services: BTreeSet<String>,
@@ -264,13 +264,13 @@
     fleet: Fleet,
     /// When a registry that hears a majority first told of a configuration.
     first_news: Option<Instant>,
-    chain: Chain,
+    chain: StalenessBudget,
     /// The newest word of a majority that what is in force here is all that was agreed on when it spoke.
-    contact: Option<LastContact>,
+    contact: Option<LastQuorumContact>,
 }
 
 impl Owner {
-    async fn run(mut self, mut told: mpsc::Receiver<(usize, Instant, News)>) {
+    async fn run(mut self, mut told: mpsc::Receiver<(usize, Instant, RegistryUpdate)>) {
         let mut tick = interval(Duration::from_millis(500));
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -298,7 +298,7 @@
         }
     }
 
-    async fn take(&mut self, rack: usize, asked: Instant, news: News) {
+    async fn take(&mut self, rack: usize, asked: Instant, news: RegistryUpdate) {
         if !self.racks.all.values().any(|(number, _)| *number == rack) {
             // Of one that is asked no more.
             return;
@@ -313,8 +313,8 @@
             self.follow_items().await;
         }
         let (now, asked) = (self.start.elapsed(), asked.saturating_duration_since(self.start));
-        let heard = news.contact.map(|contact| LastContact::passed_on(contact, asked, now));
-        self.contact = LastContact::newer(self.contact, heard, now);
+        let heard = news.contact.map(|contact| LastQuorumContact::passed_on(contact, asked, now));
+        self.contact = LastQuorumContact::newer(self.contact, heard, now);
         if self.chain.may_vouch(self.contact.map(|contact| contact.age(now))) && !self.book.is_empty() {
             self.first_news.get_or_insert_with(Instant::now);
         }
@@ -335,7 +335,7 @@
         }
         if let Some((term, ip)) = news.holder.filter(|(term, _)| *term >= self.term.get()) {
             self.term.set(term);
-            let at = Some((term, self.node.port(ip, TOOLRACK)));
+            let at = Some((term, self.node.port(ip, REGISTRY_PORT_OFFSET)));
             self.holder.send_if_modified(|known| std::mem::replace(known, at) != at);
         }
         self.tell_rules(false).await;
@@ -343,7 +343,7 @@
 
     /// The module is told before a request can come under the new items.
     async fn follow_items(&mut self) {
-        let table = Table::of(&self.book);
+        let table = RoutingTable::of(&self.book);
         self.shared.view.borrow_mut().places.follow(&table);
         let quota = |tenant: &Rc<Tenant>| {
             let name = store_name(CustomerId(number(&tenant.name)));
@@ -392,9 +392,9 @@
         let listing = |change: Change| {
             let Change { instance, liveness } = change;
             let listed = match (instance.state, liveness) {
-                (State::Gone, _) | (_, Liveness::Lost) => Listed::Gone,
-                (State::Ready, Liveness::Alive) => Listed::InService,
-                (State::Ready, Liveness::Silent) | (State::Draining, _) => Listed::Draining,
+                (BackendState::Gone, _) | (_, Liveness::Lost) => Listed::Gone,
+                (BackendState::Ready, Liveness::Alive) => Listed::InService,
+                (BackendState::Ready, Liveness::Silent) | (BackendState::Draining, _) => Listed::Draining,
             };
             let warm_in = instance.warm_at.saturating_sub(time);
             let started = (warm_in > 0).then(|| now + Micros(warm_in.min(COLD.0)) - COLD);
--- a/crates/starlinghill-workbench/tests/count.rs
+++ b/crates/starlinghill-proxy/tests/quota_client.rs
@@ -1,16 +1,16 @@
 //! A gateway's line to the counter, against one that a test plays over a socket.
 
-use starlinghill_catalog::Unknown;
+use starlinghill_catalog::UnknownBackends;
 use starlinghill_decision::api::{CountName, Micros, Outcome, ServerId, ServiceId};
-use starlinghill_dovetail::essential::Essentials;
-use starlinghill_dovetail::frame::{self, Reader};
-use starlinghill_dovetail::net::tcp;
-use starlinghill_gateway::counter::Count;
-use starlinghill_gateway::inbox::Counted;
-use starlinghill_gauge::{Draw, Level, Room};
-use starlinghill_toolrack::wire::{Answer, Question};
-use starlinghill_workbench::count::{Counter, DrawCounts, PATIENCE};
-use starlinghill_workbench::news::nowhere;
+use starlinghill_gateway::counter::CounterTransport;
+use starlinghill_gateway::inbox::CounterResult;
+use starlinghill_proxy::quota_client::{Counter, DrawCounts, PATIENCE};
+use starlinghill_proxy::registry_client::nowhere;
+use starlinghill_quota_counter::{BackendOffer, Draw, QuotaLevel};
+use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::frame::{self, Reader};
+use starlinghill_runtime::net::tcp;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,10 +22,13 @@
 const SERVICE: ServiceId = ServiceId(9);
 
 /// A counter's answer to the so many-th draw after so many recalls.
-type Plays = fn(draws: &[Draw], recalls: u32, nth: u32) -> Answer;
+type Plays = fn(draws: &[Draw], recalls: u32, nth: u32) -> RegistryResponse;
 
-fn levels(draws: &[Draw], level: f64) -> Answer {
-    Answer::Levels(draws.iter().map(|_| Level { level, share: 1.0, rooms: Vec::new() }).collect(), 1)
+fn levels(draws: &[Draw], level: f64) -> RegistryResponse {
+    RegistryResponse::Levels(
+        draws.iter().map(|_| QuotaLevel { level, share: 1.0, rooms: Vec::new() }).collect(),
+        1,
+    )
 }
 
 /// How draws end for so long, and over how many connections.
@@ -36,14 +39,14 @@
 
 /// What came of a played counter.
 struct Played {
-    ends: Vec<Counted>,
+    ends: Vec<CounterResult>,
     connections: u32,
     counts: DrawCounts,
 }
 
 /// The same with all that came, where each answer takes `delay`, for requests of a service of which the counter does not
 /// know those.
-fn counted(plays: Plays, long: Duration, delay: Duration, unknown: Option<Unknown>) -> Played {
+fn counted(plays: Plays, long: Duration, delay: Duration, unknown: Option<UnknownBackends>) -> Played {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -54,14 +57,14 @@
             while let Ok((mut stream, _)) = listener.accept().await {
                 opened.set(opened.get() + 1);
                 let (mut reader, mut recalls, mut nth) = (Reader::default(), 0, 0);
-                while let Ok(Some(question)) = reader.read::<Question>(&mut stream).await {
+                while let Ok(Some(question)) = reader.read::<RegistryRequest>(&mut stream).await {
                     let answer = match question {
-                        Question::Recall { .. } => {
+                        RegistryRequest::Recall { .. } => {
                             recalls += 1;
-                            Answer::Noted
+                            RegistryResponse::Noted
                         }
-                        Question::Count { draws, .. } if draws.is_empty() => levels(&draws, 0.0),
-                        Question::Count { draws, .. } => {
+                        RegistryRequest::Count { draws, .. } if draws.is_empty() => levels(&draws, 0.0),
+                        RegistryRequest::Count { draws, .. } => {
                             sleep(delay).await;
                             nth += 1;
                             plays(&draws, recalls, nth)
@@ -75,7 +78,7 @@
             }
         });
         let (holder, held) = nowhere();
-        let counter = Counter::start(tcp(), 7, held, &Essentials::default());
+        let counter = Counter::start(tcp(), 7, held, &EssentialTasks::default());
         counter.quotas.borrow_mut().insert(NAME.0, (10.0, 10.0));
         counter.unknown.borrow_mut().extend(unknown.map(|unknown| (SERVICE.0, unknown)));
         holder.send_replace(Some((TERM, address)));
@@ -95,7 +98,7 @@
 #[test]
 fn a_counter_that_forgot_this_gateway_is_told_again_on_the_same_connection() {
     let forgets: Plays = |draws, recalls, _| match recalls {
-        0 | 1 => Answer::NotMine(TERM),
+        0 | 1 => RegistryResponse::NotMine(TERM),
         _ => levels(draws, 5.0),
     };
     let (ends, connections) = drawn(forgets, Duration::from_millis(700));
@@ -106,9 +109,9 @@
 #[test]
 fn an_answer_that_does_not_fit_its_question_ends_the_connection_and_tells_nobody_anything() {
     for wrong in [
-        (|_, _, nth| if nth == 2 { levels(&[], 9.0) } else { Answer::NotMine(TERM) }) as Plays,
-        |_, _, nth| if nth == 2 { Answer::Noted } else { Answer::NotMine(TERM) },
-        |_, _, nth| if nth == 2 { Answer::Unknown } else { Answer::NotMine(TERM) },
+        (|_, _, nth| if nth == 2 { levels(&[], 9.0) } else { RegistryResponse::NotMine(TERM) }) as Plays,
+        |_, _, nth| if nth == 2 { RegistryResponse::Noted } else { RegistryResponse::NotMine(TERM) },
+        |_, _, nth| if nth == 2 { RegistryResponse::Unknown } else { RegistryResponse::NotMine(TERM) },
     ] {
         let (ends, connections) = drawn(wrong, Duration::from_millis(900));
         assert!(ends.contains(&Outcome::Reset) && !ends.contains(&Outcome::Ok), "{ends:?}");
@@ -133,14 +136,14 @@
 #[test]
 fn backends_that_the_counter_does_not_know_get_their_part() {
     let names_one: Plays = |draws, _, _| {
-        let rooms = vec![Room { backend: 1, takes_ms: 900 }];
-        Answer::Levels(
-            draws.iter().map(|_| Level { level: 5.0, share: 1.0, rooms: rooms.clone() }).collect(),
+        let rooms = vec![BackendOffer { backend: 1, takes_ms: 900 }];
+        RegistryResponse::Levels(
+            draws.iter().map(|_| QuotaLevel { level: 5.0, share: 1.0, rooms: rooms.clone() }).collect(),
             1,
         )
     };
     let named = |part| {
-        let unknown = Unknown { part, backends: vec![7, 8, 9, 10] };
+        let unknown = UnknownBackends { part, backends: vec![7, 8, 9, 10] };
         let played = counted(names_one, Duration::from_millis(1_500), Duration::ZERO, Some(unknown));
         let first: Vec<_> = played.ends.iter().filter_map(|counted| counted.rooms.first().copied()).collect();
         assert!(first.len() > 20, "{}", first.len());
@@ -161,24 +164,26 @@
     let play = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (holder, held) = nowhere();
-        let counter = Counter::start(tcp(), 7, held, &Essentials::default());
+        let counter = Counter::start(tcp(), 7, held, &EssentialTasks::default());
         counter.quotas.borrow_mut().insert(NAME.0, (rate, rate));
         let begun = Instant::now();
         counter.charge(NAME, charged);
         holder.send_replace(Some((TERM, listener.local_addr().expect("bound"))));
         for _ in 0..IN_VAIN {
             let (mut stream, _) = listener.accept().await.expect("a call");
-            let asked = Reader::default().read::<Question>(&mut stream).await;
-            assert!(matches!(asked, Ok(Some(Question::Recall { .. }))));
-            frame::write(&mut stream, &Answer::NotMine(TERM)).await.expect("answered");
+            let asked = Reader::default().read::<RegistryRequest>(&mut stream).await;
+            assert!(matches!(asked, Ok(Some(RegistryRequest::Recall { .. }))));
+            frame::write(&mut stream, &RegistryResponse::NotMine(TERM)).await.expect("answered");
         }
         let (mut stream, _) = listener.accept().await.expect("a call");
         let reached = Instant::now();
         let mut reader = Reader::default();
-        let asked = reader.read::<Question>(&mut stream).await;
-        assert!(matches!(asked, Ok(Some(Question::Recall { .. }))));
-        frame::write(&mut stream, &Answer::Noted).await.expect("answered");
-        let Ok(Some(Question::Count { draws, .. })) = reader.read::<Question>(&mut stream).await else {
+        let asked = reader.read::<RegistryRequest>(&mut stream).await;
+        assert!(matches!(asked, Ok(Some(RegistryRequest::Recall { .. }))));
+        frame::write(&mut stream, &RegistryResponse::Noted).await.expect("answered");
+        let Ok(Some(RegistryRequest::Count { draws, .. })) =
+            reader.read::<RegistryRequest>(&mut stream).await
+        else {
             panic!("debts are told first");
         };
         let owed: f64 = draws.iter().map(|draw| draw.owed).sum();
--- a/crates/starlinghill-group/src/network.rs
+++ b/crates/starlinghill-raft/src/network.rs
@@ -13,10 +13,10 @@
 use openraft::{BasicNode, RPCTypes, RaftNetwork, RaftNetworkFactory};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use starlinghill_accord::wire::LONGEST;
-use starlinghill_follow::client::channel;
-use starlinghill_follow::proto::members_client::MembersClient;
-use starlinghill_follow::proto::Frame;
+use starlinghill_failover::wire::LONGEST;
+use starlinghill_failover_client::client::channel;
+use starlinghill_failover_client::proto::members_client::MembersClient;
+use starlinghill_failover_client::proto::Frame;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/starlinghill-group/src/serve.rs
+++ b/crates/starlinghill-raft/src/serve.rs
@@ -4,15 +4,17 @@
 use crate::member::{Alive, Member};
 use crate::network::{deliver, LONGEST_FRAME};
 use crate::store::Ident;
-use starlinghill_accord::map::is_name;
-use starlinghill_accord::order::Order;
-use starlinghill_accord::wire::{decode, encode, LONGEST, LONGEST_ORDER};
-use starlinghill_accord::Position;
-use starlinghill_evidence::report::Report as Evidence;
-use starlinghill_follow::proto::group_server::{Group, GroupServer};
-use starlinghill_follow::proto::members_server::{Members, MembersServer};
-use starlinghill_follow::proto::{down, up, Answer, Down, Frame, Hello, LookRequest, Question, Sealed, Up};
-use starlinghill_follow::report::{Manage, Report, Subscriber, PAGE};
+use starlinghill_failover::order::Order;
+use starlinghill_failover::topology::is_name;
+use starlinghill_failover::wire::{decode, encode, LONGEST, LONGEST_ORDER};
+use starlinghill_failover::Position;
+use starlinghill_failover_client::proto::group_server::{Group, GroupServer};
+use starlinghill_failover_client::proto::members_server::{Members, MembersServer};
+use starlinghill_failover_client::proto::{
+    down, up, Answer, Down, Frame, Hello, LookRequest, Question, Sealed, Up,
+};
+use starlinghill_failover_client::report::{MembershipChange, Report, Subscriber, FOLLOWERS_PER_REPORT};
+use starlinghill_zone_health::report::Report as Evidence;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::Bound;
@@ -115,7 +117,7 @@
         let mut rest = known.range::<str, _>((from, Bound::Unbounded));
         let subscribers: Vec<Subscriber> = rest
             .by_ref()
-            .take(PAGE)
+            .take(FOLLOWERS_PER_REPORT)
             .map(|(name, k)| Subscriber {
                 name: name.clone(),
                 program: k.program.clone(),
@@ -195,11 +197,13 @@
     }
 
     async fn manage(&self, request: Request<Sealed>) -> Result<Response<Sealed>, Status> {
-        let change: Manage =
+        let change: MembershipChange =
             decode(&request.into_inner().bytes).map_err(|e| Status::invalid_argument(e.to_string()))?;
         let _call = self.call().await?;
         let managed = match change {
-            Manage::Init { members, restored } => self.member.init(&members, restored.map(|s| *s)).await?,
+            MembershipChange::Init { members, restored } => {
+                self.member.init(&members, restored.map(|s| *s)).await?
+            }
             change => self.member.alive()?.manage(&change, true).await?,
         };
         Ok(Response::new(Sealed { bytes: encode(&managed) }))
@@ -369,7 +373,9 @@
         {
             let mut known = self.service.known();
             let mode: String = question.mode.chars().take(16).collect();
-            let at = |at: Option<starlinghill_follow::proto::At>| at.map(Position::from).unwrap_or_default();
+            let at = |at: Option<starlinghill_failover_client::proto::At>| {
+                at.map(Position::from).unwrap_or_default()
+            };
             let own = known.get(&self.hello.name).filter(|k| k.serial == self.serial);
             let evidence = evidence.or_else(|| own.and_then(|k| k.evidence.clone()));
             let new = Known {
@@ -428,7 +434,7 @@
             "confirm" => Ok(alive.newest().await?.to_string().into_bytes()),
             "give" => Ok(encode(&alive.give(&order(&frame.body)?, false).await?)),
             "manage" => {
-                let change: Manage =
+                let change: MembershipChange =
                     decode(&frame.body).map_err(|e| Status::invalid_argument(e.to_string()))?;
                 Ok(encode(&alive.manage(&change, false).await?))
             }
--- a/crates/starlinghill-toolrack/src/serve.rs
+++ b/crates/starlinghill-registry/src/http.rs
@@ -1,8 +1,8 @@
 //! Calls from outside: backends and the operator, over HTTP.
 
-use crate::calls::{Call, Found, Place};
-use crate::owner::{is_last_word, Command, Owner};
 use crate::peers::{ask_store, Peers};
+use crate::router::{Call, Found, Place};
+use crate::state::{is_last_word, Command, Owner};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -13,12 +13,12 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use starlinghill_catalog::{Instance, State};
-use starlinghill_dovetail::check::{At, Faults};
-use starlinghill_dovetail::net::{Listener, Net};
-use starlinghill_holdfast::contact::ORDER_ANSWERED;
-use starlinghill_patternbook::wire::{Answer, Outcome, Question as Ask};
-use starlinghill_template::Book;
+use starlinghill_catalog::{BackendState, Instance};
+use starlinghill_config_model::ItemSet;
+use starlinghill_config_store::wire::{ChangeOutcome, StoreRequest as Ask, StoreResponse};
+use starlinghill_lease::contact::ORDER_RESPONSE_TIMEOUT;
+use starlinghill_runtime::net::{Listener, NetworkHandle};
+use starlinghill_runtime::validation::{At, Faults};
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 /// What calls need.
 pub struct Desk {
     /// Where the stores are reached.
-    pub net: Net,
+    pub net: NetworkHandle,
     /// The tables.
     pub owner: Owner,
     /// The other registries.
@@ -168,18 +168,18 @@
 
     async fn change(&self, body: Bytes) -> Reply {
         let begun = Instant::now();
-        let asked = ask_store(&self.net, self.stores(), Ask::Change(body.to_vec()), ORDER_ANSWERED);
+        let asked = ask_store(&self.net, self.stores(), Ask::Change(body.to_vec()), ORDER_RESPONSE_TIMEOUT);
         let outcome = match asked.await {
-            Some(Answer::Changed(outcome)) => outcome,
-            _ => Outcome::Unclear,
+            Some(StoreResponse::Changed(outcome)) => outcome,
+            _ => ChangeOutcome::Unclear,
         };
         let took = begun.elapsed().as_millis();
         log::info!("event=change bytes={} took_ms={took} outcome=\"{outcome:?}\"", body.len());
         match outcome {
-            Outcome::Taken => reply(StatusCode::OK, b"{}".to_vec()),
-            Outcome::Invalid(wrong) => problem(StatusCode::BAD_REQUEST, &wrong),
-            Outcome::Conflict(wrong) => problem(StatusCode::CONFLICT, &wrong),
-            Outcome::Unclear => problem(
+            ChangeOutcome::Taken => reply(StatusCode::OK, b"{}".to_vec()),
+            ChangeOutcome::Invalid(wrong) => problem(StatusCode::BAD_REQUEST, &wrong),
+            ChangeOutcome::Conflict(wrong) => problem(StatusCode::CONFLICT, &wrong),
+            ChangeOutcome::Unclear => problem(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "no majority of stores in time, or a number that is not remembered any more",
             ),
@@ -187,9 +187,9 @@
     }
 
     async fn read(&self) -> Reply {
-        match ask_store(&self.net, self.stores(), Ask::Read, ORDER_ANSWERED).await {
-            Some(Answer::Whole(items)) => {
-                reply(StatusCode::OK, Book::of(items).layout().encode().into_bytes())
+        match ask_store(&self.net, self.stores(), Ask::Read, ORDER_RESPONSE_TIMEOUT).await {
+            Some(StoreResponse::Whole(items)) => {
+                reply(StatusCode::OK, ItemSet::of(items).layout().encode().into_bytes())
             }
             _ => problem(StatusCode::SERVICE_UNAVAILABLE, "no majority of stores in time"),
         }
@@ -205,11 +205,11 @@
     let (details, observed) = (root.at("details"), root.at("observed"));
     let state = observed.at("state");
     let state = match state.text(f).as_str() {
-        "ready" => State::Ready,
-        "draining" => State::Draining,
+        "ready" => BackendState::Ready,
+        "draining" => BackendState::Draining,
         _ => {
             f.add("observed.state", state.value, "ready or draining");
-            State::Ready
+            BackendState::Ready
         }
     };
     let address = root.at("address").address(f);
--- a/crates/starlinghill-toolrack/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -2,19 +2,19 @@
 
 use bitcode::{Decode, Encode};
 use starlinghill_catalog::{Gateway, Instance, Observation};
-use starlinghill_clamp::Members;
-use starlinghill_gauge::{Draw, Level, Reading, Seen as Sight, Word};
-use starlinghill_grindstone::Seen;
-use starlinghill_holdfast as holdfast;
-use starlinghill_holdfast::contact::Contact;
-use starlinghill_template::{Item, Kind};
+use starlinghill_config_model::{Item, ItemKind};
+use starlinghill_consensus::Members;
+use starlinghill_failure_detector::PeerSighting;
+use starlinghill_lease as lease;
+use starlinghill_lease::contact::QuorumContact;
+use starlinghill_quota_counter::{BackendLoad as Sight, Draw, LevelReading, LoadReport, QuotaLevel};
 use std::net::IpAddr;
 
 /// A question.
 #[derive(Debug, Clone, Encode, Decode)]
-pub enum Question {
+pub enum RegistryRequest {
     /// By a gateway: what is new?
-    News(Have),
+    News(KnownState),
     /// By a gateway: it draws from tenants' stores.
     Count {
         /// The term of the counter that is meant.
@@ -24,7 +24,7 @@
         /// What it draws; may be nothing, where it only keeps in touch.
         draws: Vec<Draw>,
         /// How things stand between it and backends, where that changed.
-        words: Vec<Word>,
+        words: Vec<LoadReport>,
     },
     /// By a gateway: what it heard in earlier terms.
     Recall {
@@ -33,12 +33,12 @@
         /// The life of the gateway's process.
         from: u64,
         /// All that still tells something.
-        readings: Vec<Reading>,
+        readings: Vec<LevelReading>,
     },
     /// By a registry, on who keeps the count; the epoch of the members that it knows.
-    Duty(u64, holdfast::Ask<IpAddr>),
+    Duty(u64, lease::LeaseRequest<IpAddr>),
     /// By a registry: what it heard of backends and gateways, each so many milliseconds ago.
-    Heard(Heard),
+    Heard(PeerReport),
     /// By a registry, of that epoch: that backend has left.
     Left(u64, String),
     /// By a registry that has just started: all that is known.
@@ -51,7 +51,7 @@
 
 /// What a gateway has.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct Have {
+pub struct KnownState {
     /// Who it is.
     pub gateway: Gateway,
     /// The life of the registry that it was last answered by here, and the number of the news that it has.
@@ -67,12 +67,12 @@
     /// What stands for the items that are in force there (`Book::digest`).
     pub digest: u64,
     /// Of which gateways it heard on the ring.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<PeerSighting>,
 }
 
 /// What a registry heard.
 #[derive(Debug, Clone, Default, Encode, Decode)]
-pub struct Heard {
+pub struct PeerReport {
     /// The epoch of the members that the one who tells knows.
     pub epoch: u64,
     /// Backends.
@@ -85,14 +85,14 @@
 
 /// News for a gateway.
 #[derive(Debug, Clone, Encode, Decode)]
-pub struct News {
+pub struct RegistryUpdate {
     /// The registry's life.
     pub rack: u64,
     /// The number of these news.
     pub seq: u64,
     /// The word of a majority of stores that the items are all that was agreed on, as the store beside it has it; none where
     /// it is too old to go by.
-    pub contact: Option<Contact>,
+    pub contact: Option<QuorumContact>,
     /// Items that changed.
     pub items: Vec<Item>,
     /// Backends that changed.
@@ -111,19 +111,19 @@
 
 /// An answer.
 #[derive(Debug, Clone, Encode, Decode)]
-pub enum Answer {
+pub enum RegistryResponse {
     /// What is new.
-    News(Box<News>),
+    News(Box<RegistryUpdate>),
     /// What the stores hold, in the order of the draws, and the system's time.
-    Levels(Vec<Level>, u64),
+    Levels(Vec<QuotaLevel>, u64),
     /// This registry does not keep the count in that term, or can't yet; the term that it knows.
     NotMine(u64),
     /// On the duty.
-    Duty(holdfast::Tell),
+    Duty(lease::LeaseReply),
     /// All that is known.
-    All(Heard),
+    All(PeerReport),
     /// How things stand.
-    Status(Box<Status>),
+    Status(Box<RegistryStatus>),
     /// Nobody has a backend of that id.
     Unknown,
     /// It was noted.
@@ -134,7 +134,7 @@
 
 /// How things stand at a registry.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct Status {
+pub struct RegistryStatus {
     /// Its address.
     pub ip: IpAddr,
     /// The life of its process.
@@ -146,7 +146,7 @@
     /// The members of the core, as far as is known here.
     pub members: Members,
     /// Items: kind, name, version, and whether they stand.
-    pub items: Vec<(Kind, String, u64, bool)>,
+    pub items: Vec<(ItemKind, String, u64, bool)>,
     /// What stands for them.
     pub digest: u64,
     /// Backends, each heard of so many milliseconds ago.
@@ -156,12 +156,12 @@
     /// Who keeps the count, and its term, as far as is known here.
     pub holder: Option<(u64, IpAddr)>,
     /// The count, where it is kept here.
-    pub count: Option<Count>,
+    pub count: Option<CounterStatus>,
 }
 
 /// The count at its holder.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct Count {
+pub struct CounterStatus {
     /// Gateways that it does not hear.
     pub silent: u64,
     /// Stores by their names: what they hold, the tenant's rate, and what was drawn of late a second.
--- a/crates/starlinghill-mockup/src/world.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -1,26 +1,26 @@
 //! The machines of a control side and its gateways, played in one thread: the programs' own code over links, disks and
 //! lives that somebody else decides.
 
-use crate::check::{self, Items, RATIONED};
-use crate::links::Fabric;
-use crate::lives::{mount, Platter, Process};
-use starlinghill_clamp::Members;
+use crate::checker::{self, Items, RATIONED};
+use crate::network::Fabric;
+use crate::processes::{mount, Platter, Process};
+use starlinghill_consensus::Members;
 use starlinghill_decision::api::{CustomerId, Listed, Micros, Outcome, ServiceId};
 use starlinghill_decision::store_name;
-use starlinghill_dovetail::essential::Essentials;
-use starlinghill_dovetail::net::Net;
-use starlinghill_dovetail::settings::{Bounds, Node};
-use starlinghill_dovetail::{PATTERNBOOK, TOOLRACK, WORKBENCH};
-use starlinghill_gateway::counter::Count;
+use starlinghill_gateway::counter::CounterTransport;
 use starlinghill_gateway::inbox::{Clock, Input, Listing};
-
-use starlinghill_patternbook::program::store;
-use starlinghill_template::Table;
-use starlinghill_toolrack::program::registry;
-use starlinghill_workbench::count::Counter;
-use starlinghill_workbench::news::{self, Shared, View, Ways};
-use starlinghill_workbench::ring::Ring;
-use starlinghill_workbench::rules::Places;
+use starlinghill_runtime::essential_tasks::EssentialTasks;
+use starlinghill_runtime::net::NetworkHandle;
+use starlinghill_runtime::settings::{Bounds, NodeSettings};
+use starlinghill_runtime::{CONFIG_STORE_PORT_OFFSET, PROXY_PORT_OFFSET, REGISTRY_PORT_OFFSET};
+
+use starlinghill_config_model::RoutingTable;
+use starlinghill_config_store::program::store;
+use starlinghill_proxy::decision_settings::Places;
+use starlinghill_proxy::heartbeat::Ring;
+use starlinghill_proxy::quota_client::Counter;
+use starlinghill_proxy::registry_client::{self, Shared, View, Ways};
+use starlinghill_registry::program::registry;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -122,10 +122,10 @@
         }
     }
 
-    fn node(&self, ip: IpAddr, first_start: bool) -> Node {
+    fn node(&self, ip: IpAddr, first_start: bool) -> NodeSettings {
         let there = self.cores.iter().filter(|core| core.is_there.get());
         let seeds = there.map(|core| SocketAddr::new(core.ip, CONTROL)).take(SEEDS).collect();
-        Node {
+        NodeSettings {
             name: ip.to_string(),
             ip,
             zone: "a".into(),
@@ -138,22 +138,22 @@
             front: None,
             ready: None,
             control: Some(SocketAddr::new(ip, CONTROL)),
-            beat: check::BEAT,
+            beat: checker::BEAT,
             bounds: Bounds {
-                drain: check::DRAIN,
-                apply: check::APPLY,
+                drain: checker::DRAIN,
+                apply: checker::APPLY,
                 sync_time: SYNC_TIME,
                 grace: Duration::from_secs(6),
                 retry_ratio: 0.2,
                 retry_extra: 62.0,
-                quota_window: check::QUOTA_WINDOW,
-                quota_excess: check::QUOTA_EXCESS,
-                quota_extra: check::QUOTA_EXTRA,
+                quota_window: checker::QUOTA_WINDOW,
+                quota_excess: checker::QUOTA_EXCESS,
+                quota_extra: checker::QUOTA_EXTRA,
             },
         }
     }
 
-    fn net(&self, ip: IpAddr) -> Net {
+    fn net(&self, ip: IpAddr) -> NetworkHandle {
         self.fabric.at(ip)
     }
 
@@ -164,12 +164,12 @@
 
     /// Where a registry takes calls of the system itself.
     pub fn own(&self, core: usize) -> SocketAddr {
-        SocketAddr::new(self.cores[core].ip, OWN + TOOLRACK)
+        SocketAddr::new(self.cores[core].ip, OWN + REGISTRY_PORT_OFFSET)
     }
 
     /// Where a store takes calls of the system itself.
     pub fn store(&self, core: usize) -> SocketAddr {
-        SocketAddr::new(self.cores[core].ip, OWN + PATTERNBOOK)
+        SocketAddr::new(self.cores[core].ip, OWN + CONFIG_STORE_PORT_OFFSET)
     }
 
     /// The core machines that are there.
@@ -350,20 +350,20 @@
         let (granted, begun, ended) = (self.granted.clone(), self.begun, self.ended.clone());
         *gateway.process.borrow_mut() = Process::begin(async move {
             let (_stop, stopping) = watch::channel(false);
-            let view = View { table: Table::default(), places: Places::default(), gateways: 1 };
+            let view = View { table: RoutingTable::default(), places: Places::default(), gateways: 1 };
             let shared =
                 Rc::new(Shared { view: RefCell::new(view), ready: watch::channel(false).0, stopping });
             *slot.borrow_mut() = Some(shared.clone());
-            let (holder, held) = news::nowhere();
-            let essentials = Essentials::default();
+            let (holder, held) = registry_client::nowhere();
+            let essentials = EssentialTasks::default();
             let counter = Counter::start(net.clone(), life, held, &essentials);
             // What the module would hear of it.
             let (driver, mut inputs) = mpsc::channel(64);
             let clock = Clock::from(Micros(100_000_000));
-            let ring = Rc::new(Ring::new(node.port(node.ip, WORKBENCH), life));
+            let ring = Rc::new(Ring::new(node.port(node.ip, PROXY_PORT_OFFSET), life));
             spawn_local(draw(counter.clone(), granted, begun));
             let ways = Ways { net, driver, clock, counter, holder, ring };
-            news::start(&node, shared, ways, life, &essentials);
+            registry_client::start(&node, shared, ways, life, &essentials);
             while let Some(input) = inputs.recv().await {
                 let Input::Backends(_, listings) = input else { continue };
                 for Listing { entry, name, .. } in listings {
@@ -387,7 +387,7 @@
         let shared = gateway.shared.borrow();
         let shared = shared.as_ref()?;
         let view = shared.view.borrow();
-        let item = |tenant: &Rc<starlinghill_template::table::Tenant>| {
+        let item = |tenant: &Rc<starlinghill_config_model::routing::Tenant>| {
             (tenant.name.clone(), (tenant.burst as u64, tenant.rate as u64))
         };
         let ready = *shared.ready.borrow();
--- a/crates/starlinghill-mockup/src/lib.rs
+++ b/crates/starlinghill-simulator/src/lib.rs
@@ -7,10 +7,10 @@
 //! One seed plays the same run again and again; `tests/control.rs` says how to play one.
 
 pub mod backends;
-pub mod check;
+pub mod checker;
+pub mod cluster;
+pub mod faults;
 pub mod fleet;
-pub mod links;
-pub mod lives;
-pub mod play;
-pub mod trouble;
-pub mod world;
+pub mod network;
+pub mod processes;
+pub mod scenario;
--- a/crates/starlinghill-mockup/src/play.rs
+++ b/crates/starlinghill-simulator/src/scenario.rs
@@ -1,8 +1,8 @@
 //! A run: operators who order and read, troubles that a seed decides, and a quiet end after which all must be well.
 
-use crate::check::{Attempt, Held, History, InForce, Items, Order, Read, APPLY, RATION, RATIONED};
-use crate::world::{ip, World};
-use crate::{backends, trouble};
+use crate::checker::{Attempt, Held, History, InForce, Items, Order, Read, APPLY, RATION, RATIONED};
+use crate::cluster::{ip, World};
+use crate::{backends, faults};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1;
@@ -10,9 +10,9 @@
 use hyper_util::rt::TokioIo;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use starlinghill_dovetail::call::Caller;
-use starlinghill_dovetail::net::Net;
-use starlinghill_toolrack::wire::{Answer, Question};
+use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
+use starlinghill_runtime::net::NetworkHandle;
+use starlinghill_runtime::rpc::RpcClient;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -124,7 +124,7 @@
         run.world.start_registry(i, true);
     }
     (0..GATEWAYS).for_each(|i| run.world.start_gateway(i));
-    trouble::first_start(&run).await;
+    faults::first_start(&run).await;
     let mut callers = Vec::new();
     for slot in 0..SLOTS {
         callers.push(spawn_local(operator(run.clone(), ip(2, slot % 2))));
@@ -135,7 +135,7 @@
     (0..FOUNDERS + SPARES).for_each(|i| drop(spawn_local(watch_holder(run.clone(), i))));
     sleep(CALM).await;
     run.give_ration().await;
-    trouble::all(run.clone(), play.troubled).await;
+    faults::all(run.clone(), play.troubled).await;
     sleep(RECOVERY).await;
     for i in 0..GATEWAYS {
         let listed = run.world.listed(i);
@@ -307,7 +307,7 @@
 
 /// One call from outside, over a connection of its own; `None` where no answer came in time.
 pub async fn call(
-    net: &Net,
+    net: &NetworkHandle,
     to: SocketAddr,
     method: Method,
     path: &str,
@@ -393,11 +393,13 @@
 /// Asks a registry, on its own machine, whether it holds the count.
 async fn watch_holder(run: Rc<Run>, core: usize) {
     let at = run.world.cores[core].ip;
-    let caller = Caller::new(&run.world.fabric.at(at), run.world.own(core));
+    let caller = RpcClient::new(&run.world.fabric.at(at), run.world.own(core));
     loop {
         sleep(LOOK).await;
         let asked = run.now();
-        if let Ok(Answer::Status(status)) = caller.call(&Question::Status, Duration::from_secs(30)).await {
+        if let Ok(RegistryResponse::Status(status)) =
+            caller.call(&RegistryRequest::Status, Duration::from_secs(30)).await
+        {
             let (answered, rack) = (run.now(), at);
             if let Some((term, _)) = status.holder.filter(|_| status.count.is_some()) {
                 run.seen.borrow_mut().held.push(Held { rack, term, asked, answered });
--- a/crates/starlinghill-mockup/tests/control.rs
+++ b/crates/starlinghill-simulator/tests/control.rs
@@ -1,18 +1,18 @@
 //! One control side, simulated: many seeds, each of which plays the same again, and faults that must be found.
 //!
 //! A seed that fails is played again with its troubles printed by
-//! `SEED=n cargo test -p starlinghill-mockup --test control one_seed -- --ignored --nocapture`; a long hunt is
-//! `SEEDS=1000 cargo test --profile measure -p starlinghill-mockup --test control long_hunt -- --ignored --nocapture`
+//! `SEED=n cargo test -p starlinghill-simulator --test control one_seed -- --ignored --nocapture`; a long hunt is
+//! `SEEDS=1000 cargo test --profile measure -p starlinghill-simulator --test control long_hunt -- --ignored --nocapture`
 //! (`SEED` is the first; with `LONG=1` both play long days).
 
 use hyper::Method;
-use starlinghill_catalog::State;
-use starlinghill_dovetail::call::Caller;
-use starlinghill_mockup::backends::beat;
-use starlinghill_mockup::check::{Attempt, Held, History, InForce, Items, Order, Read, APPLY};
-use starlinghill_mockup::play::{call, play, Play};
-use starlinghill_mockup::world::{ip, World};
-use starlinghill_toolrack::wire::{Answer, Question};
+use starlinghill_catalog::BackendState;
+use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
+use starlinghill_runtime::rpc::RpcClient;
+use starlinghill_simulator::backends::beat;
+use starlinghill_simulator::checker::{Attempt, Held, History, InForce, Items, Order, Read, APPLY};
+use starlinghill_simulator::cluster::{ip, World};
+use starlinghill_simulator::scenario::{call, play, Play};
 use std::collections::BTreeSet;
 use std::future::Future;
 use std::net::IpAddr;
@@ -68,7 +68,7 @@
 fn print(bad: &[(u64, Vec<String>)]) {
     for (seed, faults) in bad {
         println!(
-            "SEED={seed} cargo test -p starlinghill-mockup --test control one_seed -- --ignored --nocapture"
+            "SEED={seed} cargo test -p starlinghill-simulator --test control one_seed -- --ignored --nocapture"
         );
         faults.iter().for_each(|fault| println!("    {fault}"));
     }
@@ -301,11 +301,11 @@
         world.fabric.mend();
         sleep(s(3)).await;
         let at = world.fabric.at(ip(0, 1));
-        let asked = Caller::new(&at, world.own(1)).call(&Question::All, s(1)).await;
-        let Ok(Answer::All(heard)) = asked else { panic!("{asked:?}") };
+        let asked = RpcClient::new(&at, world.own(1)).call(&RegistryRequest::All, s(1)).await;
+        let Ok(RegistryResponse::All(heard)) = asked else { panic!("{asked:?}") };
         let states: Vec<_> =
             heard.backends.iter().map(|(instance, _)| (instance.id.as_str(), instance.state)).collect();
-        assert_eq!(states, [("b", State::Gone)]);
+        assert_eq!(states, [("b", BackendState::Gone)]);
     });
 }
 
--- a/crates/starlinghill-rig/examples/catch_up.rs
+++ b/crates/starlinghill-testkit/examples/catch_up.rs
@@ -1,9 +1,9 @@
 //! A core machine that is away, or loses its disk, during many changes, and then has all again while changes go on.
-//! `cargo run --release -p starlinghill-rig --example catch_up`. Called with the name of a part, it is that part.
+//! `cargo run --release -p starlinghill-testkit --example catch_up`. Called with the name of a part, it is that part.
 
-use starlinghill_dovetail::program;
-use starlinghill_rig::catch_up::{catch_up, Changes};
-use starlinghill_rig::system::System;
+use starlinghill_runtime::program;
+use starlinghill_testkit::catch_up::{catch_up, Changes};
+use starlinghill_testkit::system::System;
 use std::process::ExitCode;
 use tokio::task::LocalSet;
 
@@ -30,8 +30,8 @@
 
 fn main() -> ExitCode {
     match std::env::args().nth(1).as_deref() {
-        Some("toolrack") => program::start(false, starlinghill_toolrack::program::run),
-        Some("patternbook") => program::start(false, starlinghill_patternbook::program::run),
+        Some("toolrack") => program::start(false, starlinghill_registry::program::run),
+        Some("patternbook") => program::start(false, starlinghill_config_store::program::run),
         _ => {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
--- a/crates/starlinghill-rig/examples/common/mod.rs
+++ b/crates/starlinghill-testkit/examples/common/mod.rs
@@ -2,14 +2,14 @@
 #![allow(dead_code, unused_imports)]
 
 use starlinghill_control::{prepare, start, Running};
-use starlinghill_rig::world::{self, Discovery};
+use starlinghill_testkit::stubs::{self, Discovery};
 use std::time::Duration;
 
-pub use starlinghill_rig::nodes::listed as nodes;
+pub use starlinghill_testkit::nodes::listed as nodes;
 
 /// A control service before this discovery.
 pub async fn service(discovery: &Discovery, proxies: &[&str], plans: &str, more: &str) -> Running {
-    let path = world::control_file(discovery.stub.address, proxies, plans, more);
+    let path = stubs::control_file(discovery.stub.address, proxies, plans, more);
     let prepared = match prepare(&path) {
         Ok(prepared) => prepared,
         Err(problems) => panic!("{problems:?}"),
--- a/crates/starlinghill-rig/examples/cost.rs
+++ b/crates/starlinghill-testkit/examples/cost.rs
@@ -4,11 +4,11 @@
 //! `cost [--per-s N] [--seconds N] [--rounds N] PROGRAM...`
 
 use clap::Parser;
-use starlinghill_rig::group::{free_address, LIMIT};
-use starlinghill_rig::load::Load;
-use starlinghill_rig::nodes;
-use starlinghill_rig::processes::{used, Process, Used};
-use starlinghill_rig::world::{self, told_by};
+use starlinghill_testkit::group::{free_address, LIMIT};
+use starlinghill_testkit::load::Load;
+use starlinghill_testkit::nodes;
+use starlinghill_testkit::processes::{used, Process, Used};
+use starlinghill_testkit::stubs::{self, told_by};
 use std::error::Error;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -38,11 +38,11 @@
 
 async fn measure(program: PathBuf, per_s: u64, seconds: u64) -> Result<Measured, String> {
     let (_nodes, discovery) = nodes::listed(6).await;
-    let counter = world::counter();
+    let counter = stubs::counter();
     let at = free_address();
-    let config = world::config(discovery.stub.address, counter.address)
+    let config = stubs::config(discovery.stub.address, counter.address)
         .replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{at}\""));
-    let (program, file) = (program.display().to_string(), world::file(&config));
+    let (program, file) = (program.display().to_string(), stubs::file(&config));
     let mut gateway = Process::new("gateway", move || told_by(&program, &file));
     gateway.start();
     tokio::task::block_in_place(|| gateway.wait_for_log("ready", LIMIT));
--- a/crates/starlinghill-rig/examples/scale/pieces.rs
+++ b/crates/starlinghill-testkit/examples/scale/pieces.rs
@@ -1,13 +1,15 @@
 //! What single messages weigh, and what single acts cost.
 
 use starlinghill_catalog::{
-    number, service_number, Catalog, Gateway, Instance, Liveness, Observation, State,
+    number, service_number, BackendState, Catalog, Gateway, Instance, Liveness, Observation,
 };
-use starlinghill_dovetail::frame;
-use starlinghill_gauge::{Allowance, Draw, Gauge, Listed, Word};
-use starlinghill_grindstone::{Seen, Sight};
-use starlinghill_template::{Book, Change, Item};
-use starlinghill_toolrack::wire::{Answer, Have, Heard, News, Question};
+use starlinghill_config_model::{ConfigChange, Item, ItemSet};
+use starlinghill_failure_detector::{GatewayLiveness, PeerSighting};
+use starlinghill_quota_counter::{Allowance, Draw, ListedBackend, LoadReport, QuotaCounter};
+use starlinghill_registry::wire::{
+    KnownState, PeerReport, RegistryRequest, RegistryResponse, RegistryUpdate,
+};
+use starlinghill_runtime::frame;
 use std::collections::BTreeSet;
 use std::hint::black_box;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -31,19 +33,19 @@
         zone: format!("mu-north-{}", i % 21),
         version: "v1".into(),
         capacity: 4,
-        state: State::Ready,
+        state: BackendState::Ready,
         calls: 1_000 + i as u64,
         warm_at: 90_000_000_000 + i as u64,
     }
 }
 
-fn book(items: usize) -> Book {
+fn book(items: usize) -> ItemSet {
     // As at the target: of 85,750 items 950 are services, 9,800 routes and 75,000 tenants.
     let routes = items * 98 / 858;
     let tenants = items - routes - routes.div_ceil(10) - 1;
-    let mut book = Book::default();
+    let mut book = ItemSet::default();
     for call in crate::first_calls(routes.div_ceil(10), routes, tenants) {
-        let change = Change::read(call.as_bytes()).expect("a change");
+        let change = ConfigChange::read(call.as_bytes()).expect("a change");
         book.merge(change.items.iter().map(|held| held.item.clone()));
     }
     book
@@ -85,15 +87,15 @@
         within_ms: 300,
     };
     weigh("draw", draw);
-    weigh("word on a backend", |i| Word {
+    weigh("word on a backend", |i| LoadReport {
         backend: number(&i.to_string()),
         out: 2,
         well: 3,
         took_ms: 120,
         ill: 0,
     });
-    let seen = |i: usize| Seen { ip: ip(i), life: fastrand::u64(..), ago_ms: 100 };
-    let have = Have {
+    let seen = |i: usize| PeerSighting { ip: ip(i), life: fastrand::u64(..), ago_ms: 100 };
+    let have = KnownState {
         gateway: gateway(1),
         rack: 1 << 60,
         seq: 1_000,
@@ -103,7 +105,7 @@
         digest: u64::MAX,
         seen: (0..3).map(seen).collect(),
     };
-    let news = News {
+    let news = RegistryUpdate {
         rack: 1 << 60,
         seq: 1_000,
         contact: None,
@@ -115,15 +117,16 @@
         holder: None,
         time: 90_000_000_000,
     };
-    let frame = |question: &Question| frame::encode(question).len();
-    println!("| question for news, as a frame | {} | |", frame(&Question::News(have)));
+    let frame = |question: &RegistryRequest| frame::encode(question).len();
+    println!("| question for news, as a frame | {} | |", frame(&RegistryRequest::News(have)));
     println!(
         "| answer without news, as a frame | {} | |",
-        frame::encode(&Answer::News(Box::new(news))).len()
+        frame::encode(&RegistryResponse::News(Box::new(news))).len()
     );
-    let one = Question::Count { term: 90_000_000, from: 1 << 60, draws: vec![draw(1)], words: Vec::new() };
+    let one =
+        RegistryRequest::Count { term: 90_000_000, from: 1 << 60, draws: vec![draw(1)], words: Vec::new() };
     println!("| one draw, as a frame | {} | |", frame(&one));
-    let heard = |count: usize| Heard {
+    let heard = |count: usize| PeerReport {
         epoch: 1,
         backends: (0..count).map(|i| (instance(i, 950), 400)).collect(),
         gateways: (0..count / 14).map(|i| (gateway(i), 100)).collect(),
@@ -131,7 +134,7 @@
     };
     println!(
         "| what registries tell each other, 41,000 backends | {} | |",
-        frame(&Question::Heard(heard(41_000)))
+        frame(&RegistryRequest::Heard(heard(41_000)))
     );
     let whole: Vec<Item> = items.iter().cycle().take(85_750).cloned().collect();
     println!("| all 85,750 items | {} | |", bitcode::encode(&whole).len());
@@ -141,7 +144,7 @@
     println!("\n| a draw, with so many backends of its service, gateways | one draw |\n| --- | --- |");
     for (of_service, gateways) in [(4, 100), (43, 100), (43, 300), (43, 1_000), (43, 2_800), (512, 300)] {
         let (now, services) = (Duration::from_secs(10), 20);
-        let mut gauge = Gauge::begin(Duration::ZERO, 1, true, ALLOWANCE, []);
+        let mut gauge = QuotaCounter::begin(Duration::ZERO, 1, true, ALLOWANCE, []);
         let lives: BTreeSet<u64> = (1..=gateways).collect();
         for life in &lives {
             gauge.recall(now, *life, &[]);
@@ -150,7 +153,7 @@
         for i in 0..of_service * services {
             gauge.loads.listed(
                 now,
-                Listed {
+                ListedBackend {
                     backend: i as u64 + 1,
                     service: service_number(&format!("s-{}", i % services)),
                     zone: i as u64 % 21,
@@ -176,7 +179,7 @@
             let from = 1 + fastrand::u64(..gateways);
             let levels = gauge.draw(now, from, &[draw]);
             if let Some(room) = levels.as_ref().and_then(|l| l.first()?.rooms.first().copied()) {
-                let word = Word { backend: room.backend, out: 0, well: 1, took_ms: 40, ill: 0 };
+                let word = LoadReport { backend: room.backend, out: 0, well: 1, took_ms: 40, ill: 0 };
                 gauge.loads.tell(now, from, &[word]);
             }
             black_box(levels);
@@ -205,7 +208,7 @@
         let seq = catalog.seq();
         let since = timed(50, |_| drop(black_box(catalog.since(seq))));
         let all: BTreeSet<IpAddr> = (0..gateways).map(ip).collect();
-        let mut sight = Sight::default();
+        let mut sight = GatewayLiveness::default();
         (0..gateways).for_each(|i| sight.told(now, ip(i), 1, &[]));
         let dead = timed(2, |_| drop(black_box(sight.dead(now, &all))));
         let tick = timed(20, |_| drop(catalog.tick(now)));
@@ -220,9 +223,9 @@
         let book = book(items);
         let value: Vec<Item> = book.items().map(|held| held.item.clone()).collect();
         let bytes = bitcode::encode(&value);
-        let again = timed(2, |_| drop(black_box(Book::of(value.iter().cloned()))));
+        let again = timed(2, |_| drop(black_box(ItemSet::of(value.iter().cloned()))));
         let one = format!(r#"{{"upsert":{{"ports":[{}]}},"remove":{{}}}}"#, crate::route(0, 1, 2));
-        let change = Change::read(one.as_bytes()).expect("a change");
+        let change = ConfigChange::read(one.as_bytes()).expect("a change");
         let with = timed(5, |_| drop(black_box(book.with(&change).map(|next| next.beyond(&book)))));
         let encoded = timed(5, |_| drop(black_box(bitcode::encode(&value))));
         println!("| {} | {} | {} | {} | {} |", value.len(), bytes.len(), us(again), us(with), us(encoded));
--- a/crates/starlinghill-rig/examples/system.rs
+++ b/crates/starlinghill-testkit/examples/system.rs
@@ -1,9 +1,9 @@
 //! A small whole system on loopback, to be looked at: three core machines with a registry and a store each, two proxies, four
-//! backends, a configuration, and a client that goes on asking. `cargo run --profile demo -p starlinghill-rig --example
+//! backends, a configuration, and a client that goes on asking. `cargo run --profile demo -p starlinghill-testkit --example
 //! system`. Called with the name of a part, it is that part: tests start their processes so.
 
-use starlinghill_dovetail::program;
-use starlinghill_rig::system::{cut_net, first_items, Backend, Client, System};
+use starlinghill_runtime::program;
+use starlinghill_testkit::system::{cut_net, first_items, Backend, Client, System};
 use std::process::ExitCode;
 use std::time::Duration;
 
@@ -57,13 +57,13 @@
     // Each part reads its own command line behind its name.
     match std::env::args().nth(1).as_deref() {
         Some("workbench") => program::start(false, async |signals| {
-            starlinghill_workbench::program::run_on(cut_net(), signals).await
+            starlinghill_proxy::program::run_on(cut_net(), signals).await
         }),
         Some("toolrack") => program::start(false, async |signals| {
-            starlinghill_toolrack::program::run_on(cut_net(), signals).await
+            starlinghill_registry::program::run_on(cut_net(), signals).await
         }),
         Some("patternbook") => program::start(false, async |signals| {
-            starlinghill_patternbook::program::run_on(cut_net(), signals).await
+            starlinghill_config_store::program::run_on(cut_net(), signals).await
         }),
         _ => {
             let runtime =
--- a/crates/starlinghill-rig/src/catch_up.rs
+++ b/crates/starlinghill-testkit/src/catch_up.rs
@@ -2,9 +2,9 @@
 
 use crate::processes::Process;
 use crate::system::{change, first_items, patch, rule, Machine, System};
-use starlinghill_dovetail::call::Caller;
-use starlinghill_dovetail::net;
-use starlinghill_toolrack::wire::{Answer, Question};
+use starlinghill_registry::wire::{RegistryRequest, RegistryResponse};
+use starlinghill_runtime::net;
+use starlinghill_runtime::rpc::RpcClient;
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
@@ -56,9 +56,9 @@
 
 /// The highest number that the registry of a machine has, where a majority is behind it.
 async fn has(machine: &Machine) -> Option<u64> {
-    let caller = Caller::new(&net::tcp(), machine.registry());
-    match caller.call(&Question::Status, ASKED).await {
-        Ok(Answer::Status(status)) if status.fresh => status.items.iter().map(|item| item.2).max(),
+    let caller = RpcClient::new(&net::tcp(), machine.registry());
+    match caller.call(&RegistryRequest::Status, ASKED).await {
+        Ok(RegistryResponse::Status(status)) if status.fresh => status.items.iter().map(|item| item.2).max(),
         _ => None,
     }
 }
--- a/crates/starlinghill-rig/src/soak/mod.rs
+++ b/crates/starlinghill-testkit/src/soak/mod.rs
@@ -7,23 +7,23 @@
 //!
 //! `tests/soak.rs` says how to play more seeds than CI does.
 
-mod kept;
+mod faults;
+mod keep_alive;
 mod operator;
-mod trouble;
 
-use crate::cuts::Direction;
+use crate::partitions::Direction;
 use crate::processes::{state, Process};
 use crate::system::{call, first_items, program, Backend, Client, Does, System};
-use kept::{Kept, Unanswered};
+use faults::{meets, Play, Trouble, What};
+use keep_alive::{Kept, Unanswered};
 use operator::Operator;
-use starlinghill_gauge::{Allowance, Quota};
+use starlinghill_quota_counter::{Allowance, Quota};
 use std::collections::{BTreeSet, HashSet};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
-use trouble::{meets, Play, Trouble, What};
 
 const BACKENDS: usize = 4;
 /// The second service's backends, which never lose an answer.
--- a/crates/starlinghill-rig/src/system.rs
+++ b/crates/starlinghill-testkit/src/system.rs
@@ -1,7 +1,7 @@
 //! A small whole system on loopback: core machines with a registry and a store, proxies, backends that beat, an operator and
 //! clients. Machines are addresses of 127.0.0.0/8, so that ports may be alike on all, as they are on the platform.
 
-use crate::cuts::{self, Direction};
+use crate::partitions::{self, Direction};
 use crate::processes::Process;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -9,8 +9,8 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use starlinghill_dovetail::net::Net;
-use starlinghill_dovetail::settings::Node;
+use starlinghill_runtime::net::NetworkHandle;
+use starlinghill_runtime::settings::NodeSettings;
 use std::collections::{BTreeSet, HashMap};
 use std::net::{IpAddr, SocketAddr};
 use std::os::unix::fs::MetadataExt;
@@ -34,11 +34,11 @@
 const CUTS: &str = "cuts";
 
 /// The network of the part of a system that this process is, by its settings file: cut as the system's test says.
-pub fn cut_net() -> Net {
+pub fn cut_net() -> NetworkHandle {
     let file = PathBuf::from(std::env::var_os("STARLINGHILL_CONFIG").expect("a settings file"));
     let folder = file.parent().and_then(Path::parent).expect("a system's folder");
-    let node = Node::from_file(&file).expect("sound settings");
-    cuts::net(node.ip, folder.join(CUTS))
+    let node = NodeSettings::from_file(&file).expect("sound settings");
+    partitions::net(node.ip, folder.join(CUTS))
 }
 
 /// How long anything may take.
@@ -184,7 +184,7 @@
 
     /// These directions of links are cut from now on, and no others.
     pub fn cut(&self, directions: &BTreeSet<Direction>) {
-        cuts::write(&self.folder.path().join(CUTS), directions).expect("written");
+        partitions::write(&self.folder.path().join(CUTS), directions).expect("written");
     }
 
     /// Waits until all proxies take clients.
--- a/crates/starlinghill-rig/tests/members.rs
+++ b/crates/starlinghill-testkit/tests/members.rs
@@ -1,10 +1,10 @@
 //! Members of the core as people change them, by real processes and the console's own orders: `docs/operate/system.md`.
 
-use starlinghill_console::ask::Places;
+use starlinghill_config_store::wire::MembershipOrder;
+use starlinghill_console::client::Places;
 use starlinghill_console::membership::{list, why};
-use starlinghill_dovetail::settings::Node;
-use starlinghill_patternbook::wire::CoreOrder;
-use starlinghill_rig::system::{change, eventually, first_items, program, rule, System};
+use starlinghill_runtime::settings::NodeSettings;
+use starlinghill_testkit::system::{change, eventually, first_items, program, rule, System};
 use std::net::IpAddr;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 }
 
 /// Gives an order as the console does, again where it has to wait.
-async fn order(places: &Places, order: CoreOrder) {
+async fn order(places: &Places, order: MembershipOrder) {
     eventually(&format!("{order:?}"), || async { places.core(order).await.is_ok() }).await;
 }
 
@@ -36,7 +36,7 @@
         core.processes[1].wait_for_log("event=start program=patternbook", PATIENCE);
     }
     assert_eq!(system.change(&first_items(0)).await.status, 200);
-    let places = Places::of(&Node::from_file(&system.cores[2].file()).expect("settings"));
+    let places = Places::of(&NodeSettings::from_file(&system.cores[2].file()).expect("settings"));
     for core in 3..5 {
         system.add_core(&program());
         // Nobody has gone: it waits, and says why, until people want it.
@@ -46,7 +46,7 @@
             lines.iter().any(|line| line.contains(&waits) && line.contains("no member has been silent"))
         })
         .await;
-        order(&places, CoreOrder::Add(ip(&system, core))).await;
+        order(&places, MembershipOrder::Add(ip(&system, core))).await;
         system.cores[core].processes[1].wait_for_log("event=voter_back", PATIENCE);
     }
     eventually("all five are fresh", || async { states(&places).await == ["fresh"; 5] }).await;
@@ -61,7 +61,7 @@
     both.sort_unstable();
     assert_eq!(both, ["fresh", "fresh", "fresh", "silent", "silent"]);
     for core in 0..2 {
-        order(&places, CoreOrder::Remove(ip(&system, core))).await;
+        order(&places, MembershipOrder::Remove(ip(&system, core))).await;
     }
     eventually("three are left", || async { states(&places).await == ["fresh"; 3] }).await;
     // The last founder: what was confirmed is with those that came later.
--- a/crates/starlinghill-rig/tests/system.rs
+++ b/crates/starlinghill-testkit/tests/system.rs
@@ -1,8 +1,8 @@
 //! The whole system as real processes on loopback: what is acknowledged, what runs, what a tenant gets, while processes are
 //! killed, disks are lost and backends misbehave. Histories are checked after the fact.
 
-use starlinghill_gauge::{most_in, Allowance, Quota, Troubles};
-use starlinghill_rig::system::{
+use starlinghill_quota_counter::{max_granted_in_window, Allowance, Disruptions, Quota};
+use starlinghill_testkit::system::{
     call, change, eventually, first_items, patch, program, rule, Backend, Client, Does, System,
 };
 use std::collections::HashMap;
@@ -361,7 +361,7 @@
     while begun.elapsed() < Duration::from_secs(7) {
         if !killed && begun.elapsed() > Duration::from_secs(3) {
             killed = true;
-            let holds = |process: &starlinghill_rig::processes::Process| {
+            let holds = |process: &starlinghill_testkit::processes::Process| {
                 process.log().iter().any(|line| line.contains("event=count_held"))
             };
             let holder = system.cores.iter().position(|core| holds(&core.processes[0]));
@@ -383,8 +383,8 @@
     // One move, noticed within the lease and what a gateway waits; a request in hand at each gateway.
     let quota = Quota { rate, burst: rate };
     let allowance = Allowance { window_s: 5.0, excess: 0.1, extra: 20.0 };
-    let troubles = Troubles { moves: 1, late_s: 0.7, cut: 1.0 };
-    let bound = (most_in(quota, allowance, troubles) + 3.0).min(allowance.most(quota));
+    let troubles = Disruptions { moves: 1, late_s: 0.7, cut: 1.0 };
+    let bound = (max_granted_in_window(quota, allowance, troubles) + 3.0).min(allowance.most(quota));
     assert!(most <= bound, "{most} of {bound}: {statuses:?}");
     assert!(granted.len() as f64 > rate * 4.0, "{} were granted: {statuses:?}", granted.len());
     assert_eq!(backends.iter().map(Backend::runs).sum::<u32>() as usize, granted.len());
@@ -393,7 +393,7 @@
 /// What came of tries made at the same time.
 async fn futures_join<F>(tries: Vec<F>) -> Vec<Option<u16>>
 where
-    F: std::future::Future<Output = (String, Option<starlinghill_rig::system::Answer>)>,
+    F: std::future::Future<Output = (String, Option<starlinghill_testkit::system::Answer>)>,
 {
     let mut tries: Vec<_> = tries.into_iter().map(|one| (Box::pin(one), None)).collect();
     std::future::poll_fn(|cx| {
