--- a/crates/starlinghill-registry/src/http.rs
+++ b/crates/starlinghill-registry/src/http.rs
@@ -1,4 +1,4 @@
-//! Calls from outside: backends and the operator, over HTTP.
+//! The HTTP API for backends and for the operator.
 
 use crate::peers::{ask_store, Peers};
 use crate::router::{Endpoint, RouteMatch, RouteNode};
@@ -28,33 +28,33 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The longest body of a beat and of a change, in bytes.
-const BEAT_BYTES: usize = 4 << 10;
-const CHANGE_BYTES: usize = 4 << 20;
-/// Callers that may be connected at once. Guards descriptors.
-const MOST_CALLERS: usize = 1_500;
-/// How long a caller may take to send, and be idle.
-const SLOW: Duration = Duration::from_secs(5);
+/// Limits of request bodies, in bytes.
+const MAX_HEARTBEAT_BYTES: usize = 4 << 10;
+const MAX_CHANGE_BYTES: usize = 4 << 20;
+/// Connections that may be open at once, so that connections can't use up the file descriptors.
+const MAX_CONNECTIONS: usize = 1_500;
+/// Timeout for a request's headers and for its body.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What calls need.
+/// What the handlers need.
 pub struct HttpApi {
-    /// Where the stores are reached.
+    /// The network on which the stores are called.
     pub net: NetworkHandle,
-    /// The tables.
-    pub owner: StateHandle,
+    /// The state of this registry.
+    pub state: StateHandle,
     /// The other registries.
     pub peers: Rc<Peers>,
-    /// The store on this machine, and the port of the others.
+    /// The configuration store on this machine. The stores of other machines listen on the same port.
     pub store: SocketAddr,
-    /// All calls.
-    pub tree: RouteNode,
-    /// The process is to end.
+    /// The routes of the API.
+    pub routes: RouteNode,
+    /// Becomes true when the process shuts down; connections are closed after their current response then.
     pub stopping: watch::Receiver<bool>,
 }
 
-/// Serves for ever.
-pub async fn serve(listener: Box<dyn Listener>, desk: Rc<HttpApi>) {
-    let callers = Rc::new(Cell::new(0usize));
+/// Accepts and serves connections until the process ends.
+pub async fn serve(listener: Box<dyn Listener>, api: Rc<HttpApi>) {
+    let connections = Rc::new(Cell::new(0usize));
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -64,23 +64,23 @@
                 continue;
             }
         };
-        if callers.get() >= MOST_CALLERS {
+        if connections.get() >= MAX_CONNECTIONS {
             continue;
         }
-        callers.set(callers.get() + 1);
-        let (desk, callers) = (desk.clone(), callers.clone());
+        connections.set(connections.get() + 1);
+        let (api, connections) = (api.clone(), connections.clone());
         spawn_local(async move {
             let service = service_fn(move |request| {
-                let desk = desk.clone();
-                async move { Ok::<_, Infallible>(desk.answer(request).await) }
+                let api = api.clone();
+                async move { Ok::<_, Infallible>(api.handle(request).await) }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(SLOW)
+                .header_read_timeout(CALLER_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
-            // How a caller ends is its own affair.
+            // An error here concerns only this caller, who sees it too.
             let _ = connection.await;
-            callers.set(callers.get() - 1);
+            connections.set(connections.get() - 1);
         });
     }
 }
@@ -94,9 +94,9 @@
     response
 }
 
-fn problem(status: StatusCode, problem: &str) -> Reply {
+fn error_reply(status: StatusCode, message: &str) -> Reply {
     let mut body = OwnedValue::object();
-    let _ = body.insert("error", problem);
+    let _ = body.insert("error", message);
     let mut response = reply(status, body.encode().into_bytes());
     if status == StatusCode::SERVICE_UNAVAILABLE {
         response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("0.2"));
@@ -105,22 +105,26 @@
 }
 
 impl HttpApi {
-    async fn answer(&self, request: Request<Incoming>) -> Reply {
+    async fn handle(&self, request: Request<Incoming>) -> Reply {
         let (head, body) = request.into_parts();
-        let (call, taken) = match self.tree.find(&head.method, head.uri.path()) {
-            RouteMatch::Endpoint(call, taken) => (call, taken),
-            RouteMatch::Method => return problem(StatusCode::METHOD_NOT_ALLOWED, "no such call here"),
-            RouteMatch::Nothing => return problem(StatusCode::NOT_FOUND, "nothing is here"),
+        let (call, params) = match self.routes.lookup(&head.method, head.uri.path()) {
+            RouteMatch::Endpoint(call, params) => (call, params),
+            RouteMatch::MethodNotAllowed => {
+                return error_reply(StatusCode::METHOD_NOT_ALLOWED, "method not allowed")
+            }
+            RouteMatch::NotFound => return error_reply(StatusCode::NOT_FOUND, "not found"),
         };
-        let most = if call == Endpoint::Change { CHANGE_BYTES } else { BEAT_BYTES };
-        let body = match timeout(SLOW, Limited::new(body, most).collect()).await {
+        let max_bytes = if call == Endpoint::Change { MAX_CHANGE_BYTES } else { MAX_HEARTBEAT_BYTES };
+        let body = match timeout(CALLER_TIMEOUT, Limited::new(body, max_bytes).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(_)) => return problem(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long or broke off"),
-            Err(_) => return problem(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
+            Ok(Err(_)) => {
+                return error_reply(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long or incomplete")
+            }
+            Err(_) => return error_reply(StatusCode::REQUEST_TIMEOUT, "the body did not arrive in time"),
         };
         let mut response = match call {
-            Endpoint::Beat => self.beat(taken.first().copied().unwrap_or_default(), &body).await,
-            Endpoint::Leave => self.leave(taken.first().copied().unwrap_or_default()).await,
+            Endpoint::Heartbeat => self.heartbeat(params.first().copied().unwrap_or_default(), &body).await,
+            Endpoint::Leave => self.leave(params.first().copied().unwrap_or_default()).await,
             Endpoint::Change => self.change(body).await,
             Endpoint::Read => self.read().await,
         };
@@ -130,59 +134,66 @@
         response
     }
 
-    async fn beat(&self, id: &str, body: &[u8]) -> Reply {
-        let (instance, warmup) = match read_beat(id, body) {
+    async fn heartbeat(&self, id: &str, body: &[u8]) -> Reply {
+        let (instance, warmup) = match read_heartbeat(id, body) {
             Ok(read) => read,
-            Err(wrong) => return problem(StatusCode::BAD_REQUEST, &wrong),
+            Err(message) => return error_reply(StatusCode::BAD_REQUEST, &message),
         };
-        let (told, noted) = oneshot::channel();
-        if self.owner.send(Command::Beat(instance, warmup, told)).await.is_err() {
-            return problem(StatusCode::SERVICE_UNAVAILABLE, "ending");
+        let (reply_to, recorded) = oneshot::channel();
+        if self.state.send(Command::Heartbeat(instance, warmup, reply_to)).await.is_err() {
+            return error_reply(StatusCode::SERVICE_UNAVAILABLE, "shutting down");
         }
-        let Ok(instance) = noted.await else { return problem(StatusCode::SERVICE_UNAVAILABLE, "ending") };
+        let Ok(instance) = recorded.await else {
+            return error_reply(StatusCode::SERVICE_UNAVAILABLE, "shutting down");
+        };
         if refuses_new_work(&instance) {
-            // Said to be known only once it would be known without this registry as well.
-            if !self.peers.tell_instance(instance).await {
-                return problem(StatusCode::SERVICE_UNAVAILABLE, "no majority of registries has noted it");
+            // The heartbeat is acknowledged only once the state would survive the loss of this registry.
+            if !self.peers.replicate_instance(instance).await {
+                return error_reply(
+                    StatusCode::SERVICE_UNAVAILABLE,
+                    "no majority of registries has recorded it",
+                );
             }
         }
         reply(StatusCode::OK, b"{}".to_vec())
     }
 
     async fn leave(&self, id: &str) -> Reply {
-        let (told, noted) = oneshot::channel();
-        if self.owner.send(Command::Leave(id.into(), told)).await.is_err() || noted.await.is_err() {
-            return problem(StatusCode::SERVICE_UNAVAILABLE, "ending");
+        let (reply_to, recorded) = oneshot::channel();
+        if self.state.send(Command::Leave(id.into(), reply_to)).await.is_err() || recorded.await.is_err() {
+            return error_reply(StatusCode::SERVICE_UNAVAILABLE, "shutting down");
         }
-        match self.peers.tell_left(id).await {
+        match self.peers.replicate_departure(id).await {
             true => reply(StatusCode::OK, b"{}".to_vec()),
-            false => problem(StatusCode::SERVICE_UNAVAILABLE, "no majority of registries has noted it"),
+            false => {
+                error_reply(StatusCode::SERVICE_UNAVAILABLE, "no majority of registries has recorded it")
+            }
         }
     }
 
-    /// The one on this machine first.
+    /// Addresses of all stores, the one on this machine first.
     fn stores(&self) -> Vec<SocketAddr> {
         let others = self.peers.others().into_iter().map(|ip| SocketAddr::new(ip, self.store.port()));
         std::iter::once(self.store).chain(others).collect()
     }
 
     async fn change(&self, body: Bytes) -> Reply {
-        let begun = Instant::now();
+        let started = Instant::now();
         let asked =
             ask_store(&self.net, self.stores(), StoreRequest::Change(body.to_vec()), ORDER_RESPONSE_TIMEOUT);
         let outcome = match asked.await {
             Some(StoreResponse::Changed(outcome)) => outcome,
             _ => ChangeOutcome::Unclear,
         };
-        let took = begun.elapsed().as_millis();
+        let took = started.elapsed().as_millis();
         log::info!("event=change bytes={} took_ms={took} outcome=\"{outcome:?}\"", body.len());
         match outcome {
             ChangeOutcome::Taken => reply(StatusCode::OK, b"{}".to_vec()),
-            ChangeOutcome::Invalid(wrong) => problem(StatusCode::BAD_REQUEST, &wrong),
-            ChangeOutcome::Conflict(wrong) => problem(StatusCode::CONFLICT, &wrong),
-            ChangeOutcome::Unclear => problem(
+            ChangeOutcome::Invalid(message) => error_reply(StatusCode::BAD_REQUEST, &message),
+            ChangeOutcome::Conflict(message) => error_reply(StatusCode::CONFLICT, &message),
+            ChangeOutcome::Unclear => error_reply(
                 StatusCode::SERVICE_UNAVAILABLE,
-                "no majority of stores in time, or a number that is not remembered any more",
+                "no majority of stores in time, or a change number too old to be remembered",
             ),
         }
     }
@@ -192,17 +203,17 @@
             Some(StoreResponse::Whole(items)) => {
                 reply(StatusCode::OK, ItemSet::of(items).layout().encode().into_bytes())
             }
-            _ => problem(StatusCode::SERVICE_UNAVAILABLE, "no majority of stores in time"),
+            _ => error_reply(StatusCode::SERVICE_UNAVAILABLE, "no majority of stores in time"),
         }
     }
 }
 
-/// Reads a beat, and how much longer its backend is slow, in microseconds.
-fn read_beat(id: &str, body: &[u8]) -> Result<(Instance, u64), String> {
+/// Parses a heartbeat; returns the instance and the remaining time of its warm-up in microseconds.
+fn read_heartbeat(id: &str, body: &[u8]) -> Result<(Instance, u64), String> {
     let value =
-        simd_json::to_owned_value(&mut body.to_vec()).map_err(|error| format!("not JSON: {error}"))?;
-    let (root, mut faults) = (DocumentValue::root(&value), ValidationErrors::default());
-    let f = &mut faults;
+        simd_json::to_owned_value(&mut body.to_vec()).map_err(|error| format!("not valid JSON: {error}"))?;
+    let (root, mut errors) = (DocumentValue::root(&value), ValidationErrors::default());
+    let f = &mut errors;
     let (details, observed) = (root.at("details"), root.at("observed"));
     let state = observed.at("state");
     let state = match state.text(f).as_str() {
@@ -214,21 +225,21 @@
         }
     };
     let address = root.at("address").address(f);
-    let warm = observed.at("warmup_left");
-    let warmup = if warm.is_there() { warm.time(f).as_micros() as u64 } else { 0 };
+    let warmup_left = observed.at("warmup_left");
+    let warmup = if warmup_left.exists() { warmup_left.time(f).as_micros() as u64 } else { 0 };
     let version = details.at("version");
     let zone = details.at("zone");
     let instance = Instance {
         id: id.into(),
         service: details.at("service").text(f),
         address: address.unwrap_or(SocketAddr::from(([0, 0, 0, 0], 0))),
-        zone: if zone.is_there() { zone.text(f) } else { String::new() },
-        version: if version.is_there() { version.text(f) } else { String::new() },
+        zone: if zone.exists() { zone.text(f) } else { String::new() },
+        version: if version.exists() { version.text(f) } else { String::new() },
         capacity: details.at("capacity").count(f).clamp(1, 100_000) as u32,
         state,
         calls: observed.at("call_count").count(f),
         warm_at: 0,
     };
-    let whole = faults.into_result((instance, warmup));
-    whole.map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))
+    let checked = errors.into_result((instance, warmup));
+    checked.map_err(|errors| errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))
 }
--- a/crates/starlinghill-registry/src/lib.rs
+++ b/crates/starlinghill-registry/src/lib.rs
@@ -1,6 +1,6 @@
-//! Workshop: the tool rack shows which tools are in their place. Here it is the registry: it hears the beats of backends and
-//! the questions of gateways, tells each gateway what is new, keeps the tenants' count while that is its duty, and takes
-//! all calls from outside, also those for the store of configuration beside it.
+//! The registry. It receives the heartbeats of backends, answers the polls of gateways with what changed, runs the
+//! tenants' quota counter while it holds the lease for it, and serves the HTTP API, including requests for the
+//! configuration store on the same machine.
 
 pub mod http;
 pub mod members;
--- a/crates/starlinghill-registry/src/main.rs
+++ b/crates/starlinghill-registry/src/main.rs
@@ -1,12 +1,12 @@
-//! The registry.
+//! The program of the registry.
 
 use std::process::ExitCode;
 
-const HELP: &str = "starlinghill-registry: the registry, which also takes all calls from outside
+const HELP: &str = "starlinghill-registry: the registry, which also serves the HTTP API
 
-    starlinghill-registry               runs; STARLINGHILL_CONFIG names the settings file
-    starlinghill-registry check FILE    says what is wrong with a settings file
-    -v, --verbose                       logs the small events too
+    starlinghill-registry               runs it; STARLINGHILL_CONFIG names the settings file
+    starlinghill-registry check FILE    lists the errors in a settings file
+    -v, --verbose                       also logs debug messages
 ";
 
 fn main() -> ExitCode {
--- a/crates/starlinghill-registry/src/peers.rs
+++ b/crates/starlinghill-registry/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other registries, and the store beside this one.
+//! Communication with the other registries and with the configuration stores.
 
 use crate::state::{Command, StateHandle, TickWork};
 use crate::wire::{PeerReport, RegistryRequest, RegistryResponse};
@@ -18,96 +18,99 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{interval, sleep, timeout_at, Instant, MissedTickBehavior};
 
-/// How often the tables are told that time passes.
-const TICK: Duration = Duration::from_millis(60);
-/// How long another registry may take. A backend waits a second for its answer.
-const PATIENCE: Duration = Duration::from_millis(350);
-const PAUSE: Duration = Duration::from_millis(100);
-/// While the store here is silent, others are asked so often who the members are.
-const LEARN: Duration = Duration::from_secs(1);
+/// Interval of the state's periodic work.
+const TICK_INTERVAL: Duration = Duration::from_millis(60);
+/// Timeout of a call to another registry. It must be well below the second that a backend waits for its answer.
+const PEER_TIMEOUT: Duration = Duration::from_millis(350);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How often other stores are asked for the members while the store on this machine does not answer.
+const MEMBERS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The way to another registry: two, as the duty must not wait behind lists.
-type Lines = (Rc<RpcClient>, Rc<RpcClient>);
+/// Two connections to another registry: the first for lease requests, which must not wait behind long reports, the
+/// second for everything else.
+type PeerClients = (Rc<RpcClient>, Rc<RpcClient>);
 
-/// The registries of the members, as they are known here.
+/// The other registries, by the members as they are known here.
 pub struct Peers {
     net: NetworkHandle,
-    me: IpAddr,
+    own_ip: IpAddr,
     port: u16,
     members: RefCell<Members>,
-    /// Asked until the members are known: a beginning only.
+    /// Addresses from the settings, used only until the members are known.
     seeds: Vec<IpAddr>,
-    lines: RefCell<BTreeMap<IpAddr, Lines>>,
-    /// Others that may know what was never told here: they did not answer.
-    missed: RefCell<BTreeSet<IpAddr>>,
+    clients: RefCell<BTreeMap<IpAddr, PeerClients>>,
+    /// Registries whose last report or full report failed. They may know of departed backends that this one was never
+    /// told of.
+    unsynced: RefCell<BTreeSet<IpAddr>>,
 }
 
 impl Peers {
-    /// On a network, without this one.
-    pub fn new(net: &NetworkHandle, me: IpAddr, port: u16, seeds: Vec<IpAddr>) -> Peers {
-        let (members, lines, missed) = (RefCell::default(), RefCell::default(), RefCell::default());
-        Peers { net: net.clone(), me, port, members, seeds, lines, missed }
+    /// `own_ip` is left out of the peers. `port` is that of registries on every machine.
+    pub fn new(net: &NetworkHandle, own_ip: IpAddr, port: u16, seeds: Vec<IpAddr>) -> Peers {
+        let (members, clients, unsynced) = (RefCell::default(), RefCell::default(), RefCell::default());
+        Peers { net: net.clone(), own_ip, port, members, seeds, clients, unsynced }
     }
 
-    /// Those are the members, if they are newer. Returns whether that is news.
+    /// Adopts the members if they are newer than the known ones; returns whether they were.
     pub fn follow(&self, members: &Members) -> bool {
         let mut known = self.members.borrow_mut();
         let newer = known.voters.is_empty() && !members.voters.is_empty() || members.epoch > known.epoch;
         if newer {
             *known = members.clone();
-            self.lines.borrow_mut().retain(|ip, _| members.at(*ip).is_some());
-            self.missed.borrow_mut().retain(|ip| members.at(*ip).is_some());
+            self.clients.borrow_mut().retain(|ip, _| members.at(*ip).is_some());
+            self.unsynced.borrow_mut().retain(|ip| members.at(*ip).is_some());
         }
         newer
     }
 
-    /// The members were told.
+    /// Whether a set of members has been received.
     pub fn knows_members(&self) -> bool {
         !self.members.borrow().voters.is_empty()
     }
 
-    /// Where the others are.
+    /// Addresses of the other registries: the members, or the seeds where no members are known.
     pub fn others(&self) -> Vec<IpAddr> {
         let known = self.members.borrow();
         let all: BTreeSet<IpAddr> = match known.voters.is_empty() {
             true => self.seeds.iter().copied().collect(),
             false => known.voters.iter().map(|member| member.ip).collect(),
         };
-        all.into_iter().filter(|ip| *ip != self.me).collect()
+        all.into_iter().filter(|ip| *ip != self.own_ip).collect()
     }
 
-    fn lines(&self, ip: IpAddr) -> Lines {
-        let line = || Rc::new(RpcClient::new(&self.net, SocketAddr::new(ip, self.port)));
-        self.lines.borrow_mut().entry(ip).or_insert_with(|| (line(), line())).clone()
+    fn clients_of(&self, ip: IpAddr) -> PeerClients {
+        let client = || Rc::new(RpcClient::new(&self.net, SocketAddr::new(ip, self.port)));
+        self.clients.borrow_mut().entry(ip).or_insert_with(|| (client(), client())).clone()
     }
 
-    /// Tells all members; returns whether a majority of them has noted it. One that is no member passes it on, and counts for
-    /// nothing itself.
-    async fn tell_most(&self, question: impl Fn(u64) -> RegistryRequest) -> bool {
-        // One that has just started knows in a moment.
-        let known = Instant::now() + PATIENCE;
-        while !self.knows_members() && Instant::now() < known {
-            sleep(TICK).await;
+    /// Sends a request to all members; returns whether a majority of them acknowledged it. A registry that is no
+    /// member itself doesn't count toward the majority.
+    async fn send_to_majority(&self, request: impl Fn(u64) -> RegistryRequest) -> bool {
+        // A registry that has just started learns the members within moments.
+        let give_up_at = Instant::now() + PEER_TIMEOUT;
+        while !self.knows_members() && Instant::now() < give_up_at {
+            sleep(TICK_INTERVAL).await;
         }
-        // A second time where somebody knew newer members.
+        // Repeats the request once if a peer knew newer members.
         for _ in 0..2 {
             let members = self.members.borrow().clone();
-            let (told, mut answers) = mpsc::unbounded_channel();
+            let (replies, mut answers) = mpsc::unbounded_channel();
             for ip in self.others() {
-                let ((_, caller), question, told) = (self.lines(ip), question(members.epoch), told.clone());
+                let ((_, client), request, replies) =
+                    (self.clients_of(ip), request(members.epoch), replies.clone());
                 spawn_local(async move {
-                    if let Ok(answer) = caller.call::<_, RegistryResponse>(&question, PATIENCE).await {
-                        // A majority may have noted it.
-                        let _ = told.send((ip, answer));
+                    if let Ok(answer) = client.call::<_, RegistryResponse>(&request, PEER_TIMEOUT).await {
+                        // The receiver is gone if a majority has already acknowledged.
+                        let _ = replies.send((ip, answer));
                     }
                 });
             }
-            drop(told);
-            let mut noted: BTreeSet<Member> = members.at(self.me).into_iter().collect();
+            drop(replies);
+            let mut acknowledged: BTreeSet<Member> = members.at(self.own_ip).into_iter().collect();
             let mut newer = false;
-            while !may_confirm_drain(noted.len(), members.voters.len()) && !newer {
+            while !may_confirm_drain(acknowledged.len(), members.voters.len()) && !newer {
                 match answers.recv().await {
-                    Some((ip, RegistryResponse::Acknowledged)) => noted.extend(members.at(ip)),
+                    Some((ip, RegistryResponse::Acknowledged)) => acknowledged.extend(members.at(ip)),
                     Some((_, RegistryResponse::NewerMembers(known))) => newer = self.follow(&known),
                     Some(_) => {}
                     None => return false,
@@ -120,172 +123,181 @@
         false
     }
 
-    /// What a backend said last goes to the others.
-    pub async fn tell_instance(&self, instance: Instance) -> bool {
-        let heard = |epoch| {
+    /// Replicates a backend's state; returns whether a majority of registries knows it.
+    pub async fn replicate_instance(&self, instance: Instance) -> bool {
+        let request = |epoch| {
             RegistryRequest::Report(PeerReport {
                 epoch,
                 backends: vec![(instance.clone(), 0)],
                 ..PeerReport::default()
             })
         };
-        self.tell_most(heard).await
+        self.send_to_majority(request).await
     }
 
-    /// That a backend has left goes to the others.
-    pub async fn tell_left(&self, id: &str) -> bool {
-        self.tell_most(|epoch| RegistryRequest::BackendLeft(epoch, id.into())).await
+    /// Replicates that a backend has deregistered; returns whether a majority of registries knows it.
+    pub async fn replicate_departure(&self, id: &str) -> bool {
+        self.send_to_majority(|epoch| RegistryRequest::BackendLeft(epoch, id.into())).await
     }
 
-    /// Lets time pass: duty, and what was heard.
-    pub async fn run(self: Rc<Self>, owner: StateHandle) {
-        self.learn_all(&owner).await;
-        let mut tick = interval(TICK);
+    /// Runs the periodic work: lease requests and reports to the other registries.
+    pub async fn run(self: Rc<Self>, state: StateHandle) {
+        self.fetch_all_reports(&state).await;
+        let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tick.tick().await;
             let (reply, due) = oneshot::channel();
-            if owner.send(Command::Tick(reply)).await.is_err() {
+            if state.send(Command::Tick(reply)).await.is_err() {
                 return;
             }
-            let Ok(TickWork { duty, epoch, heard }) = due.await else { return };
+            let Ok(TickWork { lease_request, epoch, report }) = due.await else { return };
             for ip in self.others() {
-                let (quick, _) = self.lines(ip);
-                if let Some((asked, ask)) = duty {
-                    let owner = owner.clone();
+                let (lease_client, _) = self.clients_of(ip);
+                if let Some((asked, lease_request)) = lease_request {
+                    let state = state.clone();
                     spawn_local(async move {
-                        // Whoever can't be told is asked again.
-                        let _ = match quick.call(&RegistryRequest::Lease(epoch, ask), PATIENCE).await {
-                            Ok(RegistryResponse::Lease(tell)) => {
-                                owner.send(Command::LeaseReply(ip, asked, ask, tell)).await
+                        // A request that fails is sent again with a later tick.
+                        let _ = match lease_client
+                            .call(&RegistryRequest::Lease(epoch, lease_request), PEER_TIMEOUT)
+                            .await
+                        {
+                            Ok(RegistryResponse::Lease(vote)) => {
+                                state.send(Command::LeaseReply(ip, asked, lease_request, vote)).await
                             }
                             Ok(RegistryResponse::NewerMembers(members)) => {
-                                owner.send(Command::NewerMembers(members)).await
+                                state.send(Command::NewerMembers(members)).await
                             }
                             _ => Ok(()),
                         };
                     });
                 }
-                if let Some(heard) = heard.clone() {
-                    let (peers, owner) = (self.clone(), owner.clone());
-                    spawn_local(async move { peers.pass_on(ip, heard, &owner).await });
+                if let Some(report) = report.clone() {
+                    let (peers, state) = (self.clone(), state.clone());
+                    spawn_local(async move { peers.send_report(ip, report, &state).await });
                 }
             }
         }
     }
 
-    /// One that has just started asks the others first: knowing none is not the same as there being none. So does each once
-    /// the members are others: what one of them was told before need not have come here.
-    pub async fn learn_all(&self, owner: &StateHandle) {
+    /// Fetches everything that the other registries know. A registry that has just started needs this because an
+    /// empty catalog doesn't mean that there are no backends. It is also needed when the members change: a new
+    /// member's earlier reports may never have come here.
+    pub async fn fetch_all_reports(&self, state: &StateHandle) {
         for ip in self.others() {
-            if !self.learn(ip, owner).await {
-                self.missed.borrow_mut().insert(ip);
+            if !self.fetch_full_report(ip, state).await {
+                self.unsynced.borrow_mut().insert(ip);
             }
         }
     }
 
-    /// Tells another one what was heard. Mostly what is lost is heard again with the next beat; but who has left beats no more,
-    /// so one that could not be told, and could not tell either, is asked for all that it knows once it answers again.
-    async fn pass_on(&self, ip: IpAddr, heard: PeerReport, owner: &StateHandle) {
-        let (_, caller) = self.lines(ip);
-        let told =
-            caller.call::<_, RegistryResponse>(&RegistryRequest::Report(heard), PATIENCE).await.is_ok();
-        let was_missed = told && self.missed.borrow_mut().remove(&ip);
-        if !told || was_missed && !self.learn(ip, owner).await {
-            self.missed.borrow_mut().insert(ip);
+    /// Reports to another registry. A lost report of a live backend is repeated by its next heartbeat, but a backend
+    /// that left sends no more heartbeats. So after a failure in either direction, everything is fetched from that
+    /// registry once it answers again.
+    async fn send_report(&self, ip: IpAddr, report: PeerReport, state: &StateHandle) {
+        let (_, client) = self.clients_of(ip);
+        let sent =
+            client.call::<_, RegistryResponse>(&RegistryRequest::Report(report), PEER_TIMEOUT).await.is_ok();
+        let was_unsynced = sent && self.unsynced.borrow_mut().remove(&ip);
+        if !sent || was_unsynced && !self.fetch_full_report(ip, state).await {
+            self.unsynced.borrow_mut().insert(ip);
         }
     }
 
-    async fn learn(&self, ip: IpAddr, owner: &StateHandle) -> bool {
-        let (_, caller) = self.lines(ip);
-        let Ok(RegistryResponse::FullReport(heard)) =
-            caller.call(&RegistryRequest::FullReport, PATIENCE).await
+    async fn fetch_full_report(&self, ip: IpAddr, state: &StateHandle) -> bool {
+        let (_, client) = self.clients_of(ip);
+        let Ok(RegistryResponse::FullReport(report)) =
+            client.call(&RegistryRequest::FullReport, PEER_TIMEOUT).await
         else {
             return false;
         };
-        let (backends, gateways) = (heard.backends.len(), heard.gateways.len());
+        let (backends, gateways) = (report.backends.len(), report.gateways.len());
         log::info!("event=learned from={ip} backends={backends} gateways={gateways}");
-        let (reply, noted) = oneshot::channel();
-        let _ = owner.send(Command::Request(RegistryRequest::Report(heard), reply)).await;
-        noted.await.is_ok()
+        let (reply, recorded) = oneshot::channel();
+        let _ = state.send(Command::Request(RegistryRequest::Report(report), reply)).await;
+        recorded.await.is_ok()
     }
 
-    /// The holder of the count leaves: tells its successor.
-    pub async fn hand_over(&self, to: IpAddr, ask: starlinghill_lease::LeaseRequest<IpAddr>) {
+    /// Passes the counter's lease to a successor at shutdown, so that no election has to time out first.
+    pub async fn hand_over(&self, to: IpAddr, lease_request: starlinghill_lease::LeaseRequest<IpAddr>) {
         let epoch = self.members.borrow().epoch;
-        let told =
-            self.lines(to).0.call::<_, RegistryResponse>(&RegistryRequest::Lease(epoch, ask), PATIENCE).await;
-        log::info!("event=count_handed_over to={to} ok={}", told.is_ok());
+        let sent = self
+            .clients_of(to)
+            .0
+            .call::<_, RegistryResponse>(&RegistryRequest::Lease(epoch, lease_request), PEER_TIMEOUT)
+            .await;
+        log::info!("event=count_handed_over to={to} ok={}", sent.is_ok());
     }
 }
 
-/// Follows the store on this machine: what was agreed on, and who the members are.
+/// Polls the configuration store on this machine for items, members and its latest contact with a majority.
 pub async fn follow_store(
     net: NetworkHandle,
     address: SocketAddr,
-    owner: StateHandle,
+    state: StateHandle,
     peers: Rc<Peers>,
-    chain: StalenessBudget,
+    staleness: StalenessBudget,
 ) {
-    let caller = RpcClient::new(&net, address);
-    let (mut have, mut was_fresh, mut silent) = (Ballot::default(), false, false);
-    let mut learned = None;
+    let client = RpcClient::new(&net, address);
+    let (mut known_ballot, mut had_contact, mut silent) = (Ballot::default(), false, false);
+    let mut last_members_poll = None;
     loop {
         if !peers.knows_members() {
-            learn_members(&net, address, &owner, &peers).await;
+            fetch_members(&net, address, &state, &peers).await;
         }
         let (reply, now) = oneshot::channel();
-        let _ = owner.send(Command::Clock(reply)).await;
-        let Ok(begun) = now.await else { return };
+        let _ = state.send(Command::Clock(reply)).await;
+        let Ok(asked_at) = now.await else { return };
         let asked = Instant::now();
-        match caller.call(&store::StoreRequest::News(have, was_fresh), chain.given_up).await {
+        match client.call(&store::StoreRequest::News(known_ballot, had_contact), staleness.given_up).await {
             Ok(store::StoreResponse::News { ballot, contact, members, votes, proposed, items }) => {
-                (silent, was_fresh) = (false, contact.is_some());
-                // A store that begins anew may know less than it did: nothing of that is news.
-                let items = items.filter(|_| ballot > have);
-                have = if items.is_some() { ballot } else { have };
+                (silent, had_contact) = (false, contact.is_some());
+                // A store that restarted with an empty disk may know less than before; items older than the known
+                // ones are ignored.
+                let items = items.filter(|_| ballot > known_ballot);
+                known_ballot = if items.is_some() { ballot } else { known_ballot };
                 if peers.follow(&members) {
-                    let (peers, owner) = (peers.clone(), owner.clone());
-                    spawn_local(async move { peers.learn_all(&owner).await });
+                    let (peers, state) = (peers.clone(), state.clone());
+                    spawn_local(async move { peers.fetch_all_reports(&state).await });
                 }
-                // The word of one that does not vote tells nothing of what a majority may have accepted.
-                let vouched = votes.then_some(begun);
-                let told = owner.send(Command::Members(vouched, members, proposed)).await;
+                // A store that doesn't vote can't tell what a majority may have accepted.
+                let valid_from = votes.then_some(asked_at);
+                let sent = state.send(Command::Members(valid_from, members, proposed)).await;
                 let new = items.is_some() || contact.is_some();
-                if told.is_err()
-                    || new && owner.send(Command::StoreUpdate(items, contact, asked)).await.is_err()
+                if sent.is_err()
+                    || new && state.send(Command::StoreUpdate(items, contact, asked)).await.is_err()
                 {
                     return;
                 }
-                if ballot < have {
-                    sleep(PAUSE).await;
+                if ballot < known_ballot {
+                    sleep(RETRY_DELAY).await;
                 }
             }
-            Ok(_) => sleep(PAUSE).await,
+            Ok(_) => sleep(RETRY_DELAY).await,
             Err(error) => {
                 if !std::mem::replace(&mut silent, true) {
                     log::warn!("event=store_silent address={address} error=\"{error}\"");
                 }
-                if learned.is_none_or(|at: Instant| at.elapsed() > LEARN) {
-                    learned = Some(Instant::now());
-                    learn_members(&net, address, &owner, &peers).await;
+                if last_members_poll.is_none_or(|at: Instant| at.elapsed() > MEMBERS_POLL_INTERVAL) {
+                    last_members_poll = Some(Instant::now());
+                    fetch_members(&net, address, &state, &peers).await;
                 }
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Who the members are, by the store here, which may have no news yet, or by others: for drains to be confirmed while it is
-/// not up. Its word alone lets this registry vote on who keeps the count.
-async fn learn_members(net: &NetworkHandle, store: SocketAddr, owner: &StateHandle, peers: &Peers) {
+/// Fetches the members from the store on this machine or, if it doesn't answer, from others, so that drains can be
+/// confirmed without the local store. Only the local store's answer lets this registry vote on the counter's lease.
+async fn fetch_members(net: &NetworkHandle, store: SocketAddr, state: &StateHandle, peers: &Peers) {
     for ip in std::iter::once(store.ip()).chain(peers.others()) {
         let other = RpcClient::new(net, SocketAddr::new(ip, store.port()));
         if let Ok(store::StoreResponse::Members(members, _)) =
-            other.call(&store::StoreRequest::Members, PATIENCE).await
+            other.call(&store::StoreRequest::Members, PEER_TIMEOUT).await
         {
             if peers.follow(&members) {
-                let _ = owner.send(Command::NewerMembers(members)).await;
+                let _ = state.send(Command::NewerMembers(members)).await;
             }
             if peers.knows_members() {
                 return;
@@ -294,23 +306,24 @@
     }
 }
 
-/// Asks the stores, the one on this machine first: one that is not there is passed over, and one that is silent is not
-/// waited for alone. An order may be tried by two stores at once: to be taken twice is to be taken.
+/// Asks the stores in order, the one on this machine first. One that can't be reached is skipped; one that is silent
+/// doesn't delay the others. Two stores may try the same change at once, which is harmless because a change that was
+/// already accepted counts as accepted.
 pub async fn ask_store(
     net: &NetworkHandle,
     stores: Vec<SocketAddr>,
-    question: store::StoreRequest,
+    request: store::StoreRequest,
     within: Duration,
 ) -> Option<store::StoreResponse> {
     let net = net.clone();
-    let question = Rc::new(question);
+    let request = Rc::new(request);
     first_conclusive_answer(stores.len(), within, move |i, left| {
-        let (caller, question) = (RpcClient::new(&net, stores[i]), question.clone());
+        let (client, request) = (RpcClient::new(&net, stores[i]), request.clone());
         async move {
-            match caller.call(question.as_ref(), left).await {
+            match client.call(request.as_ref(), left).await {
                 Ok(answer) => Some(answer),
                 Err(error) => {
-                    log::warn!("event=store_failed address={} error=\"{error}\"", caller.address());
+                    log::warn!("event=store_failed address={} error=\"{error}\"", client.address());
                     (!error.is_not_sent()).then_some(store::StoreResponse::NotNow)
                 }
             }
@@ -319,9 +332,14 @@
     .await
 }
 
-/// The first clear answer of so many stores, each asked by `ask` with the time that is left, which has nothing of one that was
-/// surely not asked; where there is none in time, what was said instead. A refusal of what others may still take is none: it holds only once nobody tries any more. Whoever
-/// is still asked when this ends, or is given up, is asked no more.
+/// Returns the first conclusive answer of `stores` stores, or else an inconclusive one, if any came within the time
+/// limit.
+///
+/// `ask` gets the index of the store and the remaining time. It returns `None` if the store certainly did not receive
+/// the request. The next store is asked after `ORDER_HEDGE_DELAY` or as soon as one has answered inconclusively. A
+/// rejection counts only once no other store may still accept the request: otherwise the caller could be told of a
+/// rejection for a change that takes effect. Calls that are still running when this returns or is dropped are
+/// cancelled.
 pub async fn first_conclusive_answer<W>(
     stores: usize,
     within: Duration,
@@ -330,35 +348,35 @@
 where
     W: Future<Output = Option<store::StoreResponse>> + 'static,
 {
-    let by = Instant::now() + within;
-    let (mut asked, mut next, mut unclear, mut refused) = (JoinSet::new(), 0, None, None);
+    let deadline = Instant::now() + within;
+    let (mut asked, mut next, mut inconclusive, mut refused) = (JoinSet::new(), 0, None, None);
     loop {
         if next < stores && refused.is_none() {
-            asked.spawn_local(ask(next, by.saturating_duration_since(Instant::now())));
+            asked.spawn_local(ask(next, deadline.saturating_duration_since(Instant::now())));
             next += 1;
         }
         let more = next < stores && refused.is_none();
-        let patience = if more { by.min(Instant::now() + ORDER_HEDGE_DELAY) } else { by };
-        match timeout_at(patience, asked.join_next()).await {
+        let next_action_at = if more { deadline.min(Instant::now() + ORDER_HEDGE_DELAY) } else { deadline };
+        match timeout_at(next_action_at, asked.join_next()).await {
             Ok(Some(Ok(Some(answer)))) if is_refusal(&answer) => refused = Some(answer),
-            Ok(Some(Ok(Some(answer)))) if is_clear(&answer) => return Some(answer),
-            Ok(Some(answer)) => unclear = answer.ok().flatten().or(unclear),
+            Ok(Some(Ok(Some(answer)))) if is_conclusive(&answer) => return Some(answer),
+            Ok(Some(answer)) => inconclusive = answer.ok().flatten().or(inconclusive),
             Ok(None) => {}
-            Err(_) if Instant::now() >= by => return unclear,
+            Err(_) if Instant::now() >= deadline => return inconclusive,
             Err(_) => {}
         }
         if asked.is_empty() && (next == stores || refused.is_some()) {
-            return refused.filter(|_| unclear.is_none()).or(unclear);
+            return refused.filter(|_| inconclusive.is_none()).or(inconclusive);
         }
     }
 }
 
-/// It is refused by how things stand just now.
+/// The change was rejected by the current items, so another store may still accept it later.
 fn is_refusal(answer: &store::StoreResponse) -> bool {
     matches!(answer, store::StoreResponse::Changed(store::ChangeOutcome::Invalid(_)))
 }
 
-fn is_clear(answer: &store::StoreResponse) -> bool {
+fn is_conclusive(answer: &store::StoreResponse) -> bool {
     !matches!(
         answer,
         store::StoreResponse::NotNow | store::StoreResponse::Changed(store::ChangeOutcome::Unclear)
--- a/crates/starlinghill-registry/src/program.rs
+++ b/crates/starlinghill-registry/src/program.rs
@@ -1,4 +1,4 @@
-//! The registry as a process.
+//! Starts a registry process and shuts it down.
 
 use crate::http::{self, HttpApi};
 use crate::peers::{follow_store, Peers};
@@ -20,53 +20,53 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::sleep;
 
-/// What is under way at the end has so long to be answered.
-const LAST_WORDS: Duration = Duration::from_millis(400);
+/// How long requests that are under way at shutdown have to be answered.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(400);
 
 /// Why a registry can't start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// Its settings.
+    /// The settings file is missing or invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// What is wrong.
+        /// The underlying error.
         source: SettingsError,
     },
-    /// Nobody could call it.
+    /// The settings name no address for the HTTP API.
     #[snafu(display("network.listen.control: found nothing, allowed: an IP address with a port"))]
     Unreachable,
-    /// It can't listen.
-    #[snafu(display("{what}: {source}"))]
+    /// A socket could not be opened.
+    #[snafu(display("{operation}: {source}"))]
     System {
-        /// What failed.
-        what: String,
-        /// How.
+        /// The operation that failed.
+        operation: String,
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// A task that it can't do without has ended.
+    /// An essential task has ended.
     #[snafu(display("the task {task} ended"))]
     Task {
-        /// Which one.
+        /// Its name.
         task: &'static str,
     },
 }
 
 async fn listen(net: &NetworkHandle, address: SocketAddr) -> Result<Box<dyn Listener>, StartError> {
-    net.listen(address).await.context(SystemSnafu { what: format!("listen on {address}") })
+    net.listen(address).await.context(SystemSnafu { operation: format!("listen on {address}") })
 }
 
-/// Runs until SIGTERM.
+/// Runs a registry until SIGTERM or SIGINT.
 pub async fn run(signals: Signals) -> Result<(), StartError> {
     run_on(net::tcp(), signals).await
 }
 
-/// The same, on a network of the caller's.
+/// Like `run`, on the given network.
 pub async fn run_on(net: NetworkHandle, mut signals: Signals) -> Result<(), StartError> {
     let node = NodeSettings::from_environment().context(SettingsSnafu)?;
     run_registry(&node, &net, signals.wait_for_shutdown()).await
 }
 
-/// Runs a registry on a network until it is to end.
+/// Runs a registry with the given settings until `end` completes.
 pub async fn run_registry(
     node: &NodeSettings,
     net: &NetworkHandle,
@@ -80,26 +80,26 @@
         Rc::new(Peers::new(net, node.ip, node.internal_address(node.ip, REGISTRY_PORT_OFFSET).port(), seeds));
     let store = node.internal_address(node.ip, CONFIG_STORE_PORT_OFFSET);
     let (essentials, mut first_ended) = EssentialTasks::new();
-    let owner = state::start(node, &essentials);
+    let state = state::start(node, &essentials);
     let (stop, stopping) = watch::channel(false);
-    essentials.spawn("peers", peers.clone().run(owner.clone()));
-    let chain = StalenessBudget::of(node.bounds.apply);
-    essentials.spawn("store", follow_store(net.clone(), store, owner.clone(), peers.clone(), chain));
-    let desk = HttpApi {
+    essentials.spawn("peers", peers.clone().run(state.clone()));
+    let staleness = StalenessBudget::of(node.bounds.apply);
+    essentials.spawn("store", follow_store(net.clone(), store, state.clone(), peers.clone(), staleness));
+    let api = HttpApi {
         net: net.clone(),
-        owner: owner.clone(),
+        state: state.clone(),
         peers: peers.clone(),
         store,
-        tree: RouteNode::tree(),
+        routes: RouteNode::api_routes(),
         stopping,
     };
-    essentials.spawn("control", http::serve(control, Rc::new(desk)));
-    let asked = owner.clone();
+    essentials.spawn("control", http::serve(control, Rc::new(api)));
+    let requests = state.clone();
     let answer = move |question, _| {
-        let owner = asked.clone();
+        let state = requests.clone();
         async move {
             let (reply, answer) = oneshot::channel();
-            let _ = owner.send(Command::Request(question, reply)).await;
+            let _ = state.send(Command::Request(question, reply)).await;
             answer.await.unwrap_or(RegistryResponse::NotHolder(0))
         }
     };
@@ -109,13 +109,13 @@
         () = end => {}
         task = first_ended.wait() => return TaskSnafu { task }.fail(),
     }
-    // Nobody may be left to hear it.
+    // There may be no receivers left.
     let _ = stop.send(true);
     let (reply, end) = oneshot::channel();
-    let _ = owner.send(Command::End(reply)).await;
-    if let Ok(Some((to, ask))) = end.await {
-        peers.hand_over(to, ask).await;
+    let _ = state.send(Command::End(reply)).await;
+    if let Ok(Some((successor, lease_request))) = end.await {
+        peers.hand_over(successor, lease_request).await;
     }
-    sleep(LAST_WORDS).await;
+    sleep(SHUTDOWN_GRACE).await;
     Ok(())
 }
--- a/crates/starlinghill-registry/src/router.rs
+++ b/crates/starlinghill-registry/src/router.rs
@@ -1,87 +1,87 @@
-//! Calls from outside, as a tree of matchers: each part of a path is a word or anything, and leads on; at a place stand the
-//! methods that it knows.
+//! Routes of the HTTP API, as a tree: each path segment is a fixed word or a wildcard, and a node holds the methods
+//! that are allowed at its path.
 
 use hyper::Method;
 
-/// What may be called.
+/// An operation of the API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Endpoint {
-    /// A backend's beat.
-    Beat,
-    /// A backend leaves.
+    /// A backend's heartbeat.
+    Heartbeat,
+    /// A backend deregisters.
     Leave,
-    /// The operator changes items.
+    /// The operator changes configuration items.
     Change,
-    /// The operator reads all items.
+    /// The operator reads all configuration items.
     Read,
 }
 
-/// A place in the tree.
+/// A node of the routing tree.
 #[derive(Debug, Default)]
 pub struct RouteNode {
-    words: Vec<(&'static str, RouteNode)>,
-    any: Option<Box<RouteNode>>,
+    literals: Vec<(&'static str, RouteNode)>,
+    wildcard: Option<Box<RouteNode>>,
     methods: Vec<(Method, Endpoint)>,
 }
 
-/// What a path leads to.
+/// The result of a lookup.
 #[derive(Debug, PartialEq, Eq)]
 pub enum RouteMatch<'a> {
-    /// A call, with what stood where anything may.
+    /// The operation, and the path segments that matched wildcards.
     Endpoint(Endpoint, Vec<&'a str>),
-    /// Nothing knows that method there.
-    Method,
-    /// Nothing is there.
-    Nothing,
+    /// The path exists, but not with this method.
+    MethodNotAllowed,
+    /// The path does not exist.
+    NotFound,
 }
 
 impl RouteNode {
-    fn at(&mut self, path: &'static str) -> &mut RouteNode {
-        let mut place = self;
-        for part in path.split('/').filter(|part| !part.is_empty()) {
-            if part == "*" {
-                place = place.any.get_or_insert_default();
+    fn node_mut(&mut self, path: &'static str) -> &mut RouteNode {
+        let mut node = self;
+        for segment in path.split('/').filter(|segment| !segment.is_empty()) {
+            if segment == "*" {
+                node = node.wildcard.get_or_insert_default();
                 continue;
             }
-            let known = place.words.iter().position(|(word, _)| *word == part);
-            let i = known.unwrap_or_else(|| {
-                place.words.push((part, RouteNode::default()));
-                place.words.len() - 1
+            let existing = node.literals.iter().position(|(literal, _)| *literal == segment);
+            let i = existing.unwrap_or_else(|| {
+                node.literals.push((segment, RouteNode::default()));
+                node.literals.len() - 1
             });
-            place = &mut place.words[i].1;
+            node = &mut node.literals[i].1;
         }
-        place
+        node
     }
 
-    /// All calls.
-    pub fn tree() -> RouteNode {
+    /// The tree with all routes of the API.
+    pub fn api_routes() -> RouteNode {
         let mut tree = RouteNode::default();
-        tree.at("/api/backends/*").methods =
-            vec![(Method::PUT, Endpoint::Beat), (Method::DELETE, Endpoint::Leave)];
-        tree.at("/api/config").methods =
+        tree.node_mut("/api/backends/*").methods =
+            vec![(Method::PUT, Endpoint::Heartbeat), (Method::DELETE, Endpoint::Leave)];
+        tree.node_mut("/api/config").methods =
             vec![(Method::PATCH, Endpoint::Change), (Method::GET, Endpoint::Read)];
         tree
     }
 
-    /// Where a path leads.
-    pub fn find<'a>(&self, method: &Method, path: &'a str) -> RouteMatch<'a> {
-        let (mut place, mut taken) = (self, Vec::new());
-        for part in path.split('/').skip(1) {
-            place = match place.words.iter().find(|(word, _)| *word == part) {
+    /// Looks up a method and a path.
+    pub fn lookup<'a>(&self, method: &Method, path: &'a str) -> RouteMatch<'a> {
+        let (mut node, mut params) = (self, Vec::new());
+        for segment in path.split('/').skip(1) {
+            node = match node.literals.iter().find(|(literal, _)| *literal == segment) {
                 Some((_, next)) => next,
-                None => match &place.any {
-                    Some(next) if !part.is_empty() => {
-                        taken.push(part);
+                None => match &node.wildcard {
+                    Some(next) if !segment.is_empty() => {
+                        params.push(segment);
                         next
                     }
-                    _ => return RouteMatch::Nothing,
+                    _ => return RouteMatch::NotFound,
                 },
             };
         }
-        match place.methods.iter().find(|(known, _)| known == method) {
-            Some((_, call)) => RouteMatch::Endpoint(*call, taken),
-            None if place.methods.is_empty() => RouteMatch::Nothing,
-            None => RouteMatch::Method,
+        match node.methods.iter().find(|(known, _)| known == method) {
+            Some((_, call)) => RouteMatch::Endpoint(*call, params),
+            None if node.methods.is_empty() => RouteMatch::NotFound,
+            None => RouteMatch::MethodNotAllowed,
         }
     }
 }
--- a/crates/starlinghill-registry/src/state.rs
+++ b/crates/starlinghill-registry/src/state.rs
@@ -1,4 +1,5 @@
-//! The owner of the registry's tables: one task, which works through a queue of commands. Nothing here waits.
+//! The state of a registry. One task owns it and handles a queue of commands one by one; no command waits for I/O, so
+//! no lock is needed.
 
 use crate::members::VoterSets;
 use crate::wire::{
@@ -23,155 +24,165 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// How many commands may wait; whoever has one more waits with it.
-const QUEUE: usize = 1024;
-/// The most questions that wait at once; one more is answered at once.
-const MOST_WAITING: usize = 4_096;
-/// The system's time begins here, in microseconds: windows of quotas must not begin at nothing.
-const EPOCH: u64 = 1_000_000_000;
+/// Commands in the queue; a sender of one more waits until there is room.
+const MAX_QUEUED_COMMANDS: usize = 1024;
+/// Polls of gateways that may be held open at once. One more is answered immediately, which costs the gateway only an
+/// extra round trip.
+const MAX_WAITING_POLLS: usize = 4_096;
+/// First value of the system's time, in microseconds. It is well above zero so that a quota window that begins before
+/// the first draw still has a valid start.
+const SYSTEM_TIME_START_US: u64 = 1_000_000_000;
 
-/// What the owner is told.
+/// A command to the task that owns the state.
 pub enum Command {
-    /// A question over the wire.
+    /// A request that came over the network.
     Request(RegistryRequest, oneshot::Sender<RegistryResponse>),
-    /// A backend's beat, with what it says of warmth in microseconds.
-    Beat(Instance, u64, oneshot::Sender<Instance>),
-    /// A backend leaves.
+    /// A heartbeat of a backend, and the remaining time of its warm-up in microseconds. The reply is the instance as
+    /// it is known now.
+    Heartbeat(Instance, u64, oneshot::Sender<Instance>),
+    /// A backend deregisters itself.
     Leave(String, oneshot::Sender<()>),
-    /// The store beside it says what was agreed on, with a majority's word on that, asked at that moment.
+    /// The configuration store on this machine returned items and the latest contact with a majority of stores. The
+    /// instant is when it was asked; ages are counted from there.
     StoreUpdate(Option<Value>, Option<QuorumContact>, Instant),
-    /// It says, asked at that moment if it votes, who the members are, and whom it accepted beyond those.
+    /// The store on this machine returned the agreed members and a newer set that it accepted but that may not be
+    /// agreed on. The duration is when it was asked, by the clock of this state; absent where that store does not
+    /// vote.
     Members(Option<Duration>, Members, Option<Members>),
-    /// Another registry says who the members are.
+    /// Another process returned a newer set of members.
     NewerMembers(Members),
-    /// How long this registry runs, by its owner's clock.
+    /// Returns the time since this state was created.
     Clock(oneshot::Sender<Duration>),
-    /// Time passes: answered with what to ask other registries.
+    /// Periodic work. The reply holds what to send to other registries.
     Tick(oneshot::Sender<TickWork>),
-    /// Another registry has answered on the duty.
+    /// Another registry replied to a lease request: its address, when it was asked, the request and the reply.
     LeaseReply(IpAddr, Duration, lease::LeaseRequest<IpAddr>, lease::LeaseReply),
-    /// The process ends: answered with whom to tell what.
+    /// The process shuts down. The reply is the registry that should take over the counter's lease and the request to
+    /// send to it, if this one holds the lease.
     End(oneshot::Sender<Option<(IpAddr, lease::LeaseRequest<IpAddr>)>>),
 }
 
-/// What other registries are to be asked now.
+/// What a tick produces for the other registries.
 pub struct TickWork {
-    /// On the duty, asked at that moment.
-    pub duty: Option<(Duration, lease::LeaseRequest<IpAddr>)>,
-    /// The epoch that goes with it.
+    /// A request for the counter's lease, and when it was made.
+    pub lease_request: Option<(Duration, lease::LeaseRequest<IpAddr>)>,
+    /// The epoch of the members that the request goes by.
     pub epoch: u64,
-    /// What was heard since the last word.
-    pub heard: Option<PeerReport>,
+    /// Backends and gateways that were heard of since the last report; present only in every `REPORT_EVERY_TICKS`-th
+    /// tick.
+    pub report: Option<PeerReport>,
 }
 
-/// The way to the owner.
+/// Sends commands to the task that owns the state.
 pub type StateHandle = mpsc::Sender<Command>;
 
-struct Tables {
+struct RegistryState {
     incarnation: u64,
-    /// The whole system starts for the first time.
-    first: bool,
-    /// What the rules let tenants have beyond their quotas.
+    /// The settings say that the whole system starts for the first time, so that no draws were made before.
+    first_start: bool,
+    /// How much tenants may draw beyond their quotas.
     allowance: Allowance,
-    /// Violations of quotas that the log was told of.
+    /// Quota violations that were already logged.
     violations: u64,
     start: Instant,
-    /// The system's time at that moment. Only ever moves forward: the highest that anybody tells counts.
-    base: u64,
+    /// The system's time at `start`, in microseconds. It only grows: the highest time that any process reports wins.
+    system_time_base_us: u64,
     catalog: Catalog,
-    /// The items with the number of their last change.
+    /// Configuration items, each with the catalog's sequence number of its last change.
     items: BTreeMap<(ItemKind, String), (Item, u64)>,
-    chain: StalenessBudget,
-    /// A majority's word that the items are all.
+    staleness: StalenessBudget,
+    /// The latest contact with a majority of stores, which proves that no newer items were agreed on before it.
     contact: Option<LastQuorumContact>,
-    sets: VoterSets,
-    me: IpAddr,
-    /// Until when the store's word on the members counts.
-    vouched: Duration,
-    /// The number of the news of the last change of the members.
+    voter_sets: VoterSets,
+    own_ip: IpAddr,
+    /// Until when this registry may vote on the lease by the members that its store returned.
+    members_valid_until: Duration,
+    /// Sequence number of the last change of the members.
     members_changed: u64,
-    /// What stands for the items in force at each gateway.
-    in_force: BTreeMap<IpAddr, u64>,
-    /// What gateways say of each other.
-    sight: GatewayLiveness,
-    duty: LeaseParticipant<IpAddr>,
-    gauge: Option<QuotaCounter>,
-    /// Up to which number of the catalog's the count has the list.
-    listed: u64,
-    told_holder: Option<(u64, IpAddr)>,
-    /// The number of the news of the last change of the holder.
+    /// Digest of the items that each gateway applies.
+    digests_in_force: BTreeMap<IpAddr, u64>,
+    /// What gateways report about each other's heartbeats.
+    gateway_liveness: GatewayLiveness,
+    lease: LeaseParticipant<IpAddr>,
+    counter: Option<QuotaCounter>,
+    /// Sequence number up to which the counter knows the list of backends.
+    listed_up_to: u64,
+    last_holder: Option<(u64, IpAddr)>,
+    /// Sequence number of the last change of the counter's holder.
     holder_changed: u64,
-    /// Questions, and when they came.
-    waiting: Vec<(KnownState, Duration, oneshot::Sender<RegistryResponse>)>,
-    relayed: Duration,
-    rounds: u32,
+    /// Polls that are held open because nothing is new, and when each came.
+    waiting_polls: Vec<(KnownState, Duration, oneshot::Sender<RegistryResponse>)>,
+    last_report: Duration,
+    ticks: u32,
 }
 
-/// Runs the owner of a registry. Without it the process is of no use.
+/// Starts the task that owns the state of a registry. The process can do nothing without it, so it is an essential
+/// task.
 pub fn start(node: &NodeSettings, essentials: &EssentialTasks) -> StateHandle {
-    let me = node.ip;
-    let (queue, mut commands) = mpsc::channel(QUEUE);
-    let chain = StalenessBudget::of(node.bounds.apply);
-    let mut tables = Tables {
+    let own_ip = node.ip;
+    let (queue, mut commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
+    let staleness = StalenessBudget::of(node.bounds.apply);
+    let mut state = RegistryState {
         incarnation: fastrand::u64(1..),
-        first: node.first_start,
+        first_start: node.first_start,
         allowance: node.bounds.allowance(),
         violations: 0,
         start: Instant::now(),
-        base: EPOCH,
+        system_time_base_us: SYSTEM_TIME_START_US,
         catalog: Catalog::new(node.beat),
         items: BTreeMap::new(),
-        chain,
+        staleness,
         contact: None,
-        duty: LeaseParticipant::new(me, Duration::ZERO),
-        sets: VoterSets::new(chain.contact),
-        me,
-        vouched: Duration::ZERO,
+        lease: LeaseParticipant::new(own_ip, Duration::ZERO),
+        voter_sets: VoterSets::new(staleness.contact),
+        own_ip,
+        members_valid_until: Duration::ZERO,
         members_changed: 0,
-        in_force: BTreeMap::new(),
-        sight: GatewayLiveness::default(),
-        gauge: None,
-        listed: 0,
-        told_holder: None,
+        digests_in_force: BTreeMap::new(),
+        gateway_liveness: GatewayLiveness::default(),
+        counter: None,
+        listed_up_to: 0,
+        last_holder: None,
         holder_changed: 0,
-        waiting: Vec::new(),
-        relayed: Duration::ZERO,
-        rounds: 0,
+        waiting_polls: Vec::new(),
+        last_report: Duration::ZERO,
+        ticks: 0,
     };
     essentials.spawn("tables", async move {
-        let mut gauge = QueueGauge::new("tables", QUEUE);
+        let mut gauge = QueueGauge::new("tables", MAX_QUEUED_COMMANDS);
         while let Some(command) = commands.recv().await {
             gauge.observe_and_log(commands.len() + 1);
-            tables.take(command);
+            state.handle(command);
         }
     });
     queue
 }
 
-impl Tables {
+impl RegistryState {
     fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    fn time(&self) -> u64 {
-        self.base + self.now().as_micros() as u64
+    fn system_time_us(&self) -> u64 {
+        self.system_time_base_us + self.now().as_micros() as u64
     }
 
-    fn hear_time(&mut self, time: u64) {
-        self.base = self.base.max(time.saturating_sub(self.now().as_micros() as u64));
+    fn observe_system_time(&mut self, time: u64) {
+        self.system_time_base_us =
+            self.system_time_base_us.max(time.saturating_sub(self.now().as_micros() as u64));
     }
 
     fn may_vouch(&self, now: Duration) -> bool {
-        self.chain.may_vouch(self.contact.map(|contact| contact.age(now)))
+        self.staleness.may_vouch(self.contact.map(|contact| contact.age(now)))
     }
 
-    fn take(&mut self, command: Command) {
+    fn handle(&mut self, command: Command) {
         let now = self.now();
         let before = self.catalog.urgent();
         match command {
-            Command::Request(question, reply) => return self.asked(now, question, reply),
-            Command::Beat(instance, warmup, reply) => {
-                let instance = Instance { warm_at: self.time() + warmup, ..instance };
+            Command::Request(request, reply) => return self.handle_request(now, request, reply),
+            Command::Heartbeat(instance, warmup, reply) => {
+                let instance = Instance { warm_at: self.system_time_us() + warmup, ..instance };
                 let id = instance.id.clone();
                 if self.catalog.heard(now, instance.clone(), Duration::ZERO) {
                     let state = self.catalog.get(&id).map_or(instance.state, |known| known.state);
@@ -189,20 +200,22 @@
                 let _ = reply.send(());
             }
             Command::StoreUpdate(items, contact, asked) => {
-                let had = self.may_vouch(now);
+                let could_vouch = self.may_vouch(now);
                 let asked = asked.saturating_duration_since(self.start);
                 let heard = contact.map(|contact| LastQuorumContact::passed_on(contact, asked, now));
                 self.contact = LastQuorumContact::newer(self.contact, heard, now);
-                if !had && self.may_vouch(now) {
-                    // Gateways that have just started wait for this word.
+                if !could_vouch && self.may_vouch(now) {
+                    // Advances the sequence number, so that polls of gateways that have just started and wait for
+                    // this contact are answered.
                     self.catalog.number();
                 }
-                self.store(items.unwrap_or_default());
+                self.merge_items(items.unwrap_or_default());
             }
             Command::Members(asked, members, proposed) => {
-                self.vouched =
-                    asked.map_or(self.vouched, |asked| self.vouched.max(asked + self.chain.contact));
-                self.sets.propose(now, proposed.as_ref());
+                self.members_valid_until = asked.map_or(self.members_valid_until, |asked| {
+                    self.members_valid_until.max(asked + self.staleness.contact)
+                });
+                self.voter_sets.propose(now, proposed.as_ref());
                 self.follow(now, &members);
             }
             Command::NewerMembers(members) => self.follow(now, &members),
@@ -211,44 +224,48 @@
                 let due = self.tick(now);
                 let _ = reply.send(due);
             }
-            Command::LeaseReply(from, asked, ask, tell) => self.duty.told(now, from, asked, ask, tell),
+            Command::LeaseReply(from, asked, request, vote) => {
+                self.lease.told(now, from, asked, request, vote)
+            }
             Command::End(reply) => {
-                let next = self.sets.members().voters.iter().map(|m| m.ip).find(|ip| *ip != self.me);
-                self.gauge = None;
-                let _ = reply.send(next.and_then(|next| self.duty.leave(now, next)));
+                let next =
+                    self.voter_sets.members().voters.iter().map(|m| m.ip).find(|ip| *ip != self.own_ip);
+                self.counter = None;
+                let _ = reply.send(next.and_then(|next| self.lease.leave(now, next)));
             }
         }
-        self.look_at_duty(now);
+        self.update_counter(now);
         self.list_backends(now);
         if self.catalog.urgent() != before {
-            self.answer_waiting(true);
+            self.answer_waiting_polls(true);
         }
     }
 
-    /// Those are the members, if they are newer than the ones that are known.
+    /// Adopts the members if they are newer than the known ones.
     fn follow(&mut self, now: Duration, members: &Members) {
-        if self.sets.follow(now, members) {
+        if self.voter_sets.follow(now, members) {
             log::info!("event=members epoch={} voters={:?}", members.epoch, members.voters);
             self.members_changed = self.catalog.number();
         }
-        let sets = self.sets.count(now);
-        self.duty.vouch(sets, self.vouched);
+        let sets = self.voter_sets.required_majorities(now);
+        self.lease.vouch(sets, self.members_valid_until);
     }
 
-    /// What counts toward a majority must be told among the members as they are.
-    fn noted(&self, epoch: u64) -> RegistryResponse {
-        match epoch < self.sets.members().epoch {
-            true => RegistryResponse::NewerMembers(self.sets.members().clone()),
+    /// Acknowledges a report only to a sender that knows the current members. Otherwise the sender could count
+    /// acknowledgements toward a majority of a set of members that was replaced.
+    fn acknowledge(&self, epoch: u64) -> RegistryResponse {
+        match epoch < self.voter_sets.members().epoch {
+            true => RegistryResponse::NewerMembers(self.voter_sets.members().clone()),
             false => RegistryResponse::Acknowledged,
         }
     }
 
-    /// The count goes by the same list as the gateways.
+    /// Passes changes of backends to the counter, so that it works with the same list as the gateways.
     fn list_backends(&mut self, now: Duration) {
-        let (seq, time) = (self.catalog.seq(), self.time());
-        let Some(gauge) = self.gauge.as_mut().filter(|_| self.listed != seq) else { return };
-        for Observation { instance, liveness } in self.catalog.since(self.listed).backends {
-            gauge.loads.listed(
+        let (seq, time) = (self.catalog.seq(), self.system_time_us());
+        let Some(counter) = self.counter.as_mut().filter(|_| self.listed_up_to != seq) else { return };
+        for Observation { instance, liveness } in self.catalog.since(self.listed_up_to).backends {
+            counter.loads.listed(
                 now,
                 ListedBackend {
                     backend: instance.number(),
@@ -261,14 +278,14 @@
                 },
             );
         }
-        self.listed = seq;
+        self.listed_up_to = seq;
     }
 
-    fn store(&mut self, items: Vec<Item>) {
+    fn merge_items(&mut self, items: Vec<Item>) {
         for item in items {
             let key = (item.kind, item.name.clone());
-            let stands = self.items.get(&key).map(|(known, _)| known.version);
-            if stands.is_none_or(|version| version < item.version) {
+            let known_version = self.items.get(&key).map(|(known, _)| known.version);
+            if known_version.is_none_or(|version| version < item.version) {
                 let seq = self.catalog.number();
                 log::info!("event=item kind={:?} name={} version=r{}", item.kind, item.name, item.version);
                 self.items.insert(key, (item, seq));
@@ -276,40 +293,45 @@
         }
     }
 
-    fn asked(&mut self, now: Duration, question: RegistryRequest, reply: oneshot::Sender<RegistryResponse>) {
+    fn handle_request(
+        &mut self,
+        now: Duration,
+        request: RegistryRequest,
+        reply: oneshot::Sender<RegistryResponse>,
+    ) {
         let before = self.catalog.urgent();
-        // Whoever asked may have gone.
+        // The requester may have disconnected.
         let answer = |reply: oneshot::Sender<RegistryResponse>, answer| drop(reply.send(answer));
-        match question {
-            RegistryRequest::Poll(have) => {
-                self.hear_time(have.time);
-                self.duty.seen(have.counter_term);
-                self.in_force.insert(have.gateway.ip, have.items_digest);
-                self.sight.told(now, have.gateway.ip, have.gateway.life, &have.sightings);
-                if have.leaving {
-                    self.catalog.leaves(now, &have.gateway);
+        match request {
+            RegistryRequest::Poll(known) => {
+                self.observe_system_time(known.time);
+                self.lease.seen(known.counter_term);
+                self.digests_in_force.insert(known.gateway.ip, known.items_digest);
+                self.gateway_liveness.told(now, known.gateway.ip, known.gateway.life, &known.sightings);
+                if known.leaving {
+                    self.catalog.leaves(now, &known.gateway);
                 } else {
-                    self.catalog.asks(now, have.gateway.clone(), Duration::ZERO);
+                    self.catalog.asks(now, known.gateway.clone(), Duration::ZERO);
                 }
-                let nothing_new =
-                    have.registry_incarnation == self.incarnation && have.seq >= self.catalog.urgent();
-                if nothing_new && self.waiting.len() < MOST_WAITING {
-                    self.waiting.push((have, now, reply));
+                let is_current =
+                    known.registry_incarnation == self.incarnation && known.seq >= self.catalog.urgent();
+                if is_current && self.waiting_polls.len() < MAX_WAITING_POLLS {
+                    self.waiting_polls.push((known, now, reply));
                 } else {
-                    let news = self.news(&have, now);
-                    answer(reply, RegistryResponse::Update(Box::new(news)));
+                    let update = self.update_for(&known, now);
+                    answer(reply, RegistryResponse::Update(Box::new(update)));
                 }
             }
             RegistryRequest::Draw { term, from, draws, load_reports } => {
-                let levels = match &mut self.gauge {
-                    Some(gauge) if gauge.term == term && self.duty.may_draw(now, term) => {
-                        gauge.loads.tell(now, from, &load_reports);
-                        gauge.draw(now, from, &draws)
+                let levels = match &mut self.counter {
+                    Some(counter) if counter.term == term && self.lease.may_draw(now, term) => {
+                        counter.loads.tell(now, from, &load_reports);
+                        counter.draw(now, from, &draws)
                     }
                     _ => None,
                 };
-                let time = self.time();
-                let term = self.duty.holder().map_or(0, |(term, _)| term);
+                let time = self.system_time_us();
+                let term = self.lease.holder().map_or(0, |(term, _)| term);
                 answer(
                     reply,
                     levels.map_or(RegistryResponse::NotHolder(term), |levels| {
@@ -317,30 +339,31 @@
                     }),
                 );
             }
-            RegistryRequest::Recall { term, from, readings } => match &mut self.gauge {
-                Some(gauge) if gauge.term == term && self.duty.may_draw(now, term) => {
-                    gauge.recall(now, from, &readings);
+            RegistryRequest::Recall { term, from, readings } => match &mut self.counter {
+                Some(counter) if counter.term == term && self.lease.may_draw(now, term) => {
+                    counter.recall(now, from, &readings);
                     answer(reply, RegistryResponse::Acknowledged);
                 }
-                _ => {
-                    answer(reply, RegistryResponse::NotHolder(self.duty.holder().map_or(0, |(term, _)| term)))
-                }
+                _ => answer(
+                    reply,
+                    RegistryResponse::NotHolder(self.lease.holder().map_or(0, |(term, _)| term)),
+                ),
             },
-            RegistryRequest::Lease(epoch, _) if epoch < self.sets.members().epoch => {
-                answer(reply, self.noted(epoch))
+            RegistryRequest::Lease(epoch, _) if epoch < self.voter_sets.members().epoch => {
+                answer(reply, self.acknowledge(epoch))
             }
-            RegistryRequest::Lease(_, ask) => {
-                let tell = self.duty.asked(now, ask);
-                answer(reply, RegistryResponse::Lease(tell));
+            RegistryRequest::Lease(_, request) => {
+                let vote = self.lease.asked(now, request);
+                answer(reply, RegistryResponse::Lease(vote));
             }
-            RegistryRequest::Report(heard) => {
-                let noted = self.noted(heard.epoch);
-                self.heard(now, heard);
-                answer(reply, noted);
+            RegistryRequest::Report(report) => {
+                let reply_body = self.acknowledge(report.epoch);
+                self.merge_report(now, report);
+                answer(reply, reply_body);
             }
             RegistryRequest::BackendLeft(epoch, id) => {
                 self.catalog.left(now, &id);
-                answer(reply, self.noted(epoch));
+                answer(reply, self.acknowledge(epoch));
             }
             RegistryRequest::Status => {
                 let status = self.status(now);
@@ -358,37 +381,37 @@
             RegistryRequest::FullReport => answer(
                 reply,
                 RegistryResponse::FullReport(PeerReport {
-                    epoch: self.sets.members().epoch,
+                    epoch: self.voter_sets.members().epoch,
                     backends: self.catalog.heard_within(now, Duration::MAX),
                     gateways: self.catalog.asked_within(now, Duration::MAX),
-                    time: self.time(),
+                    time: self.system_time_us(),
                 }),
             ),
         }
-        self.look_at_duty(now);
+        self.update_counter(now);
         self.list_backends(now);
         if self.catalog.urgent() != before {
-            self.answer_waiting(true);
+            self.answer_waiting_polls(true);
         }
     }
 
     fn status(&self, now: Duration) -> RegistryStatus {
-        let holder = self.duty.holder();
+        let holder = self.lease.holder();
         let item =
             |(item, _): &(Item, u64)| (item.kind, item.name.clone(), item.version, item.body.is_some());
-        let in_force = |ip: &IpAddr| self.in_force.get(ip).copied().unwrap_or_default();
+        let in_force = |ip: &IpAddr| self.digests_in_force.get(ip).copied().unwrap_or_default();
         let gateways = self.catalog.asked_within(now, Duration::MAX);
-        let told = |count: &QuotaCounter| CounterStatus {
-            silent_gateways: count.state().1 as u64,
-            quota_stores: count.stores(now),
-            backend_loads: count.loads.seen(),
+        let counter_status = |counter: &QuotaCounter| CounterStatus {
+            silent_gateways: counter.state().1 as u64,
+            quota_stores: counter.stores(now),
+            backend_loads: counter.loads.seen(),
         };
         RegistryStatus {
-            ip: self.me,
+            ip: self.own_ip,
             incarnation: self.incarnation,
-            time: self.time(),
+            time: self.system_time_us(),
             has_quorum_contact: self.may_vouch(now),
-            members: self.sets.members().clone(),
+            members: self.voter_sets.members().clone(),
             items: self.items.values().map(item).collect(),
             items_digest: digest(self.items.values().map(|(item, _)| item)),
             backends: self.catalog.all(now),
@@ -400,53 +423,54 @@
                 })
                 .collect(),
             counter_holder: holder,
-            counter: self.gauge.as_ref().filter(|_| self.duty.holds(now).is_some()).map(told),
+            counter: self.counter.as_ref().filter(|_| self.lease.holds(now).is_some()).map(counter_status),
         }
     }
 
-    fn heard(&mut self, now: Duration, heard: PeerReport) {
-        self.hear_time(heard.time);
-        for (instance, ago) in heard.backends {
+    fn merge_report(&mut self, now: Duration, report: PeerReport) {
+        self.observe_system_time(report.time);
+        for (instance, ago) in report.backends {
             self.catalog.heard(now, instance, Duration::from_millis(ago));
         }
-        for (gateway, ago) in heard.gateways {
+        for (gateway, ago) in report.gateways {
             self.catalog.asks(now, gateway, Duration::from_millis(ago));
         }
     }
 
-    /// What is new to one that asked at that moment.
-    fn news(&self, have: &KnownState, asked: Duration) -> RegistryUpdate {
+    /// What changed since the state that a gateway has. `asked` is when it asked: the age of the contact is counted
+    /// from there.
+    fn update_for(&self, known: &KnownState, asked: Duration) -> RegistryUpdate {
         let now = self.now();
-        let since = if have.registry_incarnation == self.incarnation { have.seq } else { 0 };
-        let new = self.catalog.since(since);
-        // The same as with backends: nothing to look through where nothing is new.
-        let to_look_at = if since < self.catalog.seq() { self.items.len() } else { 0 };
-        let items = self.items.values().take(to_look_at).filter(|(_, seq)| *seq > since);
-        let holder = self.duty.holder();
+        let since = if known.registry_incarnation == self.incarnation { known.seq } else { 0 };
+        let changes = self.catalog.since(since);
+        // Skips the search through all items where nothing changed.
+        let items_to_check = if since < self.catalog.seq() { self.items.len() } else { 0 };
+        let items = self.items.values().take(items_to_check).filter(|(_, seq)| *seq > since);
+        let holder = self.lease.holder();
         RegistryUpdate {
             registry_incarnation: self.incarnation,
             seq: self.catalog.seq(),
             contact: self.contact.filter(|_| self.may_vouch(now)).map(|contact| contact.pass_on(now, asked)),
             items: items.map(|(item, _)| item.clone()).collect(),
-            backends: new.backends,
+            backends: changes.backends,
             complete: since == 0,
-            gateways: new.gateways,
+            gateways: changes.gateways,
             counter_holder: holder.filter(|_| self.holder_changed > since),
-            members: (self.members_changed > since).then(|| self.sets.members().clone()),
-            time: self.time(),
+            members: (self.members_changed > since).then(|| self.voter_sets.members().clone()),
+            time: self.system_time_us(),
         }
     }
 
-    /// Answers the questions that have waited long enough, or all.
-    fn answer_waiting(&mut self, all: bool) {
-        let (now, holds) = (self.now(), self.chain.registry_holds);
-        let (due, waiting) = std::mem::take(&mut self.waiting)
+    /// Answers the polls that were held open for the longest permitted time, or all of them.
+    fn answer_waiting_polls(&mut self, all: bool) {
+        let (now, holds) = (self.now(), self.staleness.registry_holds);
+        let (due, waiting) = std::mem::take(&mut self.waiting_polls)
             .into_iter()
             .partition(|(_, asked, _)| all || now.saturating_sub(*asked) >= holds);
-        self.waiting = waiting;
+        self.waiting_polls = waiting;
         let due: Vec<(KnownState, Duration, oneshot::Sender<RegistryResponse>)> = due;
-        for (have, asked, reply) in due {
-            let _ = reply.send(RegistryResponse::Update(Box::new(self.news(&have, asked))));
+        for (known, asked, reply) in due {
+            let _ = reply.send(RegistryResponse::Update(Box::new(self.update_for(&known, asked))));
         }
     }
 
@@ -455,71 +479,77 @@
             log::warn!("event=backend_lost id={id}");
         }
         let catalog = &self.catalog;
-        self.in_force.retain(|ip, _| catalog.gateways().any(|gateway| gateway.ip == *ip));
-        if let Some(gauge) = &mut self.gauge {
+        self.digests_in_force.retain(|ip, _| catalog.gateways().any(|gateway| gateway.ip == *ip));
+        if let Some(counter) = &mut self.counter {
             let all = self.catalog.gateways().map(|gateway| gateway.ip).collect();
-            // What the dead had as their share is for the others.
-            let dead = self.sight.dead(now, &all);
+            // Gateways that died get no share of the quotas, so that the others can use it.
+            let dead = self.gateway_liveness.dead(now, &all);
             let living = self.catalog.gateways().filter(|gateway| !dead.contains(&gateway.ip));
-            let mut lives = BTreeSet::new();
+            let mut incarnations = BTreeSet::new();
             for gateway in living {
-                lives.insert(gateway.life);
-                gauge.loads.gateway(gateway.life, number(&gateway.zone));
+                incarnations.insert(gateway.life);
+                counter.loads.gateway(gateway.life, number(&gateway.zone));
             }
-            let before = gauge.state().1;
-            gauge.tick(now, &lives);
-            if gauge.state().1 != before {
-                log::info!("event=gateways_silent count={} of={}", gauge.state().1, lives.len());
+            let before = counter.state().1;
+            counter.tick(now, &incarnations);
+            if counter.state().1 != before {
+                log::info!("event=gateways_silent count={} of={}", counter.state().1, incarnations.len());
             }
-            let violations = gauge.violations();
+            let violations = counter.violations();
             if std::mem::replace(&mut self.violations, violations) < violations {
-                log::error!("event=quota_exceeded term={} windows={violations}", gauge.term);
+                log::error!("event=quota_exceeded term={} windows={violations}", counter.term);
             }
         }
-        self.answer_waiting(false);
-        self.rounds += 1;
-        let sets = self.sets.count(now);
-        self.duty.vouch(sets, self.vouched);
-        let epoch = self.sets.members().epoch;
-        let duty = self.duty.tick(now, self.time() / TERM).map(|ask| (now, ask));
-        // What others may know a little later: beats that say nothing new.
-        let heard = self.rounds.is_multiple_of(RELAY_ROUNDS).then(|| {
-            let since = now.saturating_sub(std::mem::replace(&mut self.relayed, now));
+        self.answer_waiting_polls(false);
+        self.ticks += 1;
+        let sets = self.voter_sets.required_majorities(now);
+        self.lease.vouch(sets, self.members_valid_until);
+        let epoch = self.voter_sets.members().epoch;
+        let lease_request =
+            self.lease.tick(now, self.system_time_us() / TERM_STEP_US).map(|request| (now, request));
+        // Heartbeats that change nothing are reported to the other registries only from time to time.
+        let report = self.ticks.is_multiple_of(REPORT_EVERY_TICKS).then(|| {
+            let since = now.saturating_sub(std::mem::replace(&mut self.last_report, now));
             PeerReport {
                 epoch,
                 backends: self.catalog.heard_within(now, since),
                 gateways: self.catalog.asked_within(now, since),
-                time: self.time(),
+                time: self.system_time_us(),
             }
         });
-        TickWork { duty, epoch, heard }
+        TickWork { lease_request, epoch, report }
     }
 
-    fn look_at_duty(&mut self, now: Duration) {
-        let holds = self.duty.holds(now);
-        if let Some(term) = holds.filter(|term| self.gauge.as_ref().is_none_or(|g| g.term != *term)) {
-            let asked = self.catalog.asked_within(now, RECALLED_WITHIN);
-            let gateways: Vec<u64> = asked.iter().map(|(gateway, _)| gateway.life).collect();
+    fn update_counter(&mut self, now: Duration) {
+        let holds = self.lease.holds(now);
+        if let Some(term) =
+            holds.filter(|term| self.counter.as_ref().is_none_or(|counter| counter.term != *term))
+        {
+            let recent = self.catalog.asked_within(now, RECALL_WINDOW);
+            let gateways: Vec<u64> = recent.iter().map(|(gateway, _)| gateway.life).collect();
             log::info!("event=count_held term={term} gateways={}", gateways.len());
-            self.gauge = Some(QuotaCounter::begin(now, term, self.first, self.allowance, gateways));
+            self.counter = Some(QuotaCounter::begin(now, term, self.first_start, self.allowance, gateways));
             self.violations = 0;
-            self.listed = 0;
+            self.listed_up_to = 0;
         }
-        if self.duty.holder() != self.told_holder {
-            self.told_holder = self.duty.holder();
+        if self.lease.holder() != self.last_holder {
+            self.last_holder = self.lease.holder();
             self.holder_changed = self.catalog.number();
         }
     }
 }
 
-/// A counter that begins waits for the gateways that asked anything within this time; others may be dead.
-const RECALLED_WITHIN: Duration = Duration::from_millis(1_500);
-/// Terms count the system's time, in microseconds, in steps of this, unless more are needed.
-const TERM: u64 = 1_000;
-/// Every so many ticks what was heard goes to the other registries.
-const RELAY_ROUNDS: u32 = 8;
+/// A new counter waits for the recalls of gateways that polled a registry within this time. Gateways that were silent
+/// for longer may be dead.
+const RECALL_WINDOW: Duration = Duration::from_millis(1_500);
+/// Unit of the counter's terms, in microseconds of the system's time. A term is at least the system's time in this
+/// unit, so terms grow across restarts.
+const TERM_STEP_US: u64 = 1_000;
+/// Number of ticks between two reports to the other registries.
+const REPORT_EVERY_TICKS: u32 = 8;
 
-/// A backend says that it takes no new work.
+/// The backend accepts no new work: it drains or is gone. Such a state is replicated to a majority before the
+/// backend's heartbeat is acknowledged.
 pub fn refuses_new_work(instance: &Instance) -> bool {
     instance.state != BackendState::Ready
 }
--- a/crates/starlinghill-registry/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -1,4 +1,5 @@
-//! What a registry is asked by gateways and by other registries.
+//! Messages between registries and their clients: gateways, other registries and the console. They are encoded with
+//! bitcode, so the order of variants and fields is part of the protocol.
 
 use bitcode::{Decode, Encode};
 use starlinghill_catalog::{Gateway, Instance, Observation};
@@ -10,162 +11,166 @@
 use starlinghill_quota_counter::{BackendLoad, Draw, LevelReading, LoadReport, QuotaLevel};
 use std::net::IpAddr;
 
-/// A question.
+/// A request to a registry.
 #[derive(Debug, Clone, Encode, Decode)]
 pub enum RegistryRequest {
-    /// By a gateway: what is new?
+    /// From a gateway: what changed since this state? The registry holds the request open while nothing has.
     Poll(KnownState),
-    /// By a gateway: it draws from tenants' stores.
+    /// From a gateway: draws units from tenants' quotas.
     Draw {
-        /// The term of the counter that is meant.
+        /// The term of the counter that is addressed.
         term: u64,
-        /// The life of the gateway's process.
+        /// The incarnation of the gateway's process.
         from: u64,
-        /// What it draws; may be nothing, where it only keeps in touch.
+        /// The draws; empty in a keep-alive.
         draws: Vec<Draw>,
-        /// How things stand between it and backends, where that changed.
+        /// Load of backends as this gateway sees it, for those where it changed.
         load_reports: Vec<LoadReport>,
     },
-    /// By a gateway: what it heard in earlier terms.
+    /// From a gateway: the levels of quotas that it was told in earlier terms. A new counter starts from them.
     Recall {
-        /// The term of the counter that is meant.
+        /// The term of the counter that is addressed.
         term: u64,
-        /// The life of the gateway's process.
+        /// The incarnation of the gateway's process.
         from: u64,
-        /// All that still tells something.
+        /// All readings that are still recent enough to be of use.
         readings: Vec<LevelReading>,
     },
-    /// By a registry, on who keeps the count; the epoch of the members that it knows.
+    /// From a registry: a request for the counter's lease, and the epoch of the members that it knows.
     Lease(u64, lease::LeaseRequest<IpAddr>),
-    /// By a registry: what it heard of backends and gateways, each so many milliseconds ago.
+    /// From a registry: backends and gateways that it heard of.
     Report(PeerReport),
-    /// By a registry, of that epoch: that backend has left.
+    /// From a registry that knows the members of this epoch: the backend with this id has deregistered.
     BackendLeft(u64, String),
-    /// By a registry that has just started: all that is known.
+    /// From a registry: asks for everything that is known.
     FullReport,
-    /// By a console: how things stand.
+    /// From the console: asks for the state of the registry.
     Status,
-    /// By a console: that backend is to take no new work.
+    /// From the console: sets the backend with this id to draining.
     DrainBackend(String),
 }
 
-/// What a gateway has.
+/// The state that a gateway has, sent with each poll.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct KnownState {
-    /// Who it is.
+    /// The gateway itself.
     pub gateway: Gateway,
-    /// The life of the registry that it was last answered by here, and the number of the news that it has.
+    /// The incarnation of the registry whose update it received last. `seq` is meaningful only together with it: a
+    /// registry that restarted sends a complete update.
     pub registry_incarnation: u64,
-    /// The same.
+    /// The sequence number of that update.
     pub seq: u64,
-    /// The system's time, in microseconds, as it knows it.
+    /// The system's time as the gateway knows it, in microseconds.
     pub time: u64,
     /// The highest term of the counter that it knows.
     pub counter_term: u64,
-    /// It is about to end.
+    /// The gateway shuts down.
     pub leaving: bool,
-    /// What stands for the items that are in force there (`Book::digest`).
+    /// Digest of the configuration items that the gateway applies.
     pub items_digest: u64,
-    /// Of which gateways it heard on the ring.
+    /// The gateways whose heartbeats it received, and how long ago.
     pub sightings: Vec<PeerSighting>,
 }
 
-/// What a registry heard.
+/// The backends and gateways that a registry heard of.
 #[derive(Debug, Clone, Default, Encode, Decode)]
 pub struct PeerReport {
-    /// The epoch of the members that the one who tells knows.
+    /// The epoch of the members that the sender knows.
     pub epoch: u64,
-    /// Backends.
+    /// Backends, each with the milliseconds since it was last heard of.
     pub backends: Vec<(Instance, u64)>,
-    /// Gateways.
+    /// Gateways, each with the milliseconds since it last polled a registry.
     pub gateways: Vec<(Gateway, u64)>,
-    /// The system's time.
+    /// The system's time, in microseconds.
     pub time: u64,
 }
 
-/// News for a gateway.
+/// The answer to a gateway's poll: what changed.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct RegistryUpdate {
-    /// The registry's life.
+    /// The incarnation of the registry.
     pub registry_incarnation: u64,
-    /// The number of these news.
+    /// The sequence number of this update.
     pub seq: u64,
-    /// The word of a majority of stores that the items are all that was agreed on, as the store beside it has it; none where
-    /// it is too old to go by.
+    /// The latest contact of the local store with a majority of stores: no newer items had been agreed on by then.
+    /// Absent where the contact is too old to rely on.
     pub contact: Option<QuorumContact>,
-    /// Items that changed.
+    /// Configuration items that changed.
     pub items: Vec<Item>,
     /// Backends that changed.
     pub backends: Vec<Observation>,
-    /// These news hold all that is known, not only what changed.
+    /// The update holds everything that is known; anything that is missing from it is gone.
     pub complete: bool,
-    /// Gateways that changed, and whether they carry traffic now.
+    /// Gateways that changed, and whether each carries traffic now.
     pub gateways: Vec<(Gateway, bool)>,
-    /// Who keeps the count, and its term.
+    /// The term and address of the counter's holder, where it changed.
     pub counter_holder: Option<(u64, IpAddr)>,
-    /// The members of the core, where they changed: their registries are to be asked.
+    /// The members, where they changed. Gateways poll the registries of the members.
     pub members: Option<Members>,
-    /// The system's time.
+    /// The system's time, in microseconds.
     pub time: u64,
 }
 
-/// An answer.
+/// A response of a registry.
 #[derive(Debug, Clone, Encode, Decode)]
 pub enum RegistryResponse {
-    /// What is new.
+    /// What changed, for a poll.
     Update(Box<RegistryUpdate>),
-    /// What the stores hold, in the order of the draws, and the system's time.
+    /// The levels of the quotas in the order of the draws, and the system's time in microseconds.
     Levels(Vec<QuotaLevel>, u64),
-    /// This registry does not keep the count in that term, or can't yet; the term that it knows.
+    /// This registry doesn't run the counter in that term, or not yet. Holds the highest term that it knows.
     NotHolder(u64),
-    /// On the duty.
+    /// The reply to a lease request.
     Lease(lease::LeaseReply),
-    /// All that is known.
+    /// Everything that is known.
     FullReport(PeerReport),
-    /// How things stand.
+    /// The state of the registry.
     Status(Box<RegistryStatus>),
-    /// Nobody has a backend of that id.
+    /// No backend with that id is known.
     UnknownBackend,
-    /// It was noted.
+    /// The report was recorded.
     Acknowledged,
-    /// It was heard, but counts toward no majority: these are the members now.
+    /// The report was recorded, but the sender must not count it toward a majority because these newer members have
+    /// replaced those that it knows.
     NewerMembers(Members),
 }
 
-/// How things stand at a registry.
+/// The state of a registry, for the console.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct RegistryStatus {
     /// Its address.
     pub ip: IpAddr,
-    /// The life of its process.
+    /// A random number drawn at the start of its process.
     pub incarnation: u64,
     /// The system's time, in microseconds.
     pub time: u64,
-    /// The store beside it heard a majority of stores a moment ago.
+    /// The local store had contact with a majority of stores recently enough to rely on.
     pub has_quorum_contact: bool,
-    /// The members of the core, as far as is known here.
+    /// The members that it knows.
     pub members: Members,
-    /// Items: kind, name, version, and whether they stand.
+    /// Configuration items: kind, name, version, and whether the item exists (false for a deleted one).
     pub items: Vec<(ItemKind, String, u64, bool)>,
-    /// What stands for them.
+    /// Digest of the items.
     pub items_digest: u64,
-    /// Backends, each heard of so many milliseconds ago.
+    /// Backends, each with the milliseconds since it was last heard of.
     pub backends: Vec<(Observation, u64)>,
-    /// Gateways, likewise, each with what stands for the items in force there.
+    /// Gateways, each with the milliseconds since it last polled a registry and the digest of the items that it
+    /// applies.
     pub gateways: Vec<(Gateway, u64, u64)>,
-    /// Who keeps the count, and its term, as far as is known here.
+    /// The term and address of the counter's holder, as far as it is known here.
     pub counter_holder: Option<(u64, IpAddr)>,
-    /// The count, where it is kept here.
+    /// The state of the counter, where this registry runs it.
     pub counter: Option<CounterStatus>,
 }
 
-/// The count at its holder.
+/// The state of the quota counter at its holder.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct CounterStatus {
-    /// Gateways that it does not hear.
+    /// Number of gateways that the counter hears nothing of.
     pub silent_gateways: u64,
-    /// Stores by their names: what they hold, the tenant's rate, and what was drawn of late a second.
+    /// Each tenant's quota store: its number, its level in units, the tenant's rate in units per second, and the
+    /// units drawn per second lately.
     pub quota_stores: Vec<(u64, f64, f64, f64)>,
-    /// Backends.
+    /// The load of backends.
     pub backend_loads: Vec<BackendLoad>,
 }
--- a/crates/starlinghill-registry/tests/contact.rs
+++ b/crates/starlinghill-registry/tests/contact.rs
@@ -1,5 +1,6 @@
-//! What a registry vouches for, in virtual time: the age of a majority's word goes on counting while questions wait, and
-//! while the process stands still.
+//! How a registry passes on the age of the store's contact with a majority, in virtual time. The age must keep
+//! growing while polls are held open and while the process is stalled; otherwise gateways would rely on outdated
+//! items.
 
 use starlinghill_catalog::Gateway;
 use starlinghill_lease::contact::{LastQuorumContact, StalenessBudget};
@@ -43,7 +44,7 @@
     }
 }
 
-async fn ask(owner: &StateHandle, registry_incarnation: u64, seq: u64) -> RegistryUpdate {
+async fn poll(owner: &StateHandle, registry_incarnation: u64, seq: u64) -> RegistryUpdate {
     let gateway = Gateway { ip: [10, 0, 1, 1].into(), life: 7, zone: String::new(), node: String::new() };
     let (time, counter_term, leaving, items_digest, sightings) = (0, 0, false, 0, Vec::new());
     let have = KnownState {
@@ -58,48 +59,52 @@
     };
     let (reply, answer) = oneshot::channel();
     assert!(owner.send(Command::Request(RegistryRequest::Poll(have), reply)).await.is_ok());
-    let Ok(RegistryResponse::Update(news)) = answer.await else { panic!("it tells news") };
-    *news
+    let Ok(RegistryResponse::Update(update)) = answer.await else { panic!("expected an update") };
+    *update
 }
 
-/// The store passes on a word that a majority gave so long ago.
-async fn store_says(owner: &StateHandle, ago: Duration) {
+/// Sends the contact of a store that had heard a majority `ago` before.
+async fn report_store_contact(owner: &StateHandle, ago: Duration) {
     let majority = LastQuorumContact::from_majority(Duration::ZERO);
     let contact = Some(majority.pass_on(ago, ago));
     assert!(owner.send(Command::StoreUpdate(None, contact, Instant::now())).await.is_ok());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_registry_vouches_for_no_word_that_is_older_than_the_chain_allows() {
+async fn a_registry_passes_on_no_contact_that_is_older_than_the_budget_allows() {
     let task = LocalSet::new();
     task.run_until(async {
         let owner = state::start(&node(), &EssentialTasks::default());
-        assert!(ask(&owner, 0, 0).await.contact.is_none(), "nothing was heard yet");
-        // The oldest that a store went by before; the registry went by it for 1.5 s more.
+        assert!(poll(&owner, 0, 0).await.contact.is_none(), "no store has reported a contact yet");
+        // Just within the age that a store may pass on. A registry that counted from its receipt would use it for 1.5
+        // s too long.
         let ago = Duration::from_millis(899);
         let heard = Instant::now();
-        store_says(&owner, ago).await;
+        report_store_contact(&owner, ago).await;
         let mut oldest = Duration::ZERO;
         for _ in 0..100 {
-            if ask(&owner, 0, 0).await.contact.is_some() {
+            if poll(&owner, 0, 0).await.contact.is_some() {
                 oldest = ago + heard.elapsed();
             }
             advance(Duration::from_millis(40)).await;
         }
-        let chain = StalenessBudget::of(APPLY);
-        assert!(oldest <= chain.contact && oldest + chain.look >= chain.contact, "{oldest:?}");
+        let budget = StalenessBudget::of(APPLY);
+        assert!(
+            oldest <= budget.contact && oldest + budget.look >= budget.contact,
+            "oldest contact passed on: {oldest:?}"
+        );
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_question_that_waits_is_answered_with_the_word_s_age_of_then() {
+async fn a_poll_that_was_held_open_is_answered_with_the_age_of_the_contact_at_that_time() {
     let task = LocalSet::new();
     task.run_until(async {
         let owner = state::start(&node(), &EssentialTasks::default());
         let (ago, start) = (Duration::from_millis(200), Instant::now());
-        store_says(&owner, ago).await;
-        let known = ask(&owner, 0, 0).await;
+        report_store_contact(&owner, ago).await;
+        let known = poll(&owner, 0, 0).await;
         let ticking = owner.clone();
         tokio::task::spawn_local(async move {
             loop {
@@ -109,16 +114,19 @@
             }
         });
         let asked = Instant::now();
-        let news = ask(&owner, known.registry_incarnation, known.seq).await;
+        let update = poll(&owner, known.registry_incarnation, known.seq).await;
         assert!(
             asked.elapsed() >= StalenessBudget::of(APPLY).registry_holds,
-            "it waited {:?}",
+            "the poll was held for {:?}",
             asked.elapsed()
         );
         let (asked, now) = (asked.duration_since(start), start.elapsed());
-        let heard = news.contact.map(|word| LastQuorumContact::passed_on(word, asked, now).age(now));
-        let (heard, age) = (heard.expect("still young"), ago + now);
-        assert!(heard >= age && heard <= age + Duration::from_millis(5), "{heard:?} of {age:?}");
+        let heard = update.contact.map(|contact| LastQuorumContact::passed_on(contact, asked, now).age(now));
+        let (heard, age) = (heard.expect("recent enough to be passed on"), ago + now);
+        assert!(
+            heard >= age && heard <= age + Duration::from_millis(5),
+            "reported {heard:?}, actual age {age:?}"
+        );
     })
     .await;
 }
--- a/crates/starlinghill-registry/tests/orders.rs
+++ b/crates/starlinghill-registry/tests/orders.rs
@@ -1,5 +1,5 @@
-//! An order that a registry passes to stores, in virtual time: its caller is answered while it still waits, whatever the
-//! store beside the registry does.
+//! Changes that a registry forwards to stores, in virtual time. The caller must be answered before its own timeout,
+//! even if the local store hangs, and must not be told of a rejection while a store may still accept the change.
 
 use starlinghill_config_store::wire::{ChangeOutcome, StoreResponse};
 use starlinghill_lease::contact::{ORDER_COMMIT_TIMEOUT, ORDER_HEDGE_DELAY, ORDER_RESPONSE_TIMEOUT};
@@ -11,90 +11,90 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
 
-/// What a store does with an order.
+/// How a simulated store treats a change.
 #[derive(Debug, Clone, Copy)]
-enum Does {
-    /// It is agreed on after so many milliseconds.
-    Takes(u64),
-    /// There is no majority: it says so when it has tried for as long as it may.
-    Finds,
-    /// Nothing comes, as from a machine that is frozen or whose disk hangs.
-    Nothing,
-    /// Its process is down.
-    Down,
-    /// It is asked, and its connection breaks: it may take it.
-    Breaks,
-    /// It is refused, as things stand, after so many milliseconds.
-    Refuses(u64),
+enum StoreBehavior {
+    /// Accepts it after this many milliseconds.
+    Accepts(u64),
+    /// Reports that there is no majority, once its own time limit has passed.
+    NoMajority,
+    /// Never answers, like a frozen machine or a hanging disk.
+    Silent,
+    /// Refuses the connection.
+    Unreachable,
+    /// ConnectionLost the connection after the request was sent, so that it may accept the change.
+    ConnectionLost,
+    /// Rejects it after this many milliseconds.
+    Rejects(u64),
 }
-use Does::*;
+use StoreBehavior::*;
 
-async fn one(does: Does) -> Option<StoreResponse> {
-    match does {
-        Takes(ms) => {
+async fn simulated_store(behavior: StoreBehavior) -> Option<StoreResponse> {
+    match behavior {
+        Accepts(ms) => {
             sleep(Duration::from_millis(ms)).await;
             Some(StoreResponse::Changed(ChangeOutcome::Taken))
         }
-        Finds => {
+        NoMajority => {
             sleep(ORDER_COMMIT_TIMEOUT).await;
             Some(StoreResponse::Changed(ChangeOutcome::Unclear))
         }
-        Nothing => std::future::pending().await,
-        Down => None,
-        Breaks => Some(StoreResponse::NotNow),
-        Refuses(ms) => {
+        Silent => std::future::pending().await,
+        Unreachable => None,
+        ConnectionLost => Some(StoreResponse::NotNow),
+        Rejects(ms) => {
             sleep(Duration::from_millis(ms)).await;
-            Some(StoreResponse::Changed(invalid()))
+            Some(StoreResponse::Changed(rejection()))
         }
     }
 }
 
-fn invalid() -> ChangeOutcome {
+fn rejection() -> ChangeOutcome {
     ChangeOutcome::Invalid("a key of another tenant".into())
 }
 
-#[test_case(&[Takes(20), Nothing, Nothing], Some(ChangeOutcome::Taken), 20, 1; "the store beside it answers")]
-#[test_case(&[Down, Takes(20), Nothing], Some(ChangeOutcome::Taken), 20, 2; "it is down, the next one answers")]
-#[test_case(&[Nothing, Takes(20), Nothing], Some(ChangeOutcome::Taken), 270, 2; "it is silent, the next one answers")]
-#[test_case(&[Nothing, Nothing, Takes(20)], Some(ChangeOutcome::Taken), 520, 3; "two are silent")]
-#[test_case(&[Takes(400), Finds, Nothing], Some(ChangeOutcome::Taken), 400, 2; "it is slow")]
-#[test_case(&[Finds, Nothing, Nothing], None, 800, 3; "a side without a majority")]
-#[test_case(&[Finds, Down, Down], Some(ChangeOutcome::Unclear), 700, 3; "the others can't be reached")]
-#[test_case(&[Down, Down, Down], None, 0, 3; "none is there")]
-#[test_case(&[Nothing, Nothing, Nothing], None, 800, 3; "all are silent")]
-#[test_case(&[Refuses(20), Nothing, Nothing], Some(invalid()), 20, 1; "it is refused")]
-#[test_case(&[Down, Refuses(20), Nothing], Some(invalid()), 20, 2; "it is down, the next one refuses")]
-#[test_case(&[Nothing, Refuses(20), Nothing], None, 800, 2; "refused, while one that is silent may take it")]
-#[test_case(&[Takes(400), Refuses(20), Nothing], Some(ChangeOutcome::Taken), 400, 2; "refused by one, taken by another")]
-#[test_case(&[Breaks, Refuses(20), Nothing], None, 20, 2; "refused, while one that broke off may take it")]
-#[test_case(&[Refuses(400), Refuses(20), Nothing], Some(invalid()), 400, 2; "refused by both")]
+#[test_case(&[Accepts(20), Silent, Silent], Some(ChangeOutcome::Taken), 20, 1; "the local store answers")]
+#[test_case(&[Unreachable, Accepts(20), Silent], Some(ChangeOutcome::Taken), 20, 2; "the local store is down and the next one answers")]
+#[test_case(&[Silent, Accepts(20), Silent], Some(ChangeOutcome::Taken), 270, 2; "the local store is silent and the next one answers")]
+#[test_case(&[Silent, Silent, Accepts(20)], Some(ChangeOutcome::Taken), 520, 3; "two stores are silent and the third answers")]
+#[test_case(&[Accepts(400), NoMajority, Silent], Some(ChangeOutcome::Taken), 400, 2; "the local store is slow")]
+#[test_case(&[NoMajority, Silent, Silent], None, 800, 3; "no majority and the other stores are silent")]
+#[test_case(&[NoMajority, Unreachable, Unreachable], Some(ChangeOutcome::Unclear), 700, 3; "no majority and the other stores are down")]
+#[test_case(&[Unreachable, Unreachable, Unreachable], None, 0, 3; "all stores are down")]
+#[test_case(&[Silent, Silent, Silent], None, 800, 3; "all stores are silent")]
+#[test_case(&[Rejects(20), Silent, Silent], Some(rejection()), 20, 1; "the local store rejects")]
+#[test_case(&[Unreachable, Rejects(20), Silent], Some(rejection()), 20, 2; "the local store is down and the next one rejects")]
+#[test_case(&[Silent, Rejects(20), Silent], None, 800, 2; "rejected while a silent store may still accept")]
+#[test_case(&[Accepts(400), Rejects(20), Silent], Some(ChangeOutcome::Taken), 400, 2; "rejected by one store and accepted by another")]
+#[test_case(&[ConnectionLost, Rejects(20), Silent], None, 20, 2; "rejected while a store that lost its connection may still accept")]
+#[test_case(&[Rejects(400), Rejects(20), Silent], Some(rejection()), 400, 2; "rejected by both stores")]
 #[tokio::test(start_paused = true)]
-async fn an_order_is_answered_before_its_caller_leaves(
-    stores: &'static [Does],
+async fn a_change_is_answered_before_its_caller_times_out(
+    stores: &'static [StoreBehavior],
     outcome: Option<ChangeOutcome>,
     after_ms: u128,
     asked: usize,
 ) {
     let task = LocalSet::new();
     task.run_until(async {
-        let (begun, seen) = (Instant::now(), Rc::new(RefCell::new(0)));
-        let count = seen.clone();
+        let (started, asked_stores) = (Instant::now(), Rc::new(RefCell::new(0)));
+        let count = asked_stores.clone();
         let answer = first_conclusive_answer(stores.len(), ORDER_RESPONSE_TIMEOUT, move |i, _| {
             *count.borrow_mut() += 1;
-            one(stores[i])
+            simulated_store(stores[i])
         });
         let answer = match answer.await {
             Some(StoreResponse::Changed(outcome)) => Some(outcome),
             _ => None,
         };
-        let took = begun.elapsed().as_millis();
-        // Without a majority it makes no difference whether the store said so or the time ran out: both are 503.
-        let clear = |outcome: &Option<ChangeOutcome>| {
+        let took = started.elapsed().as_millis();
+        // Both an inconclusive answer and a timeout become a 503.
+        let conclusive = |outcome: &Option<ChangeOutcome>| {
             outcome.clone().filter(|outcome| *outcome != ChangeOutcome::Unclear)
         };
-        assert_eq!(clear(&answer), clear(&outcome));
+        assert_eq!(conclusive(&answer), conclusive(&outcome));
         assert!(took >= after_ms && took <= after_ms + 5, "{took} ms");
-        assert_eq!(*seen.borrow(), asked);
+        assert_eq!(*asked_stores.borrow(), asked);
     })
     .await;
     assert!(ORDER_HEDGE_DELAY * 2 + Duration::from_millis(200) < ORDER_RESPONSE_TIMEOUT);
