--- a/crates/starlinghill-proxy/src/main.rs
+++ b/crates/starlinghill-proxy/src/main.rs
@@ -2,11 +2,11 @@
 
 use std::process::ExitCode;
 
-const HELP: &str = "starlinghill-proxy: the proxy that carries the traffic
+const HELP: &str = "starlinghill-proxy: the proxy, which carries the client requests
 
-    starlinghill-proxy              runs; STARLINGHILL_CONFIG names the settings file
-    starlinghill-proxy check FILE   says what is wrong with a settings file
-    -v, --verbose                   logs the small events too
+    starlinghill-proxy              runs it; STARLINGHILL_CONFIG names the settings file
+    starlinghill-proxy check FILE   lists the errors in a settings file
+    -v, --verbose                   also logs debug messages
 ";
 
 fn main() -> ExitCode {
--- a/crates/starlinghill-runtime/src/essential_tasks.rs
+++ b/crates/starlinghill-runtime/src/essential_tasks.rs
@@ -1,52 +1,55 @@
-//! Tasks that a process can't do without: it ends where one of them does, so that whoever runs it starts it again.
+//! Tasks without which a process is useless: when one ends, the process ends, so that its supervisor restarts it.
 //!
-//! A panic ends one task and no more. For a task that serves one call that is right: the others go on. A process whose owner
-//! of tables has ended would live on, answer that it is ready, and refuse everything.
+//! A panic ends only one task. That is right for a task that serves a single connection. But a process whose state
+//! task has ended would stay up, report itself as ready and fail every request.
 
 use std::future::Future;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Where such tasks are started. Clones stand for the same process.
+/// Starts essential tasks. Clones belong to the same process.
 #[derive(Debug, Clone)]
 pub struct EssentialTasks {
     ended: mpsc::UnboundedSender<&'static str>,
 }
 
-/// Hears of the first task that has ended.
+/// Waits for the first essential task to end.
 #[derive(Debug)]
 pub struct FirstEndedTask {
     ended: mpsc::UnboundedReceiver<&'static str>,
 }
 
 impl Default for EssentialTasks {
-    /// Of a process, or a test, that goes on whichever task ends: the log is told all the same.
+    /// For tests, and for processes that go on when a task ends; the end is still logged.
     fn default() -> EssentialTasks {
         EssentialTasks::new().0
     }
 }
 
 impl EssentialTasks {
-    /// Those of one process, and the way to hear of them.
+    /// The spawner of a process, and the receiver that is notified when a task ends.
     pub fn new() -> (EssentialTasks, FirstEndedTask) {
-        let (tell, ended) = mpsc::unbounded_channel();
-        (EssentialTasks { ended: tell }, FirstEndedTask { ended })
+        let (sender, receiver) = mpsc::unbounded_channel();
+        (EssentialTasks { ended: sender }, FirstEndedTask { ended: receiver })
     }
 
-    /// Starts one on this thread. Its name is for the log.
+    /// Starts a task on this thread. `name` appears in the log.
     pub fn spawn(&self, name: &'static str, task: impl Future<Output = ()> + 'static) {
-        let (running, tell) = (spawn_local(task), self.ended.clone());
+        let (running, ended) = (spawn_local(task), self.ended.clone());
         spawn_local(async move {
-            let how = running.await;
-            log::error!("event=task_ended task={name} panicked={}", how.is_err_and(|error| error.is_panic()));
-            // Nobody listens any more in a process that ends.
-            let _ = tell.send(name);
+            let result = running.await;
+            log::error!(
+                "event=task_ended task={name} panicked={}",
+                result.is_err_and(|error| error.is_panic())
+            );
+            // The receiver is gone while the process shuts down.
+            let _ = ended.send(name);
         });
     }
 }
 
 impl FirstEndedTask {
-    /// The name of the first that has ended; waits for ever where none does.
+    /// Returns the name of the first task that ended; never returns while all run.
     pub async fn wait(&mut self) -> &'static str {
         match self.ended.recv().await {
             Some(name) => name,
--- a/crates/starlinghill-runtime/src/lib.rs
+++ b/crates/starlinghill-runtime/src/lib.rs
@@ -1,5 +1,4 @@
-//! Joinery: a dovetail holds two boards together without glue. Here it is what joins the system's processes: the settings
-//! that each is started with, framed calls between them, and the log lines that all of them write.
+//! What all processes of the system share: settings, remote calls in frames, signal handling and log lines.
 
 pub mod essential_tasks;
 pub mod frame;
@@ -12,9 +11,9 @@
 pub mod signals;
 pub mod validation;
 
-/// The port of the registry for the system's own processes, counted from the first of `local_ports`.
+/// Internal port of the registry, as an offset from the first port of `local_ports`.
 pub const REGISTRY_PORT_OFFSET: u16 = 0;
-/// The port of the store of configuration, counted likewise.
+/// Internal port of the configuration store, as an offset from the first port of `local_ports`.
 pub const CONFIG_STORE_PORT_OFFSET: u16 = 1;
-/// The port on which proxies hear each other, counted likewise.
+/// UDP port for heartbeats between proxies, as an offset from the first port of `local_ports`.
 pub const PROXY_PORT_OFFSET: u16 = 2;
--- a/crates/starlinghill-runtime/src/logs.rs
+++ b/crates/starlinghill-runtime/src/logs.rs
@@ -1,36 +1,37 @@
-//! Log lines: one for each event, `key=value` pairs, on standard error.
+//! Log output: one line per event with `key=value` pairs, on standard error.
 
 use logforth::append::Stderr;
 use logforth::record::{Level, LevelFilter, Record};
 use logforth::{Diagnostic, Error, Layout};
 use std::time::UNIX_EPOCH;
 
-/// Time, level, the package that speaks, and what it says.
+/// Writes time, level, crate and the message.
 #[derive(Debug)]
-struct Pairs;
+struct KeyValueLayout;
 
-impl Layout for Pairs {
+impl Layout for KeyValueLayout {
     fn format(&self, record: &Record, _: &[Box<dyn Diagnostic>]) -> Result<Vec<u8>, Error> {
-        // For people alone.
+        // Wall-clock time is only for readers; nothing in the system relies on it.
         let time = record.time().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let by = record.target().split("::").next().unwrap_or_default();
+        let crate_name = record.target().split("::").next().unwrap_or_default();
         let level = record.level().name().to_ascii_lowercase();
-        let said = record.payload().to_string();
-        // Libraries say what they like.
-        let said = match said.starts_with("event=") {
-            true => said,
-            false => format!("event=said text={said:?}"),
+        let message = record.payload().to_string();
+        // Libraries log free text, which is wrapped so that every line has an event.
+        let message = match message.starts_with("event=") {
+            true => message,
+            false => format!("event=said text={message:?}"),
         };
-        Ok(format!("time={:.3} level={level} by={by} {said}", time.as_secs_f64()).into_bytes())
+        Ok(format!("time={:.3} level={level} by={crate_name} {message}", time.as_secs_f64()).into_bytes())
     }
 }
 
-/// Switches them on. `chatty` adds the small events.
-pub fn start(chatty: bool) {
-    let least = if chatty { Level::Debug } else { Level::Info };
+/// Starts logging. `verbose` includes debug messages.
+pub fn start(verbose: bool) {
+    let min_level = if verbose { Level::Debug } else { Level::Info };
     logforth::starter_log::builder()
         .dispatch(|d| {
-            d.filter(LevelFilter::MoreSevereEqual(least)).append(Stderr::default().with_layout(Pairs))
+            d.filter(LevelFilter::MoreSevereEqual(min_level))
+                .append(Stderr::default().with_layout(KeyValueLayout))
         })
         .apply();
 }
--- a/crates/starlinghill-runtime/src/net.rs
+++ b/crates/starlinghill-runtime/src/net.rs
@@ -1,5 +1,5 @@
-//! What the system's processes call each other over: TCP where they are programs, links of its own where somebody plays
-//! many of them in one thread. A process is handed its network and knows no other.
+//! The network that processes of the system use among themselves: TCP in real processes, simulated links where a
+//! simulator runs many processes in one thread. A process gets its network passed in and uses no other.
 
 use socket2::SockRef;
 use std::future::Future;
@@ -11,42 +11,44 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Guards against peers that vanish without a word: what they don't take for so long ends the connection.
-const SILENCE: Duration = Duration::from_millis(1500);
+/// Unacknowledged data for this long ends a TCP connection. Without it, a peer that vanished without closing would be
+/// noticed only after many minutes.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A connection, both ways.
+/// A bidirectional connection.
 pub trait Connection: AsyncRead + AsyncWrite + Unpin {
-    /// Sets it up for the system's own calls. Where the machine can't, calls merely take longer to fail.
+    /// Sets the options for short request-response calls. Failures are ignored: without the options, calls only take
+    /// longer to fail.
     fn tune(&self);
 }
 
-/// Any connection.
+/// A connection of any network.
 pub type Stream = Box<dyn Connection>;
 
-/// What may take a while and fail.
+/// The future of an I/O operation.
 pub type IoFuture<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + 'a>>;
 
-/// A network, as one machine sees it.
+/// A network as seen from one machine.
 pub trait Network {
-    /// Connects to an address.
+    /// Opens a connection to an address.
     fn connect(&self, to: SocketAddr) -> IoFuture<'_, Stream>;
     /// Listens on an address.
     fn listen(&self, at: SocketAddr) -> IoFuture<'_, Box<dyn Listener>>;
 }
 
-/// The way to a network.
+/// A shared network.
 pub type NetworkHandle = Rc<dyn Network>;
 
-/// A port that is listened on.
+/// A listening socket.
 pub trait Listener {
-    /// The next connection, and where it comes from.
+    /// Waits for the next connection; returns it with the peer's address.
     fn accept(&self) -> IoFuture<'_, (Stream, SocketAddr)>;
 }
 
-/// The machine's own network.
+/// TCP on this machine.
 pub struct Tcp;
 
-/// The way to the machine's own network.
+/// A handle to the TCP network of this machine.
 pub fn tcp() -> NetworkHandle {
     Rc::new(Tcp)
 }
@@ -73,6 +75,6 @@
 impl Connection for TcpStream {
     fn tune(&self) {
         let _ = self.set_nodelay(true);
-        let _ = SockRef::from(self).set_tcp_user_timeout(Some(SILENCE));
+        let _ = SockRef::from(self).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     }
 }
--- a/crates/starlinghill-runtime/src/program.rs
+++ b/crates/starlinghill-runtime/src/program.rs
@@ -1,4 +1,4 @@
-//! What the command lines of all programs have in common.
+//! The entry point that all programs share.
 
 use crate::settings::NodeSettings;
 use crate::signals::Signals;
@@ -9,68 +9,69 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::task::LocalSet;
 
-/// Reads the command line, and runs the program or checks a settings file.
-pub fn main<E: std::fmt::Display, W: Future<Output = Result<(), E>>>(
+/// Parses the command line, then runs the program or checks a settings file.
+pub fn main<E: std::fmt::Display, F: Future<Output = Result<(), E>>>(
     help: &str,
-    run: impl FnOnce(Signals) -> W,
+    run: impl FnOnce(Signals) -> F,
 ) -> ExitCode {
     let mut args = pico_args::Arguments::from_env();
     if args.contains(["-h", "--help"]) {
         print!("{help}");
         return ExitCode::SUCCESS;
     }
-    let chatty = args.contains(["-v", "--verbose"]);
+    let verbose = args.contains(["-v", "--verbose"]);
     match args.subcommand() {
         Ok(None) => {}
-        Ok(Some(command)) if command == "check" => return check(args),
-        Ok(Some(command)) => return usage(&format!("found {command}"), help),
-        Err(error) => return usage(&error.to_string(), help),
+        Ok(Some(command)) if command == "check" => return check_settings(args),
+        Ok(Some(command)) => return print_usage(&format!("unknown command: {command}"), help),
+        Err(error) => return print_usage(&error.to_string(), help),
     }
     let rest = args.finish();
     if !rest.is_empty() {
-        return usage(&format!("found {rest:?}"), help);
+        return print_usage(&format!("unexpected arguments: {rest:?}"), help);
     }
-    start(chatty, run)
+    start(verbose, run)
 }
 
-/// Runs a program whose command line was read, here or by another one that it is part of.
-pub fn start<E: std::fmt::Display, W: Future<Output = Result<(), E>>>(
-    chatty: bool,
-    run: impl FnOnce(Signals) -> W,
+/// Runs a program with parsed arguments. Programs that contain several others call this directly.
+pub fn start<E: std::fmt::Display, F: Future<Output = Result<(), E>>>(
+    verbose: bool,
+    run: impl FnOnce(Signals) -> F,
 ) -> ExitCode {
-    // Signals are heard before anything is read: whoever starts a process may send it one in the next moment.
-    let begun = begin();
-    crate::logs::start(chatty);
-    let (runtime, signals) = match begun {
-        Ok(begun) => begun,
-        Err(error) => return failed(&error),
+    // Signal handlers are installed first: a supervisor may send a signal right after the start, and without a
+    // handler it would kill the process.
+    let prepared = prepare();
+    crate::logs::start(verbose);
+    let (runtime, signals) = match prepared {
+        Ok(prepared) => prepared,
+        Err(error) => return report_failure(&error),
     };
     match LocalSet::new().block_on(&runtime, async { run(signals).await }) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => failed(&error),
+        Err(error) => report_failure(&error),
     }
 }
 
-fn begin() -> io::Result<(Runtime, Signals)> {
+fn prepare() -> io::Result<(Runtime, Signals)> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let signals = {
-        let _inside = runtime.enter();
+        let _guard = runtime.enter();
         Signals::listen()?
     };
     Ok((runtime, signals))
 }
 
-fn usage(problem: &str, help: &str) -> ExitCode {
+fn print_usage(problem: &str, help: &str) -> ExitCode {
     eprint!("{problem}\n\n{help}");
     ExitCode::from(2)
 }
 
-fn failed(error: &impl std::fmt::Display) -> ExitCode {
+fn report_failure(error: &impl std::fmt::Display) -> ExitCode {
     log::error!("event=ended error=\"{error}\"");
     ExitCode::FAILURE
 }
 
-fn check(mut args: pico_args::Arguments) -> ExitCode {
+fn check_settings(mut args: pico_args::Arguments) -> ExitCode {
     let path: PathBuf = match args.free_from_str() {
         Ok(path) => path,
         Err(error) => {
@@ -80,7 +81,7 @@
     };
     match NodeSettings::from_file(&path) {
         Ok(node) => {
-            println!("{}: sound: node {}, zone {}", path.display(), node.name, node.zone);
+            println!("{}: valid: node {}, zone {}", path.display(), node.name, node.zone);
             ExitCode::SUCCESS
         }
         Err(error) => {
--- a/crates/starlinghill-runtime/src/queue.rs
+++ b/crates/starlinghill-runtime/src/queue.rs
@@ -1,46 +1,48 @@
-//! How full the queue of an owner gets, for people: whoever finds it full waits, and nobody else would know why.
+//! Logs how full a task's command queue gets. Senders wait while it is full, and without the log line nobody could
+//! tell why they are slow.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// From that part on it is said.
-const PART: usize = 2;
-/// How often it is said at most.
-const AGAIN: Duration = Duration::from_secs(5);
+/// The fill level is logged from 1/`REPORTED_FRACTION` of the capacity on.
+const REPORTED_FRACTION: usize = 2;
+/// Minimum time between two log lines for one queue.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What a queue held at most of late.
+/// The highest recent fill level of a queue.
 #[derive(Debug)]
 pub struct QueueGauge {
     name: &'static str,
-    of: usize,
-    most: usize,
-    told: Option<Instant>,
+    capacity: usize,
+    highest: usize,
+    last_report: Option<Instant>,
 }
 
 impl QueueGauge {
-    /// Of a queue that holds so many.
-    pub fn new(name: &'static str, of: usize) -> QueueGauge {
-        QueueGauge { name, of, most: 0, told: None }
+    /// `name` appears in the log; `capacity` is the queue's number of entries.
+    pub fn new(name: &'static str, capacity: usize) -> QueueGauge {
+        QueueGauge { name, capacity, highest: 0, last_report: None }
     }
 
-    /// So many wait in it now: the most since it was last said, where it is to be said again.
+    /// Records that `waiting` entries are in the queue. Returns the highest number since the last report, if a report
+    /// is due and that number is high enough.
     pub fn observe(&mut self, now: Instant, waiting: usize) -> Option<usize> {
-        self.most = self.most.max(waiting);
-        let due = self.told.is_none_or(|at| now.saturating_duration_since(at) >= AGAIN);
-        let say = due && self.most * PART >= self.of;
-        if say {
-            self.told = Some(now);
+        self.highest = self.highest.max(waiting);
+        let due = self.last_report.is_none_or(|at| now.saturating_duration_since(at) >= MIN_REPORT_INTERVAL);
+        let report = due && self.highest * REPORTED_FRACTION >= self.capacity;
+        if report {
+            self.last_report = Some(now);
         }
         if due {
-            return Some(std::mem::take(&mut self.most)).filter(|_| say);
+            return Some(std::mem::take(&mut self.highest)).filter(|_| report);
         }
         None
     }
 
-    /// The same, and says it in the logs.
+    /// Like `observe` at the current time; logs what is to be reported.
     pub fn observe_and_log(&mut self, waiting: usize) {
-        if let Some(most) = self.observe(Instant::now(), waiting) {
-            log::warn!("event=queue name={} filled={most} of={}", self.name, self.of);
+        if let Some(highest) = self.observe(Instant::now(), waiting) {
+            log::warn!("event=queue name={} filled={highest} of={}", self.name, self.capacity);
         }
     }
 }
--- a/crates/starlinghill-runtime/src/rpc.rs
+++ b/crates/starlinghill-runtime/src/rpc.rs
@@ -1,4 +1,5 @@
-//! Calls between the system's own processes: a question, an answer, a time limit. Every call may be made again.
+//! Remote calls between processes of the system: a request, a response and a time limit. Every request must be safe
+//! to repeat, because a call may be retried.
 
 use crate::frame::{self, Reader};
 use crate::net::{Listener, NetworkHandle, Stream};
@@ -14,80 +15,82 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// A connection on which nothing is asked for so long is ended by who serves it.
-const IDLE: Duration = Duration::from_secs(60);
-/// A machine that does not take a connection for so long is away: its opening packet is sent again only after seconds.
-const CONNECT: Duration = Duration::from_millis(300);
-/// The pause after an accept that failed.
-const PAUSE: Duration = Duration::from_millis(20);
+/// The server closes a connection that was idle for this long.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Timeout for connecting. A SYN that is lost is repeated only after a second or more, so waiting longer is of little
+/// use.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Delay after a failed accept, so that a lack of file descriptors causes no busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Debug, Snafu)]
 pub enum RpcError {
-    /// Nothing came in time.
+    /// No answer within the time limit.
     #[snafu(display("no answer in time"))]
     Timeout,
-    /// The connection could not be made, or broke.
+    /// The connection could not be opened, or broke.
     #[snafu(display("{source}"))]
     Broken {
-        /// How.
+        /// The underlying error.
         source: io::Error,
     },
 }
 
 impl RpcError {
-    /// There was no connection, so that nothing was asked.
+    /// The request was certainly not sent, because no connection was opened.
     pub fn is_not_sent(&self) -> bool {
         use io::ErrorKind::{ConnectionRefused, TimedOut};
         matches!(self, RpcError::Broken { source } if matches!(source.kind(), ConnectionRefused | TimedOut))
     }
 }
 
-/// The way to one port of another process; calls go one after the other.
+/// A client of one port of another process. Calls are made one after the other on one connection.
 pub struct RpcClient {
     net: NetworkHandle,
     address: SocketAddr,
-    line: Mutex<Option<(Stream, Reader)>>,
+    connection: Mutex<Option<(Stream, Reader)>>,
 }
 
 impl RpcClient {
-    /// To that address over a network; nothing is connected yet.
+    /// Creates a client; the connection is opened by the first call.
     pub fn new(net: &NetworkHandle, address: SocketAddr) -> RpcClient {
-        RpcClient { net: net.clone(), address, line: Mutex::new(None) }
+        RpcClient { net: net.clone(), address, connection: Mutex::new(None) }
     }
 
-    /// Where it leads.
+    /// The address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Asks, and waits so long for the answer. A kept connection that turns out to be dead is replaced once.
+    /// Sends a request and waits for the response, up to `within`. If a reused connection turns out to be dead, the
+    /// call is retried once on a new one.
     pub async fn call<Q: Encode, A: DecodeOwned>(
         &self,
-        question: &Q,
+        request: &Q,
         within: Duration,
     ) -> Result<A, RpcError> {
-        let asked = async {
-            let mut line = self.line.lock().await;
+        let exchange = async {
+            let mut connection = self.connection.lock().await;
             loop {
-                // Taken out for the time of the call: one that is given up ends its connection, so that its late answer
-                // meets no later question.
-                let (mut kept, reused) = match line.take() {
-                    Some(kept) => (kept, true),
+                // The connection is taken out during the call. A cancelled call thereby closes it, so that a late
+                // response can't be taken for that of a later request.
+                let (mut current, reused) = match connection.take() {
+                    Some(current) => (current, true),
                     None => {
-                        let connecting = timeout(CONNECT, self.net.connect(self.address));
+                        let connecting = timeout(CONNECT_TIMEOUT, self.net.connect(self.address));
                         let stream = connecting.await.map_err(|_| io::ErrorKind::TimedOut)??;
                         stream.tune();
                         ((stream, Reader::default()), false)
                     }
                 };
-                let answer = match frame::write(&mut kept.0, question).await {
-                    Ok(()) => kept.1.read(&mut kept.0).await,
+                let answer = match frame::write(&mut current.0, request).await {
+                    Ok(()) => current.1.read(&mut current.0).await,
                     Err(error) => Err(error),
                 };
                 match answer {
                     Ok(Some(answer)) => {
-                        *line = Some(kept);
+                        *connection = Some(current);
                         return Ok(answer);
                     }
                     Ok(None) | Err(_) if reused => {}
@@ -96,20 +99,22 @@
                 }
             }
         };
-        match timeout(within, asked).await {
+        match timeout(within, exchange).await {
             Ok(answer) => answer.map_err(|source| RpcError::Broken { source }),
             Err(_) => Err(RpcError::Timeout),
         }
     }
 }
 
-/// Serves calls for ever, those of one connection one after the other. So many peers may be connected. What `gives_up` names
-/// is given up where it stands once its caller has hung up: it may have been refused elsewhere since, and must not be done
-/// after that.
+/// Serves calls until the process ends; calls on one connection are handled one after the other. At most `max_peers`
+/// connections are open.
+///
+/// If `cancel_on_disconnect` is true for a request, its handling is cancelled once the caller disconnects. The caller
+/// may then have been rejected elsewhere, and the request must not take effect after that.
 pub async fn serve<Q, A, F, W>(
     listener: Box<dyn Listener>,
     max_peers: usize,
-    gives_up: impl Fn(&Q) -> bool + 'static,
+    cancel_on_disconnect: impl Fn(&Q) -> bool + 'static,
     answer: F,
 ) where
     Q: DecodeOwned + 'static,
@@ -117,37 +122,39 @@
     F: Fn(Q, SocketAddr) -> W + 'static,
     W: Future<Output = A> + 'static,
 {
-    let (answer, gives_up, peers) = (Rc::new(answer), Rc::new(gives_up), Rc::new(Cell::new(0usize)));
+    let (answer, cancel_on_disconnect, peers) =
+        (Rc::new(answer), Rc::new(cancel_on_disconnect), Rc::new(Cell::new(0usize)));
     loop {
         let (mut stream, from) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
                 log::warn!("event=accept_failed error=\"{error}\"");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        // Guards descriptors: whoever comes beyond this is told so by the end of the connection, and is back in a moment.
+        // Protects the file descriptors: further peers are disconnected and try again.
         if peers.get() >= max_peers {
             continue;
         }
         stream.tune();
         peers.set(peers.get() + 1);
-        let (answer, gives_up, peers) = (answer.clone(), gives_up.clone(), peers.clone());
+        let (answer, cancel_on_disconnect, peers) =
+            (answer.clone(), cancel_on_disconnect.clone(), peers.clone());
         spawn_local(async move {
             let mut reader = Reader::default();
             loop {
-                let question = match timeout(IDLE, reader.read(&mut stream)).await {
-                    Ok(Ok(Some(question))) => question,
+                let request = match timeout(IDLE_TIMEOUT, reader.read(&mut stream)).await {
+                    Ok(Ok(Some(request))) => request,
                     Ok(Err(error)) if error.kind() == io::ErrorKind::InvalidData => {
                         log::warn!("event=nonsense from={from} error=\"{error}\"");
                         break;
                     }
                     _ => break,
                 };
-                let given_up = gives_up(&question);
-                let answer = answer(question, from);
-                let answer = match given_up {
+                let cancellable = cancel_on_disconnect(&request);
+                let answer = answer(request, from);
+                let answer = match cancellable {
                     true => reader.run_while_connected(&mut stream, answer).await,
                     false => Some(answer.await),
                 };
--- a/crates/starlinghill-runtime/src/settings.rs
+++ b/crates/starlinghill-runtime/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process is told at its start: the settings file that `STARLINGHILL_CONFIG` names.
+//! Settings of a process, from the TOML file that `STARLINGHILL_CONFIG` names.
 
 use crate::validation::{DocumentValue, ValidationError, ValidationErrors};
 use simd_json::OwnedValue;
@@ -8,137 +8,138 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The variable that names the file.
+/// Environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "STARLINGHILL_CONFIG";
 
-/// Where the file does not say how long a machine counts as lost once it is back.
+/// Default of `terms.bounds.sync_time`.
 const DEFAULT_SYNC_TIME: Duration = Duration::from_secs(4);
 
-/// Settings that a process can't start with.
+/// Why settings can't be used.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// The variable is not set.
+    /// The environment variable is not set.
     #[snafu(display("{SETTINGS_VARIABLE}: found nothing, allowed: the path of the settings file"))]
-    Unnamed,
+    VariableNotSet,
     /// The file can't be read.
     #[snafu(display("{}: {source}", path.display()))]
     Unreadable {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// It is no TOML.
+    /// The file is not valid TOML.
     #[snafu(display("{}: not TOML: {}", path.display(), problem))]
     Unparsable {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The parser's message, on one line.
         problem: String,
     },
-    /// Values that may not stand there.
-    #[snafu(display("{}: {}", path.display(), faults.iter().map(|f| f.to_string()).collect::<Vec<_>>().join("; ")))]
-    Faulty {
-        /// Which.
+    /// Some values are missing or invalid.
+    #[snafu(display("{}: {}", path.display(), errors.iter().map(|e| e.to_string()).collect::<Vec<_>>().join("; ")))]
+    Invalid {
+        /// Path of the file.
         path: PathBuf,
-        /// All of them.
-        faults: Vec<ValidationError>,
+        /// All errors in the file.
+        errors: Vec<ValidationError>,
     },
 }
 
-/// The rules' figures.
+/// The limits of the service agreement, as in `terms.bounds` of the settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Bounds {
-    /// A drain takes hold within this.
+    /// Time within which an ordered drain of a backend must take effect.
     pub drain: Duration,
-    /// A configuration takes hold within this.
+    /// Time within which a configuration change must take effect, and for which outdated configuration may be used.
     pub apply: Duration,
-    /// A machine that is new, or back, counts as lost for so long.
+    /// Time for which a machine that is new, or back after a failure, still counts as failed.
     pub sync_time: Duration,
-    /// A process that was told to end is killed after this.
+    /// Time between SIGTERM and the kill of the process.
     pub grace: Duration,
-    /// Further tries for each request.
+    /// Permitted retries as a fraction of the requests.
     pub retry_ratio: f64,
-    /// Further tries beyond that, all machines together.
+    /// Permitted retries on top of `retry_ratio`, for all machines together.
     pub retry_extra: f64,
-    /// The window of quotas.
+    /// Length of the window over which quotas are measured.
     pub quota_window: Duration,
-    /// What may go on beyond a quota, as a part of it.
+    /// Permitted excess over a quota, as a fraction of the quota.
     pub quota_excess: f64,
-    /// What may go on beyond that.
+    /// Permitted excess on top of `quota_excess`, in units per window.
     pub quota_extra: f64,
 }
 
 impl Bounds {
-    /// What tenants may have beyond their quotas.
+    /// How much tenants may use beyond their quotas.
     pub fn allowance(&self) -> Allowance {
         let window_s = self.quota_window.as_secs_f64();
         Allowance { window_s, excess: self.quota_excess, extra: self.quota_extra }
     }
 }
 
-/// A process's settings.
+/// The settings of a machine, shared by all its processes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodeSettings {
-    /// The machine's name.
+    /// Name of the machine.
     pub name: String,
-    /// Its address.
+    /// Address of the machine.
     pub ip: IpAddr,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
     /// The whole system starts for the first time, with empty disks.
     pub first_start: bool,
-    /// Where files are kept, if anywhere.
+    /// Directory for files that must survive a restart, if the process has one.
     pub data_dir: Option<PathBuf>,
-    /// The memory that it may use.
+    /// Memory limit of the process, in MiB.
     pub memory_mb: u64,
-    /// The descriptors that it may hold.
+    /// Limit of open file descriptors of the process.
     pub open_files: u64,
-    /// The first and last port for the system's own traffic.
+    /// First and last port for traffic between processes of the system.
     pub local_ports: (u16, u16),
-    /// `control` addresses of some machines.
+    /// `control` addresses of some core machines, to find the others at start.
     pub seeds: Vec<SocketAddr>,
-    /// Where clients arrive.
+    /// Address for client requests; only proxies have it.
     pub front: Option<SocketAddr>,
-    /// Where the platform asks whether the gateway is ready.
+    /// Address for the platform's readiness checks; only proxies have it.
     pub ready: Option<SocketAddr>,
-    /// Where backends and the operator call.
+    /// Address of the HTTP API for backends and the operator; only registries have it.
     pub control: Option<SocketAddr>,
-    /// The time between two beats of a backend.
+    /// Time between two heartbeats of a backend.
     pub beat: Duration,
-    /// The rules' figures.
+    /// The limits of the service agreement.
     pub bounds: Bounds,
 }
 
 impl NodeSettings {
-    /// Reads the file that the environment names.
+    /// Reads the file that the environment variable names.
     pub fn from_environment() -> Result<NodeSettings, SettingsError> {
-        let path = std::env::var_os(SETTINGS_VARIABLE).ok_or(SettingsError::Unnamed)?;
+        let path = std::env::var_os(SETTINGS_VARIABLE).ok_or(SettingsError::VariableNotSet)?;
         NodeSettings::from_file(Path::new(&path))
     }
 
-    /// Reads a file.
+    /// Reads and checks a file.
     pub fn from_file(path: &Path) -> Result<NodeSettings, SettingsError> {
         let text = std::fs::read_to_string(path).context(UnreadableSnafu { path })?;
         let value: OwnedValue = toml::from_str(&text).map_err(|e| SettingsError::Unparsable {
             path: path.into(),
             problem: e.to_string().lines().collect::<Vec<_>>().join(" "),
         })?;
-        NodeSettings::from_value(&value).map_err(|faults| SettingsError::Faulty { path: path.into(), faults })
+        NodeSettings::from_value(&value)
+            .map_err(|errors| SettingsError::Invalid { path: path.into(), errors })
     }
 
-    /// Checks values; fields that are not known are ignored.
+    /// Checks a parsed document. Unknown fields are ignored.
     pub fn from_value(value: &OwnedValue) -> Result<NodeSettings, Vec<ValidationError>> {
-        let mut faults = ValidationErrors::default();
-        let f = &mut faults;
+        let mut errors = ValidationErrors::default();
+        let f = &mut errors;
         let root = DocumentValue::root(value);
-        let (own, net, terms) = (root.at("self"), root.at("network"), root.at("terms"));
+        let (machine, net, terms) = (root.at("self"), root.at("network"), root.at("terms"));
         let (listen, bounds) = (net.at("listen"), terms.at("bounds"));
         let optional =
-            |at: DocumentValue, f: &mut ValidationErrors| at.is_there().then(|| at.address(f)).flatten();
-        let ip = own.at("ip");
+            |at: DocumentValue, f: &mut ValidationErrors| at.exists().then(|| at.address(f)).flatten();
+        let ip = machine.at("ip");
         let address: Option<IpAddr> = ip.text(f).parse().ok();
-        if address.is_none() && ip.is_there() {
+        if address.is_none() && ip.exists() {
             f.add(&ip.path, ip.value, "an IP address");
         }
         let ports: Vec<u64> = net.at("local_ports").list(f).iter().map(|at| at.count(f)).collect();
@@ -151,16 +152,16 @@
             }
         };
         let seeds = net.at("seeds").list(f).iter().filter_map(|at| at.address(f)).collect();
-        let data_dir = own.at("data_dir");
+        let data_dir = machine.at("data_dir");
         let sync_time = bounds.at("sync_time");
         let node = NodeSettings {
-            name: own.at("node").text(f),
+            name: machine.at("node").text(f),
             ip: address.unwrap_or(IpAddr::from([0, 0, 0, 0])),
-            zone: own.at("zone").text(f),
-            first_start: own.at("first_start").flag(f),
-            data_dir: data_dir.is_there().then(|| data_dir.text(f).into()),
-            memory_mb: own.at("limits").at("memory_mb").count(f),
-            open_files: own.at("limits").at("open_files").count(f),
+            zone: machine.at("zone").text(f),
+            first_start: machine.at("first_start").flag(f),
+            data_dir: data_dir.exists().then(|| data_dir.text(f).into()),
+            memory_mb: machine.at("limits").at("memory_mb").count(f),
+            open_files: machine.at("limits").at("open_files").count(f),
             local_ports,
             seeds,
             front: optional(listen.at("front"), f),
@@ -170,7 +171,7 @@
             bounds: Bounds {
                 drain: bounds.at("drain").time(f),
                 apply: bounds.at("apply").time(f),
-                sync_time: if sync_time.is_there() { sync_time.time(f) } else { DEFAULT_SYNC_TIME },
+                sync_time: if sync_time.exists() { sync_time.time(f) } else { DEFAULT_SYNC_TIME },
                 grace: bounds.at("grace").time(f),
                 retry_ratio: bounds.at("retry_ratio").number(f),
                 retry_extra: bounds.at("retry_extra").number(f),
@@ -179,17 +180,17 @@
                 quota_extra: bounds.at("quota_extra").number(f),
             },
         };
-        faults.into_result(node)
+        errors.into_result(node)
     }
 
-    /// How many of the system's own processes may be connected to one port of this one: half of the descriptors, as outside
-    /// callers, files and its own calls need some. Each gateway has one connection to each registry, and one more to the one
-    /// that keeps the count.
+    /// Maximum number of connections to one internal port of this process: half of the file descriptors, because HTTP
+    /// callers, files and outgoing calls need the rest. Each gateway opens one connection to each registry and one
+    /// more to the registry with the quota counter.
     pub fn max_peers(&self) -> usize {
         (self.open_files / 2).max(64) as usize
     }
 
-    /// The address of one of the system's own ports on a machine.
+    /// The internal address on a machine, by a port offset such as `REGISTRY_PORT_OFFSET`.
     pub fn internal_address(&self, ip: IpAddr, port_offset: u16) -> SocketAddr {
         SocketAddr::new(ip, self.local_ports.0.saturating_add(port_offset))
     }
--- a/crates/starlinghill-runtime/src/signals.rs
+++ b/crates/starlinghill-runtime/src/signals.rs
@@ -1,4 +1,4 @@
-//! What signals do to the system's processes: the settings file is read again, or the process ends.
+//! Signals of the system's processes: reload of the settings file, and shutdown.
 
 use crate::settings::NodeSettings;
 use starlinghill_signals::SignalEvent;
@@ -6,34 +6,34 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// The settings file as it was last read again; `None` until it was.
+/// The settings after the latest reload; `None` before the first.
 pub type SettingsUpdates = watch::Receiver<Option<Rc<NodeSettings>>>;
 
-/// The signals of a process of the system.
+/// The signal handlers of a process.
 pub struct Signals {
-    told: starlinghill_signals::Signals,
-    reread: watch::Sender<Option<Rc<NodeSettings>>>,
+    signals: starlinghill_signals::Signals,
+    settings: watch::Sender<Option<Rc<NodeSettings>>>,
 }
 
 impl Signals {
-    /// Heard from now on. Needs a runtime.
+    /// Installs the handlers. Must be called inside a Tokio runtime.
     pub fn listen() -> io::Result<Signals> {
-        Ok(Signals { told: starlinghill_signals::Signals::listen()?, reread: watch::Sender::new(None) })
+        Ok(Signals { signals: starlinghill_signals::Signals::listen()?, settings: watch::Sender::new(None) })
     }
 
-    /// Tells of the settings file whenever it was read again and found sound.
+    /// Receives the settings after each successful reload.
     pub fn settings_updates(&self) -> SettingsUpdates {
-        self.reread.subscribe()
+        self.settings.subscribe()
     }
 
-    /// Waits to be told to end. The settings file is read and checked meanwhile whenever it should be; a broken one is
-    /// logged and changes nothing. What comes after the first SIGTERM changes nothing any more.
+    /// Waits for SIGTERM or SIGINT. Meanwhile SIGHUP reloads the settings file; an invalid file is logged and the old
+    /// settings stay. Further signals have no effect once this has returned.
     pub async fn wait_for_shutdown(&mut self) {
-        while self.told.next().await == SignalEvent::Reload {
+        while self.signals.next().await == SignalEvent::Reload {
             match NodeSettings::from_environment() {
                 Ok(node) => {
                     log::info!("event=settings_read node={} seeds={}", node.name, node.seeds.len());
-                    self.reread.send_replace(Some(Rc::new(node)));
+                    self.settings.send_replace(Some(Rc::new(node)));
                 }
                 Err(error) => log::warn!("event=settings_unusable error=\"{error}\" action=kept_old"),
             }
--- a/crates/starlinghill-runtime/src/validation.rs
+++ b/crates/starlinghill-runtime/src/validation.rs
@@ -1,22 +1,24 @@
-//! Reading values of settings and configurations: every fault is named with its place, what was found and what is allowed,
-//! and all faults of a document are found at once.
+//! Reads values from settings and configuration documents. Each error names the key, the value found and what is
+//! allowed, and all errors of a document are collected at once.
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use starlinghill_config_model::routing::time;
 use std::time::Duration;
 
-/// The most faults that are named of one document.
-const MOST: usize = 32;
+/// Maximum number of errors that are reported for one document.
+const MAX_REPORTED_ERRORS: usize = 32;
+/// Maximum length of a found value in an error message, in bytes.
+const MAX_FOUND_BYTES: usize = 60;
 
-/// One thing that is wrong.
+/// An invalid or missing value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ValidationError {
-    /// Where, as `table.key`.
+    /// The path, as `table.key`.
     pub key: String,
-    /// What stands there.
+    /// The value found, as JSON, shortened where it is long.
     pub found: String,
-    /// What may stand there.
+    /// What is allowed.
     pub allowed: &'static str,
 }
 
@@ -26,63 +28,63 @@
     }
 }
 
-/// Collects what is wrong with a document.
+/// Collects the errors of a document.
 #[derive(Debug, Default)]
 pub struct ValidationErrors {
-    faults: Vec<ValidationError>,
+    errors: Vec<ValidationError>,
 }
 
 impl ValidationErrors {
-    /// Notes one.
+    /// Adds an error. Errors beyond `MAX_REPORTED_ERRORS` are dropped.
     pub fn add(&mut self, key: impl Into<String>, found: Option<&OwnedValue>, allowed: &'static str) {
         let mut found = found.map_or_else(|| "nothing".into(), |v| v.encode());
-        if found.len() > 60 {
-            let end = (0..=60).rev().find(|i| found.is_char_boundary(*i)).unwrap_or(0);
+        if found.len() > MAX_FOUND_BYTES {
+            let end = (0..=MAX_FOUND_BYTES).rev().find(|i| found.is_char_boundary(*i)).unwrap_or(0);
             found.truncate(end);
             found.push_str("...");
         }
-        if self.faults.len() < MOST {
-            self.faults.push(ValidationError { key: key.into(), found, allowed });
+        if self.errors.len() < MAX_REPORTED_ERRORS {
+            self.errors.push(ValidationError { key: key.into(), found, allowed });
         }
     }
 
-    /// The document's worth: whole, or all that is wrong with it.
+    /// Returns `value` if there were no errors.
     pub fn into_result<T>(self, value: T) -> Result<T, Vec<ValidationError>> {
-        match self.faults.is_empty() {
+        match self.errors.is_empty() {
             true => Ok(value),
-            false => Err(self.faults),
+            false => Err(self.errors),
         }
     }
 }
 
-/// A place in a document.
+/// A value in a document, together with its path.
 #[derive(Clone)]
 pub struct DocumentValue<'a> {
-    /// What stands there.
+    /// The value, if there is one.
     pub value: Option<&'a OwnedValue>,
-    /// Its path.
+    /// Its path, for error messages.
     pub path: String,
 }
 
 impl<'a> DocumentValue<'a> {
-    /// The whole document.
+    /// The root of a document.
     pub fn root(value: &'a OwnedValue) -> DocumentValue<'a> {
         DocumentValue { value: Some(value), path: String::new() }
     }
 
-    /// What stands under a key.
+    /// The value under a key.
     pub fn at(&self, key: &str) -> DocumentValue<'a> {
         let path = if self.path.is_empty() { key.to_string() } else { format!("{}.{key}", self.path) };
         DocumentValue { value: self.value.and_then(|v| v.get(key)), path }
     }
 
-    /// Something stands here.
-    pub fn is_there(&self) -> bool {
+    /// There is a value other than null.
+    pub fn exists(&self) -> bool {
         self.value.is_some_and(|v| !v.is_null())
     }
 
-    /// The places of a list; what is no list is a fault, nothing is an empty one.
-    pub fn list(&self, faults: &mut ValidationErrors) -> Vec<DocumentValue<'a>> {
+    /// The elements of a list. A missing value is an empty list; any other type is an error.
+    pub fn list(&self, errors: &mut ValidationErrors) -> Vec<DocumentValue<'a>> {
         match self.value.map(|v| v.as_array()) {
             None => Vec::new(),
             Some(Some(list)) => list
@@ -91,56 +93,61 @@
                 .map(|(i, v)| DocumentValue { value: Some(v), path: format!("{}[{i}]", self.path) })
                 .collect(),
             Some(None) => {
-                faults.add(&self.path, self.value, "a list");
+                errors.add(&self.path, self.value, "a list");
                 Vec::new()
             }
         }
     }
 
-    fn need<T: Default>(&self, faults: &mut ValidationErrors, found: Option<T>, allowed: &'static str) -> T {
+    fn required<T: Default>(
+        &self,
+        errors: &mut ValidationErrors,
+        found: Option<T>,
+        allowed: &'static str,
+    ) -> T {
         if found.is_none() {
-            faults.add(&self.path, self.value, allowed);
+            errors.add(&self.path, self.value, allowed);
         }
         found.unwrap_or_default()
     }
 
-    /// A text that is not empty.
-    pub fn text(&self, faults: &mut ValidationErrors) -> String {
+    /// A non-empty string.
+    pub fn text(&self, errors: &mut ValidationErrors) -> String {
         let found = self.value.and_then(|v| v.as_str()).filter(|v| !v.is_empty()).map(str::to_string);
-        self.need(faults, found, "a text that is not empty")
+        self.required(errors, found, "a text that is not empty")
     }
 
     /// A whole number of 0 or more.
-    pub fn count(&self, faults: &mut ValidationErrors) -> u64 {
+    pub fn count(&self, errors: &mut ValidationErrors) -> u64 {
         let found = self.value.and_then(|v| v.as_u64());
-        self.need(faults, found, "a whole number of 0 or more")
+        self.required(errors, found, "a whole number of 0 or more")
     }
 
-    /// A number of 0 or more.
-    pub fn number(&self, faults: &mut ValidationErrors) -> f64 {
+    /// A finite number of 0 or more.
+    pub fn number(&self, errors: &mut ValidationErrors) -> f64 {
         let found = self.value.and_then(|v| v.cast_f64()).filter(|v| v.is_finite() && *v >= 0.0);
-        self.need(faults, found, "a number of 0 or more")
+        self.required(errors, found, "a number of 0 or more")
     }
 
-    /// True or false; false where nothing stands.
-    pub fn flag(&self, faults: &mut ValidationErrors) -> bool {
+    /// A boolean; false if the value is missing.
+    pub fn flag(&self, errors: &mut ValidationErrors) -> bool {
         match self.value {
             None => false,
-            Some(v) => self.need(faults, v.as_bool(), "true or false"),
+            Some(v) => self.required(errors, v.as_bool(), "true or false"),
         }
     }
 
-    /// A time, as in `1500ms` or `2.5s`.
-    pub fn time(&self, faults: &mut ValidationErrors) -> Duration {
+    /// A duration, as in `1500ms` or `2.5s`.
+    pub fn time(&self, errors: &mut ValidationErrors) -> Duration {
         let found = self.value.and_then(|v| v.as_str()).and_then(time);
-        self.need(faults, found, "a time such as \"1500ms\" or \"2.5s\"")
+        self.required(errors, found, "a time such as \"1500ms\" or \"2.5s\"")
     }
 
-    /// An address with a port.
-    pub fn address(&self, faults: &mut ValidationErrors) -> Option<std::net::SocketAddr> {
+    /// An IP address with a port.
+    pub fn address(&self, errors: &mut ValidationErrors) -> Option<std::net::SocketAddr> {
         let found = self.value.and_then(|v| v.as_str()).and_then(|v| v.parse().ok());
         if found.is_none() {
-            faults.add(&self.path, self.value, "an IP address with a port");
+            errors.add(&self.path, self.value, "an IP address with a port");
         }
         found
     }
--- a/crates/starlinghill-runtime/tests/essential_tasks.rs
+++ b/crates/starlinghill-runtime/tests/essential_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that a process can't do without.
+//! When an essential task ends, its process must learn of it; otherwise it would stay up and fail every request.
 
 use starlinghill_runtime::essential_tasks::EssentialTasks;
 use std::time::Duration;
@@ -15,10 +15,10 @@
     for panics in [true, false] {
         let name = run(async move {
             let (essentials, mut first_ended) = EssentialTasks::new();
-            essentials.spawn("goes on", std::future::pending());
+            essentials.spawn("keeps running", std::future::pending());
             essentials.spawn("ends", async move {
                 sleep(Duration::from_secs(1)).await;
-                assert!(!panics, "on purpose");
+                assert!(!panics, "intended panic");
             });
             first_ended.wait().await
         });
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn a_task_that_serves_one_call_may_panic() {
+fn a_panic_in_an_ordinary_task_does_not_end_the_process() {
     run(async {
         let (essentials, mut first_ended) = EssentialTasks::new();
-        essentials.spawn("goes on", std::future::pending());
-        let call = spawn_local(async { panic!("on purpose") });
+        essentials.spawn("keeps running", std::future::pending());
+        let call = spawn_local(async { panic!("intended panic") });
         assert!(call.await.is_err());
         assert!(timeout(Duration::from_secs(60), first_ended.wait()).await.is_err());
-        // Nor does a process end where all who could start tasks are gone.
+        // Nor is the process told to end when all spawners are dropped.
         drop(essentials);
         assert!(timeout(Duration::from_secs(60), first_ended.wait()).await.is_err());
     });
--- a/crates/starlinghill-runtime/tests/settings.rs
+++ b/crates/starlinghill-runtime/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Settings files with faults, and messages that are none.
+//! Error messages for invalid settings files, and the rejection of malformed messages.
 
 use starlinghill_runtime::frame::{encode, Reader, MAX_MESSAGE_BYTES, PROTOCOL_VERSION};
 use starlinghill_runtime::settings::NodeSettings;
 use std::io::ErrorKind;
 use test_case::test_case;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [self]
 node = "edge-1"
 ip = "10.1.0.37"
@@ -35,42 +35,42 @@
 
 fn read_settings(text: &str) -> Result<NodeSettings, Vec<String>> {
     let value = toml::from_str(text).unwrap_or_else(|error| panic!("{error}"));
-    NodeSettings::from_value(&value).map_err(|faults| faults.iter().map(ToString::to_string).collect())
+    NodeSettings::from_value(&value).map_err(|errors| errors.iter().map(ToString::to_string).collect())
 }
 
 #[test]
-fn a_sound_file_is_read_and_fields_that_are_not_known_are_ignored() {
-    let node = read_settings(GOOD).unwrap_or_else(|faults| panic!("{faults:?}"));
+fn a_valid_file_is_read_and_unknown_fields_are_ignored() {
+    let node = read_settings(VALID).unwrap_or_else(|errors| panic!("{errors:?}"));
     assert_eq!(node.bounds.apply, node.bounds.drain);
     assert_eq!(node.internal_address(node.ip, 1).to_string(), "10.1.0.37:7561");
     assert!(node.control.is_none() && node.data_dir.is_none() && node.first_start);
     assert_eq!(node.max_peers(), 2_050);
 }
 
-#[test_case("ip = \"10.1.0.37\"", "ip = \"ten\"", "self.ip: found \"ten\", allowed: an IP address"; "no address")]
-#[test_case("node = \"edge-1\"", "", "self.node: found nothing, allowed: a text that is not empty"; "missing")]
-#[test_case("\"2500ms\"", "\"2500\"", "terms.bounds.drain: found \"2500\", allowed: a time"; "a time without unit")]
-#[test_case("[7560,7575]", "[7560,7561]", "network.local_ports: found [7560,7561], allowed: two ports"; "few ports")]
-#[test_case("[\"10.1.0.40:8381\"]", "[7]", "network.seeds[0]: found 7, allowed: an IP address with a port"; "no seed")]
-#[test_case("retry_ratio = 0.2", "retry_ratio = -1", "terms.bounds.retry_ratio: found -1, allowed: a number"; "below 0")]
-fn a_fault_is_named_with_its_key_what_was_found_and_what_is_allowed(old: &str, new: &str, said: &str) {
-    let faults = read_settings(&GOOD.replace(old, new)).err().unwrap_or_default();
-    assert!(faults.len() == 1 && faults[0].starts_with(said), "{faults:?}");
+#[test_case("ip = \"10.1.0.37\"", "ip = \"ten\"", "self.ip: found \"ten\", allowed: an IP address"; "invalid address")]
+#[test_case("node = \"edge-1\"", "", "self.node: found nothing, allowed: a text that is not empty"; "missing value")]
+#[test_case("\"2500ms\"", "\"2500\"", "terms.bounds.drain: found \"2500\", allowed: a time"; "duration without unit")]
+#[test_case("[7560,7575]", "[7560,7561]", "network.local_ports: found [7560,7561], allowed: two ports"; "too few ports")]
+#[test_case("[\"10.1.0.40:8381\"]", "[7]", "network.seeds[0]: found 7, allowed: an IP address with a port"; "invalid seed")]
+#[test_case("retry_ratio = 0.2", "retry_ratio = -1", "terms.bounds.retry_ratio: found -1, allowed: a number"; "negative number")]
+fn an_error_names_the_key_the_value_found_and_what_is_allowed(old: &str, new: &str, message: &str) {
+    let errors = read_settings(&VALID.replace(old, new)).err().unwrap_or_default();
+    assert!(errors.len() == 1 && errors[0].starts_with(message), "{errors:?}");
 }
 
 #[test]
-fn all_faults_are_named_at_once() {
-    let text = GOOD.replace("zone = \"a\"", "").replace("grace = \"6s\"", "grace = 6");
+fn all_errors_are_reported_at_once() {
+    let text = VALID.replace("zone = \"a\"", "").replace("grace = \"6s\"", "grace = 6");
     assert_eq!(read_settings(&text).err().unwrap_or_default().len(), 2);
 }
 
 #[tokio::test]
-async fn messages_come_as_they_went_in_whatever_pieces() {
+async fn messages_are_decoded_as_sent_however_the_stream_is_split() {
     let sent: Vec<(u64, String)> = (0..50).map(|i| (i, "x".repeat(i as usize * 7))).collect();
     let wire: Vec<u8> = sent.iter().flat_map(encode).collect();
     for piece in [1, 3, 64, wire.len()] {
         let mut reader = Reader::default();
-        let mut stream = tokio_test_stream(&wire, piece);
+        let mut stream = stream_in_pieces(&wire, piece);
         for message in &sent {
             assert_eq!(reader.read(&mut stream).await.ok().flatten().as_ref(), Some(message));
         }
@@ -78,18 +78,18 @@
     }
 }
 
-#[test_case(vec![0, 0, 0, 0, PROTOCOL_VERSION + 1]; "another version")]
-#[test_case(((MAX_MESSAGE_BYTES + 1) as u32).to_le_bytes().into_iter().chain([PROTOCOL_VERSION]).collect(); "too long")]
-#[test_case(vec![3, 0, 0, 0, PROTOCOL_VERSION, 255, 255, 255]; "nonsense")]
+#[test_case(vec![0, 0, 0, 0, PROTOCOL_VERSION + 1]; "other protocol version")]
+#[test_case(((MAX_MESSAGE_BYTES + 1) as u32).to_le_bytes().into_iter().chain([PROTOCOL_VERSION]).collect(); "message too long")]
+#[test_case(vec![3, 0, 0, 0, PROTOCOL_VERSION, 255, 255, 255]; "undecodable body")]
 #[tokio::test]
-async fn what_is_no_message_is_refused(wire: Vec<u8>) {
-    let mut stream = tokio_test_stream(&wire, wire.len());
+async fn a_malformed_message_is_rejected(wire: Vec<u8>) {
+    let mut stream = stream_in_pieces(&wire, wire.len());
     let read = Reader::default().read::<(u64, String)>(&mut stream).await;
     assert_eq!(read.err().map(|error| error.kind()), Some(ErrorKind::InvalidData));
 }
 
-/// Bytes that come in pieces.
-fn tokio_test_stream(bytes: &[u8], piece: usize) -> impl tokio::io::AsyncRead + Unpin {
+/// A stream that delivers `bytes` in pieces of `piece` bytes.
+fn stream_in_pieces(bytes: &[u8], piece: usize) -> impl tokio::io::AsyncRead + Unpin {
     struct Pieces(std::collections::VecDeque<Vec<u8>>);
     impl tokio::io::AsyncRead for Pieces {
         fn poll_read(
--- a/crates/starlinghill-signals/src/lib.rs
+++ b/crates/starlinghill-signals/src/lib.rs
@@ -1,20 +1,20 @@
-//! What a signal does to a process, the same for all programs that run until they are told to end. The whole table is in
-//! `docs/operate/system.md`; `starlinghill-testkit/tests/signals.rs` plays it.
+//! The effect of Unix signals, the same for all long-running programs. `docs/operate/system.md` has the whole table;
+//! `starlinghill-testkit/tests/signals.rs` tests it.
 
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// What a process was told.
+/// What a signal asks the process to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SignalEvent {
-    /// SIGTERM, or SIGINT: to end, in its own good order.
+    /// SIGTERM or SIGINT: shut down gracefully.
     End,
-    /// SIGHUP: to read its settings again.
+    /// SIGHUP: reload the settings.
     Reload,
 }
 
-/// The signals that a process hears. What is not named here does what it does by itself: SIGQUIT ends the process at once,
-/// SIGTSTP and SIGSTOP stop it, SIGCONT has it go on, SIGWINCH and SIGPIPE do nothing.
+/// Handlers for the signals of a process. Other signals keep their default effect: SIGQUIT kills the process at once,
+/// SIGTSTP and SIGSTOP stop it, SIGCONT resumes it, and SIGWINCH and SIGPIPE are ignored.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -22,19 +22,20 @@
 }
 
 impl Signals {
-    /// Heard from now on, by handlers that stay to the end of the process. Each signal would end it otherwise, so this comes
-    /// before all else that a program does. Needs a runtime.
+    /// Installs the handlers, which stay until the process ends. Before that, each of these signals would kill the
+    /// process, so this comes before everything else in a program. Must be called inside a Tokio runtime.
     pub fn listen() -> io::Result<Signals> {
         let hang_up = signal(SignalKind::hangup())?;
         let (terminate, interrupt) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
-        // Nobody reads these: a stray one must not end a process that others lean on.
+        // Handled but never read: a stray signal of these kinds must not kill a process that others rely on.
         for stray in [SignalKind::user_defined1(), SignalKind::user_defined2(), SignalKind::alarm()] {
             drop(signal(stray)?);
         }
         Ok(Signals { terminate, interrupt, hang_up })
     }
 
-    /// Waits for the next. Several of a kind that came since the last call count as one; the end goes first.
+    /// Waits for the next signal. Several signals of one kind since the last call count as one, and shutdown takes
+    /// precedence over reload.
     pub async fn next(&mut self) -> SignalEvent {
         tokio::select! {
             biased;
