--- a/crates/starlinghill-catalog/src/catalog.rs
+++ b/crates/starlinghill-catalog/src/catalog.rs
@@ -46,7 +46,7 @@
 
 /// What is new since a number.
 #[derive(Debug, Default)]
-pub struct News {
+pub struct CatalogChanges {
     /// Backends.
     pub backends: Vec<Observation>,
     /// Gateways that changed, and whether they carry traffic now.
@@ -67,26 +67,26 @@
 
     /// The number of the last change that must be told at once. That a gateway came or went can wait: guards against telling
     /// hundreds of them of each one when many are started again, over links that have other things to carry.
-    pub fn urgent(&self) -> u64 {
+    pub fn urgent_seq(&self) -> u64 {
         self.urgent
     }
 
     /// A number for a change that must be told at once.
-    pub fn number(&mut self) -> u64 {
+    pub fn next_urgent_seq(&mut self) -> u64 {
         self.seq += 1;
         self.urgent = self.seq;
         self.seq
     }
 
     /// A backend has said something, here or at another registry, so long ago. Returns whether that is news.
-    pub fn heard(&mut self, now: Duration, instance: Instance, ago: Duration) -> bool {
+    pub fn record_backend(&mut self, now: Duration, instance: Instance, ago: Duration) -> bool {
         let heard = now.saturating_sub(ago);
         match self.backends.get_mut(&instance.id) {
             None => {
                 if self.backends.len() >= MOST {
                     return false;
                 }
-                let changed = self.number();
+                let changed = self.next_urgent_seq();
                 let id = instance.id.clone();
                 // Another registry may tell of one that has been silent for long: nobody is to take it for one that serves
                 // until the next tick.
@@ -97,7 +97,7 @@
             Some(entry) => {
                 entry.heard = entry.heard.max(heard);
                 let state = entry.instance.state.max(instance.state);
-                let newer = instance.calls > entry.instance.calls;
+                let newer = instance.beat_count > entry.instance.beat_count;
                 let since = now.saturating_sub(entry.heard);
                 let liveness = if newer { Liveness::of(state, since, self.beat) } else { entry.liveness };
                 let news = state != entry.instance.state || liveness != entry.liveness;
@@ -107,8 +107,8 @@
                         != (entry.instance.address, &entry.instance.service);
                 if newer {
                     // What a beat says of warmth is reckoned anew each time and shifts a little; that is no news.
-                    let warm_at = entry.instance.warm_at;
-                    entry.instance = Instance { warm_at, ..instance };
+                    let warm_at = entry.instance.warm_at_us;
+                    entry.instance = Instance { warm_at_us: warm_at, ..instance };
                 }
                 entry.instance.state = state;
                 entry.liveness = liveness;
@@ -124,11 +124,11 @@
 
     /// A backend has left. One that is not known here is noted all the same: gateways may know it, by what this registry
     /// knew before it was started again, and its word counts once it is acknowledged. Returns whether it was known.
-    pub fn left(&mut self, now: Duration, id: &str) -> bool {
+    pub fn mark_gone(&mut self, now: Duration, id: &str) -> bool {
         let known = self.backends.get(id).map(|entry| entry.instance.clone());
         let was_known = known.is_some();
         let instance = Instance { state: BackendState::Gone, ..known.unwrap_or_else(|| Instance::gone(id)) };
-        self.heard(now, instance, Duration::ZERO);
+        self.record_backend(now, instance, Duration::ZERO);
         was_known
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// A gateway asks, or another registry says that it did so long ago.
-    pub fn asks(&mut self, now: Duration, gateway: Gateway, ago: Duration) {
+    pub fn record_gateway(&mut self, now: Duration, gateway: Gateway, ago: Duration) {
         let heard = now.saturating_sub(ago);
         let room = self.gateways.len() < MOST;
         let new = match self.gateways.get_mut(&gateway.ip) {
@@ -160,8 +160,11 @@
 
     /// A gateway says that it leaves. It is one until it has asked nothing for a moment. Guards against one that takes
     /// clients for seconds after SIGTERM and is refused by the count meanwhile.
-    pub fn leaves(&mut self, now: Duration, gateway: &Gateway) {
-        let known = self.gateways.get_mut(&gateway.ip).filter(|known| known.gateway.life == gateway.life);
+    pub fn mark_gateway_leaving(&mut self, now: Duration, gateway: &Gateway) {
+        let known = self
+            .gateways
+            .get_mut(&gateway.ip)
+            .filter(|known| known.gateway.incarnation == gateway.incarnation);
         if let Some(known) = known {
             (known.heard, known.leaving) = (now, true);
         }
@@ -198,10 +201,10 @@
     }
 
     /// What has changed since that number.
-    pub fn since(&self, seq: u64) -> News {
+    pub fn changes_since(&self, seq: u64) -> CatalogChanges {
         // Mostly there is nothing: each gateway asks twice a second, and must not cost a look at all backends.
         if seq >= self.seq {
-            return News::default();
+            return CatalogChanges::default();
         }
         let new = self.backends.values().filter(|entry| entry.changed > seq);
         let backends = new
@@ -209,7 +212,7 @@
             .collect();
         let members = self.gateways.values().filter(|member| member.changed > seq);
         let gateways = members.map(|member| (member.gateway.clone(), member.here)).collect();
-        News { backends, gateways }
+        CatalogChanges { backends, gateways }
     }
 
     /// The gateways, in the order of their addresses.
@@ -218,14 +221,14 @@
     }
 
     /// All backends that were heard of within that time, and how long ago: for another registry.
-    pub fn heard_within(&self, now: Duration, within: Duration) -> Vec<(Instance, u64)> {
+    pub fn backends_heard_within(&self, now: Duration, within: Duration) -> Vec<(Instance, u64)> {
         let ago = |entry: &Entry| now.saturating_sub(entry.heard);
         let recent = self.backends.values().filter(|entry| ago(entry) <= within);
         recent.map(|entry| (entry.instance.clone(), ago(entry).as_millis() as u64)).collect()
     }
 
     /// All backends that are not gone, and how long ago each was heard of, in milliseconds.
-    pub fn all(&self, now: Duration) -> Vec<(Observation, u64)> {
+    pub fn present_backends(&self, now: Duration) -> Vec<(Observation, u64)> {
         let here = self.backends.values().filter(|entry| entry.instance.state != BackendState::Gone);
         let told = |entry: &Entry| {
             let ago = now.saturating_sub(entry.heard).as_millis() as u64;
@@ -235,7 +238,7 @@
     }
 
     /// All gateways that asked within that time, likewise.
-    pub fn asked_within(&self, now: Duration, within: Duration) -> Vec<(Gateway, u64)> {
+    pub fn gateways_heard_within(&self, now: Duration, within: Duration) -> Vec<(Gateway, u64)> {
         let ago = |member: &Member| now.saturating_sub(member.heard);
         let recent = self.gateways.values().filter(|member| member.here && ago(member) <= within);
         recent.map(|member| (member.gateway.clone(), ago(member).as_millis() as u64)).collect()
--- a/crates/starlinghill-catalog/src/lib.rs
+++ b/crates/starlinghill-catalog/src/lib.rs
@@ -10,9 +10,9 @@
 mod liveness;
 mod merged;
 
-pub use catalog::{Catalog, News};
+pub use catalog::{Catalog, CatalogChanges};
 pub use liveness::Liveness;
-pub use merged::{Change, MergedView, UnknownBackends};
+pub use merged::{BackendChange, MergedView, UnknownBackends};
 
 use bitcode::{Decode, Encode};
 use std::net::{IpAddr, SocketAddr};
@@ -47,9 +47,9 @@
     /// Whether it takes work.
     pub state: BackendState,
     /// Rises with each of its calls.
-    pub calls: u64,
+    pub beat_count: u64,
     /// When it is warm, in microseconds of the system's time.
-    pub warm_at: u64,
+    pub warm_at_us: u64,
 }
 
 impl Instance {
@@ -63,25 +63,25 @@
             version: String::new(),
             capacity: 1,
             state: BackendState::Gone,
-            calls: 0,
-            warm_at: 0,
+            beat_count: 0,
+            warm_at_us: 0,
         }
     }
 
     /// Its number.
-    pub fn number(&self) -> u64 {
-        number(&self.id)
+    pub fn id_hash(&self) -> u64 {
+        name_hash(&self.id)
     }
 }
 
 /// The number of a name, the same in every process.
-pub fn number(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
 /// The number of a service; none has 0.
-pub fn service_number(name: &str) -> u32 {
-    number(name) as u32 | 1
+pub fn service_hash(name: &str) -> u32 {
+    name_hash(name) as u32 | 1
 }
 
 /// A backend as a registry observes it.
@@ -99,7 +99,7 @@
     /// Its address.
     pub ip: IpAddr,
     /// The life of its process.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its zone.
     pub zone: String,
     /// Its name.
--- a/crates/starlinghill-catalog/src/merged.rs
+++ b/crates/starlinghill-catalog/src/merged.rs
@@ -65,7 +65,7 @@
 
 /// A backend that changed.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Change {
+pub struct BackendChange {
     /// The backend.
     pub instance: Instance,
     /// How lately any of those who tell of it heard of it.
@@ -76,14 +76,20 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct UnknownBackends {
     /// The part of the service's capacity that is theirs.
-    pub part: f64,
+    pub capacity_fraction: f64,
     /// Their numbers.
     pub backends: Vec<u64>,
 }
 
 impl MergedView {
     /// A registry, in that life, tells of backends. Returns those that are other than they were.
-    pub fn told(&mut self, now: Duration, by: usize, life: u64, told: Vec<Observation>) -> Vec<Change> {
+    pub fn apply_observations(
+        &mut self,
+        now: Duration,
+        by: usize,
+        life: u64,
+        told: Vec<Observation>,
+    ) -> Vec<BackendChange> {
         self.lives.insert(by, life);
         self.heard.insert(by, now);
         let was_absent = self.absent.remove(&by);
@@ -100,7 +106,7 @@
             });
             // What once drained never serves again, whoever says so.
             let state = seen.instance.state.max(instance.state);
-            if instance.calls > seen.instance.calls {
+            if instance.beat_count > seen.instance.beat_count {
                 seen.instance = instance;
             }
             seen.instance.state = state;
@@ -120,7 +126,7 @@
     }
 
     /// How a backend is, if that is other than what was said of it last.
-    fn announce(&mut self, id: &str) -> Option<Change> {
+    fn announce(&mut self, id: &str) -> Option<BackendChange> {
         let seen = self.backends.get(id)?;
         let liveness = self.liveness(seen);
         if seen.announced.as_ref().is_some_and(|said| said.still_holds(&seen.instance, liveness)) {
@@ -130,11 +136,11 @@
         let Instance { state, address, service, .. } = &instance;
         let news = Announced { state: *state, address: *address, service: service.clone(), liveness };
         self.backends.get_mut(id)?.announced = Some(news);
-        Some(Change { instance, liveness })
+        Some(BackendChange { instance, liveness })
     }
 
     /// A registry is asked no more: what it told counts as that of a life which has ended.
-    pub fn left(&mut self, by: usize) {
+    pub fn remove_registry(&mut self, by: usize) {
         self.lives.remove(&by);
         self.heard.remove(&by);
         self.absent.remove(&by);
@@ -160,7 +166,7 @@
     }
 
     /// What nobody tells of any more gets no new work, and is forgotten in the end. Returns what is other than it was.
-    pub fn tick(&mut self, now: Duration) -> Vec<Change> {
+    pub fn tick(&mut self, now: Duration) -> Vec<BackendChange> {
         // Where none answers this gateway may be the one that is cut off, and goes by what it has.
         let newest = self.heard.values().max().copied().unwrap_or_default();
         let late = |at: Duration| newest.saturating_sub(at) > YIELDS;
@@ -234,7 +240,7 @@
 
     /// What takes work and what that registry, in its present life, has never told of or has lost, by service: it began while it
     /// was cut off from whom these backends call, or has been for long. Nothing where it has not told of anything yet.
-    pub fn unknown_to(&self, rack: usize) -> BTreeMap<&str, UnknownBackends> {
+    pub fn unknown_to_registry(&self, rack: usize) -> BTreeMap<&str, UnknownBackends> {
         let Some(life) = self.lives.get(&rack) else { return BTreeMap::new() };
         let holds = |(of, liveness): &(u64, Liveness)| of == life && *liveness < Liveness::Lost;
         let knows = |seen: &Seen| seen.by.get(&rack).is_some_and(holds);
@@ -245,19 +251,19 @@
             *capacity += seen.instance.capacity;
             if !knows(seen) {
                 *unknown += seen.instance.capacity;
-                backends.push(seen.instance.number());
+                backends.push(seen.instance.id_hash());
             }
         }
         let part = |unknown: u32, capacity: u32| f64::from(unknown) / f64::from(capacity.max(1));
         let some = all.into_iter().filter(|(_, (_, _, backends))| !backends.is_empty());
         some.map(|(of, (all, unknown, backends))| {
-            (of, UnknownBackends { part: part(unknown, all), backends })
+            (of, UnknownBackends { capacity_fraction: part(unknown, all), backends })
         })
         .collect()
     }
 
     /// How many backends of each of these services take new work.
-    pub fn serving<'a>(&self, services: impl IntoIterator<Item = &'a str>) -> BTreeMap<&'a str, usize> {
+    pub fn ready_counts<'a>(&self, services: impl IntoIterator<Item = &'a str>) -> BTreeMap<&'a str, usize> {
         let mut counts: BTreeMap<&str, usize> = services.into_iter().map(|service| (service, 0)).collect();
         for seen in self.backends.values() {
             if let Some(count) = counts.get_mut(seen.instance.service.as_str()) {
@@ -268,7 +274,7 @@
     }
 
     /// The services that have a backend which takes work, or may again at any moment.
-    pub fn served(&self) -> BTreeSet<&str> {
+    pub fn available_services(&self) -> BTreeSet<&str> {
         let is_here =
             |seen: &&Seen| seen.instance.state == BackendState::Ready && self.liveness(seen) < Liveness::Lost;
         let ready = self.backends.values().filter(is_here);
--- a/crates/starlinghill-config-model/src/change.rs
+++ b/crates/starlinghill-config-model/src/change.rs
@@ -17,7 +17,7 @@
 }
 
 /// A version as it is written: `r` and a number.
-pub fn version(value: Option<&OwnedValue>) -> Option<u64> {
+pub fn parse_version(value: Option<&OwnedValue>) -> Option<u64> {
     value?.as_str()?.strip_prefix('r')?.parse().ok()
 }
 
@@ -42,7 +42,7 @@
 
 impl ConfigChange {
     /// Reads the body of a call.
-    pub fn read(body: &[u8]) -> Result<ConfigChange, ChangeError> {
+    pub fn parse(body: &[u8]) -> Result<ConfigChange, ChangeError> {
         let value = match simd_json::to_owned_value(&mut body.to_vec()) {
             Ok(value) => value,
             Err(error) => return invalid(format!("not JSON: {error}")),
@@ -85,7 +85,7 @@
         ];
         for (key, kind) in named {
             for value in list(remove, key)? {
-                items.push(ParsedItem::read(Item { body: None, ..item(kind, "", value)? })?);
+                items.push(ParsedItem::parse(Item { body: None, ..item(kind, "", value)? })?);
             }
         }
         let mut numbers: BTreeMap<(ItemKind, String, u64), ParsedItem> = BTreeMap::new();
@@ -93,7 +93,7 @@
             let Item { kind, version, .. } = held.item;
             match numbers.entry((kind, held.item.name.clone(), version)) {
                 Entry::Vacant(place) => drop(place.insert(held)),
-                Entry::Occupied(place) if place.get().content() == held.content() => {}
+                Entry::Occupied(place) if place.get().content_digest() == held.content_digest() => {}
                 Entry::Occupied(_) => {
                     let name = &held.item.name;
                     return invalid(format!("{kind:?} {name}: stands twice with one version, r{version}"));
@@ -112,7 +112,7 @@
             None => return invalid(format!("{kind:?}.name: allowed: a text that is not empty")),
         },
     };
-    let Some(version) = version(value.get("version")) else {
+    let Some(version) = parse_version(value.get("version")) else {
         return invalid(format!(
             "{kind:?} {name}.version: found {}, allowed: r and a number",
             value.get("version").map_or_else(|| "nothing".into(), short)
@@ -129,5 +129,5 @@
 }
 
 fn set(kind: ItemKind, host: &str, value: &OwnedValue) -> Result<ParsedItem, ChangeError> {
-    ParsedItem::read(Item { body: Some(value.encode()), ..item(kind, host, value)? })
+    ParsedItem::parse(Item { body: Some(value.encode()), ..item(kind, host, value)? })
 }
--- a/crates/starlinghill-config-model/src/items.rs
+++ b/crates/starlinghill-config-model/src/items.rs
@@ -3,7 +3,7 @@
 use crate::change::ConfigChange;
 use crate::content_digest;
 use crate::routing::{self, Parsed};
-use crate::version_history::{self, Known, VersionHistory};
+use crate::version_history::{self, VersionHistory, VersionStatus};
 use bitcode::{Decode, Encode};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 /// The most items that are kept, dropped ones included. Guards memory and the size of messages.
-pub const MOST_ITEMS: usize = 20_000;
+pub const MAX_ITEMS: usize = 20_000;
 
 /// What an item is of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
@@ -48,7 +48,7 @@
 
 impl Item {
     /// As news: whoever does not judge orders needs no history.
-    pub fn as_news(&self) -> Item {
+    pub fn without_history(&self) -> Item {
         let Item { kind, version, .. } = *self;
         let (name, host, body) = (self.name.clone(), self.host.clone(), self.body.clone());
         Item { kind, name, version, host, body, history: VersionHistory::default() }
@@ -56,7 +56,7 @@
 }
 
 /// A number that stands for items in their versions, whatever their order.
-pub fn digest<'a>(items: impl Iterator<Item = &'a Item>) -> u64 {
+pub fn versions_digest<'a>(items: impl Iterator<Item = &'a Item>) -> u64 {
     let one = |item: &Item| {
         let mut hash = 0xcbf2_9ce4_8422_2325_u64;
         let bytes = item.name.bytes().chain([item.kind as u8]).chain(item.version.to_le_bytes());
@@ -77,7 +77,7 @@
     },
     /// That version of an item was confirmed already, with another content.
     #[snafu(display("{kind:?} {name}: version r{version} was confirmed with another content"))]
-    Taken {
+    VersionConflict {
         /// The item's kind.
         kind: ItemKind,
         /// Its name.
@@ -88,7 +88,7 @@
     /// That version lies beyond the horizon: it may have been confirmed, with this content or with another. Neither a
     /// confirmation nor a refusal is safe.
     #[snafu(display("{kind:?} {name}: what r{version} was is not remembered any more"))]
-    Forgotten {
+    VersionForgotten {
         /// The item's kind.
         kind: ItemKind,
         /// Its name.
@@ -111,7 +111,7 @@
 
 impl ParsedItem {
     /// Reads an item.
-    pub fn read(item: Item) -> Result<ParsedItem, ChangeError> {
+    pub fn parse(item: Item) -> Result<ParsedItem, ChangeError> {
         let Some(body) = &item.body else { return Ok(ParsedItem { item, value: None, parsed: None }) };
         let invalid = |problem| ChangeError::Invalid { problem };
         let value = simd_json::to_owned_value(&mut body.clone().into_bytes())
@@ -121,30 +121,30 @@
     }
 
     /// The digest of its content.
-    pub fn content(&self) -> u64 {
+    pub fn content_digest(&self) -> u64 {
         content_digest::digest(&self.item.host, self.value.as_ref())
     }
 
     /// What is known of a number of this name.
-    fn known(&self, version: u64) -> Known {
+    fn known(&self, version: u64) -> VersionStatus {
         match version.cmp(&self.item.version) {
-            Ordering::Less => self.item.history.of(version),
-            Ordering::Equal => Known::As(self.content()),
-            Ordering::Greater => Known::Never,
+            Ordering::Less => self.item.history.status(version),
+            Ordering::Equal => VersionStatus::Confirmed(self.content_digest()),
+            Ordering::Greater => VersionStatus::Unused,
         }
     }
 
     /// The same name with one more number confirmed, where that is new.
     fn confirming(&self, new: &ParsedItem) -> Option<ParsedItem> {
         let (stands, sent) = (self.item.version, new.item.version);
-        if self.known(sent) != Known::Never {
+        if self.known(sent) != VersionStatus::Unused {
             return None;
         }
         let mut next = if sent > stands { new.clone() } else { self.clone() };
         next.item.history = self.item.history.clone();
         match sent > stands {
-            true => next.item.history.confirm(stands, self.content()),
-            false => next.item.history.confirm(sent, new.content()),
+            true => next.item.history.confirm(stands, self.content_digest()),
+            false => next.item.history.confirm(sent, new.content_digest()),
         }
         Some(next)
     }
@@ -158,7 +158,7 @@
 
 impl ItemSet {
     /// From copies of items; what can't be read is left out, as nothing of it was ever taken.
-    pub fn of(items: impl IntoIterator<Item = Item>) -> ItemSet {
+    pub fn from_items(items: impl IntoIterator<Item = Item>) -> ItemSet {
         let mut book = ItemSet::default();
         book.merge(items);
         book
@@ -167,7 +167,7 @@
     /// Takes in copies that were agreed on; returns those that were new. An older version changes nothing.
     pub fn merge(&mut self, items: impl IntoIterator<Item = Item>) -> Vec<Rc<ParsedItem>> {
         let mut news = Vec::new();
-        for held in items.into_iter().filter_map(|item| ParsedItem::read(item).ok()) {
+        for held in items.into_iter().filter_map(|item| ParsedItem::parse(item).ok()) {
             let held = Rc::new(held);
             match self.items.entry((held.item.kind, held.item.name.clone())) {
                 Entry::Vacant(place) => {
@@ -185,7 +185,7 @@
 
     /// The book with a change taken in, or why it can't be. Nothing of a change is taken that is refused. One of which
     /// every number was confirmed before with its content is taken, and changes nothing.
-    pub fn with(&self, change: &ConfigChange) -> Result<ItemSet, ChangeError> {
+    pub fn with_change(&self, change: &ConfigChange) -> Result<ItemSet, ChangeError> {
         self.judge(change)?;
         let mut next = self.clone();
         for held in &change.items {
@@ -198,8 +198,8 @@
                 }
             }
         }
-        next.check()?;
-        next.forget(version_history::MOST_IN_ALL);
+        next.validate()?;
+        next.forget(version_history::MAX_VERSIONS_TOTAL);
         Ok(next)
     }
 
@@ -212,10 +212,12 @@
             let name = held.item.name.clone();
             let known = self.items.get(&(kind, name.clone())).map(|stands| stands.known(version));
             match known {
-                Some(Known::As(content)) if content != held.content() => {
-                    return Err(ChangeError::Taken { kind, name, version });
+                Some(VersionStatus::Confirmed(content)) if content != held.content_digest() => {
+                    return Err(ChangeError::VersionConflict { kind, name, version });
+                }
+                Some(VersionStatus::Forgotten) => {
+                    forgotten = Some(ChangeError::VersionForgotten { kind, name, version })
                 }
-                Some(Known::Forgotten) => forgotten = Some(ChangeError::Forgotten { kind, name, version }),
                 _ => {}
             }
         }
@@ -228,17 +230,17 @@
         if lens.clone().sum::<usize>() <= most {
             return;
         }
-        let level = version_history::level(lens, most);
+        let level = version_history::per_item_limit(lens, most);
         for held in self.items.values_mut().filter(|held| held.item.history.len() > level) {
-            Rc::make_mut(held).item.history.keep(level);
+            Rc::make_mut(held).item.history.truncate(level);
         }
     }
 
     /// Whether all items make sense together.
-    pub fn check(&self) -> Result<(), ChangeError> {
+    pub fn validate(&self) -> Result<(), ChangeError> {
         let refuse = |problem: String| Err(ChangeError::Invalid { problem });
-        if self.items.len() > MOST_ITEMS {
-            return refuse(format!("{} items, allowed: {MOST_ITEMS}", self.items.len()));
+        if self.items.len() > MAX_ITEMS {
+            return refuse(format!("{} items, allowed: {MAX_ITEMS}", self.items.len()));
         }
         let stands = |name: &str| {
             let service = self.items.get(&(ItemKind::Service, name.to_string()));
@@ -248,7 +250,7 @@
         for held in self.items.values() {
             match &held.parsed {
                 Some(Parsed::Route(route)) => {
-                    if let Some((service, _)) = route.to.iter().find(|(service, _)| !stands(service)) {
+                    if let Some((service, _)) = route.targets.iter().find(|(service, _)| !stands(service)) {
                         return refuse(format!("route {}: no service {service}", route.name));
                     }
                     if !places.insert((&route.host, &route.prefix)) {
@@ -277,7 +279,7 @@
     }
 
     /// Those that differ from another book's, histories included: what has to be written where that one stands.
-    pub fn beyond(&self, other: &ItemSet) -> Vec<Item> {
+    pub fn differing_items(&self, other: &ItemSet) -> Vec<Item> {
         let new = |held: &&Rc<ParsedItem>| {
             let key = (held.item.kind, held.item.name.clone());
             other.items.get(&key).is_none_or(|old| old.item != held.item)
@@ -291,7 +293,7 @@
     }
 
     /// All that stands, laid out as an operator sends it.
-    pub fn layout(&self) -> OwnedValue {
+    pub fn to_upsert(&self) -> OwnedValue {
         let mut hosts: BTreeMap<&str, Vec<OwnedValue>> = BTreeMap::new();
         let (mut customers, mut groups, mut limits) = (Vec::new(), Vec::new(), None);
         for held in self.items.values() {
--- a/crates/starlinghill-config-model/src/routing.rs
+++ b/crates/starlinghill-config-model/src/routing.rs
@@ -17,19 +17,19 @@
     /// What the path begins with.
     pub prefix: String,
     /// A request may run more than once.
-    pub safe: bool,
+    pub idempotent: bool,
     /// An answer within this earns its full worth.
-    pub aim: Duration,
+    pub target_time: Duration,
     /// Its rank; 0 is highest.
     pub priority: u64,
     /// No key is needed.
     pub public: bool,
     /// Services, each with its weight.
-    pub to: Vec<(String, f64)>,
+    pub targets: Vec<(String, f64)>,
     /// The longest that a request is held.
     pub timeout: Duration,
     /// The most backends that one try may be sent to.
-    pub tries: u64,
+    pub max_tries: u64,
 }
 
 /// A tenant.
@@ -53,7 +53,7 @@
     /// Its name.
     pub name: String,
     /// Where its backends are asked for their health.
-    pub health: String,
+    pub health_path: String,
     /// Connections that a backend accepts from all callers together.
     pub max_conns: u64,
 }
@@ -62,19 +62,24 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
     /// The longest head.
-    pub header_bytes: u64,
+    pub max_header_bytes: u64,
     /// The longest body.
-    pub body_bytes: u64,
+    pub max_body_bytes: u64,
     /// How long a head may take.
-    pub header_wait: Duration,
+    pub header_timeout: Duration,
     /// How long a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         let (header_wait, idle) = (Duration::from_secs(3), Duration::from_secs(15));
-        Limits { header_bytes: 16 << 10, body_bytes: 64 << 20, header_wait, idle }
+        Limits {
+            max_header_bytes: 16 << 10,
+            max_body_bytes: 64 << 20,
+            header_timeout: header_wait,
+            idle_timeout: idle,
+        }
     }
 }
 
@@ -130,7 +135,7 @@
         }
     }
     fn time(&self, key: &str) -> Result<Duration, String> {
-        match self.value.get(key).and_then(|v| v.as_str()).and_then(time) {
+        match self.value.get(key).and_then(|v| v.as_str()).and_then(parse_duration) {
             Some(time) => Ok(time),
             None => self.wrong(key, "a time such as \"1500ms\" or \"2.5s\""),
         }
@@ -144,7 +149,7 @@
 }
 
 /// A time as it is written.
-pub fn time(text: &str) -> Option<Duration> {
+pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, unit) = match text.trim().strip_suffix("ms") {
         Some(number) => (number, 1e-3),
         None => (text.trim().strip_suffix('s')?, 1.0),
@@ -177,13 +182,13 @@
         ItemKind::Service => {
             let health = value.get("health_path").and_then(|v| v.as_str()).unwrap_or("/").to_string();
             let max_conns = value.get("max_conns").map_or(Ok(0), |_| at.count("max_conns"))?;
-            Ok(Parsed::Service(Rc::new(Service { name: name.into(), health, max_conns })))
+            Ok(Parsed::Service(Rc::new(Service { name: name.into(), health_path: health, max_conns })))
         }
         ItemKind::Limits => Ok(Parsed::Limits(Limits {
-            header_bytes: at.count("max_header_bytes")?,
-            body_bytes: at.count("max_body_bytes")?,
-            header_wait: at.time("header_wait")?,
-            idle: at.time("idle")?,
+            max_header_bytes: at.count("max_header_bytes")?,
+            max_body_bytes: at.count("max_body_bytes")?,
+            header_timeout: at.time("header_wait")?,
+            idle_timeout: at.time("idle")?,
         })),
     }
 }
@@ -225,13 +230,13 @@
         name: at.text("name")?.into(),
         host: host.to_ascii_lowercase(),
         prefix: prefix.into(),
-        safe,
-        aim: at.time("target_time")?,
+        idempotent: safe,
+        target_time: at.time("target_time")?,
         priority: at.count("priority")?,
         public: at.flag("public")?,
-        to,
+        targets: to,
         timeout,
-        tries,
+        max_tries: tries,
     })
 }
 
@@ -242,7 +247,7 @@
     hosts: HashMap<String, Vec<Rc<Route>>>,
     keys: HashMap<String, Rc<Tenant>>,
     /// Every request must carry a key, but on public routes.
-    pub keyed: bool,
+    pub requires_key: bool,
     /// The tenants.
     pub tenants: Vec<Rc<Tenant>>,
     /// The services by name.
@@ -253,7 +258,7 @@
 
 impl RoutingTable {
     /// By the items that stand.
-    pub fn of(book: &ItemSet) -> RoutingTable {
+    pub fn from_items(book: &ItemSet) -> RoutingTable {
         let mut table = RoutingTable::default();
         for parsed in book.items().filter_map(|held| held.parsed.as_ref()) {
             match parsed {
@@ -261,7 +266,7 @@
                     table.hosts.entry(route.host.clone()).or_default().push(route.clone());
                 }
                 Parsed::Customer(tenant) => {
-                    table.keyed = true;
+                    table.requires_key = true;
                     table.keys.extend(tenant.keys.iter().map(|key| (key.clone(), tenant.clone())));
                     table.tenants.push(tenant.clone());
                 }
--- a/crates/starlinghill-config-model/tests/items.rs
+++ b/crates/starlinghill-config-model/tests/items.rs
@@ -33,7 +33,7 @@
 }
 
 fn take(book: &ItemSet, body: &str) -> Result<ItemSet, ChangeError> {
-    book.with(&ConfigChange::read(body.as_bytes())?)
+    book.with_change(&ConfigChange::parse(body.as_bytes())?)
 }
 
 fn base() -> ItemSet {
@@ -72,11 +72,11 @@
     // Sent again unchanged, by whomever: taken, and nothing changes.
     let again = call(&[route("r-1", 7, "a.example", "/x/", "lobby")], &[], &[], "");
     let same = take(&book, &again).unwrap_or_else(|refusal| panic!("{refusal}"));
-    assert!(same.beyond(&book).is_empty());
+    assert!(same.differing_items(&book).is_empty());
     let other = call(&[route("r-1", 7, "a.example", "/x/", "ledger")], &[], &[], "");
-    assert!(matches!(take(&book, &other), Err(ChangeError::Taken { version: 7, .. })));
+    assert!(matches!(take(&book, &other), Err(ChangeError::VersionConflict { version: 7, .. })));
     let dropped = call(&[], &[], &[], r#""routes":[{"name":"r-1","version":"r7"}]"#);
-    assert!(matches!(take(&book, &dropped), Err(ChangeError::Taken { version: 7, .. })));
+    assert!(matches!(take(&book, &dropped), Err(ChangeError::VersionConflict { version: 7, .. })));
 }
 
 #[test]
@@ -86,11 +86,12 @@
     let book = take(&book, &drop).unwrap_or_else(|refusal| panic!("{refusal}"));
     let old = call(&[route("r-1", 8, "a.example", "/x/", "ledger")], &[], &[], "");
     let same = take(&book, &old).unwrap_or_else(|refusal| panic!("{refusal}"));
-    let stands = |book: &ItemSet| -> Vec<Item> { book.items().map(|held| held.item.as_news()).collect() };
+    let stands =
+        |book: &ItemSet| -> Vec<Item> { book.items().map(|held| held.item.without_history()).collect() };
     assert_eq!(stands(&same), stands(&book));
     // All that is new is that its number is known from here on.
-    assert!(take(&same, &old).is_ok_and(|again| again.beyond(&same).is_empty()));
-    assert!(RoutingTable::of(&same).route("a.example", "/x/1").is_none());
+    assert!(take(&same, &old).is_ok_and(|again| again.differing_items(&same).is_empty()));
+    assert!(RoutingTable::from_items(&same).route("a.example", "/x/1").is_none());
 }
 
 #[test]
@@ -100,14 +101,17 @@
         let mut items: Vec<Item> = base().items().map(|held| held.item.clone()).collect();
         for version in 8..12 {
             let change = call(&[route("r-1", version, "a.example", "/x/", "ledger")], &[], &[], "");
-            let change = ConfigChange::read(change.as_bytes()).unwrap_or_else(|refusal| panic!("{refusal}"));
+            let change = ConfigChange::parse(change.as_bytes()).unwrap_or_else(|refusal| panic!("{refusal}"));
             items.extend(change.items.iter().map(|held| held.item.clone()));
         }
-        let whole = ItemSet::of(items.clone());
+        let whole = ItemSet::from_items(items.clone());
         rng.shuffle(&mut items);
         let mut book = ItemSet::default();
         items.chunks(3).for_each(|some| drop(book.merge(some.to_vec())));
-        assert!(book.beyond(&whole).is_empty() && whole.beyond(&book).is_empty(), "seed {seed}");
+        assert!(
+            book.differing_items(&whole).is_empty() && whole.differing_items(&book).is_empty(),
+            "seed {seed}"
+        );
     }
 }
 
@@ -115,7 +119,7 @@
 fn of_a_name_that_stands_twice_in_a_call_the_higher_version_prevails() {
     let moved = [route("r-1", 9, "b.example", "/x/", "lobby"), route("r-1", 8, "a.example", "/x/", "lobby")];
     let book = take(&base(), &call(&moved, &[], &[], "")).unwrap_or_else(|refusal| panic!("{refusal}"));
-    let table = RoutingTable::of(&book);
+    let table = RoutingTable::from_items(&book);
     assert!(table.route("b.example", "/x/1").is_some() && table.route("a.example", "/x/1").is_none());
 }
 
@@ -125,17 +129,17 @@
 #[test_case("a.example", "/x", None; "a path that the prefix does not begin")]
 #[test_case("b.example", "/x/1", None; "another host")]
 fn a_request_has_the_route_of_its_host_with_the_longest_prefix(host: &str, path: &str, name: Option<&str>) {
-    let table = RoutingTable::of(&base());
+    let table = RoutingTable::from_items(&base());
     assert_eq!(table.route(host, path).map(|route| route.name.as_str()), name);
 }
 
 #[test]
 fn what_is_read_back_is_what_was_sent() {
-    let layout = base().layout();
+    let layout = base().to_upsert();
     let text = simd_json::to_string(&layout).unwrap_or_default();
     // It can be sent as it is.
-    let again = ConfigChange::read(format!("{{\"upsert\":{text}}}").as_bytes());
+    let again = ConfigChange::parse(format!("{{\"upsert\":{text}}}").as_bytes());
     let again = again.unwrap_or_else(|refusal| panic!("{refusal}"));
-    let book = base().with(&again).unwrap_or_else(|refusal| panic!("{refusal}"));
-    assert!(book.beyond(&base()).is_empty() && again.items.len() == 6);
+    let book = base().with_change(&again).unwrap_or_else(|refusal| panic!("{refusal}"));
+    assert!(book.differing_items(&base()).is_empty() && again.items.len() == 6);
 }
--- a/crates/starlinghill-config-model/tests/numbers.rs
+++ b/crates/starlinghill-config-model/tests/numbers.rs
@@ -1,6 +1,8 @@
 //! What was confirmed under a number: the same again is taken, another content never is, and what is forgotten is neither.
 
-use starlinghill_config_model::version_history::{level, Known, MOST_IN_ALL, MOST_OF_ITEM};
+use starlinghill_config_model::version_history::{
+    per_item_limit, VersionStatus, MAX_VERSIONS_PER_ITEM, MAX_VERSIONS_TOTAL,
+};
 use starlinghill_config_model::{ChangeError, ConfigChange, Item, ItemKind, ItemSet, VersionHistory};
 use test_case::test_case;
 
@@ -15,7 +17,7 @@
 }
 
 fn take(book: &ItemSet, body: &str) -> Result<ItemSet, ChangeError> {
-    book.with(&ConfigChange::read(body.as_bytes())?)
+    book.with_change(&ConfigChange::parse(body.as_bytes())?)
 }
 
 fn taken(orders: &[String]) -> ItemSet {
@@ -32,12 +34,14 @@
 fn a_number_that_was_ever_confirmed_keeps_its_content(orders: &[String], same: &str, other: &str) {
     let book = taken(orders);
     let again = take(&book, same).unwrap_or_else(|refusal| panic!("{refusal}"));
-    assert!(again.beyond(&book).is_empty(), "a repeat changes nothing");
+    assert!(again.differing_items(&book).is_empty(), "a repeat changes nothing");
     let refused = take(&book, other).map(|_| ());
-    assert!(matches!(refused, Err(ChangeError::Taken { .. })), "{other}: {refused:?}");
+    assert!(matches!(refused, Err(ChangeError::VersionConflict { .. })), "{other}: {refused:?}");
     // So it is with a copy that went over the wire or a disk.
-    let copy = ItemSet::of(book.items().map(|held| held.item.clone()));
-    assert!(take(&copy, same).is_ok() && matches!(take(&copy, other), Err(ChangeError::Taken { .. })));
+    let copy = ItemSet::from_items(book.items().map(|held| held.item.clone()));
+    assert!(
+        take(&copy, same).is_ok() && matches!(take(&copy, other), Err(ChangeError::VersionConflict { .. }))
+    );
 }
 
 #[test_case(r#""rate_per_s":94,"burst":9"#, r#""burst":9 ,  "rate_per_s" : 94"#, true; "order and spaces")]
@@ -66,8 +70,8 @@
         "remove":{"customers":[{"name":"t-1","version":"r6"}]}}"#;
     let book = taken(&[both.into()]);
     assert!(book.items().all(|held| held.item.version == 6 && held.item.body.is_none()));
-    assert!(take(&book, both).is_ok_and(|again| again.beyond(&book).is_empty()));
-    assert!(matches!(take(&book, &customer(5, "3")), Err(ChangeError::Taken { version: 5, .. })));
+    assert!(take(&book, both).is_ok_and(|again| again.differing_items(&book).is_empty()));
+    assert!(matches!(take(&book, &customer(5, "3")), Err(ChangeError::VersionConflict { version: 5, .. })));
     let one_number = both.replace("r6", "r5");
     assert!(matches!(take(&ItemSet::default(), &one_number), Err(ChangeError::Invalid { .. })));
 }
@@ -77,28 +81,30 @@
     let book = taken(&[customer(5, "1"), customer(6, "2")]);
     let call = r#"{"upsert":{"customers":[{"name":"t-1","api_keys":["k-1"],"rate_per_s":3,"burst":94,"version":"r5"},
         {"name":"t-2","api_keys":["k-2"],"version":"r1"}]}}"#;
-    assert!(matches!(take(&book, call), Err(ChangeError::Taken { version: 5, .. })));
+    assert!(matches!(take(&book, call), Err(ChangeError::VersionConflict { version: 5, .. })));
 }
 
 #[test]
 fn beyond_the_horizon_nothing_is_confirmed_and_nothing_refused() {
     let mut book = taken(&[customer(1, "1")]);
-    let last = MOST_OF_ITEM as u64 + 3;
+    let last = MAX_VERSIONS_PER_ITEM as u64 + 3;
     for version in 2..=last {
         book = take(&book, &customer(version, "1")).unwrap_or_else(|refusal| panic!("{refusal}"));
     }
     for order in [customer(1, "1"), customer(1, "2"), dropped(2)] {
         let said = take(&book, &order).map(|_| ());
-        assert!(matches!(said, Err(ChangeError::Forgotten { .. })), "{order}: {said:?}");
+        assert!(matches!(said, Err(ChangeError::VersionForgotten { .. })), "{order}: {said:?}");
     }
     // Within it all is as before.
     for version in [3, last - 1, last] {
-        assert!(take(&book, &customer(version, "1")).is_ok_and(|again| again.beyond(&book).is_empty()));
-        assert!(matches!(take(&book, &customer(version, "2")), Err(ChangeError::Taken { .. })));
+        assert!(
+            take(&book, &customer(version, "1")).is_ok_and(|again| again.differing_items(&book).is_empty())
+        );
+        assert!(matches!(take(&book, &customer(version, "2")), Err(ChangeError::VersionConflict { .. })));
     }
     // A call of which another number has another content was never confirmed: that can be said.
     let call = r#"{"remove":{"customers":[{"name":"t-1","version":"r1"},{"name":"t-1","version":"r4"}]}}"#;
-    assert!(matches!(take(&book, call), Err(ChangeError::Taken { version: 4, .. })));
+    assert!(matches!(take(&book, call), Err(ChangeError::VersionConflict { version: 4, .. })));
 }
 
 #[test]
@@ -109,20 +115,27 @@
         let (kind, name, version) = (ItemKind::Customer, format!("c-{at}"), 100_000);
         Item { kind, name, version, host: String::new(), body: None, history }
     };
-    let most = MOST_OF_ITEM as u64;
+    let most = MAX_VERSIONS_PER_ITEM as u64;
     let items: Vec<Item> = (0..9).map(|at| item(at, most)).chain([item(9, 100)]).collect();
-    let book = take(&ItemSet::of(items), &customer(1, "1")).unwrap_or_else(|refusal| panic!("{refusal}"));
+    let book =
+        take(&ItemSet::from_items(items), &customer(1, "1")).unwrap_or_else(|refusal| panic!("{refusal}"));
     let lens: Vec<usize> = book.items().map(|held| held.item.history.len()).collect();
-    assert!(lens.iter().sum::<usize>() <= MOST_IN_ALL && lens.contains(&100), "{lens:?}");
+    assert!(lens.iter().sum::<usize>() <= MAX_VERSIONS_TOTAL && lens.contains(&100), "{lens:?}");
     let whole: Vec<Item> = book.items().map(|held| held.item.clone()).collect();
     let bytes = bitcode::encode(&whole).len();
-    assert!((MOST_IN_ALL * 8..=MOST_IN_ALL * 16 + 4_096).contains(&bytes), "{bytes} bytes");
-    assert_eq!((level([5, 9, 1].into_iter(), 9), level([5, 9, 1].into_iter(), 15)), (4, MOST_OF_ITEM));
+    assert!((MAX_VERSIONS_TOTAL * 8..=MAX_VERSIONS_TOTAL * 16 + 4_096).contains(&bytes), "{bytes} bytes");
+    assert_eq!(
+        (per_item_limit([5, 9, 1].into_iter(), 9), per_item_limit([5, 9, 1].into_iter(), 15)),
+        (4, MAX_VERSIONS_PER_ITEM)
+    );
 }
 
 #[test]
 fn of_an_item_that_was_kept_without_a_history_nothing_is_known_below() {
     let history = VersionHistory::unknown_below(7);
-    assert_eq!((history.of(6), history.of(7), history.len()), (Known::Forgotten, Known::Never, 0));
-    assert_eq!(VersionHistory::unknown_below(0).of(0), Known::Never);
+    assert_eq!(
+        (history.status(6), history.status(7), history.len()),
+        (VersionStatus::Forgotten, VersionStatus::Unused, 0)
+    );
+    assert_eq!(VersionHistory::unknown_below(0).status(0), VersionStatus::Unused);
 }
--- a/crates/starlinghill-config-store/src/acceptor.rs
+++ b/crates/starlinghill-config-store/src/acceptor.rs
@@ -94,8 +94,8 @@
         let (tell, save) = voter.handle(to, *ask);
         let written = match save {
             RequiredWrite::Nothing => Written::Kept,
-            RequiredWrite::Kept => write(&voter, false, &disk).await,
-            RequiredWrite::State => write(&voter, true, &disk).await,
+            RequiredWrite::Metadata => write(&voter, false, &disk).await,
+            RequiredWrite::MetadataAndState => write(&voter, true, &disk).await,
         };
         if written == Written::NoWriter {
             return;
@@ -125,7 +125,7 @@
 async fn write(voter: &Acceptor<Value>, state: bool, disk: &Disk) -> Written {
     let (done, saved) = oneshot::channel();
     let state = state.then(|| voter.state().clone());
-    if disk.send(Order { kept: voter.kept().clone(), state, done }).is_err() {
+    if disk.send(Order { kept: voter.metadata().clone(), state, done }).is_err() {
         return Written::NoWriter;
     }
     match saved.await {
@@ -139,7 +139,7 @@
 }
 
 fn view(voter: &Acceptor<Value>) -> View {
-    let AcceptorState { promised, accepted, chosen, members, .. } = voter.kept().clone();
+    let AcceptorState { promised, accepted, chosen, members, .. } = voter.metadata().clone();
     View { promised, accepted, chosen, members, proposed: voter.state().members.clone() }
 }
 
--- a/crates/starlinghill-config-store/src/admission.rs
+++ b/crates/starlinghill-config-store/src/admission.rs
@@ -34,14 +34,14 @@
                 self.look_for_members(&seeds()).await;
             }
             let members = self.members().0;
-            if !members.voters.is_empty() && !members.has(self.me) {
+            if !members.voters.is_empty() && !members.contains(self.me) {
                 let answer = self.ask_to_join(&members).await;
                 if said.as_ref() != Some(&answer) {
                     log::info!("event=join incarnation={:x} answer=\"{answer:?}\"", self.me.incarnation);
                     said = Some(answer);
                 }
             }
-            sleep(self.chain.look).await;
+            sleep(self.chain.poll_interval).await;
         }
     }
 
@@ -69,7 +69,7 @@
         let (tell, mut told) = mpsc::unbounded_channel();
         for ip in ips {
             let (caller, question, tell) = (self.caller(ip), question.clone(), tell.clone());
-            let patience = self.chain.voter;
+            let patience = self.chain.voter_timeout;
             spawn_local(async move {
                 if let Ok(answer) = caller.call::<_, StoreResponse>(&question, patience).await {
                     // It is waited for.
@@ -124,7 +124,7 @@
         members: &Members,
         candidate: Member,
     ) -> Result<Option<MemberChange>, MembershipDelay> {
-        if !members.has(self.me) {
+        if !members.contains(self.me) {
             return Err(MembershipDelay::NoMajority);
         }
         let mut sights: BTreeMap<Member, Sight> = BTreeMap::from([(self.me, self.sight())]);
@@ -132,11 +132,13 @@
         if self.sight().values().any(|ago| *ago >= self.times.gone) {
             let others = members.voters.iter().map(|m| m.ip).filter(|ip| *ip != self.me.ip).collect();
             for (ip, answer) in self.ask_each(others, StoreRequest::Sight).await {
-                let (StoreResponse::Sight(told), Some(member)) = (answer, members.at(ip)) else { continue };
+                let (StoreResponse::Sight(told), Some(member)) = (answer, members.member_at(ip)) else {
+                    continue;
+                };
                 let sight = told.into_iter().map(|(m, ms)| (m, Duration::from_millis(ms))).collect();
                 sights.insert(member, sight);
             }
-        } else if members.at(candidate.ip).is_none() && !members.has(candidate) {
+        } else if members.member_at(candidate.ip).is_none() && !members.contains(candidate) {
             return Err(if self.stood() < self.times.stood {
                 MembershipDelay::TooSoon
             } else {
@@ -152,7 +154,7 @@
         if let MemberChange::Add(joins) | MemberChange::Replace { joins, .. } = change {
             let learn = AcceptorRequest::Learn { ballot, state: state.as_ref().clone() };
             let synced = match self.put(joins, learn).await {
-                Some(AcceptorReply::Has { accepted, .. }) => accepted >= ballot,
+                Some(AcceptorReply::Status { accepted, .. }) => accepted >= ballot,
                 _ => false,
             };
             if !synced {
@@ -163,7 +165,7 @@
             if base.members.epoch != epoch {
                 return (None, MembershipOutcome::Waits(MembershipDelay::TooSoon));
             }
-            match base.members.with(change) {
+            match base.members.with_change(change) {
                 Ok(members) => {
                     (Some(State { members, value: base.value.clone() }), MembershipOutcome::Done(change))
                 }
@@ -184,13 +186,15 @@
         let change = match order {
             MembershipOrder::Add(ip) => self.at(ip).await.map(MemberChange::Add),
             MembershipOrder::Remove(ip) => {
-                members.at(ip).map(MemberChange::Remove).ok_or(MembershipDelay::Refused)
+                members.member_at(ip).map(MemberChange::Remove).ok_or(MembershipDelay::Refused)
+            }
+            MembershipOrder::Replace(leaves, joins) => {
+                match (members.member_at(leaves), self.at(joins).await) {
+                    (Some(leaves), Ok(joins)) => Ok(MemberChange::Replace { leaves, joins }),
+                    (None, _) => Err(MembershipDelay::Refused),
+                    (_, Err(wait)) => Err(wait),
+                }
             }
-            MembershipOrder::Replace(leaves, joins) => match (members.at(leaves), self.at(joins).await) {
-                (Some(leaves), Ok(joins)) => Ok(MemberChange::Replace { leaves, joins }),
-                (None, _) => Err(MembershipDelay::Refused),
-                (_, Err(wait)) => Err(wait),
-            },
         };
         match change {
             Ok(change) => self.change_members(members.epoch, change).await,
@@ -201,9 +205,9 @@
     /// Who is at an address.
     async fn at(&self, ip: IpAddr) -> Result<Member, MembershipDelay> {
         // Nobody has that incarnation by chance: the answer says who is there.
-        match self.put(Member { ip, incarnation: u64::MAX }, AcceptorRequest::Look(Default::default())).await
+        match self.put(Member { ip, incarnation: u64::MAX }, AcceptorRequest::Read(Default::default())).await
         {
-            Some(AcceptorReply::Another(member)) => Ok(member),
+            Some(AcceptorReply::WrongIncarnation(member)) => Ok(member),
             _ => Err(MembershipDelay::NotSynced),
         }
     }
@@ -214,7 +218,7 @@
         let (members, _) = self.members();
         let waits = |(_, (at, _)): &(&Member, &(Instant, MembershipDelay))| at.elapsed() < WAITING;
         let joins = self.candidates.borrow().iter().filter(waits).map(|(member, _)| *member).next();
-        let Some(joins) = joins.filter(|_| members.has(self.me)) else { return };
+        let Some(joins) = joins.filter(|_| members.contains(self.me)) else { return };
         if self.stood() >= self.times.stood {
             let change = MemberChange::Replace { leaves: self.me, joins };
             self.change_members(members.epoch, change).await;
--- a/crates/starlinghill-config-store/src/apply_change.rs
+++ b/crates/starlinghill-config-store/src/apply_change.rs
@@ -6,11 +6,11 @@
 /// The next value, where the order makes a new one, and what the operator is told once the value that this was decided on,
 /// or the next, is known to be agreed on.
 pub fn take(base: &Value, change: &ConfigChange) -> (Option<Value>, ChangeOutcome) {
-    let book = ItemSet::of(base.iter().cloned());
-    match book.with(change) {
+    let book = ItemSet::from_items(base.iter().cloned());
+    match book.with_change(change) {
         Err(refusal) => (None, refused(refusal)),
         Ok(next) => {
-            let new = !next.beyond(&book).is_empty();
+            let new = !next.differing_items(&book).is_empty();
             let items = || next.items().map(|held| held.item.clone()).collect();
             (new.then(items), ChangeOutcome::Taken)
         }
@@ -22,8 +22,8 @@
 pub fn refused(refusal: ChangeError) -> ChangeOutcome {
     match &refusal {
         ChangeError::Invalid { problem } => ChangeOutcome::Invalid(problem.clone()),
-        ChangeError::Taken { .. } => ChangeOutcome::Conflict(refusal.to_string()),
-        ChangeError::Forgotten { .. } => {
+        ChangeError::VersionConflict { .. } => ChangeOutcome::Conflict(refusal.to_string()),
+        ChangeError::VersionForgotten { .. } => {
             log::warn!("event=number_beyond_horizon said=\"{refusal}\"");
             ChangeOutcome::Unclear
         }
--- a/crates/starlinghill-config-store/src/disk.rs
+++ b/crates/starlinghill-config-store/src/disk.rs
@@ -68,7 +68,7 @@
         let member = |(ip, incarnation)| Member { ip, incarnation };
         let voters: Vec<Member> = ips.into_iter().zip(lives).map(member).collect();
         let me = voters.iter().copied().find(|member| member.ip == here)?;
-        let members = Members { epoch: 0, voters, before: Vec::new() };
+        let members = Members { epoch: 0, voters, previous_voters: Vec::new() };
         let kept = AcceptorState { me, promised, accepted, chosen, members: members.clone() };
         Some(Found { kept, state: State { members, value } })
     }
--- a/crates/starlinghill-config-store/src/member_replacement.rs
+++ b/crates/starlinghill-config-store/src/member_replacement.rs
@@ -33,10 +33,10 @@
     candidate: Member,
     sights: &BTreeMap<Member, Sight>,
 ) -> Result<Option<MemberChange>, MembershipDelay> {
-    if members.has(candidate) {
+    if members.contains(candidate) {
         return Ok(None);
     }
-    if let Some(leaves) = members.at(candidate.ip) {
+    if let Some(leaves) = members.member_at(candidate.ip) {
         // The disk there is another one now: what that member promised is lost, and the addresses stay as they are.
         return Ok(Some(MemberChange::Replace { leaves, joins: candidate }));
     }
@@ -44,7 +44,7 @@
         return Err(MembershipDelay::TooSoon);
     }
     let told: BTreeSet<Member> = sights.keys().copied().collect();
-    if !members.majority(&told) {
+    if !members.has_majority(&told) {
         return Err(MembershipDelay::NoMajority);
     }
     let misses = |member: Member| {
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -114,7 +114,7 @@
     let seeds = |node: &NodeSettings| -> Vec<IpAddr> { node.seeds.iter().map(|seed| seed.ip()).collect() };
     let was_there = found.is_some();
     let voter = match found {
-        Some(found) => Acceptor::again(found.kept, found.state),
+        Some(found) => Acceptor::restore(found.kept, found.state),
         None => {
             let seeds = seeds(node);
             tokio::select! {
@@ -123,22 +123,22 @@
             }
         }
     };
-    let (me, members) = (voter.me(), &voter.kept().members);
+    let (me, members) = (voter.me(), &voter.metadata().members);
     log::info!(
         "event=start program=patternbook node={} incarnation={:x} epoch={} voters={} votes={} was_empty={} first={}",
         node.name,
         me.incarnation,
         members.epoch,
         members.voters.len(),
-        members.has(me),
+        members.contains(me),
         !was_there,
         node.first_start
     );
     let (essentials, mut first_end) = EssentialTasks::new();
     let keeper = Keeper::start(voter, disk, &essentials);
     let by = fastrand::u32(1..);
-    let chain = StalenessBudget::of(node.bounds.apply);
-    let times = Times::of(node.bounds.sync_time, chain.contact + chain.store_holds + LEASE);
+    let chain = StalenessBudget::from_apply_bound(node.bounds.apply);
+    let times = Times::of(node.bounds.sync_time, chain.max_contact_age + chain.store_long_poll + LEASE);
     let stores = Rc::new(Stores::new(net, keeper, address.port(), by, times, chain));
     essentials.spawn("follow", stores.clone().follow());
     // Seeds of a file that was read again are asked from then on.
@@ -163,14 +163,14 @@
 
 /// A disk that is empty: a founder's, or the beginning of an incarnation that knows of no members yet.
 async fn begin(node: &NodeSettings, seeds: &[IpAddr], disk: &Disk) -> Result<Acceptor<Value>, StartError> {
-    let founders = Members::first(seeds.iter().copied());
-    let founds = node.first_start && founders.at(node.ip).is_some();
+    let founders = Members::founding(seeds.iter().copied());
+    let founds = node.first_start && founders.member_at(node.ip).is_some();
     let incarnation = if founds { 0 } else { fastrand::u64(1..u64::MAX) };
     let members = if node.first_start { founders } else { Members::default() };
     let voter = Acceptor::new(Member { ip: node.ip, incarnation }, members);
     // Before it says anything: an incarnation remembers all that it said.
     let (done, saved) = oneshot::channel();
-    let (kept, state) = (voter.kept().clone(), Some(voter.state().clone()));
+    let (kept, state) = (voter.metadata().clone(), Some(voter.state().clone()));
     // A disk that is no more tells it by its silence.
     let _ = disk.send(Order { kept, state, done });
     saved.await.ok().context(GoneSnafu)?.context(DiskSnafu)?;
@@ -198,11 +198,11 @@
                 biased;
                 _ = chosen.wait_for(|known| known.0 != have) => {}
                 _ = fresh.wait_for(|fresh| *fresh && !was_fresh) => {}
-                () = sleep(chain.store_holds) => {}
+                () = sleep(chain.store_long_poll) => {}
             }
             let (ballot, items) = (chosen.borrow().0, stores.news(have).map(|items| as_news(&items)));
             let (members, proposed) = (stores.members().0, stores.proposed());
-            let (contact, votes) = (stores.contact(asked), members.has(stores.me));
+            let (contact, votes) = (stores.contact(asked), members.contains(stores.me));
             StoreResponse::News { ballot, contact, members, votes, proposed, items }
         }
         StoreRequest::Join(candidate) => StoreResponse::Admission(stores.admit(candidate).await),
@@ -217,5 +217,5 @@
 
 /// Without the histories, which are for stores.
 fn as_news(items: &Value) -> Value {
-    items.iter().map(Item::as_news).collect()
+    items.iter().map(Item::without_history).collect()
 }
--- a/crates/starlinghill-config-store/src/proposer.rs
+++ b/crates/starlinghill-config-store/src/proposer.rs
@@ -126,8 +126,8 @@
     /// A majority's word that nothing newer was agreed on, in answer to a question of that moment.
     pub fn contact(&self, asked: Instant) -> Option<QuorumContact> {
         let (now, asked) = (self.start.elapsed(), asked.saturating_duration_since(self.start));
-        let contact = self.contact.get().filter(|contact| self.chain.may_vouch(Some(contact.age(now))));
-        contact.map(|contact| contact.pass_on(now, asked))
+        let contact = self.contact.get().filter(|contact| self.chain.is_fresh(Some(contact.age(now))));
+        contact.map(|contact| contact.to_peer(now, asked))
     }
 
     /// Those members have said, asked at that moment, that they know of nothing above that ballot. What is newer and not had
@@ -135,7 +135,7 @@
     /// than these may have agreed on more.
     fn hear(&self, asked: Instant, members: &Members, heard: &BTreeSet<Member>, newest: Ballot) {
         let same_members = self.members.borrow().epoch == members.epoch;
-        if members.majority(heard) && same_members && newest <= self.chosen.borrow().0 {
+        if members.has_majority(heard) && same_members && newest <= self.chosen.borrow().0 {
             self.contact
                 .set(Some(LastQuorumContact::from_majority(asked.saturating_duration_since(self.start))));
         }
@@ -177,7 +177,7 @@
         self.seen.set(self.seen.get().max(ballot));
         let newer = self.members.send_if_modified(|known| {
             let newer = members.epoch > known.epoch || known.voters.is_empty();
-            let fuller = members.epoch == known.epoch && known.before.is_empty();
+            let fuller = members.epoch == known.epoch && known.previous_voters.is_empty();
             if newer || fuller {
                 *known = members.clone();
             }
@@ -185,7 +185,7 @@
         });
         if newer {
             self.stands_since.set(Instant::now());
-            self.heard.borrow_mut().retain(|member, _| members.has(*member));
+            self.heard.borrow_mut().retain(|member, _| members.contains(*member));
             let names = |set: &[Member]| {
                 set.iter().map(|m| format!("{}/{:x}", m.ip, m.incarnation)).collect::<Vec<_>>().join(",")
             };
@@ -193,9 +193,9 @@
                 "event=members epoch={} voters={} before={}",
                 members.epoch,
                 names(&members.voters),
-                names(&members.before)
+                names(&members.previous_voters)
             );
-            if members.epoch > 0 && members.has(self.me) && !members.before.contains(&self.me) {
+            if members.epoch > 0 && members.contains(self.me) && !members.previous_voters.contains(&self.me) {
                 log::info!("event=voter_back epoch={} incarnation={:x}", members.epoch, self.me.incarnation);
             }
         }
@@ -224,9 +224,9 @@
     pub(crate) async fn put(&self, to: Member, ask: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
         if to.ip == self.me.ip {
             let asked = self.keeper.ask_as(to, ask);
-            return tokio::time::timeout(self.chain.voter, asked).await.ok()?;
+            return tokio::time::timeout(self.chain.voter_timeout, asked).await.ok()?;
         }
-        match self.caller(to.ip).call(&StoreRequest::Vote(to, ask), self.chain.voter).await {
+        match self.caller(to.ip).call(&StoreRequest::Vote(to, ask), self.chain.voter_timeout).await {
             Ok(StoreResponse::Vote(tell)) => Some(tell),
             _ => None,
         }
@@ -251,7 +251,7 @@
             let (stores, ask, tell) = (self.clone(), ask.clone(), on.tell.clone());
             spawn_local(async move {
                 let answer = stores.put(member, ask).await;
-                if matches!(answer, Some(AcceptorReply::Has { .. } | AcceptorReply::Accepted)) {
+                if matches!(answer, Some(AcceptorReply::Status { .. } | AcceptorReply::Accepted)) {
                     stores.heard.borrow_mut().insert(member, Instant::now());
                 }
                 // The round may be over.
@@ -269,7 +269,7 @@
         let _turn = timeout_at(by, self.turn.lock()).await.ok()?;
         let mut tries = 0;
         while Instant::now() < by {
-            let ballot = Ballot { round: self.seen.get().round + 1, by: self.by };
+            let ballot = Ballot { round: self.seen.get().round + 1, proposer: self.by };
             self.seen.set(ballot);
             let members = self.members.borrow().clone();
             let have = {
@@ -277,13 +277,13 @@
                 (known.0, known.1.as_ref().clone())
             };
             let mut round = ProposerRound::new(ballot, members, have);
-            let mut asking = self.ask(round.asked(), &round.ask());
-            let until = by.min(Instant::now() + self.chain.voter * 2);
+            let mut asking = self.ask(round.recipients(), &round.prepare_request());
+            let until = by.min(Instant::now() + self.chain.voter_timeout * 2);
             let mut made = None;
             while let Some((from, tell)) = asking.next(until).await {
-                match round.told(from, tell) {
+                match round.handle_reply(from, tell) {
                     ProposerStep::Wait => {}
-                    ProposerStep::Extend(more) => self.ask_more(&mut asking, more, &round.ask()),
+                    ProposerStep::Extend(more) => self.ask_more(&mut asking, more, &round.prepare_request()),
                     ProposerStep::Base(base, known) => {
                         let (next, came) = make(&base);
                         // What is known to be agreed on needs no second word.
@@ -293,18 +293,18 @@
                         let next = next.unwrap_or_else(|| base.clone());
                         if let Some(ask) = round.propose(next.clone()) {
                             made = Some((next, Some(came)));
-                            asking = self.ask(round.asked(), &ask);
+                            asking = self.ask(round.recipients(), &ask);
                         } else if let Some(ask) = round.propose(base.clone()) {
                             // The change of members before has to be settled first.
                             made = Some((base, None));
-                            asking = self.ask(round.asked(), &ask);
+                            asking = self.ask(round.recipients(), &ask);
                         }
                     }
                     ProposerStep::Chosen => {
                         let (next, came) = made.take()?;
                         let newer = (next.members.epoch > round.epoch()).then(|| next.members.clone());
                         self.learn(ballot, Rc::new(next));
-                        let told = self.ask(round.asked(), &AcceptorRequest::Chosen(ballot));
+                        let told = self.ask(round.recipients(), &AcceptorRequest::Chosen(ballot));
                         // Nothing is said of newer members before a majority of them has on disk that they count: the set
                         // before may lose its own in the next moment.
                         if let Some(members) = newer {
@@ -317,11 +317,11 @@
                             None => break,
                         }
                     }
-                    ProposerStep::Lost(higher) => {
+                    ProposerStep::Preempted(higher) => {
                         self.seen.set(self.seen.get().max(higher));
                         break;
                     }
-                    ProposerStep::Newer(members, ballot) => {
+                    ProposerStep::NewerMembers(members, ballot) => {
                         self.follow_members(members, ballot);
                         break;
                     }
@@ -335,7 +335,7 @@
 
     /// Takes an operator's change, or says why not.
     pub async fn change(self: &Rc<Self>, body: &[u8]) -> ChangeOutcome {
-        let change = match ConfigChange::read(body) {
+        let change = match ConfigChange::parse(body) {
             Ok(change) => change,
             Err(refusal) => return apply_change::refused(refusal),
         };
@@ -359,11 +359,11 @@
             let asked = Instant::now();
             let have = self.chosen.borrow().0;
             let members = self.members.borrow().clone();
-            let mut asking = self.ask(members.voters.iter().copied(), &AcceptorRequest::Look(have));
+            let mut asking = self.ask(members.voters.iter().copied(), &AcceptorRequest::Read(have));
             let (mut heard, mut newest) = (BTreeSet::new(), Ballot::default());
             let mut accepted_by: BTreeMap<Ballot, (BTreeSet<Member>, bool, Option<State>)> = BTreeMap::new();
-            while let Some((from, tell)) = asking.next(asked + self.chain.voter).await {
-                let AcceptorReply::Has { promised, accepted, chosen, state, .. } = tell else { continue };
+            while let Some((from, tell)) = asking.next(asked + self.chain.voter_timeout).await {
+                let AcceptorReply::Status { promised, accepted, chosen, state, .. } = tell else { continue };
                 heard.insert(from);
                 self.seen.set(self.seen.get().max(promised));
                 newest = newest.max(chosen).max(accepted);
@@ -374,16 +374,16 @@
                 *told |= accepted == chosen;
                 *held = state.or(held.take());
                 // Before it is fresh a majority will do; others are heard the next time.
-                if members.majority(&heard) && !*self.fresh.borrow() {
+                if members.has_majority(&heard) && !*self.fresh.borrow() {
                     break;
                 }
             }
-            let majority = members.majority(&heard);
+            let majority = members.has_majority(&heard);
             // What one calls agreed on is; so is what a majority holds, though all have forgotten that it was told. Where it
             // brings newer members, their word is needed too: that is a round of its own.
             let agreed = accepted_by.iter_mut().rev().find(|(_, (by, told, state))| {
                 let same_members = state.as_ref().is_none_or(|state| state.members.epoch <= members.epoch);
-                *told || same_members && members.majority(by)
+                *told || same_members && members.has_majority(by)
             });
             if let Some((ballot, (_, _, Some(state)))) = agreed {
                 self.learn(*ballot, Rc::new(std::mem::take(state)));
@@ -400,7 +400,7 @@
                 half_done = false;
             }
             self.lend().await;
-            sleep(if fresh { self.chain.look } else { self.chain.look_again }).await;
+            sleep(if fresh { self.chain.poll_interval } else { self.chain.retry_interval }).await;
         }
     }
 
@@ -442,10 +442,10 @@
 async fn is_known(members: &Members, ballot: Ballot, mut told: Asking, by: Instant) -> bool {
     let mut know = BTreeSet::new();
     while let Some((from, tell)) = told.next(by).await {
-        if matches!(tell, AcceptorReply::Has { chosen, .. } if chosen >= ballot) {
+        if matches!(tell, AcceptorReply::Status { chosen, .. } if chosen >= ballot) {
             know.insert(from);
         }
-        if members.majority(&know) {
+        if members.has_majority(&know) {
             return true;
         }
     }
--- a/crates/starlinghill-config-store/tests/acceptor.rs
+++ b/crates/starlinghill-config-store/tests/acceptor.rs
@@ -24,21 +24,24 @@
     });
     let task = LocalSet::new();
     task.run_until(async {
-        let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
+        let members = Members::founding((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
         let keeper = Keeper::start(
             Acceptor::new(members.voters[0], members.clone()),
             disk,
             &EssentialTasks::default(),
         );
-        let ballot = Ballot { round: 1, by: 1 };
+        let ballot = Ballot { round: 1, proposer: 1 };
         let state = State { members, value: Vec::new() };
         let accept = AcceptorRequest::Accept { ballot, epoch: 0, state };
         assert!(keeper.ask(accept).await.is_none());
         // Whoever counted on what it holds would count on what a loss of power takes.
-        assert!(keeper.ask(AcceptorRequest::Look(Ballot::default())).await.is_none());
+        assert!(keeper.ask(AcceptorRequest::Read(Ballot::default())).await.is_none());
         refuses.store(false, Ordering::SeqCst);
-        let told = keeper.ask(AcceptorRequest::Look(Ballot::default())).await;
-        assert!(matches!(told, Some(AcceptorReply::Has { accepted, .. }) if accepted == ballot), "{told:?}");
+        let told = keeper.ask(AcceptorRequest::Read(Ballot::default())).await;
+        assert!(
+            matches!(told, Some(AcceptorReply::Status { accepted, .. }) if accepted == ballot),
+            "{told:?}"
+        );
     })
     .await;
 }
@@ -48,20 +51,20 @@
     let (disk, mut orders) = mpsc::unbounded_channel::<Order>();
     let task = LocalSet::new();
     task.run_until(async {
-        let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
+        let members = Members::founding((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
         let keeper = Keeper::start(
             Acceptor::new(members.voters[0], members.clone()),
             disk,
             &EssentialTasks::default(),
         );
-        let ballot = Ballot { round: 1, by: 1 };
+        let ballot = Ballot { round: 1, proposer: 1 };
         let state = State { members, value: Vec::new() };
         let accept = AcceptorRequest::Accept { ballot, epoch: 0, state };
         let (first, second) = (keeper.clone(), keeper.clone());
         let accepted = tokio::task::spawn_local(async move { first.ask(accept).await });
         let looked =
             tokio::task::spawn_local(
-                async move { second.ask(AcceptorRequest::Look(Ballot::default())).await },
+                async move { second.ask(AcceptorRequest::Read(Ballot::default())).await },
             );
         // All that can happen does, but for the sync.
         for _ in 0..100 {
@@ -75,7 +78,7 @@
         let (accepted, looked) = (accepted.await.expect("whole"), looked.await.expect("whole"));
         assert!(accepted.is_some(), "{accepted:?}");
         assert!(
-            matches!(looked, Some(AcceptorReply::Has { accepted, .. }) if accepted == ballot),
+            matches!(looked, Some(AcceptorReply::Status { accepted, .. }) if accepted == ballot),
             "{looked:?}"
         );
     })
@@ -87,14 +90,14 @@
     let (disk, mut orders) = mpsc::unbounded_channel::<Order>();
     let task = LocalSet::new();
     task.run_until(async {
-        let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
+        let members = Members::founding((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
         let keeper = Keeper::start(
             Acceptor::new(members.voters[0], members.clone()),
             disk,
             &EssentialTasks::default(),
         );
         let accept = |round| {
-            let (keeper, ballot) = (keeper.clone(), Ballot { round, by: 1 });
+            let (keeper, ballot) = (keeper.clone(), Ballot { round, proposer: 1 });
             let state = State { members: members.clone(), value: Vec::new() };
             let accept = AcceptorRequest::Accept { ballot, epoch: 0, state };
             tokio::task::spawn_local(async move { keeper.ask(accept).await })
@@ -109,9 +112,12 @@
         let order = orders.try_recv().expect("it is to be written");
         order.done.send(Ok(())).expect("somebody waits");
         assert!(under_way.await.expect("whole").is_some());
-        let told = keeper.ask(AcceptorRequest::Look(Ballot::default())).await;
-        let first = Ballot { round: 1, by: 1 };
-        assert!(matches!(told, Some(AcceptorReply::Has { accepted, .. }) if accepted == first), "{told:?}");
+        let told = keeper.ask(AcceptorRequest::Read(Ballot::default())).await;
+        let first = Ballot { round: 1, proposer: 1 };
+        assert!(
+            matches!(told, Some(AcceptorReply::Status { accepted, .. }) if accepted == first),
+            "{told:?}"
+        );
         assert!(orders.try_recv().is_err(), "nobody waits for more");
     })
     .await;
@@ -123,11 +129,11 @@
     drop(orders);
     let task = LocalSet::new();
     task.run_until(async {
-        let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
+        let members = Members::founding((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
         let (essentials, mut first_end) = EssentialTasks::new();
         let keeper = Keeper::start(Acceptor::new(members.voters[0], members.clone()), disk, &essentials);
         let state = State { members, value: Vec::new() };
-        let accept = AcceptorRequest::Accept { ballot: Ballot { round: 1, by: 1 }, epoch: 0, state };
+        let accept = AcceptorRequest::Accept { ballot: Ballot { round: 1, proposer: 1 }, epoch: 0, state };
         assert!(keeper.ask(accept).await.is_none());
         assert_eq!(first_end.name().await, "vote");
     })
--- a/crates/starlinghill-config-store/tests/numbers.rs
+++ b/crates/starlinghill-config-store/tests/numbers.rs
@@ -83,11 +83,11 @@
     }
     let (sets, removals) = (sets.join(","), removals.join(","));
     let body = format!(r#"{{"upsert":{{"customers":[{sets}]}},"remove":{{"customers":[{removals}]}}}}"#);
-    ConfigChange::read(body.as_bytes()).unwrap_or_else(|refusal| panic!("{refusal}"))
+    ConfigChange::parse(body.as_bytes()).unwrap_or_else(|refusal| panic!("{refusal}"))
 }
 
 fn founders() -> Members {
-    Members::first((0..VOTERS).map(|i| IpAddr::from([10, 0, 0, i as u8])))
+    Members::founding((0..VOTERS).map(|i| IpAddr::from([10, 0, 0, i as u8])))
 }
 
 /// The machine of a member.
@@ -100,7 +100,7 @@
     fn new(seed: u64) -> World {
         let machine = |i| {
             let voter: Acceptor<Value> = Acceptor::new(founders().voters[i], founders());
-            let disk = (voter.kept().clone(), voter.state().clone());
+            let disk = (voter.metadata().clone(), voter.state().clone());
             Machine { voter, disk, known: Default::default() }
         };
         World {
@@ -145,12 +145,12 @@
 
     fn begin(&mut self, s: usize) {
         self.seen += 1 + self.rng.u64(0..2);
-        let ballot = Ballot { round: self.seen, by: s as u32 };
+        let ballot = Ballot { round: self.seen, proposer: s as u32 };
         let sending = &mut self.sendings[s];
         let have = self.machines[sending.at].known.clone();
         let round = ProposerRound::new(ballot, self.members.clone(), have);
-        let ask = round.ask();
-        round.asked().for_each(|to| self.mail.push_back((to, s, ballot, ask.clone())));
+        let ask = round.prepare_request();
+        round.recipients().for_each(|to| self.mail.push_back((to, s, ballot, ask.clone())));
         (sending.round, sending.made) = (Some(round), None);
     }
 
@@ -159,9 +159,9 @@
         let (tell, save) = machine.voter.handle(to, ask);
         match save {
             RequiredWrite::Nothing => {}
-            RequiredWrite::Kept => machine.disk.0 = machine.voter.kept().clone(),
-            RequiredWrite::State => {
-                machine.disk = (machine.voter.kept().clone(), machine.voter.state().clone())
+            RequiredWrite::Metadata => machine.disk.0 = machine.voter.metadata().clone(),
+            RequiredWrite::MetadataAndState => {
+                machine.disk = (machine.voter.metadata().clone(), machine.voter.state().clone())
             }
         }
         tell
@@ -188,10 +188,10 @@
         let Some((from, s, ballot, tell)) = at.and_then(|at| self.back.remove(at)) else { return };
         let sending = &mut self.sendings[s];
         let Some(round) = sending.round.as_mut().filter(|round| round.ballot() == ballot) else { return };
-        match round.told(from, tell) {
+        match round.handle_reply(from, tell) {
             ProposerStep::Wait => {}
             ProposerStep::Extend(more) => {
-                let ask = round.ask();
+                let ask = round.prepare_request();
                 more.into_iter().for_each(|to| self.mail.push_back((to, s, ballot, ask.clone())));
             }
             ProposerStep::Base(base, known) => {
@@ -201,7 +201,7 @@
                 }
                 let next = next.map(|value| State { value, ..base.clone() }).unwrap_or(base);
                 let Some(ask) = round.propose(next.clone()) else { panic!("its members stand") };
-                round.asked().for_each(|to| self.mail.push_back((to, s, ballot, ask.clone())));
+                round.recipients().for_each(|to| self.mail.push_back((to, s, ballot, ask.clone())));
                 sending.made = Some((next, outcome));
             }
             ProposerStep::Chosen => {
@@ -215,11 +215,11 @@
                 }
                 self.end(s, outcome);
             }
-            ProposerStep::Lost(higher) => {
+            ProposerStep::Preempted(higher) => {
                 self.seen = self.seen.max(higher.round);
                 sending.round = None;
             }
-            ProposerStep::Newer(members, higher) => {
+            ProposerStep::NewerMembers(members, higher) => {
                 self.seen = self.seen.max(higher.round);
                 sending.round = None;
                 if members.epoch > self.members.epoch {
@@ -257,7 +257,7 @@
     fn power_loss(&mut self, i: usize) {
         let machine = &mut self.machines[i];
         let (kept, state) = machine.disk.clone();
-        (machine.voter, machine.known) = (Acceptor::again(kept, state), Default::default());
+        (machine.voter, machine.known) = (Acceptor::restore(kept, state), Default::default());
         for sending in self.sendings.iter_mut().filter(|sending| sending.at == i) {
             (sending.round, sending.ended) = (None, true);
         }
@@ -268,7 +268,7 @@
         let was = self.machines[i].voter.me();
         let voter: Acceptor<Value> =
             Acceptor::new(Member { incarnation: was.incarnation + 1, ..was }, Members::default());
-        self.machines[i].disk = (voter.kept().clone(), voter.state().clone());
+        self.machines[i].disk = (voter.metadata().clone(), voter.state().clone());
         self.power_loss(i);
         self.mourning = Some(was);
     }
@@ -279,10 +279,10 @@
         round: &mut ProposerRound<Value>,
         ask: &AcceptorRequest<Value>,
     ) -> ProposerStep<Value> {
-        for to in round.asked().collect::<Vec<_>>() {
+        for to in round.recipients().collect::<Vec<_>>() {
             if self.rng.u8(0..10) > 0 {
                 let tell = self.ask(to, ask.clone());
-                match round.told(to, tell) {
+                match round.handle_reply(to, tell) {
                     ProposerStep::Wait | ProposerStep::Extend(_) => {}
                     step => return step,
                 }
@@ -296,28 +296,28 @@
         let Some(leaves) = self.mourning.filter(|_| self.cut.is_none()) else { return };
         let joins = self.machines[place(leaves)].voter.me();
         self.seen += 1;
-        let ballot = Ballot { round: self.seen, by: u32::MAX - 1 };
+        let ballot = Ballot { round: self.seen, proposer: u32::MAX - 1 };
         let mut round = ProposerRound::new(ballot, self.members.clone(), Default::default());
-        let (mut ask, mut proposed) = (round.ask(), None);
+        let (mut ask, mut proposed) = (round.prepare_request(), None);
         for _ in 0..2 {
             match self.ask_all(&mut round, &ask) {
                 ProposerStep::Base(base, _) => {
-                    let next = base.members.with(MemberChange::Replace { leaves, joins });
+                    let next = base.members.with_change(MemberChange::Replace { leaves, joins });
                     let next = next.map(|members| State { members, ..base.clone() }).unwrap_or(base);
                     proposed = Some(next.members.clone());
                     let Some(next) = round.propose(next) else { return };
                     ask = next;
                 }
                 ProposerStep::Chosen => self.members = proposed.take().unwrap_or_default(),
-                ProposerStep::Lost(higher) => self.seen = self.seen.max(higher.round),
-                ProposerStep::Newer(members, higher) => {
+                ProposerStep::Preempted(higher) => self.seen = self.seen.max(higher.round),
+                ProposerStep::NewerMembers(members, higher) => {
                     self.seen = self.seen.max(higher.round);
                     self.members = members;
                 }
                 _ => {}
             }
         }
-        if self.members.has(joins) {
+        if self.members.contains(joins) {
             self.mourning = None;
         }
     }
@@ -409,20 +409,20 @@
     fn base_without(&mut self, left_out: usize) -> Value {
         for _ in 0..8 {
             self.seen += 1;
-            let ballot = Ballot { round: self.seen, by: u32::MAX };
+            let ballot = Ballot { round: self.seen, proposer: u32::MAX };
             let mut round = ProposerRound::new(ballot, self.members.clone(), Default::default());
             for member in self.members.voters.clone() {
                 if place(member) == left_out {
                     continue;
                 }
-                let tell = self.ask(member, round.ask());
-                match round.told(member, tell) {
+                let tell = self.ask(member, round.prepare_request());
+                match round.handle_reply(member, tell) {
                     ProposerStep::Base(state, _) => return state.value,
-                    ProposerStep::Lost(higher) => {
+                    ProposerStep::Preempted(higher) => {
                         self.seen = self.seen.max(higher.round);
                         break;
                     }
-                    ProposerStep::Newer(members, higher) => {
+                    ProposerStep::NewerMembers(members, higher) => {
                         (self.seen, self.members) = (self.seen.max(higher.round), members);
                         break;
                     }
--- a/crates/starlinghill-config-store/tests/recent_changes.rs
+++ b/crates/starlinghill-config-store/tests/recent_changes.rs
@@ -32,7 +32,7 @@
                 let name = random.u64(0..30);
                 items.insert(name, item(name, round));
             }
-            let ballot = Ballot { round: now.0.round + random.u64(1..4), by: random.u32(..) };
+            let ballot = Ballot { round: now.0.round + random.u64(1..4), proposer: random.u32(..) };
             let next = (ballot, items.values().cloned().collect::<Value>());
             recent.learn((now.0, &now.1), (next.0, &next.1));
             now = next;
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_ballot_that_is_not_remembered_gets_no_difference() {
-    let ballot = |round| Ballot { round, by: 1 };
+    let ballot = |round| Ballot { round, proposer: 1 };
     let mut recent = Recent::default();
     let values: Vec<Value> = (1..5).map(|version| vec![item(1, version), item(2, 1)]).collect();
     for (i, pair) in values.windows(2).enumerate() {
@@ -69,6 +69,6 @@
     assert_eq!(recent.between(ballot(3), ballot(4)), Some(vec![item(1, 4)]));
     // Forgotten; never known; newer than what is asked for.
     assert_eq!(recent.between(ballot(1), ballot(4)), None);
-    assert_eq!(recent.between(Ballot { round: 3, by: 2 }, ballot(4)), None);
+    assert_eq!(recent.between(Ballot { round: 3, proposer: 2 }, ballot(4)), None);
     assert_eq!(recent.between(ballot(4), ballot(3)), None);
 }
--- a/crates/starlinghill-config-store/tests/records.rs
+++ b/crates/starlinghill-config-store/tests/records.rs
@@ -20,11 +20,11 @@
 }
 
 fn members() -> Members {
-    Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])))
+    Members::founding((1..4).map(|i| IpAddr::from([10, 0, 0, i])))
 }
 
 fn kept(round: u64) -> AcceptorState {
-    let ballot = Ballot { round, by: 1 };
+    let ballot = Ballot { round, proposer: 1 };
     let me = members().voters[0];
     AcceptorState { me, promised: ballot, accepted: ballot, chosen: Ballot::default(), members: members() }
 }
--- a/crates/starlinghill-consensus/src/acceptor.rs
+++ b/crates/starlinghill-consensus/src/acceptor.rs
@@ -31,9 +31,9 @@
     /// Nothing has to wait.
     Nothing,
     /// All but the state.
-    Kept,
+    Metadata,
     /// The state too.
-    State,
+    MetadataAndState,
 }
 
 impl<V: Clone + Default> Acceptor<V> {
@@ -45,7 +45,7 @@
     }
 
     /// As it stood on disk.
-    pub fn again(kept: AcceptorState, state: State<V>) -> Acceptor<V> {
+    pub fn restore(kept: AcceptorState, state: State<V>) -> Acceptor<V> {
         Acceptor { kept, state }
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// What it has to keep.
-    pub fn kept(&self) -> &AcceptorState {
+    pub fn metadata(&self) -> &AcceptorState {
         &self.kept
     }
 
@@ -65,30 +65,35 @@
     }
 
     /// Its state was agreed on, as far as it knows.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_chosen(&self) -> bool {
         self.kept.accepted == self.kept.chosen
     }
 
     /// Answers a question that is meant for `to`, and says what must be on disk before the answer goes out.
     pub fn handle(&mut self, to: Member, ask: AcceptorRequest<V>) -> (AcceptorReply<V>, RequiredWrite) {
         if to != self.kept.me {
-            return (AcceptorReply::Another(self.kept.me), RequiredWrite::Nothing);
+            return (AcceptorReply::WrongIncarnation(self.kept.me), RequiredWrite::Nothing);
         }
         match ask {
-            AcceptorRequest::Prepare { ballot, epoch, have } => match self.stands_back(ballot, epoch) {
-                Some(refusal) => (refusal, RequiredWrite::Nothing),
-                None => {
-                    let new = std::mem::replace(&mut self.kept.promised, ballot) != ballot;
-                    let newer = self.counts_by(epoch);
-                    (self.has(have), if new || newer { RequiredWrite::Kept } else { RequiredWrite::Nothing })
+            AcceptorRequest::Prepare { ballot, epoch, newer_than: have } => {
+                match self.stands_back(ballot, epoch) {
+                    Some(refusal) => (refusal, RequiredWrite::Nothing),
+                    None => {
+                        let new = std::mem::replace(&mut self.kept.promised, ballot) != ballot;
+                        let newer = self.counts_by(epoch);
+                        (
+                            self.has(have),
+                            if new || newer { RequiredWrite::Metadata } else { RequiredWrite::Nothing },
+                        )
+                    }
                 }
-            },
+            }
             AcceptorRequest::Accept { ballot, epoch, state } => match self.stands_back(ballot, epoch) {
                 Some(refusal) => (refusal, RequiredWrite::Nothing),
                 None => {
                     self.hold(ballot, state);
                     self.counts_by(epoch);
-                    (AcceptorReply::Accepted, RequiredWrite::State)
+                    (AcceptorReply::Accepted, RequiredWrite::MetadataAndState)
                 }
             },
             AcceptorRequest::Chosen(ballot) => {
@@ -96,8 +101,8 @@
                 let mut save = RequiredWrite::Nothing;
                 if ballot == self.kept.accepted {
                     self.kept.chosen = self.kept.chosen.max(ballot);
-                    if self.follow(self.state.members.clone()) {
-                        save = RequiredWrite::Kept;
+                    if self.learn_members(self.state.members.clone()) {
+                        save = RequiredWrite::Metadata;
                     }
                 }
                 (self.has(self.kept.accepted), save)
@@ -110,21 +115,21 @@
                 }
                 if ballot == self.kept.accepted {
                     self.kept.chosen = self.kept.chosen.max(ballot);
-                    self.follow(self.state.members.clone());
+                    self.learn_members(self.state.members.clone());
                 }
                 (
                     self.has(self.kept.accepted),
-                    if newer { RequiredWrite::State } else { RequiredWrite::Nothing },
+                    if newer { RequiredWrite::MetadataAndState } else { RequiredWrite::Nothing },
                 )
             }
-            AcceptorRequest::Look(have) => (self.has(have), RequiredWrite::Nothing),
+            AcceptorRequest::Read(have) => (self.has(have), RequiredWrite::Nothing),
         }
     }
 
     /// A proposer counts the votes of that epoch only if it was agreed on: where this voter has that set, it knows now. Guards
     /// against a second loss right behind a change, of all who were told of it.
     fn counts_by(&mut self, epoch: u64) -> bool {
-        self.state.members.epoch == epoch && self.follow(self.state.members.clone())
+        self.state.members.epoch == epoch && self.learn_members(self.state.members.clone())
     }
 
     fn hold(&mut self, ballot: Ballot, state: State<V>) {
@@ -132,16 +137,18 @@
         self.kept.promised = self.kept.promised.max(ballot);
         // A set that is proposed proves the one before it.
         if let Some(previous) = state.members.previous() {
-            self.follow(previous);
+            self.learn_members(previous);
         }
         self.state = state;
     }
 
     /// Those members were agreed on. Returns whether that is news.
-    pub fn follow(&mut self, members: Members) -> bool {
+    pub fn learn_members(&mut self, members: Members) -> bool {
         let known = &self.kept.members;
         // The same set may have been known without the one before it.
-        let more = members.epoch == known.epoch && known.before.is_empty() && !members.before.is_empty();
+        let more = members.epoch == known.epoch
+            && known.previous_voters.is_empty()
+            && !members.previous_voters.is_empty();
         let newer = members.epoch > known.epoch || known.voters.is_empty() || more;
         if newer {
             self.kept.members = members;
@@ -152,14 +159,14 @@
     /// Refuses what is below its promise, or counts the votes of members that are no more.
     fn stands_back(&self, ballot: Ballot, epoch: u64) -> Option<AcceptorReply<V>> {
         if epoch < self.kept.members.epoch {
-            return Some(AcceptorReply::Newer(self.kept.members.clone(), self.kept.promised));
+            return Some(AcceptorReply::NewerMembers(self.kept.members.clone(), self.kept.promised));
         }
-        (ballot < self.kept.promised).then_some(AcceptorReply::Later(self.kept.promised))
+        (ballot < self.kept.promised).then_some(AcceptorReply::Preempted(self.kept.promised))
     }
 
     fn has(&self, have: Ballot) -> AcceptorReply<V> {
         let AcceptorState { promised, accepted, chosen, .. } = self.kept;
         let state = (accepted > have).then(|| self.state.clone());
-        AcceptorReply::Has { promised, accepted, chosen, state }
+        AcceptorReply::Status { promised, accepted, chosen, state }
     }
 }
--- a/crates/starlinghill-consensus/src/lib.rs
+++ b/crates/starlinghill-consensus/src/lib.rs
@@ -29,7 +29,7 @@
     /// Higher than all that its owner had seen.
     pub round: u64,
     /// Whose it is. Owners have numbers of their own.
-    pub by: u32,
+    pub proposer: u32,
 }
 
 /// What is agreed on: a value, and who votes on the next one.
@@ -51,7 +51,7 @@
         /// The epoch.
         epoch: u64,
         /// It has the state of that ballot.
-        have: Ballot,
+        newer_than: Ballot,
     },
     /// To accept a state.
     Accept {
@@ -72,14 +72,14 @@
         state: State<V>,
     },
     /// For what it has; the state only if that is newer than this.
-    Look(Ballot),
+    Read(Ballot),
 }
 
 /// What a voter answers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum AcceptorReply<V> {
     /// It has promised, or notes, or merely looks; this is what it has.
-    Has {
+    Status {
         /// Its promise.
         promised: Ballot,
         /// The ballot of its state.
@@ -92,9 +92,9 @@
     /// It has accepted.
     Accepted,
     /// It has promised something higher.
-    Later(Ballot),
+    Preempted(Ballot),
     /// The members of that epoch are no longer those who vote: a newer set was agreed on, under no higher ballot than this.
-    Newer(Members, Ballot),
+    NewerMembers(Members, Ballot),
     /// At that address is another incarnation now.
-    Another(Member),
+    WrongIncarnation(Member),
 }
--- a/crates/starlinghill-consensus/src/members.rs
+++ b/crates/starlinghill-consensus/src/members.rs
@@ -24,7 +24,7 @@
     /// Who votes, in order.
     pub voters: Vec<Member>,
     /// Who voted in the epoch before. That these were agreed on is known wherever this set is proposed.
-    pub before: Vec<Member>,
+    pub previous_voters: Vec<Member>,
 }
 
 /// One change: of one member.
@@ -61,21 +61,21 @@
 
 impl Members {
     /// The founders at these addresses.
-    pub fn first(ips: impl IntoIterator<Item = IpAddr>) -> Members {
+    pub fn founding(ips: impl IntoIterator<Item = IpAddr>) -> Members {
         let mut voters: Vec<Member> = ips.into_iter().map(|ip| Member { ip, incarnation: 0 }).collect();
         voters.sort_unstable();
         voters.dedup();
-        Members { epoch: 0, voters, before: Vec::new() }
+        Members { epoch: 0, voters, previous_voters: Vec::new() }
     }
 
     /// The set of the epoch before, which was agreed on if this one was so much as proposed.
     pub fn previous(&self) -> Option<Members> {
         let epoch = self.epoch.checked_sub(1)?;
-        Some(Members { epoch, voters: self.before.clone(), before: Vec::new() })
+        Some(Members { epoch, voters: self.previous_voters.clone(), previous_voters: Vec::new() })
     }
 
     /// The next set.
-    pub fn with(&self, change: MemberChange) -> Result<Members, MembersRefusal> {
+    pub fn with_change(&self, change: MemberChange) -> Result<Members, MembersRefusal> {
         let mut voters = self.voters.clone();
         let (leaves, joins) = match change {
             MemberChange::Add(joins) => (None, Some(joins)),
@@ -96,21 +96,21 @@
             return Err(MembersRefusal::Count);
         }
         voters.sort_unstable();
-        Ok(Members { epoch: self.epoch + 1, voters, before: self.voters.clone() })
+        Ok(Members { epoch: self.epoch + 1, voters, previous_voters: self.voters.clone() })
     }
 
     /// The member at an address.
-    pub fn at(&self, ip: IpAddr) -> Option<Member> {
+    pub fn member_at(&self, ip: IpAddr) -> Option<Member> {
         self.voters.iter().copied().find(|member| member.ip == ip)
     }
 
     /// It votes.
-    pub fn has(&self, member: Member) -> bool {
+    pub fn contains(&self, member: Member) -> bool {
         self.voters.contains(&member)
     }
 
     /// More than half of them are among these.
-    pub fn majority(&self, votes: &BTreeSet<Member>) -> bool {
+    pub fn has_majority(&self, votes: &BTreeSet<Member>) -> bool {
         has_majority(&self.voters, votes)
     }
 }
--- a/crates/starlinghill-consensus/src/proposer.rs
+++ b/crates/starlinghill-consensus/src/proposer.rs
@@ -15,9 +15,9 @@
     /// A quorum has accepted.
     Chosen,
     /// Another round is in the way: try again above that ballot.
-    Lost(Ballot),
+    Preempted(Ballot),
     /// Newer members were agreed on: try again among them, above that ballot.
-    Newer(Members, Ballot),
+    NewerMembers(Members, Ballot),
 }
 
 /// One attempt, among the members of an epoch that is known to have been agreed on, under a ballot that is higher than the one
@@ -72,13 +72,13 @@
     }
 
     /// Who is asked.
-    pub fn asked(&self) -> impl Iterator<Item = Member> + '_ {
+    pub fn recipients(&self) -> impl Iterator<Item = Member> + '_ {
         self.asked.iter().copied()
     }
 
     /// What every voter is asked first.
-    pub fn ask(&self) -> AcceptorRequest<V> {
-        AcceptorRequest::Prepare { ballot: self.ballot, epoch: self.members.epoch, have: self.base.0 }
+    pub fn prepare_request(&self) -> AcceptorRequest<V> {
+        AcceptorRequest::Prepare { ballot: self.ballot, epoch: self.members.epoch, newer_than: self.base.0 }
     }
 
     /// What all are asked once the next state is made. `None` where its members can't follow here: the change that is
@@ -96,12 +96,12 @@
     }
 
     /// A voter has answered.
-    pub fn told(&mut self, by: Member, tell: AcceptorReply<V>) -> ProposerStep<V> {
+    pub fn handle_reply(&mut self, by: Member, tell: AcceptorReply<V>) -> ProposerStep<V> {
         if self.over {
             return ProposerStep::Wait;
         }
         match tell {
-            AcceptorReply::Has { promised, accepted, chosen, state } => {
+            AcceptorReply::Status { promised, accepted, chosen, state } => {
                 if self.based || promised != self.ballot {
                     return ProposerStep::Wait;
                 }
@@ -114,29 +114,30 @@
             }
             AcceptorReply::Accepted => {
                 self.accepted.insert(by);
-                let joint = |set: &Members| set.epoch == self.members.epoch || set.majority(&self.accepted);
+                let joint =
+                    |set: &Members| set.epoch == self.members.epoch || set.has_majority(&self.accepted);
                 self.over =
-                    self.members.majority(&self.accepted) && self.proposed.as_ref().is_some_and(joint);
+                    self.members.has_majority(&self.accepted) && self.proposed.as_ref().is_some_and(joint);
                 if self.over {
                     ProposerStep::Chosen
                 } else {
                     ProposerStep::Wait
                 }
             }
-            AcceptorReply::Later(promised) => {
+            AcceptorReply::Preempted(promised) => {
                 self.over = true;
-                ProposerStep::Lost(promised)
+                ProposerStep::Preempted(promised)
             }
-            AcceptorReply::Newer(members, ballot) if members.epoch > self.members.epoch => {
+            AcceptorReply::NewerMembers(members, ballot) if members.epoch > self.members.epoch => {
                 self.over = true;
-                ProposerStep::Newer(members, ballot)
+                ProposerStep::NewerMembers(members, ballot)
             }
-            AcceptorReply::Newer(..) | AcceptorReply::Another(_) => ProposerStep::Wait,
+            AcceptorReply::NewerMembers(..) | AcceptorReply::WrongIncarnation(_) => ProposerStep::Wait,
         }
     }
 
     fn has_promises(&mut self) -> ProposerStep<V> {
-        if !self.members.majority(&self.promised) {
+        if !self.members.has_majority(&self.promised) {
             return ProposerStep::Wait;
         }
         let (ballot, set) = (self.base.0, &self.base.1.members);
@@ -144,15 +145,15 @@
         if set.epoch > self.members.epoch {
             if known {
                 self.over = true;
-                return ProposerStep::Newer(set.clone(), ballot);
+                return ProposerStep::NewerMembers(set.clone(), ballot);
             }
             // Whoever proposed a set knew that the one before it was agreed on.
             if let Some(previous) = set.previous().filter(|previous| previous.epoch > self.members.epoch) {
                 self.over = true;
-                return ProposerStep::Newer(previous, ballot);
+                return ProposerStep::NewerMembers(previous, ballot);
             }
             // What those members agreed on since is to be heard too.
-            if !set.majority(&self.promised) {
+            if !set.has_majority(&self.promised) {
                 let new = |member: &Member| !self.asked.contains(member);
                 let more: Vec<Member> = set.voters.iter().copied().filter(new).collect();
                 self.asked.extend(&more);
--- a/crates/starlinghill-consensus/tests/agreement.rs
+++ b/crates/starlinghill-consensus/tests/agreement.rs
@@ -95,10 +95,10 @@
 
 impl World {
     fn new(seed: u64, founders: u8, fault: Fault) -> World {
-        let members = Members::first((1..=founders).map(address));
+        let members = Members::founding((1..=founders).map(address));
         let machine = |member: &Member| {
             let voter: Acceptor<Value> = Acceptor::new(*member, members.clone());
-            (*member, Machine { disk: (voter.kept().clone(), voter.state().clone()), voter })
+            (*member, Machine { disk: (voter.metadata().clone(), voter.state().clone()), voter })
         };
         let machines = members.voters.iter().map(machine).collect();
         World {
@@ -147,10 +147,10 @@
         let more = 1 + self.rng.u64(0..2);
         let writer = &mut self.writers[id];
         writer.seen += more;
-        let ballot = Ballot { round: writer.seen, by: id as u32 };
+        let ballot = Ballot { round: writer.seen, proposer: id as u32 };
         let round = ProposerRound::new(ballot, writer.members.clone(), Default::default());
-        let ask = round.ask();
-        round.asked().for_each(|to| self.mail.push_back((to, id, ballot, ask.clone())));
+        let ask = round.prepare_request();
+        round.recipients().for_each(|to| self.mail.push_back((to, id, ballot, ask.clone())));
         (writer.round, writer.proposed) = (Some(round), None);
         writer.votes.clear();
     }
@@ -166,9 +166,9 @@
         let (tell, save) = machine.voter.handle(to, ask);
         match save {
             RequiredWrite::Nothing => {}
-            RequiredWrite::Kept => machine.disk.0 = machine.voter.kept().clone(),
-            RequiredWrite::State => {
-                machine.disk = (machine.voter.kept().clone(), machine.voter.state().clone())
+            RequiredWrite::Metadata => machine.disk.0 = machine.voter.metadata().clone(),
+            RequiredWrite::MetadataAndState => {
+                machine.disk = (machine.voter.metadata().clone(), machine.voter.state().clone())
             }
         }
         Some(tell)
@@ -195,25 +195,25 @@
         if tell == AcceptorReply::Accepted {
             writer.votes.insert(from);
         }
-        let mut step = round.told(from, tell);
+        let mut step = round.handle_reply(from, tell);
         if let (Fault::NewSetOnly, Some((state, _))) = (self.fault, &writer.proposed) {
-            if state.members.majority(&writer.votes) {
+            if state.members.has_majority(&writer.votes) {
                 step = ProposerStep::Chosen;
             }
         }
         match step {
             ProposerStep::Wait => {}
             ProposerStep::Extend(more) => {
-                let ask = round.ask();
+                let ask = round.prepare_request();
                 more.into_iter().for_each(|to| self.mail.push_back((to, id, ballot, ask.clone())));
             }
             ProposerStep::Base(base, known) => self.propose(id, base, known),
             ProposerStep::Chosen => self.agreed(id, ballot),
-            ProposerStep::Lost(higher) => {
+            ProposerStep::Preempted(higher) => {
                 writer.seen = writer.seen.max(higher.round);
                 writer.round = None;
             }
-            ProposerStep::Newer(members, higher) => {
+            ProposerStep::NewerMembers(members, higher) => {
                 writer.seen = writer.seen.max(higher.round);
                 (writer.members, writer.round) = (members, None);
             }
@@ -237,7 +237,7 @@
                 value.map(|value| State { members: base.members.clone(), value })
             }
             Wish::Members(change) => {
-                let members = base.members.with(change).ok();
+                let members = base.members.with_change(change).ok();
                 members.map(|members| State { members, value: base.value.clone() })
             }
         };
@@ -250,7 +250,7 @@
         // What is half done is settled first.
         let settles = |round: &mut ProposerRound<Value>| Some((round.propose(base.clone())?, base, false));
         let Some((ask, state, whole)) = asked.or_else(|| settles(round)) else { return };
-        let (to, ballot): (Vec<Member>, Ballot) = (round.asked().collect(), round.ballot());
+        let (to, ballot): (Vec<Member>, Ballot) = (round.recipients().collect(), round.ballot());
         writer.proposed = Some((state, whole));
         to.into_iter().for_each(|to| self.mail.push_back((to, id, ballot, ask.clone())));
     }
@@ -291,7 +291,7 @@
     /// What was mourned is replaced, and a change of members over, once that is agreed on.
     fn settle(&mut self) {
         let members = self.newest().1.members;
-        if self.mourning.is_some_and(|(old, _)| !members.has(old)) {
+        if self.mourning.is_some_and(|(old, _)| !members.contains(old)) {
             self.mourning = None;
         }
     }
@@ -304,13 +304,13 @@
     fn power_loss(&mut self, member: Member) {
         if let Some(machine) = self.machines.get_mut(&member) {
             let (kept, state) = machine.disk.clone();
-            machine.voter = Acceptor::again(kept, state);
+            machine.voter = Acceptor::restore(kept, state);
         }
     }
 
     fn empty(&mut self, member: Member) {
         let voter: Acceptor<Value> = Acceptor::new(member, Members::default());
-        let disk = (voter.kept().clone(), voter.state().clone());
+        let disk = (voter.metadata().clone(), voter.state().clone());
         self.machines.insert(member, Machine { voter, disk });
     }
 
@@ -477,7 +477,7 @@
 }
 
 fn members() -> Members {
-    Members::first((1..=3).map(address))
+    Members::founding((1..=3).map(address))
 }
 
 #[test]
@@ -485,15 +485,15 @@
     let was = members().voters[0];
     let now = Member { incarnation: 5, ..was };
     let mut voter: Acceptor<Value> = Acceptor::new(now, Members::default());
-    let ballot = Ballot { round: 5, by: 1 };
+    let ballot = Ballot { round: 5, proposer: 1 };
     let state = State { members: members(), value: Value::new() };
     for ask in [
-        AcceptorRequest::Prepare { ballot, epoch: 0, have: Ballot::default() },
+        AcceptorRequest::Prepare { ballot, epoch: 0, newer_than: Ballot::default() },
         AcceptorRequest::Accept { ballot, epoch: 0, state },
-        AcceptorRequest::Look(Ballot::default()),
+        AcceptorRequest::Read(Ballot::default()),
     ] {
         let (tell, save) = voter.handle(was, ask);
-        assert!(tell == AcceptorReply::Another(now) && save == RequiredWrite::Nothing, "{tell:?}");
+        assert!(tell == AcceptorReply::WrongIncarnation(now) && save == RequiredWrite::Nothing, "{tell:?}");
     }
 }
 
@@ -501,20 +501,20 @@
 fn a_round_among_members_that_are_no_more_is_answered_with_the_newer_set() {
     let mut voter: Acceptor<Value> = Acceptor::new(members().voters[1], members());
     let joins = Member { ip: address(4), incarnation: 9 };
-    let next = members().with(MemberChange::Replace { leaves: members().voters[0], joins });
+    let next = members().with_change(MemberChange::Replace { leaves: members().voters[0], joins });
     let Ok(next) = next else { panic!("{next:?}") };
-    let ballot = Ballot { round: 5, by: 1 };
+    let ballot = Ballot { round: 5, proposer: 1 };
     let state = State { members: next.clone(), value: vec![(0, (1, 1))] };
     assert_eq!(
         voter.handle(voter.me(), AcceptorRequest::Accept { ballot, epoch: 0, state }).0,
         AcceptorReply::Accepted
     );
     // Accepted, it may not be agreed on: the old members still count.
-    let later = Ballot { round: 6, by: 2 };
-    let prepare = AcceptorRequest::Prepare { ballot: later, epoch: 0, have: Ballot::default() };
-    assert!(matches!(voter.handle(voter.me(), prepare.clone()).0, AcceptorReply::Has { .. }));
+    let later = Ballot { round: 6, proposer: 2 };
+    let prepare = AcceptorRequest::Prepare { ballot: later, epoch: 0, newer_than: Ballot::default() };
+    assert!(matches!(voter.handle(voter.me(), prepare.clone()).0, AcceptorReply::Status { .. }));
     voter.handle(voter.me(), AcceptorRequest::Chosen(ballot));
-    assert_eq!(voter.handle(voter.me(), prepare).0, AcceptorReply::Newer(next, later));
+    assert_eq!(voter.handle(voter.me(), prepare).0, AcceptorReply::NewerMembers(next, later));
 }
 
 /// What a majority of the old set needs, with one that is lost for good among them.
@@ -523,12 +523,12 @@
 #[test_case(5, 2, false; "of five, two others")]
 #[test_case(5, 3, true; "of five, three others")]
 fn a_wiped_voter_is_a_member_again_with_a_majority_of_the_old_set(of: u8, others: usize, agreed: bool) {
-    let old = Members::first((1..=of).map(address));
+    let old = Members::founding((1..=of).map(address));
     let leaves = old.voters[0];
     let joins = Member { incarnation: 3, ..leaves };
-    let ballot = Ballot { round: 1, by: 1 };
+    let ballot = Ballot { round: 1, proposer: 1 };
     let mut round: ProposerRound<Value> = ProposerRound::new(ballot, old.clone(), Default::default());
-    let has = AcceptorReply::Has {
+    let has = AcceptorReply::Status {
         promised: ballot,
         accepted: Ballot::default(),
         chosen: Ballot::default(),
@@ -536,17 +536,17 @@
     };
     let mut came = ProposerStep::Wait;
     for other in &old.voters[1..=others] {
-        let step = round.told(*other, has.clone());
+        let step = round.handle_reply(*other, has.clone());
         came = if step == ProposerStep::Wait { came } else { step };
     }
     if let ProposerStep::Base(base, _) = came.clone() {
-        let next = base.members.with(MemberChange::Replace { leaves, joins });
+        let next = base.members.with_change(MemberChange::Replace { leaves, joins });
         let Ok(members) = next else { panic!("{next:?}") };
         assert!(round.propose(State { members, ..base }).is_some());
         // The new one alone makes no majority of the set before.
-        came = round.told(joins, AcceptorReply::Accepted);
+        came = round.handle_reply(joins, AcceptorReply::Accepted);
         for other in &old.voters[1..=others] {
-            let step = round.told(*other, AcceptorReply::Accepted);
+            let step = round.handle_reply(*other, AcceptorReply::Accepted);
             came = if step == ProposerStep::Wait { came } else { step };
         }
     }
--- a/crates/starlinghill-consensus/tests/model.rs
+++ b/crates/starlinghill-consensus/tests/model.rs
@@ -55,7 +55,7 @@
 }
 
 fn founders() -> Members {
-    Members::first((1..=3).map(|i| member(i).ip))
+    Members::founding((1..=3).map(|i| member(i).ip))
 }
 
 fn ballot_of(ask: &AcceptorRequest<Value>) -> Option<Ballot> {
@@ -72,19 +72,23 @@
         if tell == AcceptorReply::Accepted {
             proposer.votes.insert(from);
         }
-        let mut step = round.told(from, tell);
+        let mut step = round.handle_reply(from, tell);
         if let Some(state) = proposer.proposed.as_ref().filter(|_| self.new_set_only) {
-            if state.members.majority(&proposer.votes) {
+            if state.members.has_majority(&proposer.votes) {
                 step = ProposerStep::Chosen;
             }
         }
         match step {
             ProposerStep::Wait => {}
-            ProposerStep::Extend(more) => proposer.mail.push((round.ask(), more.into_iter().collect())),
+            ProposerStep::Extend(more) => {
+                proposer.mail.push((round.prepare_request(), more.into_iter().collect()))
+            }
             ProposerStep::Base(base, known) => {
                 let change = MemberChange::Replace { leaves: member(3), joins: member(4) };
                 let next = match p {
-                    0 => base.members.with(change).ok().map(|members| State { members, ..base.clone() }),
+                    0 => {
+                        base.members.with_change(change).ok().map(|members| State { members, ..base.clone() })
+                    }
                     _ => {
                         let value = base.value.iter().copied().chain([p as u8]).collect();
                         Some(State { value, ..base.clone() })
@@ -98,7 +102,7 @@
                 let proposed = round.propose(next.clone()).map(|ask| (ask, next));
                 let proposed = proposed.or_else(|| Some((round.propose(base.clone())?, base)));
                 if let Some((ask, state)) = proposed {
-                    proposer.mail.push((ask, round.asked().collect()));
+                    proposer.mail.push((ask, round.recipients().collect()));
                     proposer.proposed = Some(state);
                 }
             }
@@ -110,11 +114,11 @@
                     world.chosen.sort_by_key(|(ballot, _)| *ballot);
                 }
             }
-            ProposerStep::Lost(higher) => {
+            ProposerStep::Preempted(higher) => {
                 proposer.seen = proposer.seen.max(higher.round);
                 proposer.round = None;
             }
-            ProposerStep::Newer(members, higher) => {
+            ProposerStep::NewerMembers(members, higher) => {
                 proposer.seen = proposer.seen.max(higher.round);
                 (proposer.members, proposer.round) = (members, None);
             }
@@ -165,9 +169,9 @@
                 let proposer = &mut world.proposers[p];
                 proposer.tries += 1;
                 proposer.seen += 1;
-                let ballot = Ballot { round: proposer.seen, by: p as u32 };
+                let ballot = Ballot { round: proposer.seen, proposer: p as u32 };
                 let round = ProposerRound::new(ballot, proposer.members.clone(), Default::default());
-                proposer.mail.push((round.ask(), round.asked().collect()));
+                proposer.mail.push((round.prepare_request(), round.recipients().collect()));
                 (proposer.round, proposer.proposed) = (Some(round), None);
                 proposer.votes.clear();
             }
--- a/crates/starlinghill-console/src/explain.rs
+++ b/crates/starlinghill-console/src/explain.rs
@@ -13,7 +13,7 @@
 pub fn book(items: &OwnedValue) -> Result<ItemSet, ChangeError> {
     let mut call = OwnedValue::object();
     let _ = call.insert("upsert", items.clone());
-    ItemSet::default().with(&ConfigChange::read(call.encode().as_bytes())?)
+    ItemSet::default().with_change(&ConfigChange::parse(call.encode().as_bytes())?)
 }
 
 /// A request that is asked about.
@@ -33,7 +33,7 @@
     statuses: &[RegistryStatus],
     asked: Asked,
 ) -> Result<Vec<String>, ChangeError> {
-    let table = RoutingTable::of(&book(items)?);
+    let table = RoutingTable::from_items(&book(items)?);
     let mut said = Vec::new();
     let Some(route) = table.route(asked.host, asked.path) else {
         let hosts = table.routes().filter(|route| route.host.eq_ignore_ascii_case(asked.host)).count();
@@ -43,17 +43,17 @@
         ));
         return Ok(said);
     };
-    let kind = if route.safe { "may be repeated" } else { "runs once" };
+    let kind = if route.idempotent { "may be repeated" } else { "runs once" };
     said.push(format!(
         "route {}: prefix {}, {kind}, priority {}, {} tries, held {} ms at the longest",
         route.name,
         route.prefix,
         route.priority,
-        route.tries,
+        route.max_tries,
         route.timeout.as_millis()
     ));
     let tenant = asked.key.and_then(|key| table.tenant(key));
-    match (tenant, table.keyed && !route.public) {
+    match (tenant, table.requires_key && !route.public) {
         (None, true) => {
             said.push("401: the route is not public, and nobody holds that key".into());
             return Ok(said);
@@ -79,8 +79,8 @@
             });
         }
     }
-    let all: f64 = route.to.iter().map(|(_, weight)| weight).sum();
-    for (service, weight) in &route.to {
+    let all: f64 = route.targets.iter().map(|(_, weight)| weight).sum();
+    for (service, weight) in &route.targets {
         let of = |state| {
             let mut ids: Vec<&str> = statuses
                 .iter()
@@ -108,8 +108,8 @@
         let dropped = if item.body.is_none() { " dropped" } else { "" };
         format!("{sign} {:?} {} r{}{dropped}", item.kind, item.name, item.version)
     };
-    let mut lines: Vec<String> = stand.beyond(file).iter().map(|item| line('-', item)).collect();
-    lines.extend(file.beyond(stand).iter().map(|item| line('+', item)));
+    let mut lines: Vec<String> = stand.differing_items(file).iter().map(|item| line('-', item)).collect();
+    lines.extend(file.differing_items(stand).iter().map(|item| line('+', item)));
     lines.sort_by(|a, b| a[1..].cmp(&b[1..]));
     lines
 }
--- a/crates/starlinghill-console/src/main.rs
+++ b/crates/starlinghill-console/src/main.rs
@@ -142,9 +142,9 @@
 async fn diff(places: &Places, file: &str) -> Result<(), AskError> {
     let nonsense = |what: String| AskError::Nonsense { what };
     let text = std::fs::read(file).map_err(|error| nonsense(format!("{file}: {error}")))?;
-    let change = ConfigChange::read(&text).map_err(|refusal| nonsense(format!("{file}: {refusal}")))?;
+    let change = ConfigChange::parse(&text).map_err(|refusal| nonsense(format!("{file}: {refusal}")))?;
     let stand = book(&places.items().await?).map_err(|refusal| nonsense(refusal.to_string()))?;
-    let next = stand.with(&change).map_err(|refusal| nonsense(format!("{file}: {refusal}")))?;
+    let next = stand.with_change(&change).map_err(|refusal| nonsense(format!("{file}: {refusal}")))?;
     differences(&stand, &next).iter().for_each(|line| println!("{line}"));
     Ok(())
 }
@@ -174,8 +174,11 @@
             if let Ok(book) = places.items().await.map_err(drop).and_then(|items| book(&items).map_err(drop))
             {
                 let name = |name: &str| store_name(CustomerId(xxh3_64(name.as_bytes()))).0;
-                tenants =
-                    RoutingTable::of(&book).tenants.iter().map(|t| (name(&t.name), t.name.clone())).collect();
+                tenants = RoutingTable::from_items(&book)
+                    .tenants
+                    .iter()
+                    .map(|t| (name(&t.name), t.name.clone()))
+                    .collect();
             }
         }
         let until = Instant::now() + LOOK;
--- a/crates/starlinghill-console/src/membership.rs
+++ b/crates/starlinghill-console/src/membership.rs
@@ -47,7 +47,7 @@
     pub async fn core(&self, order: MembershipOrder) -> Result<String, AskError> {
         let mut last = None;
         for (ip, standing) in self.standings().await {
-            if !standing.is_some_and(|s| s.members.has(s.me)) {
+            if !standing.is_some_and(|s| s.members.contains(s.me)) {
                 continue;
             }
             let at = SocketAddr::new(ip, self.stores.first().map_or(0, |store| store.port()));
@@ -117,12 +117,12 @@
         lines.push(format!(
             "store at={ip} incarnation={:x} votes={} epoch={} stood_ms={} fresh={} ballot={}.{}",
             s.me.incarnation,
-            s.members.has(s.me),
+            s.members.contains(s.me),
             s.members.epoch,
             s.stood_ms,
             s.fresh,
             s.chosen.round,
-            s.chosen.by
+            s.chosen.proposer
         ));
         lines.extend(s.heard.iter().map(|(member, ms)| format!("  heard ip={} ago_ms={ms}", member.ip)));
         let waits = |(member, wait): &(Member, MembershipDelay)| {
--- a/crates/starlinghill-console/src/status.rs
+++ b/crates/starlinghill-console/src/status.rs
@@ -98,7 +98,8 @@
                 let known = picture.gateways.get(&gateway.ip);
                 if known.is_none_or(|known| *ago_ms < known.ago_ms) {
                     let current = Some(*in_force) == digest;
-                    let (node, zone, life) = (gateway.node.clone(), gateway.zone.clone(), gateway.life);
+                    let (node, zone, life) =
+                        (gateway.node.clone(), gateway.zone.clone(), gateway.incarnation);
                     let seen = Gateway { node, zone, ago_ms: *ago_ms, life, current };
                     picture.gateways.insert(gateway.ip, seen);
                 }
@@ -114,7 +115,7 @@
                 seen_as.insert(told.instance.id.clone());
             }
             if let Some(count) = &status.count {
-                let names = status.backends.iter().map(|(told, _)| (told.instance.number(), &told.instance));
+                let names = status.backends.iter().map(|(told, _)| (told.instance.id_hash(), &told.instance));
                 picture.see(&names.collect(), &count.rooms);
                 picture.stores = count.stores.clone();
                 picture.holder.iter_mut().for_each(|holder| holder.2 = count.silent);
@@ -133,12 +134,12 @@
         for room in rooms {
             let Some(instance) = instances.get(&room.backend) else { continue };
             let service = self.services.entry(instance.service.clone()).or_default();
-            service.out += room.out;
+            service.out += room.outstanding;
             service.places += room.capacity;
-            if room.slow >= SLOW {
+            if room.slowdown >= SLOW {
                 service.slow.insert(instance.id.clone());
             }
-            if room.ill >= ILL {
+            if room.failure_rate >= ILL {
                 service.ill.insert(instance.id.clone());
             }
         }
--- a/crates/starlinghill-console/tests/words.rs
+++ b/crates/starlinghill-console/tests/words.rs
@@ -1,7 +1,7 @@
 //! What the console says of how things stand.
 
 use starlinghill_catalog::{BackendState, Gateway, Instance, Liveness, Observation};
-use starlinghill_config_model::items::digest;
+use starlinghill_config_model::items::versions_digest;
 use starlinghill_config_model::{ConfigChange, Item, ItemKind, VersionHistory};
 use starlinghill_console::explain::{book, differences, explain, Asked};
 use starlinghill_console::status::Picture;
@@ -31,8 +31,17 @@
 fn told(id: &str, state: BackendState, liveness: Liveness) -> (Observation, u64) {
     let (version, zone, service) = ("v1".into(), "a".into(), "ledger".into());
     let address = SocketAddr::new(ip(9), 80);
-    let instance =
-        Instance { id: id.into(), service, address, zone, version, capacity: 2, state, calls: 1, warm_at: 0 };
+    let instance = Instance {
+        id: id.into(),
+        service,
+        address,
+        zone,
+        version,
+        capacity: 2,
+        state,
+        beat_count: 1,
+        warm_at_us: 0,
+    };
     (Observation { instance, liveness }, 5)
 }
 
@@ -42,7 +51,7 @@
 }
 
 fn status(rack: u8, items: &[Item]) -> RegistryStatus {
-    let gateway = Gateway { ip: ip(20), life: 1, zone: "a".into(), node: "edge-1".into() };
+    let gateway = Gateway { ip: ip(20), incarnation: 1, zone: "a".into(), node: "edge-1".into() };
     let list = items.iter().map(|item| (item.kind, item.name.clone(), item.version, true)).collect();
     RegistryStatus {
         members: Default::default(),
@@ -51,9 +60,9 @@
         time: 0,
         fresh: true,
         items: list,
-        digest: digest(items.iter()),
+        digest: versions_digest(items.iter()),
         backends: vec![told("i-1", BackendState::Ready, Liveness::Alive)],
-        gateways: vec![(gateway, 100, digest([item("r-1", 8)].iter()))],
+        gateways: vec![(gateway, 100, versions_digest([item("r-1", 8)].iter()))],
         holder: Some((3, ip(1))),
         count: None,
     }
@@ -114,10 +123,10 @@
         (1..=3).map(|i| told(&format!("i-{i}"), BackendState::Ready, Liveness::Alive)).collect();
     let before = Picture::of(&[(at(1), Some(status.clone()))]);
     let seen = |i: usize, slow: f32, ill: f32| {
-        let backend = status.backends[i].0.instance.number();
-        BackendLoad { backend, out: 2, capacity: 3, slow, ill }
+        let backend = status.backends[i].0.instance.id_hash();
+        BackendLoad { backend, outstanding: 2, capacity: 3, slowdown: slow, failure_rate: ill }
     };
-    let unknown = BackendLoad { backend: 7, out: 9, capacity: 9, slow: 9.0, ill: 1.0 };
+    let unknown = BackendLoad { backend: 7, outstanding: 9, capacity: 9, slowdown: 9.0, failure_rate: 1.0 };
     let rooms = vec![seen(0, 1.0, 0.0), seen(1, 2.5, 0.1), seen(2, 0.8, 0.4), unknown];
     status.count = Some(CounterStatus { silent: 0, stores: Vec::new(), rooms });
     let after = Picture::of(&[(at(1), Some(status))]);
@@ -136,7 +145,7 @@
     let mut next = status(1, &[item("r-1", 8)]);
     next.backends = vec![told("i-1", BackendState::Draining, Liveness::Alive)];
     next.holder = Some((4, ip(2)));
-    next.gateways[0].0.life = 2;
+    next.gateways[0].0.incarnation = 2;
     let after = Picture::of(&[(at(1), Some(next))]);
     let said = after.changes(&before);
     for wanted in ["edge-1 has started anew", "i-1 drains", "r-1 set in r8", "kept at 10.0.0.2, term 4"] {
@@ -149,7 +158,8 @@
 fn a_file_is_compared_with_what_stands() {
     let stand = book(&items()).unwrap_or_default();
     let change = r#"{"upsert":{},"remove":{"routes":[{"name":"r-1","version":"r9"}]}}"#;
-    let next =
-        ConfigChange::read(change.as_bytes()).and_then(|change| stand.with(&change)).unwrap_or_default();
+    let next = ConfigChange::parse(change.as_bytes())
+        .and_then(|change| stand.with_change(&change))
+        .unwrap_or_default();
     assert_eq!(differences(&stand, &next), ["- Route r-1 r7", "+ Route r-1 r9 dropped"]);
 }
--- a/crates/starlinghill-failure-detector/src/lib.rs
+++ b/crates/starlinghill-failure-detector/src/lib.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct Heartbeat {
     /// The life of its process.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// Of whom a watcher heard.
@@ -38,7 +38,7 @@
     /// The gateway.
     pub ip: IpAddr,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// How long ago, in milliseconds.
     pub ago_ms: u64,
 }
@@ -90,33 +90,35 @@
     }
 
     /// These gateways there are, as registries tell.
-    pub fn follow(&mut self, gateways: impl IntoIterator<Item = IpAddr>) {
+    pub fn set_peers(&mut self, gateways: impl IntoIterator<Item = IpAddr>) {
         self.ring = gateways.into_iter().take(MOST).chain([self.me]).collect();
         let ring = &self.ring;
         self.heard.retain(|ip, _| ring.contains(ip));
     }
 
     /// Whom to tell that this one lives.
-    pub fn to_tell(&self) -> Vec<IpAddr> {
+    pub fn heartbeat_targets(&self) -> Vec<IpAddr> {
         watchers(self.me, &self.ring)
     }
 
     /// Another one has said that it lives. Strangers are no gateways yet, and forgotten.
-    pub fn heard(&mut self, now: Duration, from: IpAddr, beat: Heartbeat) {
+    pub fn record_heartbeat(&mut self, now: Duration, from: IpAddr, beat: Heartbeat) {
         if self.ring.contains(&from) && from != self.me {
-            self.heard.insert(from, (beat.life, now));
+            self.heard.insert(from, (beat.incarnation, now));
         }
     }
 
     /// Of whom it heard, for registries.
-    pub fn seen(&self, now: Duration) -> Vec<PeerSighting> {
+    pub fn recent_sightings(&self, now: Duration) -> Vec<PeerSighting> {
         let lately = self.heard.iter().filter(|(_, (_, at))| now.saturating_sub(*at) < DEAD_TIMEOUT);
         let ago = |at: Duration| now.saturating_sub(at).as_millis() as u64;
-        lately.map(|(ip, (life, at))| PeerSighting { ip: *ip, life: *life, ago_ms: ago(*at) }).collect()
+        lately
+            .map(|(ip, (life, at))| PeerSighting { ip: *ip, incarnation: *life, ago_ms: ago(*at) })
+            .collect()
     }
 
     /// It has heard nobody for a while, where there are some to be heard.
-    pub fn is_alone(&self, now: Duration) -> bool {
+    pub fn is_isolated(&self, now: Duration) -> bool {
         let last = self.heard.values().map(|(_, at)| *at).max().unwrap_or(self.began);
         self.ring.len() > 1 && now.saturating_sub(last) > ISOLATION_TIMEOUT
     }
@@ -133,13 +135,13 @@
 
 impl GatewayLiveness {
     /// A gateway asks, and tells of whom it heard.
-    pub fn told(&mut self, now: Duration, by: IpAddr, life: u64, seen: &[PeerSighting]) {
+    pub fn record_report(&mut self, now: Duration, by: IpAddr, life: u64, seen: &[PeerSighting]) {
         if self.heard.len() >= MOST {
             return;
         }
         self.told.insert(by, now);
-        let own = PeerSighting { ip: by, life, ago_ms: 0 };
-        for PeerSighting { ip, life, ago_ms } in seen.iter().chain([&own]).take(MOST) {
+        let own = PeerSighting { ip: by, incarnation: life, ago_ms: 0 };
+        for PeerSighting { ip, incarnation: life, ago_ms } in seen.iter().chain([&own]).take(MOST) {
             let at = now.saturating_sub(Duration::from_millis(*ago_ms));
             let known = self.heard.entry(*ip).or_insert((*life, at));
             if known.1 <= at {
@@ -149,7 +151,7 @@
     }
 
     /// Which of these gateways are dead: nobody heard them, though two of their watchers could tell.
-    pub fn dead(&mut self, now: Duration, gateways: &BTreeSet<IpAddr>) -> BTreeSet<IpAddr> {
+    pub fn dead_gateways(&mut self, now: Duration, gateways: &BTreeSet<IpAddr>) -> BTreeSet<IpAddr> {
         self.heard.retain(|ip, _| gateways.contains(ip));
         self.told.retain(|ip, _| gateways.contains(ip));
         let lately = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < DEAD_TIMEOUT);
--- a/crates/starlinghill-failure-detector/tests/ring.rs
+++ b/crates/starlinghill-failure-detector/tests/ring.rs
@@ -40,7 +40,7 @@
         let all: BTreeSet<IpAddr> = (0..gateways).map(ip).collect();
         let mut watch: BTreeMap<IpAddr, PeerMonitor> =
             all.iter().map(|ip| (*ip, PeerMonitor::new(*ip, Duration::ZERO))).collect();
-        watch.values_mut().for_each(|w| w.follow(all.iter().copied()));
+        watch.values_mut().for_each(|w| w.set_peers(all.iter().copied()));
         let (rng, fates) = (fastrand::Rng::with_seed(seed), BTreeMap::new());
         World { rng, now: Duration::ZERO, all, watch, sight: GatewayLiveness::default(), fates }
     }
@@ -62,20 +62,20 @@
                 if self.now.as_millis().is_multiple_of(HEARTBEAT_INTERVAL.as_millis())
                     && fate != Fate::CutFromAll
                 {
-                    for to in self.watch[from].to_tell() {
+                    for to in self.watch[from].heartbeat_targets() {
                         let lost = self.rng.u8(0..20) == 0;
                         if !lost && !matches!(self.fate(&to), Fate::Dies | Fate::CutFromAll) {
                             let now = self.now;
                             self.watch
                                 .get_mut(&to)
                                 .into_iter()
-                                .for_each(|w| w.heard(now, *from, Heartbeat { life: 1 }));
+                                .for_each(|w| w.record_heartbeat(now, *from, Heartbeat { incarnation: 1 }));
                         }
                     }
                 }
                 if fate == Fate::Lives && self.now.as_millis().is_multiple_of(500) {
-                    let seen = self.watch[from].seen(self.now);
-                    self.sight.told(self.now, *from, 1, &seen);
+                    let seen = self.watch[from].recent_sightings(self.now);
+                    self.sight.record_report(self.now, *from, 1, &seen);
                 }
             }
             look(self);
@@ -90,7 +90,7 @@
         let mut world = World::new(seed, gateways);
         world.run(ms(3_000), |world| {
             let all = world.all.clone();
-            assert!(world.sight.dead(world.now, &all).is_empty(), "seed {seed}");
+            assert!(world.sight.dead_gateways(world.now, &all).is_empty(), "seed {seed}");
         });
         let hit: Vec<IpAddr> = world.all.iter().copied().filter(|_| world.rng.u8(0..4) == 0).collect();
         for ip in &hit {
@@ -99,11 +99,11 @@
         }
         world.run(ms(6_000), |world| {
             let all = world.all.clone();
-            for ip in world.sight.dead(world.now, &all) {
+            for ip in world.sight.dead_gateways(world.now, &all) {
                 assert_eq!(world.fate(&ip), Fate::Dies, "seed {seed}: {ip}");
             }
         });
-        let dead = world.sight.dead(world.now, &world.all.clone());
+        let dead = world.sight.dead_gateways(world.now, &world.all.clone());
         for ip in hit.iter().filter(|ip| world.fate(ip) == Fate::Dies) {
             let could: Vec<IpAddr> =
                 watchers(*ip, &world.all).into_iter().filter(|w| world.fate(w) == Fate::Lives).collect();
@@ -121,8 +121,8 @@
         world.fates.insert(cut, Fate::CutFromAll);
         world.run(ms(6_000), |world| {
             let all = world.all.clone();
-            if world.sight.dead(world.now, &all).contains(&cut) {
-                assert!(world.watch[&cut].is_alone(world.now), "seed {seed}");
+            if world.sight.dead_gateways(world.now, &all).contains(&cut) {
+                assert!(world.watch[&cut].is_isolated(world.now), "seed {seed}");
             }
         });
     }
@@ -148,10 +148,10 @@
 #[test]
 fn a_stranger_is_not_followed_and_one_that_is_gone_is_forgotten() {
     let mut watch = PeerMonitor::new(ip(0), Duration::ZERO);
-    watch.follow([ip(0), ip(1)]);
-    watch.heard(ms(10), ip(9), Heartbeat { life: 1 });
-    watch.heard(ms(10), ip(1), Heartbeat { life: 1 });
-    assert_eq!(watch.seen(ms(20)).len(), 1);
-    watch.follow([ip(0)]);
-    assert!(watch.seen(ms(20)).is_empty() && !watch.is_alone(ms(9_000)));
+    watch.set_peers([ip(0), ip(1)]);
+    watch.record_heartbeat(ms(10), ip(9), Heartbeat { incarnation: 1 });
+    watch.record_heartbeat(ms(10), ip(1), Heartbeat { incarnation: 1 });
+    assert_eq!(watch.recent_sightings(ms(20)).len(), 1);
+    watch.set_peers([ip(0)]);
+    assert!(watch.recent_sightings(ms(20)).is_empty() && !watch.is_isolated(ms(9_000)));
 }
--- a/crates/starlinghill-lease/src/contact.rs
+++ b/crates/starlinghill-lease/src/contact.rs
@@ -22,65 +22,65 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StalenessBudget {
     /// The bound: what was confirmed is in force within this.
-    pub apply: Duration,
+    pub apply_bound: Duration,
     /// How often a store looks at the others.
-    pub look: Duration,
+    pub poll_interval: Duration,
     /// The same while it has no majority's word, as after a start: gateways wait for it.
-    pub look_again: Duration,
+    pub retry_interval: Duration,
     /// A voter that says nothing for so long is gone on without. The disk takes some 5 ms, and stalls for seconds.
-    pub voter: Duration,
+    pub voter_timeout: Duration,
     /// How long a registry's question to its store waits for news.
-    pub store_holds: Duration,
+    pub store_long_poll: Duration,
     /// How long a gateway's question to a registry waits for news.
-    pub registry_holds: Duration,
+    pub registry_long_poll: Duration,
     /// When a question to a store or to a registry is given up.
-    pub given_up: Duration,
+    pub request_timeout: Duration,
     /// The oldest word of a majority that anybody goes by, over whatever ways it came.
-    pub contact: Duration,
+    pub max_contact_age: Duration,
 }
 
 impl StalenessBudget {
     /// From the rules' bound.
-    pub const fn of(apply: Duration) -> StalenessBudget {
+    pub const fn from_apply_bound(apply: Duration) -> StalenessBudget {
         StalenessBudget {
-            apply,
-            look: hundredths(apply, 10),
-            look_again: hundredths(apply, 2),
-            voter: hundredths(apply, 14),
-            store_holds: hundredths(apply, 16),
-            registry_holds: hundredths(apply, 20),
-            given_up: hundredths(apply, 40),
-            contact: hundredths(apply, 60),
+            apply_bound: apply,
+            poll_interval: hundredths(apply, 10),
+            retry_interval: hundredths(apply, 2),
+            voter_timeout: hundredths(apply, 14),
+            store_long_poll: hundredths(apply, 16),
+            registry_long_poll: hundredths(apply, 20),
+            request_timeout: hundredths(apply, 40),
+            max_contact_age: hundredths(apply, 60),
         }
     }
 
     /// How old a word gets at a registry that reaches a majority, with one voter silent: the store's next look waits for
     /// that one, and the registry's next question for the store.
-    pub fn usual_age(&self) -> Duration {
-        self.look + self.voter + self.store_holds
+    pub fn typical_contact_age(&self) -> Duration {
+        self.poll_interval + self.voter_timeout + self.store_long_poll
     }
 
     /// A change whose confirmer died right behind its answer is known to all stores within this: they see it twice, wait for
     /// the dead one each time, and settle it. Registries and gateways wait for that word with open questions.
-    pub fn known_after_loss(&self) -> Duration {
-        (self.look + self.voter) * 2 + ORDER_COMMIT_TIMEOUT
+    pub fn settled_after_crash(&self) -> Duration {
+        (self.poll_interval + self.voter_timeout) * 2 + ORDER_COMMIT_TIMEOUT
     }
 
     /// The same of a change that stores have, where a question on its way was lost.
-    pub fn known_after_lost_question(&self) -> Duration {
-        self.look + self.voter + self.given_up
+    pub fn known_after_lost_request(&self) -> Duration {
+        self.poll_interval + self.voter_timeout + self.request_timeout
     }
 
     /// Whether a store or registry may say that it has all that was confirmed, where a majority's word is so old. Else it says
     /// that it can't vouch for what it tells.
-    pub fn may_vouch(&self, age: Option<Duration>) -> bool {
-        age.is_some_and(|age| age <= self.contact)
+    pub fn is_fresh(&self, age: Option<Duration>) -> bool {
+        age.is_some_and(|age| age <= self.max_contact_age)
     }
 
     /// Whether a gateway that has just started may serve: a majority vouched for its configuration, and it was told all by
     /// so many of the registries that one of them has noted each drain which was confirmed. Else it is not ready.
-    pub fn may_begin_to_serve(&self, age: Option<Duration>, told_by: usize, registries: usize) -> bool {
-        self.may_vouch(age) && is_majority(told_by, registries)
+    pub fn may_start_serving(&self, age: Option<Duration>, told_by: usize, registries: usize) -> bool {
+        self.is_fresh(age) && is_majority(told_by, registries)
     }
 }
 
@@ -125,7 +125,7 @@
 
     /// Another process passed it on, in answer to what was asked at that moment. All of the way counts as the word's age,
     /// but for the time that the question is known to have waited.
-    pub fn passed_on(contact: QuorumContact, asked: Duration, now: Duration) -> LastQuorumContact {
+    pub fn from_peer(contact: QuorumContact, asked: Duration, now: Duration) -> LastQuorumContact {
         let at = (asked + Duration::from_millis(contact.held_ms.into())).min(now);
         LastQuorumContact { at, older: Duration::from_millis(contact.age_ms.into()) }
     }
@@ -136,14 +136,14 @@
     }
 
     /// Passes it on, in answer to a question that came at that moment.
-    pub fn pass_on(&self, now: Duration, asked: Duration) -> QuorumContact {
+    pub fn to_peer(&self, now: Duration, asked: Duration) -> QuorumContact {
         let ms = |time: Duration| u32::try_from(time.as_millis()).unwrap_or(u32::MAX);
         let age = self.age(now) + Duration::from_millis(1);
         QuorumContact { age_ms: ms(age), held_ms: ms(now.saturating_sub(asked)) }
     }
 
     /// The newer one of what is known and what was heard now.
-    pub fn newer(
+    pub fn newest(
         known: Option<LastQuorumContact>,
         heard: Option<LastQuorumContact>,
         now: Duration,
--- a/crates/starlinghill-lease/src/lib.rs
+++ b/crates/starlinghill-lease/src/lib.rs
@@ -18,11 +18,11 @@
 use std::time::Duration;
 
 /// A yes holds for so long, from when it was asked for.
-pub const LEASE: Duration = Duration::from_millis(500);
+pub const LEASE_DURATION: Duration = Duration::from_millis(500);
 /// Whoever said yes waits this much longer: clocks may run apart by a few per cent.
-pub const MARGIN: Duration = Duration::from_millis(60);
+pub const CLOCK_MARGIN: Duration = Duration::from_millis(60);
 /// How often the holder asks again.
-pub const RENEW: Duration = Duration::from_millis(120);
+pub const RENEW_INTERVAL: Duration = Duration::from_millis(120);
 /// The pause between two of those that would take over, so that they don't get into each other's way.
 const RANK: Duration = Duration::from_millis(80);
 
@@ -30,27 +30,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub enum LeaseRequest<I> {
     /// To be let hold from that term on.
-    Want {
+    Acquire {
         /// The term.
         term: u64,
         /// Who.
-        by: I,
+        candidate: I,
         /// The holder of that term has named it: its lease need not be waited for.
-        leave: u64,
+        resigned_term: u64,
     },
     /// To be let go on holding.
-    Hold {
+    Renew {
         /// The term.
         term: u64,
         /// Who.
-        by: I,
+        holder: I,
     },
     /// The holder leaves and names the one who is asked.
-    Named {
+    Nominate {
         /// Its term.
         term: u64,
         /// Who leaves.
-        by: I,
+        holder: I,
     },
 }
 
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct LeaseReply {
     /// Yes.
-    pub yes: bool,
+    pub granted: bool,
     /// The highest term that was seen.
     pub term: u64,
 }
@@ -105,7 +105,7 @@
     /// One of several, of which nobody has vouched for yet who they are. It gives no vote until what it may have said in an
     /// earlier life has run out.
     pub fn new(me: I, now: Duration) -> LeaseParticipant<I> {
-        let bound = now + LEASE + MARGIN;
+        let bound = now + LEASE_DURATION + CLOCK_MARGIN;
         LeaseParticipant {
             me,
             sets: Vec::new(),
@@ -122,7 +122,7 @@
     }
 
     /// Who votes, as is known until that moment: of each of these sets a majority.
-    pub fn vouch(&mut self, sets: Vec<Vec<I>>, until: Duration) {
+    pub fn set_voters(&mut self, sets: Vec<Vec<I>>, until: Duration) {
         if self.sets.is_empty() {
             self.sets = sets;
             self.patience = self.bound + RANK * self.rank();
@@ -153,15 +153,15 @@
     }
 
     /// The term in which this one holds now.
-    pub fn holds(&self, now: Duration) -> Option<u64> {
+    pub fn held_term(&self, now: Duration) -> Option<u64> {
         let bid = self.bid.as_ref().filter(|_| now < self.vouched)?;
         bid.until.is_some_and(|until| now < until).then_some(bid.term)
     }
 
     /// Whether it may grant draws, or note what was drawn, in that term: a majority lately let it hold. Else it says that the
     /// duty is not its own.
-    pub fn may_draw(&self, now: Duration, term: u64) -> bool {
-        self.holds(now) == Some(term)
+    pub fn may_act_in(&self, now: Duration, term: u64) -> bool {
+        self.held_term(now) == Some(term)
     }
 
     /// Who holds, as far as is known, and in which term.
@@ -170,18 +170,18 @@
     }
 
     /// Somebody has seen that term.
-    pub fn seen(&mut self, term: u64) {
+    pub fn observe_term(&mut self, term: u64) {
         self.term = self.term.max(term);
     }
 
     /// Answers a question.
-    pub fn asked(&mut self, now: Duration, ask: LeaseRequest<I>) -> LeaseReply {
+    pub fn handle_request(&mut self, now: Duration, ask: LeaseRequest<I>) -> LeaseReply {
         let yes = match ask {
-            LeaseRequest::Want { term, by, leave } => {
+            LeaseRequest::Acquire { term, candidate: by, resigned_term: leave } => {
                 let left = leave > 0 && self.holder.is_some_and(|(held, _)| held == leave);
                 let free = now >= self.bound || left;
                 let known = now < self.vouched && self.votes(by);
-                let yes = term > self.term && free && self.holds(now).is_none() && known;
+                let yes = term > self.term && free && self.held_term(now).is_none() && known;
                 if yes {
                     // Who holds is known once somebody does: a bid may fail.
                     (self.term, self.bid, self.holder) = (term, None, None);
@@ -189,7 +189,7 @@
                 }
                 yes
             }
-            LeaseRequest::Hold { term, by } => {
+            LeaseRequest::Renew { term, holder: by } => {
                 let yes = term >= self.term && now < self.vouched && self.votes(by);
                 if yes {
                     if self.bid.as_ref().is_some_and(|bid| bid.term < term) {
@@ -200,17 +200,17 @@
                 }
                 yes
             }
-            LeaseRequest::Named { term, by } => {
+            LeaseRequest::Nominate { term, holder: by } => {
                 let yes = self.holder == Some((term, by)) && !self.leaving;
                 self.named = yes.then_some(term).or(self.named);
                 yes
             }
         };
-        LeaseReply { yes, term: self.term }
+        LeaseReply { granted: yes, term: self.term }
     }
 
     fn bind(&mut self, now: Duration) {
-        self.bound = now + LEASE + MARGIN;
+        self.bound = now + LEASE_DURATION + CLOCK_MARGIN;
         self.patience = self.bound + RANK * (1 + self.rank());
     }
 
@@ -224,15 +224,15 @@
         if let Some(bid) = &mut self.bid {
             let over = match bid.until {
                 Some(until) => now >= until,
-                None => now >= bid.latest.0 + LEASE,
+                None => now >= bid.latest.0 + LEASE_DURATION,
             };
             if !over {
-                if bid.until.is_none() || now < self.asked + RENEW {
+                if bid.until.is_none() || now < self.asked + RENEW_INTERVAL {
                     return None;
                 }
                 self.asked = now;
                 bid.latest = (now, BTreeSet::from([self.me]));
-                return Some(LeaseRequest::Hold { term: bid.term, by: self.me });
+                return Some(LeaseRequest::Renew { term: bid.term, holder: self.me });
             }
             self.bid = None;
             self.patience = now + RANK * (1 + self.rank());
@@ -251,19 +251,26 @@
         self.asked = now;
         self.bind(now);
         self.count(now);
-        Some(LeaseRequest::Want { term, by: self.me, leave: leave.unwrap_or_default() })
+        Some(LeaseRequest::Acquire { term, candidate: self.me, resigned_term: leave.unwrap_or_default() })
     }
 
     /// Another one has answered what was asked at that moment.
-    pub fn told(&mut self, now: Duration, from: I, asked: Duration, ask: LeaseRequest<I>, tell: LeaseReply) {
-        self.seen(tell.term);
+    pub fn handle_reply(
+        &mut self,
+        now: Duration,
+        from: I,
+        asked: Duration,
+        ask: LeaseRequest<I>,
+        tell: LeaseReply,
+    ) {
+        self.observe_term(tell.term);
         let Some(bid) = &mut self.bid else { return };
-        let (LeaseRequest::Want { term, .. } | LeaseRequest::Hold { term, .. }) = ask else { return };
-        if !tell.yes && tell.term > bid.term {
+        let (LeaseRequest::Acquire { term, .. } | LeaseRequest::Renew { term, .. }) = ask else { return };
+        if !tell.granted && tell.term > bid.term {
             self.bid = None;
             return;
         }
-        if !tell.yes && bid.until.is_none() && bid.term == term {
+        if !tell.granted && bid.until.is_none() && bid.term == term {
             bid.refused.insert(from);
             // It can't be had now: who says no is bound for a while, as one that has just started is. The vote for itself
             // is given to nobody any more, so it binds this one to nobody.
@@ -275,7 +282,7 @@
             }
             return;
         }
-        if tell.yes && bid.term == term && bid.latest.0 == asked {
+        if tell.granted && bid.term == term && bid.latest.0 == asked {
             bid.votes.insert(from);
             bid.latest.1.insert(from);
             self.count(now);
@@ -286,21 +293,21 @@
         let whole = self.bid.as_ref().is_some_and(|bid| self.majority(&bid.latest.1));
         let Some(bid) = &mut self.bid else { return };
         // Yes that comes when the lease which it would begin is over counts for nothing.
-        if whole && now < bid.latest.0 + LEASE {
+        if whole && now < bid.latest.0 + LEASE_DURATION {
             if bid.until.is_none() {
                 // The others hear of it with the next question, which goes out at once.
                 (self.term, self.holder) = (bid.term, Some((bid.term, self.me)));
                 self.asked = Duration::ZERO;
             }
-            bid.until = Some(bid.until.unwrap_or_default().max(bid.latest.0 + LEASE));
+            bid.until = Some(bid.until.unwrap_or_default().max(bid.latest.0 + LEASE_DURATION));
         }
     }
 
     /// It leaves. Where it holds, it holds no more and names a successor: the one to be told, and what.
-    pub fn leave(&mut self, now: Duration, successor: I) -> Option<(I, LeaseRequest<I>)> {
+    pub fn resign(&mut self, now: Duration, successor: I) -> Option<(I, LeaseRequest<I>)> {
         self.leaving = true;
-        let term = self.holds(now)?;
+        let term = self.held_term(now)?;
         self.bid = None;
-        Some((successor, LeaseRequest::Named { term, by: self.me }))
+        Some((successor, LeaseRequest::Nominate { term, holder: self.me }))
     }
 }
--- a/crates/starlinghill-lease/tests/duty.rs
+++ b/crates/starlinghill-lease/tests/duty.rs
@@ -1,7 +1,7 @@
 //! Histories of a duty over three processes, in virtual time: cuts either way, freezes, restarts, leaving. Checked after the
 //! fact: no two hold at one moment, and somebody holds soon after things are calm.
 
-use starlinghill_lease::{LeaseParticipant, LeaseReply, LeaseRequest, LEASE, MARGIN};
+use starlinghill_lease::{LeaseParticipant, LeaseReply, LeaseRequest, CLOCK_MARGIN, LEASE_DURATION};
 use std::time::Duration;
 
 const OF: usize = 3;
@@ -25,7 +25,7 @@
 /// One that knows for good who the others are.
 fn known(i: usize, now: Duration) -> LeaseParticipant<usize> {
     let mut one = LeaseParticipant::new(i, now);
-    one.vouch(vec![(0..OF).collect()], Duration::MAX);
+    one.set_voters(vec![(0..OF).collect()], Duration::MAX);
     one
 }
 
@@ -83,7 +83,7 @@
                 let at = self.frozen[to];
                 self.questions.push((at, from, to, asked, ask));
             } else if self.cut[from][to] <= now {
-                let tell = self.all[to].asked(now, ask);
+                let tell = self.all[to].handle_request(now, ask);
                 let at = self.lag();
                 self.answers.push((at, to, from, asked, ask, tell));
             }
@@ -93,11 +93,11 @@
         let ready: Vec<(Duration, usize, usize, Duration, LeaseRequest<usize>, LeaseReply)> = ready;
         for (_, from, to, asked, ask, tell) in ready {
             if self.frozen[to] <= now && self.cut[from][to] <= now {
-                self.all[to].told(now, from, asked, ask, tell);
+                self.all[to].handle_reply(now, from, asked, ask, tell);
             }
         }
         let holders: Vec<(u64, usize)> =
-            (0..OF).filter_map(|i| self.all[i].holds(now).map(|term| (term, i))).collect();
+            (0..OF).filter_map(|i| self.all[i].held_term(now).map(|term| (term, i))).collect();
         assert!(holders.len() <= 1, "two hold at {now:?}: {holders:?}");
         self.held.extend(holders);
         // Nobody is said to hold who never did.
@@ -114,7 +114,7 @@
     }
 
     fn holder(&self) -> Option<usize> {
-        (0..OF).find(|i| self.all[*i].holds(self.now).is_some())
+        (0..OF).find(|i| self.all[*i].held_term(self.now).is_some())
     }
 }
 
@@ -140,11 +140,11 @@
     let Some(holder) = world.holder() else { panic!("nobody holds") };
     let successor = (holder + 1) % OF;
     let now = world.now;
-    let Some((to, ask)) = world.all[holder].leave(now, successor) else { panic!("it held") };
-    assert!(to == successor && world.all[holder].holds(now).is_none());
-    world.all[successor].asked(now, ask);
+    let Some((to, ask)) = world.all[holder].resign(now, successor) else { panic!("it held") };
+    assert!(to == successor && world.all[holder].held_term(now).is_none());
+    world.all[successor].handle_request(now, ask);
     world.run(ms(220), false);
-    assert!(ms(220) < LEASE && world.holder() == Some(successor), "{:?}", world.holder());
+    assert!(ms(220) < LEASE_DURATION && world.holder() == Some(successor), "{:?}", world.holder());
 }
 
 #[test]
@@ -152,15 +152,15 @@
     let mut world = World::new(2);
     world.run(ms(3_000), false);
     let Some(holder) = world.holder() else { panic!("nobody holds") };
-    assert!(world.all[holder].holds(world.now + LEASE + MARGIN).is_none());
+    assert!(world.all[holder].held_term(world.now + LEASE_DURATION + CLOCK_MARGIN).is_none());
 }
 
 #[test]
 fn one_that_starts_gives_no_vote_until_what_it_may_have_said_has_run_out() {
     let mut new = known(0, ms(10));
-    let want = LeaseRequest::Want { term: 9, by: 1, leave: 0 };
-    assert!(!new.asked(ms(11), want).yes);
-    assert!(new.asked(ms(11) + LEASE + MARGIN, want).yes);
+    let want = LeaseRequest::Acquire { term: 9, candidate: 1, resigned_term: 0 };
+    assert!(!new.handle_request(ms(11), want).granted);
+    assert!(new.handle_request(ms(11) + LEASE_DURATION + CLOCK_MARGIN, want).granted);
 }
 
 #[test]
@@ -169,7 +169,7 @@
         let mut world = World::new(seed);
         world.run(ms(3_000), false);
         let Some(holder) = world.holder() else { panic!("nobody holds") };
-        let term = world.all[holder].holds(world.now);
+        let term = world.all[holder].held_term(world.now);
         let cut = (holder + 1) % OF;
         let until = world.now + ms(4_000);
         for other in 0..OF {
@@ -177,35 +177,35 @@
             world.cut[other][cut] = until;
         }
         world.run(ms(6_000), false);
-        assert_eq!(world.all[holder].holds(world.now), term, "seed {seed}");
+        assert_eq!(world.all[holder].held_term(world.now), term, "seed {seed}");
     }
 }
 
 #[test]
 fn while_two_sets_may_count_a_majority_of_each_is_needed() {
     let mut one = LeaseParticipant::new(0, ms(0));
-    one.vouch(vec![vec![0, 1, 3], vec![0, 1, 2]], Duration::MAX);
+    one.set_voters(vec![vec![0, 1, 3], vec![0, 1, 2]], Duration::MAX);
     let now = ms(5_000);
     let Some(ask) = one.tick(now, 1) else { panic!("it bids") };
-    let yes = LeaseReply { yes: true, term: 1 };
-    one.told(now, 3, now, ask, yes);
-    assert_eq!(one.holds(now), None, "of the set before it has no majority");
-    one.told(now, 2, now, ask, yes);
-    assert_eq!(one.holds(now), Some(1));
+    let yes = LeaseReply { granted: true, term: 1 };
+    one.handle_reply(now, 3, now, ask, yes);
+    assert_eq!(one.held_term(now), None, "of the set before it has no majority");
+    one.handle_reply(now, 2, now, ask, yes);
+    assert_eq!(one.held_term(now), Some(1));
 }
 
 #[test]
 fn one_of_which_nobody_vouches_that_it_knows_the_set_neither_votes_nor_holds() {
     let mut one = LeaseParticipant::new(0, ms(0));
-    one.vouch(vec![(0..OF).collect()], ms(5_100));
+    one.set_voters(vec![(0..OF).collect()], ms(5_100));
     let now = ms(5_000);
     let Some(ask) = one.tick(now, 1) else { panic!("it bids") };
-    one.told(now, 1, now, ask, LeaseReply { yes: true, term: 1 });
-    assert_eq!((one.holds(now), one.holds(ms(5_100))), (Some(1), None));
+    one.handle_reply(now, 1, now, ask, LeaseReply { granted: true, term: 1 });
+    assert_eq!((one.held_term(now), one.held_term(ms(5_100))), (Some(1), None));
     let mut other = known(1, ms(0));
-    let want = LeaseRequest::Want { term: 9, by: 0, leave: 0 };
-    assert!(other.asked(now, want).yes);
+    let want = LeaseRequest::Acquire { term: 9, candidate: 0, resigned_term: 0 };
+    assert!(other.handle_request(now, want).granted);
     let mut unsure: LeaseParticipant<usize> = LeaseParticipant::new(2, ms(0));
-    unsure.vouch(vec![(0..OF).collect()], now);
-    assert!(!unsure.asked(now, want).yes && unsure.tick(now, 1).is_none());
+    unsure.set_voters(vec![(0..OF).collect()], now);
+    assert!(!unsure.handle_request(now, want).granted && unsure.tick(now, 1).is_none());
 }
--- a/crates/starlinghill-proxy/src/decision_settings.rs
+++ b/crates/starlinghill-proxy/src/decision_settings.rs
@@ -65,7 +65,7 @@
 
 fn shape(route: &Route, tenant: Option<&Tenant>) -> Shape {
     let priority = tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority);
-    Shape { aim: route.aim, timeout: route.timeout, priority, safe: route.safe }
+    Shape { aim: route.target_time, timeout: route.timeout, priority, safe: route.idempotent }
 }
 
 fn micros(span: Duration) -> Micros {
--- a/crates/starlinghill-proxy/src/heartbeat.rs
+++ b/crates/starlinghill-proxy/src/heartbeat.rs
@@ -23,22 +23,22 @@
     /// Of a gateway at that address, in that life of its process.
     pub fn new(at: SocketAddr, life: u64) -> Ring {
         let watch = RefCell::new(PeerMonitor::new(at.ip(), std::time::Duration::ZERO));
-        Ring { start: Instant::now(), watch, port: at.port(), beat: Heartbeat { life } }
+        Ring { start: Instant::now(), watch, port: at.port(), beat: Heartbeat { incarnation: life } }
     }
 
     /// These gateways there are.
     pub fn follow(&self, gateways: impl IntoIterator<Item = IpAddr>) {
-        self.watch.borrow_mut().follow(gateways);
+        self.watch.borrow_mut().set_peers(gateways);
     }
 
     /// Of whom it heard.
     pub fn seen(&self) -> Vec<PeerSighting> {
-        self.watch.borrow().seen(self.start.elapsed())
+        self.watch.borrow().recent_sightings(self.start.elapsed())
     }
 
     /// It hears nobody, where there are some to be heard.
     pub fn is_alone(&self) -> bool {
-        self.watch.borrow().is_alone(self.start.elapsed())
+        self.watch.borrow().is_isolated(self.start.elapsed())
     }
 
     /// Tells and listens for ever.
@@ -51,7 +51,7 @@
         loop {
             tokio::select! {
                 _ = pace.tick() => {
-                    let to = self.watch.borrow().to_tell();
+                    let to = self.watch.borrow().heartbeat_targets();
                     for ip in to {
                         // What gets lost is said again.
                         let _ = socket.try_send_to(&word, SocketAddr::new(ip, self.port));
@@ -63,7 +63,7 @@
                         continue;
                     };
                     if let Ok(beat) = bitcode::decode::<Heartbeat>(body) {
-                        self.watch.borrow_mut().heard(self.start.elapsed(), from.ip(), beat);
+                        self.watch.borrow_mut().record_heartbeat(self.start.elapsed(), from.ip(), beat);
                     }
                 }
             }
--- a/crates/starlinghill-proxy/src/quota_client.rs
+++ b/crates/starlinghill-proxy/src/quota_client.rs
@@ -200,7 +200,7 @@
         };
         stream.tune();
         let mut reader = Reader::default();
-        self.client.borrow_mut().calls(self.start.elapsed(), term);
+        self.client.borrow_mut().on_connect(self.start.elapsed(), term);
         // First what was heard before: a counter that begins must know of it.
         let recall = self.recall(life, term);
         if frame::write(&mut stream, &recall).await.is_err() {
@@ -239,7 +239,7 @@
                     match (out.pop_front(), answer) {
                         (Some(Sent::Draws(calls, _)), RegistryResponse::Levels(levels, time)) if levels.len() == calls.len() => {
                             self.hear_time(time);
-                            self.client.borrow_mut().hears(self.start.elapsed(), term);
+                            self.client.borrow_mut().on_reply(self.start.elapsed(), term);
                             calls.into_iter().zip(levels).for_each(|(call, level)| self.answered(call, level, time));
                         }
                         (Some(Sent::Draws(calls, told)), RegistryResponse::NotMine(known)) => {
@@ -315,7 +315,7 @@
     /// less than half: the others get their part by chance. Guards against all work going to a few while the rest stands idle.
     fn beside(&self, service: u32) -> Option<Vec<(ServerId, Micros)>> {
         let unknown = self.unknown.borrow();
-        let unknown = unknown.get(&service).filter(|unknown| fastrand::f64() < unknown.part)?;
+        let unknown = unknown.get(&service).filter(|unknown| fastrand::f64() < unknown.capacity_fraction)?;
         let mut some = fastrand::choose_multiple(unknown.backends.iter(), BESIDE);
         fastrand::shuffle(&mut some);
         Some(some.into_iter().map(|backend| (ServerId(*backend), Micros(0))).collect())
@@ -323,19 +323,28 @@
 
     /// What a counter that begins, or that has forgotten this gateway, must know.
     fn recall(&self, life: u64, term: u64) -> RegistryRequest {
-        let readings = self.client.borrow_mut().recall(self.start.elapsed(), *self.time.borrow());
+        let readings =
+            self.client.borrow_mut().readings_for_recovery(self.start.elapsed(), *self.time.borrow());
         RegistryRequest::Recall { term, from: life, readings }
     }
 
     /// One message with these draws, and with what else is to be told.
     fn message(&self, (life, term): (u64, u64), mut calls: Vec<Waiting>) -> (Sent, RegistryRequest) {
         let drawn = calls.iter_mut().map(|call| &mut call.draw);
-        let owed_elsewhere = self.client.borrow_mut().tells(self.start.elapsed(), drawn, BATCH);
+        let owed_elsewhere = self.client.borrow_mut().on_send(self.start.elapsed(), drawn, BATCH);
         let quotas = self.quotas.borrow();
         for (name, owed) in owed_elsewhere {
             // The tenant of a store without a quota was taken away.
             let Some((rate, burst)) = quotas.get(&name).copied() else { continue };
-            let draw = Draw { name, owed, units: 0.0, rate, burst, service: 0, within_ms: 0 };
+            let draw = Draw {
+                bucket: name,
+                unreported: owed,
+                units: 0.0,
+                rate,
+                burst,
+                service: 0,
+                max_response_ms: 0,
+            };
             calls.push(Waiting { draw, reply: None });
         }
         let words = self.words();
@@ -347,7 +356,7 @@
     /// What became of a draw, as the counter tells it.
     fn answered(&self, call: Waiting, level: QuotaLevel, time: u64) {
         let (draw, granted) = (call.draw, level.level >= 0.0);
-        let named = || level.rooms.iter().copied().map(named).collect();
+        let named = || level.offers.iter().copied().map(named).collect();
         let rooms = self.beside(draw.service).unwrap_or_else(named);
         let asked = call.reply.is_some();
         let (outcome, total, share) = (Outcome::Ok, level.level, Some(level.share));
@@ -355,7 +364,7 @@
         if asked {
             self.count_answer(waited, granted);
         }
-        self.client.borrow_mut().answered(time, &draw, &level, waited);
+        self.client.borrow_mut().on_draw_answered(time, &draw, &level, waited);
     }
 
     /// What has to be told of backends. How attempts ended is told once: what is lost of it is no harm. What is out is told
@@ -363,12 +372,13 @@
     fn words(&self) -> Vec<LoadReport> {
         let mut words = self.words.borrow_mut();
         let tell = |backend| {
-            let nothing = LoadReport { backend, out: 0, well: 0, took_ms: 0, ill: 0 };
+            let nothing =
+                LoadReport { backend, outstanding: 0, succeeded: 0, total_latency_ms: 0, failed: 0 };
             let Some(word) = words.get_mut(&backend) else { return nothing };
             let told = *word;
-            match told.out {
+            match told.outstanding {
                 0 => drop(words.remove(&backend)),
-                out => *word = LoadReport { out, ..nothing },
+                out => *word = LoadReport { outstanding: out, ..nothing },
             }
             told
         };
@@ -377,7 +387,7 @@
 
     fn note(&self, server: ServerId, change: impl FnOnce(&mut LoadReport)) {
         let backend = server.0;
-        let nothing = LoadReport { backend, out: 0, well: 0, took_ms: 0, ill: 0 };
+        let nothing = LoadReport { backend, outstanding: 0, succeeded: 0, total_latency_ms: 0, failed: 0 };
         change(self.words.borrow_mut().entry(backend).or_insert(nothing));
         self.changed.borrow_mut().insert(backend);
         self.new_words.notify_one();
@@ -388,7 +398,7 @@
     async fn pause(&self) {
         let told = async {
             sleep(TELL * self.gateways.get()).await;
-            while self.changed.borrow().is_empty() && !self.client.borrow().owes() {
+            while self.changed.borrow().is_empty() && !self.client.borrow().has_unreported() {
                 self.new_words.notified().await;
             }
         };
@@ -406,7 +416,7 @@
 
     /// A call ends without an answer.
     fn failed(&self, call: Waiting, outcome: Outcome) {
-        self.client.borrow_mut().failed(&call.draw);
+        self.client.borrow_mut().on_draw_failed(&call.draw);
         if call.reply.is_some() {
             self.count_draws(|counts| counts.failed += 1);
         }
@@ -445,7 +455,7 @@
 
 /// A backend that the counter named, in the module's terms.
 fn named(room: BackendOffer) -> (ServerId, Micros) {
-    (ServerId(room.backend), Micros(u64::from(room.takes_ms) * 1_000))
+    (ServerId(room.backend), Micros(u64::from(room.expected_response_ms) * 1_000))
 }
 
 impl CounterTransport for Counter {
@@ -456,26 +466,26 @@
 
     fn charge(&self, name: CountName, units: f64) {
         let rate = self.quotas.borrow().get(&name.0).map_or(0.0, |(rate, _)| *rate);
-        self.client.borrow_mut().charge(name.0, units, rate, self.gateways.get() as usize);
+        self.client.borrow_mut().add_unreported(name.0, units, rate, self.gateways.get() as usize);
         self.new_words.notify_one();
     }
 
     fn sent(&self, server: ServerId) {
         self.count_draws(|counts| counts.attempts += 1);
-        self.note(server, |word| word.out = word.out.saturating_add(1));
+        self.note(server, |word| word.outstanding = word.outstanding.saturating_add(1));
     }
 
     fn came_back(&self, server: ServerId, outcome: Outcome, took: Micros) {
         self.note(server, |word| {
-            word.out = word.out.saturating_sub(1);
+            word.outstanding = word.outstanding.saturating_sub(1);
             match outcome {
                 Outcome::Ok => {
-                    word.well = word.well.saturating_add(1);
-                    word.took_ms = word.took_ms.saturating_add((took.0 / 1_000) as u32);
+                    word.succeeded = word.succeeded.saturating_add(1);
+                    word.total_latency_ms = word.total_latency_ms.saturating_add((took.0 / 1_000) as u32);
                 }
                 // It says nothing of the backend.
                 Outcome::Cancelled | Outcome::Moot => {}
-                _ => word.ill = word.ill.saturating_add(1),
+                _ => word.failed = word.failed.saturating_add(1),
             }
         });
     }
@@ -493,7 +503,15 @@
             return Box::pin(async { Outcome::Moot.into() });
         };
         let within_ms = (within.0 / 1_000).min(u64::from(u16::MAX)) as u16;
-        let draw = Draw { name: name.0, owed: 0.0, units, rate, burst, service: service.0, within_ms };
+        let draw = Draw {
+            bucket: name.0,
+            unreported: 0.0,
+            units,
+            rate,
+            burst,
+            service: service.0,
+            max_response_ms: within_ms,
+        };
         let (reply, answer) = oneshot::channel();
         if let Err(refused) = self.calls.try_send(Waiting { draw, reply: Some(reply) }) {
             self.failed(refused.into_inner(), Outcome::ConnectFailed);
--- a/crates/starlinghill-proxy/src/registry_client.rs
+++ b/crates/starlinghill-proxy/src/registry_client.rs
@@ -4,8 +4,10 @@
 use crate::heartbeat::Ring;
 use crate::quota_client::{Counter, Holder};
 use hyper::header::HeaderValue;
-use starlinghill_catalog::{number, service_number, BackendState, Change, Gateway, Liveness, MergedView};
-use starlinghill_config_model::items::digest;
+use starlinghill_catalog::{
+    name_hash, service_hash, BackendChange, BackendState, Gateway, Liveness, MergedView,
+};
+use starlinghill_config_model::items::versions_digest;
 use starlinghill_config_model::routing::Tenant;
 use starlinghill_config_model::{ItemSet, RoutingTable};
 use starlinghill_consensus::Members;
@@ -61,12 +63,12 @@
 
 /// The number of a service.
 pub fn service(name: &str) -> ServiceId {
-    ServiceId(service_number(name))
+    ServiceId(service_hash(name))
 }
 
 /// The number of a zone.
 pub fn zone(name: &str) -> ZoneId {
-    ZoneId(number(name) as u32)
+    ZoneId(name_hash(name) as u32)
 }
 
 /// Where news come from, and go.
@@ -89,10 +91,10 @@
 pub fn start(node: &NodeSettings, shared: Rc<Shared>, ways: Ways, life: u64, essentials: &EssentialTasks) {
     let Ways { net, driver, clock, counter, holder, ring } = ways;
     let (tell, told) = mpsc::channel(QUEUE);
-    let me = Gateway { ip: node.ip, life, zone: node.zone.clone(), node: node.name.clone() };
+    let me = Gateway { ip: node.ip, incarnation: life, zone: node.zone.clone(), node: node.name.clone() };
     let term = Rc::new(std::cell::Cell::new(0));
     let in_force = Rc::new(std::cell::Cell::new(0));
-    let chain = StalenessBudget::of(node.bounds.apply);
+    let chain = StalenessBudget::from_apply_bound(node.bounds.apply);
     let asking = Asking {
         rack: 0,
         caller: Rc::new(RpcClient::new(&net, node.port(node.ip, REGISTRY_PORT_OFFSET))),
@@ -103,7 +105,7 @@
         clock: counter.clone(),
         tell,
         stopping: shared.stopping.clone(),
-        patience: chain.given_up,
+        patience: chain.request_timeout,
     };
     // Seeds are a beginning only: registries tell who the members are.
     let mut racks = Racks {
@@ -305,7 +307,7 @@
         }
         self.counter.hear_time(news.time);
         for gone in news.members.as_ref().map(|members| self.racks.follow(members)).unwrap_or_default() {
-            self.merged.left(gone);
+            self.merged.remove_registry(gone);
             self.lists.remove(&gone);
         }
         let changed = !self.book.merge(news.items).is_empty();
@@ -313,12 +315,12 @@
             self.follow_items().await;
         }
         let (now, asked) = (self.start.elapsed(), asked.saturating_duration_since(self.start));
-        let heard = news.contact.map(|contact| LastQuorumContact::passed_on(contact, asked, now));
-        self.contact = LastQuorumContact::newer(self.contact, heard, now);
-        if self.chain.may_vouch(self.contact.map(|contact| contact.age(now))) && !self.book.is_empty() {
+        let heard = news.contact.map(|contact| LastQuorumContact::from_peer(contact, asked, now));
+        self.contact = LastQuorumContact::newest(self.contact, heard, now);
+        if self.chain.is_fresh(self.contact.map(|contact| contact.age(now))) && !self.book.is_empty() {
             self.first_news.get_or_insert_with(Instant::now);
         }
-        let changes = self.merged.told(self.start.elapsed(), rack, news.rack, news.backends);
+        let changes = self.merged.apply_observations(self.start.elapsed(), rack, news.rack, news.backends);
         self.backends(changes).await;
         if news.whole || !news.gateways.is_empty() {
             let list = self.lists.entry(rack).or_default();
@@ -343,10 +345,10 @@
 
     /// The module is told before a request can come under the new items.
     async fn follow_items(&mut self) {
-        let table = RoutingTable::of(&self.book);
+        let table = RoutingTable::from_items(&self.book);
         self.shared.view.borrow_mut().places.follow(&table);
         let quota = |tenant: &Rc<Tenant>| {
-            let name = store_name(CustomerId(number(&tenant.name)));
+            let name = store_name(CustomerId(name_hash(&tenant.name)));
             (name.0, (tenant.rate, tenant.burst.max(1.0)))
         };
         *self.counter.quotas.borrow_mut() = table.tenants.iter().map(quota).collect();
@@ -354,7 +356,7 @@
         let routes = table.routes().count();
         log::info!("event=configuration routes={routes} tenants={}", table.tenants.len());
         self.shared.view.borrow_mut().table = table;
-        self.in_force.set(digest(self.book.items().map(|held| &held.item)));
+        self.in_force.set(versions_digest(self.book.items().map(|held| &held.item)));
     }
 
     async fn tell_rules(&mut self, changed: bool) {
@@ -383,23 +385,23 @@
         let _ = self.driver.send(Input::Rules(rules)).await;
     }
 
-    async fn backends(&mut self, changes: Vec<Change>) {
+    async fn backends(&mut self, changes: Vec<BackendChange>) {
         if changes.is_empty() {
             return;
         }
         self.changed_services.extend(changes.iter().map(|change| change.instance.service.clone()));
         let (now, time) = (self.clock.now(), *self.counter.time.borrow());
-        let listing = |change: Change| {
-            let Change { instance, liveness } = change;
+        let listing = |change: BackendChange| {
+            let BackendChange { instance, liveness } = change;
             let listed = match (instance.state, liveness) {
                 (BackendState::Gone, _) | (_, Liveness::Lost) => Listed::Gone,
                 (BackendState::Ready, Liveness::Alive) => Listed::InService,
                 (BackendState::Ready, Liveness::Silent) | (BackendState::Draining, _) => Listed::Draining,
             };
-            let warm_in = instance.warm_at.saturating_sub(time);
+            let warm_in = instance.warm_at_us.saturating_sub(time);
             let started = (warm_in > 0).then(|| now + Micros(warm_in.min(COLD.0)) - COLD);
             let entry = ServerEntry {
-                server: ServerId(instance.number()),
+                server: ServerId(instance.id_hash()),
                 service: service(&instance.service),
                 zone: zone(&instance.zone),
                 cell: CellId(0),
@@ -424,7 +426,7 @@
         if services.is_empty() {
             return;
         }
-        for (service, count) in self.merged.serving(services.iter().map(String::as_str)) {
+        for (service, count) in self.merged.ready_counts(services.iter().map(String::as_str)) {
             match count {
                 0 => log::warn!("event=no_backend service={service}"),
                 _ => log::info!("event=backends service={service} serving={count}"),
@@ -444,8 +446,8 @@
     /// What the registry with the count does not know.
     fn look_beside(&self) {
         let holder = self.holder.borrow().and_then(|(_, at)| Some(self.racks.all.get(&at.ip())?.0));
-        let unknown = holder.map(|rack| self.merged.unknown_to(rack)).unwrap_or_default();
-        let unknown = unknown.into_iter().map(|(of, unknown)| (service_number(of), unknown)).collect();
+        let unknown = holder.map(|rack| self.merged.unknown_to_registry(rack)).unwrap_or_default();
+        let unknown = unknown.into_iter().map(|(of, unknown)| (service_hash(of), unknown)).collect();
         let before = self.counter.unknown.replace(unknown);
         let now = self.counter.unknown.borrow();
         if before.is_empty() != now.is_empty() {
@@ -472,15 +474,16 @@
         }
         let Some(since) = self.first_news else { return };
         let age = self.contact.map(|contact| contact.age(self.start.elapsed()));
-        let told = self.chain.may_begin_to_serve(age, self.lists.len(), self.racks.all.len());
+        let told = self.chain.may_start_serving(age, self.lists.len(), self.racks.all.len());
         // Where most registries stay silent though a majority of stores answers, it goes by what it has; never by an old word.
-        let waited = since.elapsed() > LONGEST_WAIT && self.chain.may_vouch(age);
+        let waited = since.elapsed() > LONGEST_WAIT && self.chain.is_fresh(age);
         if !(told || waited) {
             return;
         }
-        let served = self.merged.served();
+        let served = self.merged.available_services();
         let view = self.shared.view.borrow();
-        let all = view.table.routes().flat_map(|route| &route.to).all(|(to, _)| served.contains(to.as_str()));
+        let all =
+            view.table.routes().flat_map(|route| &route.targets).all(|(to, _)| served.contains(to.as_str()));
         if all || since.elapsed() > LONGEST_WAIT {
             log::info!("event=ready served={} all={all} gateways={}", served.len(), view.gateways);
             self.shared.ready.send_replace(true);
--- a/crates/starlinghill-proxy/src/request_handler.rs
+++ b/crates/starlinghill-proxy/src/request_handler.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use starlinghill_catalog::number;
+use starlinghill_catalog::name_hash;
 use starlinghill_config_model::routing::Route;
 use starlinghill_decision::api::*;
 use starlinghill_gateway::answer::AnswerBody;
@@ -90,7 +90,7 @@
         let key = headers.get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
         let key = key.and_then(|v| v.strip_prefix("Bearer ")).map(str::trim);
         let tenant = key.and_then(|key| view.table.tenant(key));
-        if view.table.keyed && !route.public && tenant.is_none() {
+        if view.table.requires_key && !route.public && tenant.is_none() {
             return Err((StatusCode::UNAUTHORIZED, "Authorization: expected the key of a customer\n"));
         }
         let class = view.places.class(route, tenant.map(Rc::as_ref));
@@ -99,13 +99,13 @@
             return Err((StatusCode::SERVICE_UNAVAILABLE, "not ready\n"));
         };
         let plan = tenant.and_then(|tenant| view.places.plan(&tenant.name));
-        let customer = tenant.map_or(CustomerId(0), |tenant| CustomerId(number(&tenant.name)));
+        let customer = tenant.map_or(CustomerId(0), |tenant| CustomerId(name_hash(&tenant.name)));
         let timeout = Micros(route.timeout.as_micros() as u64);
         let left = left.map_or(timeout, |ms| Micros(ms.saturating_mul(1_000)));
         let arrival = Arrival {
             class,
             service: service(self.choose(route)),
-            tries: route.tries as usize,
+            tries: route.max_tries as usize,
             plan: plan.unwrap_or(NOBODY),
             customer,
             spread: view.gateways,
@@ -120,21 +120,21 @@
         if let Some(name) = tenant.and_then(|tenant| HeaderValue::from_str(&tenant.name).ok()) {
             headers.insert(CUSTOMER, name);
         }
-        let reuse = if route.safe { Reuse::Repeatable } else { Reuse::Once };
+        let reuse = if route.idempotent { Reuse::Repeatable } else { Reuse::Once };
         Ok(Taken { wanted: Wanted { arrival, budget: left.min(timeout) - ON_THE_WAY, headers, reuse } })
     }
 
     /// One of a route's services, by their weights.
     fn choose<'a>(&self, route: &'a Route) -> &'a str {
-        let all: f64 = route.to.iter().map(|(_, weight)| weight).sum();
+        let all: f64 = route.targets.iter().map(|(_, weight)| weight).sum();
         let mut drawn = self.draw.borrow_mut().f64() * all;
-        for (name, weight) in &route.to {
+        for (name, weight) in &route.targets {
             drawn -= weight;
             if drawn < 0.0 {
                 return name;
             }
         }
-        route.to.iter().rev().find(|(_, weight)| *weight > 0.0).map_or("", |(name, _)| name)
+        route.targets.iter().rev().find(|(_, weight)| *weight > 0.0).map_or("", |(name, _)| name)
     }
 }
 
--- a/crates/starlinghill-proxy/tests/quota_client.rs
+++ b/crates/starlinghill-proxy/tests/quota_client.rs
@@ -26,7 +26,7 @@
 
 fn levels(draws: &[Draw], level: f64) -> RegistryResponse {
     RegistryResponse::Levels(
-        draws.iter().map(|_| QuotaLevel { level, share: 1.0, rooms: Vec::new() }).collect(),
+        draws.iter().map(|_| QuotaLevel { level, share: 1.0, offers: Vec::new() }).collect(),
         1,
     )
 }
@@ -136,14 +136,14 @@
 #[test]
 fn backends_that_the_counter_does_not_know_get_their_part() {
     let names_one: Plays = |draws, _, _| {
-        let rooms = vec![BackendOffer { backend: 1, takes_ms: 900 }];
+        let rooms = vec![BackendOffer { backend: 1, expected_response_ms: 900 }];
         RegistryResponse::Levels(
-            draws.iter().map(|_| QuotaLevel { level: 5.0, share: 1.0, rooms: rooms.clone() }).collect(),
+            draws.iter().map(|_| QuotaLevel { level: 5.0, share: 1.0, offers: rooms.clone() }).collect(),
             1,
         )
     };
     let named = |part| {
-        let unknown = UnknownBackends { part, backends: vec![7, 8, 9, 10] };
+        let unknown = UnknownBackends { capacity_fraction: part, backends: vec![7, 8, 9, 10] };
         let played = counted(names_one, Duration::from_millis(1_500), Duration::ZERO, Some(unknown));
         let first: Vec<_> = played.ends.iter().filter_map(|counted| counted.rooms.first().copied()).collect();
         assert!(first.len() > 20, "{}", first.len());
@@ -186,7 +186,7 @@
         else {
             panic!("debts are told first");
         };
-        let owed: f64 = draws.iter().map(|draw| draw.owed).sum();
+        let owed: f64 = draws.iter().map(|draw| draw.unreported).sum();
         // Of a tenant of which it was told nothing it uses a quarter of its even part: all gateways are this one.
         let paid = rate / 4.0 * (reached - begun).as_secs_f64();
         assert!((owed - (charged - paid)).abs() < 1.0, "{owed} is owed, {paid} was paid");
--- a/crates/starlinghill-quota-counter/src/backend_load.rs
+++ b/crates/starlinghill-quota-counter/src/backend_load.rs
@@ -53,13 +53,13 @@
     /// Which one.
     pub backend: u64,
     /// What the gateway has out there now.
-    pub out: u16,
+    pub outstanding: u16,
     /// How many answers came since its last word.
-    pub well: u16,
+    pub succeeded: u16,
     /// The time that they took, in ms, all together.
-    pub took_ms: u32,
+    pub total_latency_ms: u32,
     /// How many attempts came to nothing since.
-    pub ill: u16,
+    pub failed: u16,
 }
 
 /// A backend as the list has it.
@@ -74,11 +74,11 @@
     /// Requests that it works on at once.
     pub capacity: u32,
     /// It takes new work.
-    pub serves: bool,
+    pub accepts_work: bool,
     /// Nothing was heard of it here for several beats: it may be gone, or call another registry that is cut off from here.
-    pub silent: bool,
+    pub is_silent: bool,
     /// How much longer it is slow after its start.
-    pub cold_for: Duration,
+    pub warm_up_left: Duration,
 }
 
 /// A backend that is named to a request.
@@ -87,7 +87,7 @@
     /// Which one.
     pub backend: u64,
     /// When it would answer, in ms; 0 where it begins at once.
-    pub takes_ms: u16,
+    pub expected_response_ms: u16,
 }
 
 /// A backend as the counter sees it.
@@ -96,13 +96,13 @@
     /// Which one.
     pub backend: u64,
     /// What all gateways have out there.
-    pub out: u32,
+    pub outstanding: u32,
     /// Requests that it works on at once.
     pub capacity: u32,
     /// How many times slower it is than its service.
-    pub slow: f32,
+    pub slowdown: f32,
     /// The part of attempts that came to nothing of late.
-    pub ill: f32,
+    pub failure_rate: f32,
 }
 
 #[derive(Debug)]
@@ -187,10 +187,10 @@
 
 impl LoadTable {
     /// The list has something new.
-    pub fn listed(&mut self, now: Duration, listed: ListedBackend) {
+    pub fn update_listing(&mut self, now: Duration, listed: ListedBackend) {
         let (key, new) = match self.by.get(&listed.backend) {
             Some(key) => (*key, false),
-            None if !listed.serves || self.by.len() >= MOST => return,
+            None if !listed.accepts_work || self.by.len() >= MOST => return,
             None => {
                 let backend = Backend {
                     listed,
@@ -210,8 +210,8 @@
         };
         let Some(backend) = self.backends.get_mut(key) else { return };
         let before = std::mem::replace(&mut backend.listed, listed);
-        backend.warm_at = now + listed.cold_for;
-        let stays = listed.serves && before.service == listed.service;
+        backend.warm_at = now + listed.warm_up_left;
+        let stays = listed.accepts_work && before.service == listed.service;
         if !stays {
             if let Some(service) = self.services.get_mut(&before.service) {
                 service.backends.retain(|held| *held != key);
@@ -220,7 +220,7 @@
                 }
             }
         }
-        if !listed.serves {
+        if !listed.accepts_work {
             self.backends.remove(key);
             self.by.remove(&listed.backend);
         } else if new || !stays {
@@ -229,14 +229,14 @@
     }
 
     /// A gateway is in that zone.
-    pub fn gateway(&mut self, gateway: u64, zone: u64) {
+    pub fn set_gateway_zone(&mut self, gateway: u64, zone: u64) {
         if self.zones.len() < MOST_GATEWAYS {
             self.zones.insert(gateway, zone);
         }
     }
 
     /// A gateway tells how things stand between it and some backends.
-    pub fn tell(&mut self, now: Duration, from: u64, words: &[LoadReport]) {
+    pub fn apply_reports(&mut self, now: Duration, from: u64, words: &[LoadReport]) {
         if !self.told.contains(&from) && self.told.len() >= MOST_GATEWAYS {
             return;
         }
@@ -246,15 +246,15 @@
                 continue;
             };
             let service = self.services.entry(backend.listed.service).or_default();
-            if word.well > 0 {
-                let took = f64::from(word.took_ms) / f64::from(word.well);
+            if word.succeeded > 0 {
+                let took = f64::from(word.total_latency_ms) / f64::from(word.succeeded);
                 let met = backend.load_at(now.saturating_sub(Duration::from_millis(took as u64)));
                 let took = took / backend.rounds(met).max(1.0);
                 if service.answers == 0 {
                     service.pace = took;
                 }
                 let slow = (took / service.pace.max(0.1)).clamp(FASTEST, SLOWEST);
-                for _ in 0..word.well.min(8) {
+                for _ in 0..word.succeeded.min(8) {
                     backend.slow += SMOOTH * (slow - backend.slow);
                     backend.ill -= SMOOTH * backend.ill;
                     // A counter that has just begun learns sooner.
@@ -263,16 +263,16 @@
                     service.pace += weight * (slow - 1.0) * service.pace;
                 }
             }
-            for _ in 0..word.ill.min(8) {
+            for _ in 0..word.failed.min(8) {
                 backend.ill += SMOOTH * (1.0 - backend.ill);
             }
-            let before = match word.out {
+            let before = match word.outstanding {
                 0 => backend.out.remove(&from).unwrap_or(0),
                 out => backend.out.insert(from, out).unwrap_or(0),
             };
-            backend.all = backend.all + u32::from(word.out) - u32::from(before);
+            backend.all = backend.all + u32::from(word.outstanding) - u32::from(before);
             // An attempt that began and ended between two words was expected as well.
-            let told = usize::from(word.out) + usize::from(word.well) + usize::from(word.ill);
+            let told = usize::from(word.outstanding) + usize::from(word.succeeded) + usize::from(word.failed);
             let began = told.saturating_sub(usize::from(before));
             if began > 0 {
                 backend.used.insert(from, now);
@@ -284,7 +284,13 @@
 
     /// The backends of a service that answer soonest, to a request of that gateway, best first. The first counts as loaded, if
     /// it answers within that time: else the request does not go on.
-    pub fn room(&mut self, now: Duration, from: u64, service: u32, within: Duration) -> Vec<BackendOffer> {
+    pub fn offer_backends(
+        &mut self,
+        now: Duration,
+        from: u64,
+        service: u32,
+        within: Duration,
+    ) -> Vec<BackendOffer> {
         let Some(service) = self.services.get(&service) else { return Vec::new() };
         let zone = self.zones.get(&from).copied();
         let count = service.backends.len();
@@ -299,7 +305,7 @@
             let connected = backend.used.get(&from).is_some_and(|at| now < *at + CONNECTED);
             let mut score = rounds * pace * (1.0 + ILL * backend.ill) + NUDGE * chance(self.turn, i);
             score += if connected { 0.0 } else { UNCONNECTED };
-            score += if backend.listed.silent { SILENT } else { 0.0 };
+            score += if backend.listed.is_silent { SILENT } else { 0.0 };
             score += if zone == Some(backend.listed.zone) { 0.0 } else { FAR };
             if best.len() == NAMED && best.last().is_some_and(|(worst, ..)| *worst <= score) {
                 continue;
@@ -318,7 +324,7 @@
         }
         let room = |(_, key, takes): &(f64, Key, f64)| {
             let backend = self.backends.get(*key)?.listed.backend;
-            Some(BackendOffer { backend, takes_ms: takes.clamp(0.0, f64::from(u16::MAX)) as u16 })
+            Some(BackendOffer { backend, expected_response_ms: takes.clamp(0.0, f64::from(u16::MAX)) as u16 })
         };
         best.iter().filter_map(room).collect()
     }
@@ -346,19 +352,19 @@
     }
 
     /// All backends as they are seen from here.
-    pub fn seen(&self) -> Vec<BackendLoad> {
+    pub fn snapshot(&self) -> Vec<BackendLoad> {
         let seen = |backend: &Backend| BackendLoad {
             backend: backend.listed.backend,
-            out: backend.all,
+            outstanding: backend.all,
             capacity: backend.listed.capacity,
-            slow: backend.slow as f32,
-            ill: backend.ill as f32,
+            slowdown: backend.slow as f32,
+            failure_rate: backend.ill as f32,
         };
         self.backends.values().map(seen).collect()
     }
 
     /// What all gateways have out at a backend, as far as they told.
-    pub fn out(&self, backend: u64) -> u32 {
+    pub fn outstanding(&self, backend: u64) -> u32 {
         self.by.get(&backend).and_then(|key| self.backends.get(*key)).map_or(0, |backend| backend.all)
     }
 }
--- a/crates/starlinghill-quota-counter/src/bounds.rs
+++ b/crates/starlinghill-quota-counter/src/bounds.rs
@@ -5,7 +5,7 @@
 
 /// The part of the rates at which stores fill while so many of all gateways are silent: each of those may be deciding by
 /// itself, by its share.
-pub fn fill_part(silent: usize, all: usize, allowance: Allowance) -> f64 {
+pub fn fill_fraction(silent: usize, all: usize, allowance: Allowance) -> f64 {
     fill_part_of(silent as f64 / all.max(1) as f64, allowance)
 }
 
@@ -20,7 +20,7 @@
 }
 
 /// The share of a tenant's rate of a gateway that knows the counter, and was told nothing of that tenant.
-pub fn untold_share(gateways: usize) -> f64 {
+pub fn unassigned_share(gateways: usize) -> f64 {
     UNTOLD_SHARE * even_share(gateways)
 }
 
@@ -29,7 +29,7 @@
 pub fn own_share(drew: f64, all_drew: f64, gateways: usize) -> f64 {
     let even = even_share(gateways);
     match all_drew > 0.0 {
-        true => (1.0 - UNTOLD_SHARE) * drew / all_drew + untold_share(gateways),
+        true => (1.0 - UNTOLD_SHARE) * drew / all_drew + unassigned_share(gateways),
         false => even,
     }
 }
@@ -38,17 +38,17 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Disruptions {
     /// How often the counter moved.
-    pub moves: u32,
+    pub counter_moves: u32,
     /// For how long, in seconds, the counter may take a gateway for one that it hears though that decides by itself already.
-    pub late_s: f64,
+    pub detection_delay_s: f64,
     /// The part of the gateways that did.
-    pub cut: f64,
+    pub cut_off_fraction: f64,
 }
 
 /// The most requests of a tenant that can go on in any window, over all gateways: what a store holds, what fills it or the
 /// gateways' shares, and what gateways that can't hear the counter begin with.
 pub fn max_granted_in_window(quota: Quota, allowance: Allowance, troubles: Disruptions) -> f64 {
-    let Disruptions { moves, late_s, cut } = troubles;
+    let Disruptions { counter_moves: moves, detection_delay_s: late_s, cut_off_fraction: cut } = troubles;
     let beside_silent = cut.min(allowance.beside_silent());
     let of_each_move = cut * (quota.rate * late_s + allowance.unheard(quota));
     quota.burst
@@ -59,6 +59,6 @@
 /// The most requests of a tenant that can go on in any window, over all gateways, where so often in it the counter and all
 /// gateways' processes were lost at once: what the store held and what filled it, here or at the gateways by their
 /// shares, which begin empty, and what it began with after each loss.
-pub fn most_after_losses(quota: Quota, allowance: Allowance, losses: u32) -> f64 {
+pub fn max_granted_after_losses(quota: Quota, allowance: Allowance, losses: u32) -> f64 {
     quota.burst + quota.rate * allowance.window_s + f64::from(losses) * allowance.after_loss(quota)
 }
--- a/crates/starlinghill-quota-counter/src/level_readings.rs
+++ b/crates/starlinghill-quota-counter/src/level_readings.rs
@@ -1,6 +1,6 @@
 //! What a gateway keeps for a counter that begins.
 
-use crate::{LevelReading, MOST};
+use crate::{LevelReading, MAX_BUCKETS};
 use std::collections::HashMap;
 
 /// A reading that is older, in microseconds, tells nothing: its store is full.
@@ -8,18 +8,18 @@
 
 /// What was last heard of each store.
 #[derive(Debug, Default)]
-pub struct Readings {
+pub struct LevelReadings {
     stores: HashMap<u64, LevelReading>,
 }
 
-impl Readings {
+impl LevelReadings {
     /// A level was heard, at that moment of the system's time, and this gateway's share of the rate.
-    pub fn heard(&mut self, name: u64, level: f64, share: f64, at: u64) {
-        if self.stores.len() >= MOST {
-            self.stores.retain(|_, reading| reading.at + OLD > at);
+    pub fn record(&mut self, name: u64, level: f64, share: f64, at: u64) {
+        if self.stores.len() >= MAX_BUCKETS {
+            self.stores.retain(|_, reading| reading.at_us + OLD > at);
         }
-        if self.stores.len() < MOST || self.stores.contains_key(&name) {
-            self.stores.insert(name, LevelReading { name, level, at, share });
+        if self.stores.len() < MAX_BUCKETS || self.stores.contains_key(&name) {
+            self.stores.insert(name, LevelReading { bucket: name, level, at_us: at, share });
         }
     }
 
@@ -29,8 +29,8 @@
     }
 
     /// All that still tells something.
-    pub fn all(&mut self, at: u64) -> Vec<LevelReading> {
-        self.stores.retain(|_, reading| reading.at + OLD > at);
+    pub fn current(&mut self, at: u64) -> Vec<LevelReading> {
+        self.stores.retain(|_, reading| reading.at_us + OLD > at);
         self.stores.values().copied().collect()
     }
 }
