--- a/crates/starlinghill-quota-counter/src/lib.rs
+++ b/crates/starlinghill-quota-counter/src/lib.rs
@@ -26,11 +26,13 @@
 
 pub use backend_load::{BackendLoad, BackendOffer, ListedBackend, LoadReport, LoadTable};
 use bounds::even_share;
-pub use bounds::{fill_part, max_granted_in_window, most_after_losses, own_share, untold_share, Disruptions};
+pub use bounds::{
+    fill_fraction, max_granted_after_losses, max_granted_in_window, own_share, unassigned_share, Disruptions,
+};
 pub use client::QuotaClient;
-pub use level_readings::Readings;
+pub use level_readings::LevelReadings;
 pub use starlinghill_rate_limit::{Allowance, Quota};
-pub use unreported_usage::{Debts, DrawEnd};
+pub use unreported_usage::{DrawOutcome, UnreportedUsage};
 
 use bitcode::{Decode, Encode};
 use recalled_shares::RecalledShares;
@@ -39,11 +41,11 @@
 use store::{Gateways, Silence, Store};
 
 /// The most stores that are kept. Guards memory.
-pub const MOST: usize = 100_000;
+pub const MAX_BUCKETS: usize = 100_000;
 /// A counter that begins waits so long for the gateways that it knows of. Until then they decide by themselves.
-pub const RECALL: Duration = Duration::from_millis(800);
+pub const RECOVERY_TIMEOUT: Duration = Duration::from_millis(800);
 /// A gateway that has drawn nothing, and said nothing, for so long may be deciding by itself.
-pub const SILENT: Duration = Duration::from_millis(600);
+pub const GATEWAY_SILENT_AFTER: Duration = Duration::from_millis(600);
 /// How often a gateway that draws nothing says something.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(200);
 /// Of a store that nobody told of the worst is taken for so long after the counter has begun.
@@ -55,9 +57,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Encode, Decode)]
 pub struct Draw {
     /// The store.
-    pub name: u64,
+    pub bucket: u64,
     /// What was used before and not told, or given back where negative: taken in any case.
-    pub owed: f64,
+    pub unreported: f64,
     /// What is wanted now: taken if the store holds it.
     pub units: f64,
     /// The tenant's rate a second.
@@ -67,18 +69,18 @@
     /// The service that the request is for, by its number; 0: none.
     pub service: u32,
     /// It goes on only if a backend answers within so many ms.
-    pub within_ms: u16,
+    pub max_response_ms: u16,
 }
 
 /// What a gateway last heard of a store.
 #[derive(Debug, Clone, Copy, PartialEq, Encode, Decode)]
 pub struct LevelReading {
     /// The store.
-    pub name: u64,
+    pub bucket: u64,
     /// What it held.
     pub level: f64,
     /// When, in microseconds of the system's time.
-    pub at: u64,
+    pub at_us: u64,
     /// The share of the tenant's rate by which the gateway goes since then while it can't reach a counter.
     pub share: f64,
 }
@@ -91,7 +93,7 @@
     /// The gateway's share of the tenant's rate, for when it can't reach the counter.
     pub share: f64,
     /// The backends of the service that answer soonest, where the request may go on.
-    pub rooms: Vec<BackendOffer>,
+    pub offers: Vec<BackendOffer>,
 }
 
 /// The counter in one term.
@@ -125,7 +127,7 @@
 
 impl QuotaCounter {
     /// A counter that knows nothing but the gateways that may have drawn before, under those rules.
-    pub fn begin(
+    pub fn start(
         now: Duration,
         term: u64,
         first: bool,
@@ -179,28 +181,28 @@
     }
 
     /// How many stores it keeps, and how many gateways it does not hear.
-    pub fn state(&self) -> (usize, usize) {
+    pub fn counts(&self) -> (usize, usize) {
         (self.stores.len(), self.silent.len())
     }
 
     /// The stores by their names: what they hold, the tenant's rate, and what was asked for of late a second.
-    pub fn stores(&self, now: Duration) -> Vec<(u64, f64, f64, f64)> {
+    pub fn bucket_levels(&self, now: Duration) -> Vec<(u64, f64, f64, f64)> {
         self.stores.iter().map(|(name, store)| store.told(now, *name)).collect()
     }
 
     /// A gateway says what it last heard of stores.
-    pub fn recall(&mut self, now: Duration, from: u64, readings: &[LevelReading]) {
+    pub fn apply_readings(&mut self, now: Duration, from: u64, readings: &[LevelReading]) {
         for reading in readings {
-            if self.readings.len() >= MOST && !self.readings.contains_key(&reading.name) {
+            if self.readings.len() >= MAX_BUCKETS && !self.readings.contains_key(&reading.bucket) {
                 continue;
             }
-            match self.stores.get_mut(&reading.name) {
+            match self.stores.get_mut(&reading.bucket) {
                 Some(store) => store.goes_by(now, from, reading.share),
-                None => self.shares.goes_by(reading.name, from, reading.share),
+                None => self.shares.goes_by(reading.bucket, from, reading.share),
             }
             // The latest was told after all that the others had drawn by then.
-            let known = self.readings.entry(reading.name).or_insert(*reading);
-            if reading.at > known.at {
+            let known = self.readings.entry(reading.bucket).or_insert(*reading);
+            if reading.at_us > known.at_us {
                 *known = *reading;
             }
         }
@@ -210,7 +212,9 @@
     }
 
     fn look(&mut self, now: Duration) {
-        if self.open.is_none() && (now >= self.began + RECALL || self.awaited.is_subset(&self.recalled)) {
+        if self.open.is_none()
+            && (now >= self.began + RECOVERY_TIMEOUT || self.awaited.is_subset(&self.recalled))
+        {
             self.open = Some(now);
         }
     }
@@ -238,10 +242,11 @@
         let all = self.gateways.all;
         let silence = |gateway: &u64| Silence {
             since: heard(gateway).or(self.known.get(gateway).copied()).unwrap_or(now),
-            untold_share: if is_stranger(&gateway) { even_share(all) } else { untold_share(all) },
+            untold_share: if is_stranger(&gateway) { even_share(all) } else { unassigned_share(all) },
         };
         // One that never spoke may decide by itself from its first moment on.
-        let is_silent = |gateway: &&u64| heard(gateway).is_none_or(|at| now.saturating_sub(at) > SILENT);
+        let is_silent =
+            |gateway: &&u64| heard(gateway).is_none_or(|at| now.saturating_sub(at) > GATEWAY_SILENT_AFTER);
         let silent: BTreeMap<u64, Silence> =
             gateways.iter().filter(is_silent).map(|gateway| (*gateway, silence(gateway))).collect();
         let speaks = |gateway: &u64| !silent.contains_key(gateway);
@@ -276,9 +281,9 @@
         (opened, doubted): (Duration, bool),
         draw: &Draw,
     ) -> Option<QuotaLevel> {
-        let Draw { name, rate, burst, .. } = *draw;
+        let Draw { bucket: name, rate, burst, .. } = *draw;
         let quota = Quota { rate, burst };
-        if self.stores.len() >= MOST && !self.stores.contains_key(&name) {
+        if self.stores.len() >= MAX_BUCKETS && !self.stores.contains_key(&name) {
             return None;
         }
         let worst = if doubted { self.untold(quota) } else { burst };
@@ -300,8 +305,9 @@
         let (level, share) = store.draw(now, from, draw, self.gateways);
         self.violations += u64::from(store.is_exceeded());
         let goes_on = draw.units > 0.0 && level >= 0.0 && draw.service != 0;
-        let within = Duration::from_millis(u64::from(draw.within_ms));
-        let rooms = if goes_on { self.loads.room(now, from, draw.service, within) } else { Vec::new() };
-        Some(QuotaLevel { level, share, rooms })
+        let within = Duration::from_millis(u64::from(draw.max_response_ms));
+        let rooms =
+            if goes_on { self.loads.offer_backends(now, from, draw.service, within) } else { Vec::new() };
+        Some(QuotaLevel { level, share, offers: rooms })
     }
 }
--- a/crates/starlinghill-quota-counter/src/store.rs
+++ b/crates/starlinghill-quota-counter/src/store.rs
@@ -1,7 +1,7 @@
 //! One tenant's store at the counter.
 
 use crate::audit::Audit;
-use crate::bounds::{even_share, fill_part_of, own_share, untold_share};
+use crate::bounds::{even_share, fill_part_of, own_share, unassigned_share};
 use crate::Draw;
 use starlinghill_rate_limit::{Allowance, Quota};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -116,7 +116,8 @@
         let others = self.clients.len() - usize::from(known.is_some());
         let unknown = all.saturating_sub(1 + others);
         let strangers = strangers.min(unknown);
-        let untold = strangers as f64 * even_share(all) + (unknown - strangers) as f64 * untold_share(all);
+        let untold =
+            strangers as f64 * even_share(all) + (unknown - strangers) as f64 * unassigned_share(all);
         let before = self.drew_before.now(now);
         let own = own_share(drew.now(now) + before * even_share(all), self.all_drew.now(now) + before, all);
         own.min(1.0 - (self.told_sum - told_share) - untold).max(0.0)
@@ -184,7 +185,7 @@
 
     /// Draws; returns what is left, below nothing where that was not enough, and the gateway's share.
     pub(crate) fn draw(&mut self, now: Duration, from: u64, draw: &Draw, gateways: Gateways) -> (f64, f64) {
-        let Draw { owed, units, rate, burst, .. } = *draw;
+        let Draw { unreported: owed, units, rate, burst, .. } = *draw;
         self.fill(now);
         self.drawn = now;
         if self.quota != (Quota { rate, burst }) {
--- a/crates/starlinghill-quota-counter/src/unreported_usage.rs
+++ b/crates/starlinghill-quota-counter/src/unreported_usage.rs
@@ -16,13 +16,13 @@
 //! While a gateway tells no counter anything its share of the rate is kept free for it, so that much of what it used needs
 //! not be told.
 
-use crate::MOST;
+use crate::MAX_BUCKETS;
 use std::collections::HashMap;
 use std::time::Duration;
 
 /// How a draw ended at the counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DrawEnd {
+pub enum DrawOutcome {
     /// It took in the draw, and the store held what was wanted.
     Granted,
     /// It took in the draw, and the store did not hold that.
@@ -41,15 +41,15 @@
 
 /// What is to be told, by stores.
 #[derive(Debug, Default)]
-pub struct Debts {
+pub struct UnreportedUsage {
     stores: HashMap<u64, Debt>,
 }
 
-impl Debts {
+impl UnreportedUsage {
     /// So many units of a store were used without a word of the counter's; fewer than none where some that it gave were not
     /// used. `own_rate` is this gateway's share of the rate.
-    pub fn charge(&mut self, name: u64, units: f64, own_rate: f64) {
-        if self.stores.len() >= MOST && !self.stores.contains_key(&name) {
+    pub fn add(&mut self, name: u64, units: f64, own_rate: f64) {
+        if self.stores.len() >= MAX_BUCKETS && !self.stores.contains_key(&name) {
             return;
         }
         let debt = self.stores.entry(name).or_default();
@@ -61,17 +61,17 @@
     }
 
     /// A draw that carried `owed` and wanted `units` has ended. `waited`: its request was decided by that.
-    pub fn settle(&mut self, name: u64, (owed, units): (f64, f64), end: DrawEnd, waited: bool) {
+    pub fn settle_draw(&mut self, name: u64, (owed, units): (f64, f64), end: DrawOutcome, waited: bool) {
         let own_rate = self.stores.get(&name).map(|debt| debt.own_rate).unwrap_or_default();
         match end {
-            DrawEnd::Granted if !waited => self.charge(name, -units, own_rate),
-            DrawEnd::Unknown => self.charge(name, owed, own_rate),
-            DrawEnd::Granted | DrawEnd::Refused => {}
+            DrawOutcome::Granted if !waited => self.add(name, -units, own_rate),
+            DrawOutcome::Unknown => self.add(name, owed, own_rate),
+            DrawOutcome::Granted | DrawOutcome::Refused => {}
         }
     }
 
     /// No counter was told anything for so long: what this gateway's shares came to in that time is its own.
-    pub fn unheard_for(&mut self, span: Duration) {
+    pub fn deduct_own_share(&mut self, span: Duration) {
         self.stores.retain(|_, debt| {
             if debt.units > 0.0 {
                 debt.units = (debt.units - debt.own_rate * span.as_secs_f64()).max(0.0);
@@ -86,7 +86,7 @@
     }
 
     /// Of so many stores at most, what is to be told.
-    pub fn take_some(&mut self, most: usize) -> Vec<(u64, f64)> {
+    pub fn take_up_to(&mut self, most: usize) -> Vec<(u64, f64)> {
         let names: Vec<u64> = self.stores.keys().copied().take(most).collect();
         names.into_iter().map(|name| (name, self.take(name))).collect()
     }
--- a/crates/starlinghill-quota-counter/tests/backend_load.rs
+++ b/crates/starlinghill-quota-counter/tests/backend_load.rs
@@ -14,22 +14,30 @@
 
 fn listed(backend: u64) -> ListedBackend {
     let (zone, cold_for) = (backend % 3, Duration::ZERO);
-    ListedBackend { backend, service: SERVICE, zone, capacity: 2, serves: true, silent: false, cold_for }
+    ListedBackend {
+        backend,
+        service: SERVICE,
+        zone,
+        capacity: 2,
+        accepts_work: true,
+        is_silent: false,
+        warm_up_left: cold_for,
+    }
 }
 
 fn with(backends: u64) -> LoadTable {
     let mut loads = LoadTable::default();
-    (0..backends).for_each(|backend| loads.listed(ms(0), listed(backend)));
+    (0..backends).for_each(|backend| loads.update_listing(ms(0), listed(backend)));
     loads
 }
 
 fn word(backend: u64, out: u16) -> LoadReport {
-    LoadReport { backend, out, well: 0, took_ms: 0, ill: 0 }
+    LoadReport { backend, outstanding: out, succeeded: 0, total_latency_ms: 0, failed: 0 }
 }
 
 /// What is named to a request that may wait for long.
 fn named(loads: &mut LoadTable, now: Duration, from: u64) -> Vec<u64> {
-    loads.room(now, from, SERVICE, ms(60_000)).iter().map(|room| room.backend).collect()
+    loads.offer_backends(now, from, SERVICE, ms(60_000)).iter().map(|room| room.backend).collect()
 }
 
 #[test]
@@ -59,20 +67,20 @@
             let words: Vec<LoadReport> =
                 untold[&gateway].iter().map(|b| word(*b, out[&gateway][b])).collect();
             if rng.u8(0..4) > 0 {
-                loads.tell(now, gateway, &words);
+                loads.apply_reports(now, gateway, &words);
                 untold.remove(&gateway);
                 if rng.bool() {
-                    loads.tell(now, gateway, &words);
+                    loads.apply_reports(now, gateway, &words);
                 }
             }
         }
         for (gateway, backends) in untold {
             let words: Vec<LoadReport> = backends.iter().map(|b| word(*b, out[&gateway][b])).collect();
-            loads.tell(ms(400), gateway, &words);
+            loads.apply_reports(ms(400), gateway, &words);
         }
         for backend in 0..6 {
             let all: u16 = out.values().filter_map(|own| own.get(&backend)).sum();
-            assert_eq!(loads.out(backend), u32::from(all), "seed {seed}: backend {backend}");
+            assert_eq!(loads.outstanding(backend), u32::from(all), "seed {seed}: backend {backend}");
         }
     }
 }
@@ -95,35 +103,49 @@
 #[test]
 fn a_request_that_does_not_go_on_leaves_no_trace() {
     let mut loads = with(1);
-    loads.tell(ms(0), 1, &[LoadReport { backend: 0, out: 2, well: 20, took_ms: 2_000, ill: 0 }]);
+    loads.apply_reports(
+        ms(0),
+        1,
+        &[LoadReport { backend: 0, outstanding: 2, succeeded: 20, total_latency_ms: 2_000, failed: 0 }],
+    );
     // Two are at work: the third waits for half a round.
     for _ in 0..5 {
-        let rooms = loads.room(ms(1), 1, SERVICE, ms(120));
-        assert_eq!(rooms[0].takes_ms, 150);
+        let rooms = loads.offer_backends(ms(1), 1, SERVICE, ms(120));
+        assert_eq!(rooms[0].expected_response_ms, 150);
     }
-    assert_eq!(loads.room(ms(1), 1, SERVICE, ms(200))[0].takes_ms, 150);
-    assert_eq!(loads.room(ms(1), 1, SERVICE, ms(200))[0].takes_ms, 200);
+    assert_eq!(loads.offer_backends(ms(1), 1, SERVICE, ms(200))[0].expected_response_ms, 150);
+    assert_eq!(loads.offer_backends(ms(1), 1, SERVICE, ms(200))[0].expected_response_ms, 200);
 }
 
 #[test]
 fn a_time_that_was_learned_wrong_does_not_shut_backends_that_stand_idle() {
     let mut loads = with(4);
-    loads.tell(ms(0), 1, &[LoadReport { backend: 0, out: 0, well: 1, took_ms: 30_000, ill: 0 }]);
-    assert_eq!(loads.room(ms(1), 1, SERVICE, ms(100))[0].takes_ms, 0);
+    loads.apply_reports(
+        ms(0),
+        1,
+        &[LoadReport { backend: 0, outstanding: 0, succeeded: 1, total_latency_ms: 30_000, failed: 0 }],
+    );
+    assert_eq!(loads.offer_backends(ms(1), 1, SERVICE, ms(100))[0].expected_response_ms, 0);
     // And some answers later it is right.
     for i in 0..60 {
-        loads.tell(ms(10 + i), 1, &[LoadReport { backend: i % 4, out: 0, well: 1, took_ms: 100, ill: 0 }]);
+        loads.apply_reports(
+            ms(10 + i),
+            1,
+            &[LoadReport { backend: i % 4, outstanding: 0, succeeded: 1, total_latency_ms: 100, failed: 0 }],
+        );
     }
     let full: Vec<LoadReport> = (0..4).map(|backend| word(backend, 2)).collect();
-    loads.tell(ms(100), 1, &full);
-    let takes = loads.room(ms(101), 1, SERVICE, ms(100))[0].takes_ms;
+    loads.apply_reports(ms(100), 1, &full);
+    let takes = loads.offer_backends(ms(101), 1, SERVICE, ms(100))[0].expected_response_ms;
     assert!(takes < 1_200, "{takes}");
 }
 
 #[test]
 fn half_of_the_backends_that_are_not_heard_of_here_still_get_work() {
     let mut loads = with(10);
-    (0..5).for_each(|backend| loads.listed(ms(0), ListedBackend { silent: true, ..listed(backend) }));
+    (0..5).for_each(|backend| {
+        loads.update_listing(ms(0), ListedBackend { is_silent: true, ..listed(backend) })
+    });
     let went: Vec<u64> = (0..20).map(|gateway| named(&mut loads, ms(1), gateway)[0]).collect();
     // Those that are heard of first, and before any of them has to queue, the others too.
     assert!(went[..5].iter().all(|backend| *backend >= 5), "{went:?}");
@@ -131,16 +153,22 @@
     assert!((8..=10).contains(&silent), "{went:?}");
 }
 
-#[test_case(LoadReport { backend: 0, out: 0, well: 0, took_ms: 0, ill: 4 }; "attempts come to nothing")]
-#[test_case(LoadReport { backend: 0, out: 0, well: 4, took_ms: 4_000, ill: 0 }; "answers take ten times as long")]
+#[test_case(LoadReport { backend: 0, outstanding: 0, succeeded: 0, total_latency_ms: 0, failed: 4 }; "attempts come to nothing")]
+#[test_case(LoadReport { backend: 0, outstanding: 0, succeeded: 4, total_latency_ms: 4_000, failed: 0 }; "answers take ten times as long")]
 fn what_one_gateway_saw_keeps_the_others_away_and_is_forgiven(bad: LoadReport) {
     let mut loads = with(6);
     let told: BTreeSet<u64> = (1..=9).collect();
     for i in 0..40 {
-        let good = (1..6).map(|backend| LoadReport { backend, out: 0, well: 1, took_ms: 100, ill: 0 });
-        loads.tell(ms(i), 1, &good.collect::<Vec<_>>());
+        let good = (1..6).map(|backend| LoadReport {
+            backend,
+            outstanding: 0,
+            succeeded: 1,
+            total_latency_ms: 100,
+            failed: 0,
+        });
+        loads.apply_reports(ms(i), 1, &good.collect::<Vec<_>>());
     }
-    loads.tell(ms(40), 1, &[bad]);
+    loads.apply_reports(ms(40), 1, &[bad]);
     let first = |loads: &mut LoadTable, now: Duration| -> Vec<u64> {
         (2..8).map(|gateway| named(loads, now, gateway)[0]).collect()
     };
--- a/crates/starlinghill-quota-counter/tests/quota.rs
+++ b/crates/starlinghill-quota-counter/tests/quota.rs
@@ -1,8 +1,8 @@
 //! Tenants' requests over gateways that reach the counter or do not, while that moves: histories checked against the bound.
 
 use starlinghill_quota_counter::{
-    fill_part, max_granted_in_window, most_after_losses, own_share, Debts, Disruptions, Draw, LevelReading,
-    QuotaCounter, Readings, RECALL, SILENT,
+    fill_fraction, max_granted_after_losses, max_granted_in_window, own_share, Disruptions, Draw,
+    LevelReading, LevelReadings, QuotaCounter, UnreportedUsage, GATEWAY_SILENT_AFTER, RECOVERY_TIMEOUT,
 };
 use starlinghill_rate_limit::{Allowance, Quota};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,14 +21,14 @@
 }
 
 fn draw(owed: f64, units: f64) -> Draw {
-    Draw { name: NAME, owed, units, rate: RATE, burst: BURST, service: 0, within_ms: 0 }
+    Draw { bucket: NAME, unreported: owed, units, rate: RATE, burst: BURST, service: 0, max_response_ms: 0 }
 }
 
 /// What a gateway does: it asks where it can, and goes by its share where it can't.
 struct Gateway {
     life: u64,
-    readings: Readings,
-    debts: Debts,
+    readings: LevelReadings,
+    debts: UnreportedUsage,
     /// What the store had left as this gateway last heard it, and when.
     left: Option<(f64, Duration)>,
     last_said: Duration,
@@ -41,7 +41,7 @@
 impl Gateway {
     /// It says something to the counter: what it owes goes with that.
     fn tell(&mut self, now: Duration) -> f64 {
-        self.debts.unheard_for((now - self.last_said).saturating_sub(SILENT));
+        self.debts.deduct_own_share((now - self.last_said).saturating_sub(GATEWAY_SILENT_AFTER));
         self.last_said = now;
         self.debts.take(NAME)
     }
@@ -63,8 +63,8 @@
         let share = 1.0 / gateways as f64;
         let gateway = |life| Gateway {
             life,
-            readings: Readings::default(),
-            debts: Debts::default(),
+            readings: LevelReadings::default(),
+            debts: UnreportedUsage::default(),
             left: None,
             last_said: Duration::ZERO,
             share,
@@ -72,8 +72,8 @@
             cut_until: Duration::ZERO,
         };
         let all: Vec<Gateway> = (1..=gateways).map(gateway).collect();
-        let mut gauge = QuotaCounter::begin(Duration::ZERO, 1, true, ALLOWANCE, all.iter().map(|g| g.life));
-        all.iter().for_each(|g| gauge.recall(Duration::ZERO, g.life, &[]));
+        let mut gauge = QuotaCounter::start(Duration::ZERO, 1, true, ALLOWANCE, all.iter().map(|g| g.life));
+        all.iter().for_each(|g| gauge.apply_readings(Duration::ZERO, g.life, &[]));
         let (rng, gauge) = (fastrand::Rng::with_seed(seed), Some(gauge));
         World { rng, now: Duration::ZERO, gauge, term: 1, gateways: all, granted: Vec::new(), violations: 0 }
     }
@@ -89,20 +89,20 @@
         let share = 1.0 / self.gateways.len() as f64;
         for gateway in &mut self.gateways {
             gateway.life += 1_000;
-            (gateway.readings, gateway.share, gateway.alone) = (Readings::default(), share, None);
-            (gateway.debts, gateway.left, gateway.last_said) = (Debts::default(), None, self.now);
+            (gateway.readings, gateway.share, gateway.alone) = (LevelReadings::default(), share, None);
+            (gateway.debts, gateway.left, gateway.last_said) = (UnreportedUsage::default(), None, self.now);
         }
     }
 
     fn new_counter(&mut self, waits_for_all: bool) {
         self.term += 1;
         let lives = self.gateways.iter().map(|g| g.life);
-        let mut gauge = QuotaCounter::begin(self.now, self.term, false, ALLOWANCE, lives);
+        let mut gauge = QuotaCounter::start(self.now, self.term, false, ALLOWANCE, lives);
         for gateway in &mut self.gateways {
             if gateway.cut_until <= self.now || !waits_for_all {
-                let readings = gateway.readings.all(self.now.as_micros() as u64);
-                gauge.recall(self.now, gateway.life, &readings);
-                gateway.debts.unheard_for(self.now - gateway.last_said);
+                let readings = gateway.readings.current(self.now.as_micros() as u64);
+                gauge.apply_readings(self.now, gateway.life, &readings);
+                gateway.debts.deduct_own_share(self.now - gateway.last_said);
                 gateway.last_said = self.now;
             }
         }
@@ -116,13 +116,13 @@
         let owed = if told.is_some() { gateway.tell(now) } else { 0.0 };
         let level = told.and_then(|gauge| gauge.draw(now, gateway.life, &[draw(owed, 1.0)]));
         if level.is_none() {
-            gateway.debts.charge(NAME, owed, RATE * gateway.share);
+            gateway.debts.add(NAME, owed, RATE * gateway.share);
         }
         let granted = match level {
             Some(levels) => {
                 let level = &levels[0];
                 let unused = if level.level < 0.0 { 1.0 } else { 0.0 };
-                gateway.readings.heard(NAME, level.level + unused, level.share, now.as_micros() as u64);
+                gateway.readings.record(NAME, level.level + unused, level.share, now.as_micros() as u64);
                 (gateway.share, gateway.alone) = (level.share, None);
                 gateway.left = Some((level.level.max(0.0), now));
                 level.level >= 0.0
@@ -137,7 +137,7 @@
                 let level = level.min((BURST * gateway.share).max(1.0));
                 let granted = level >= 1.0;
                 if granted {
-                    gateway.debts.charge(NAME, 1.0, RATE * gateway.share);
+                    gateway.debts.add(NAME, 1.0, RATE * gateway.share);
                 }
                 gateway.alone = Some((if granted { level - 1.0 } else { level }, now));
                 granted
@@ -162,7 +162,7 @@
                         let owed = gateway.tell(now);
                         let debts = if owed == 0.0 { vec![] } else { vec![draw(owed, 0.0)] };
                         if gauge.draw(now, gateway.life, &debts).is_none() {
-                            gateway.debts.charge(NAME, owed, RATE * gateway.share);
+                            gateway.debts.add(NAME, owed, RATE * gateway.share);
                         }
                     }
                 }
@@ -194,7 +194,11 @@
     max_granted_in_window(
         QUOTA,
         ALLOWANCE,
-        Disruptions { moves, late_s: (SILENT + ms(100)).as_secs_f64(), cut },
+        Disruptions {
+            counter_moves: moves,
+            detection_delay_s: (GATEWAY_SILENT_AFTER + ms(100)).as_secs_f64(),
+            cut_off_fraction: cut,
+        },
     )
     .min(allowed())
 }
@@ -253,7 +257,7 @@
 
 #[test]
 fn three_counters_in_a_row_that_begin_after_the_loss_of_all_keep_the_quota() {
-    let all = most_after_losses(QUOTA, ALLOWANCE, 3);
+    let all = max_granted_after_losses(QUOTA, ALLOWANCE, 3);
     assert!(all <= allowed() + 1e-9, "{all} of {}", allowed());
     let mut busiest = 0;
     for seed in 0..60 {
@@ -283,23 +287,23 @@
     let part = ALLOWANCE.after_loss(QUOTA);
     assert!((part - 80.0 / 3.0).abs() < 1e-9, "{part}");
     let level = |recalled: &[LevelReading], all: bool| {
-        let gauge = QuotaCounter::begin(ms(0), 3, false, ALLOWANCE, if all { vec![1] } else { vec![1, 2] });
+        let gauge = QuotaCounter::start(ms(0), 3, false, ALLOWANCE, if all { vec![1] } else { vec![1, 2] });
         let mut gauge = gauge;
-        gauge.recall(ms(1), 1, recalled);
-        gauge.tick(RECALL, &BTreeSet::from([1]));
-        gauge.draw(RECALL, 1, &[draw(0.0, 1.0)]).map(|levels| levels[0].level)
+        gauge.apply_readings(ms(1), 1, recalled);
+        gauge.tick(RECOVERY_TIMEOUT, &BTreeSet::from([1]));
+        gauge.draw(RECOVERY_TIMEOUT, 1, &[draw(0.0, 1.0)]).map(|levels| levels[0].level)
     };
     assert!(level(&[], true).is_some_and(|level| (level - part + 1.0).abs() < 1e-9));
     // One that did not answer may know; and one that knows of another store was not lost.
     assert_eq!(level(&[], false), Some(-1.0));
-    assert_eq!(level(&[LevelReading { name: 8, level: 3.0, at: 1, share: 1.0 }], true), Some(-1.0));
+    assert_eq!(level(&[LevelReading { bucket: 8, level: 3.0, at_us: 1, share: 1.0 }], true), Some(-1.0));
 }
 
 #[test]
 fn of_a_store_that_nobody_tells_of_the_worst_is_taken_but_at_the_first_start() {
     for (first, granted) in [(true, true), (false, false)] {
-        let mut gauge = QuotaCounter::begin(ms(0), 3, first, ALLOWANCE, [1]);
-        gauge.recall(ms(1), 1, &[]);
+        let mut gauge = QuotaCounter::start(ms(0), 3, first, ALLOWANCE, [1]);
+        gauge.apply_readings(ms(1), 1, &[]);
         let level = gauge.draw(ms(2), 1, &[draw(0.0, 50.0)]).map(|levels| levels[0].level >= 0.0);
         assert_eq!(level, Some(granted));
     }
@@ -307,11 +311,11 @@
 
 /// What a store that was empty holds after so long, beside a gateway that spoke until then, or comes then and never speaks.
 fn left_beside_a_silent_one(comes_late: bool, silent_ms: u64) -> f64 {
-    let mut gauge = QuotaCounter::begin(ms(0), 1, true, ALLOWANCE, [1]);
-    gauge.recall(ms(0), 1, &[]);
+    let mut gauge = QuotaCounter::start(ms(0), 1, true, ALLOWANCE, [1]);
+    gauge.apply_readings(ms(0), 1, &[]);
     gauge.draw(ms(0), 1, &[draw(0.0, BURST)]);
     if !comes_late {
-        gauge.recall(ms(0), 2, &[]);
+        gauge.apply_readings(ms(0), 2, &[]);
         gauge.tick(ms(0), &BTreeSet::from([1, 2]));
     }
     gauge.draw(ms(20_000), 1, &[]);
@@ -319,7 +323,7 @@
     // Empty again: what it had is used.
     gauge.draw(ms(20_000), 1, &[draw(BURST, 0.0)]);
     if !comes_late {
-        gauge.recall(ms(20_000), 2, &[]);
+        gauge.apply_readings(ms(20_000), 2, &[]);
     }
     let both = BTreeSet::from([1, 2]);
     gauge.tick(ms(20_000), &both);
@@ -349,19 +353,19 @@
 
 #[test]
 fn a_counter_answers_nobody_before_it_has_asked_all_or_waited() {
-    let mut gauge = QuotaCounter::begin(ms(0), 2, false, ALLOWANCE, [1, 2]);
-    gauge.recall(ms(1), 1, &[]);
+    let mut gauge = QuotaCounter::start(ms(0), 2, false, ALLOWANCE, [1, 2]);
+    gauge.apply_readings(ms(1), 1, &[]);
     assert_eq!(gauge.draw(ms(2), 1, &[draw(0.0, 1.0)]), None);
-    gauge.tick(RECALL + ms(1), &BTreeSet::from([1, 2]));
-    assert!(gauge.draw(RECALL + ms(2), 1, &[draw(0.0, 1.0)]).is_some());
+    gauge.tick(RECOVERY_TIMEOUT + ms(1), &BTreeSet::from([1, 2]));
+    assert!(gauge.draw(RECOVERY_TIMEOUT + ms(2), 1, &[draw(0.0, 1.0)]).is_some());
     // One that has not said what it heard is not answered, whenever it comes.
-    assert_eq!(gauge.draw(RECALL + ms(2), 9, &[draw(0.0, 1.0)]), None);
+    assert_eq!(gauge.draw(RECOVERY_TIMEOUT + ms(2), 9, &[draw(0.0, 1.0)]), None);
 }
 
 #[test]
 fn what_is_owed_is_taken_in_any_case_and_shuts_nobody_out_for_long() {
-    let mut gauge = QuotaCounter::begin(ms(0), 1, true, ALLOWANCE, [1]);
-    gauge.recall(ms(0), 1, &[]);
+    let mut gauge = QuotaCounter::start(ms(0), 1, true, ALLOWANCE, [1]);
+    gauge.apply_readings(ms(0), 1, &[]);
     let level = gauge.draw(ms(1), 1, &[draw(1_000.0, 1.0)]).map(|levels| levels[0].level);
     assert_eq!(level, Some(-BURST - 1.0));
     let later = gauge.draw(ms(1_200), 1, &[draw(0.0, 1.0)]).map(|levels| levels[0].level >= 0.0);
@@ -373,8 +377,8 @@
     let drew = [10.0, 5.0, 0.0, 1.0];
     let sum: f64 = drew.iter().map(|d| own_share(*d, drew.iter().sum(), drew.len())).sum();
     assert!((sum - 1.0).abs() < 1e-9, "{sum}");
-    assert_eq!(fill_part(0, 11, ALLOWANCE), 1.0);
-    assert!((fill_part(11, 11, ALLOWANCE) - 0.1 / 3.0).abs() < 1e-9);
+    assert_eq!(fill_fraction(0, 11, ALLOWANCE), 1.0);
+    assert!((fill_fraction(11, 11, ALLOWANCE) - 0.1 / 3.0).abs() < 1e-9);
 }
 
 /// Gateways through which a tenant comes one after the other: each is its main one when it is told its share.
@@ -383,10 +387,10 @@
     let gateways: BTreeSet<u64> = (1..=10).collect();
     let mut told: BTreeMap<u64, f64> = BTreeMap::new();
     for term in 1..=2 {
-        let mut gauge = QuotaCounter::begin(ms(0), term, term == 1, ALLOWANCE, gateways.iter().copied());
+        let mut gauge = QuotaCounter::start(ms(0), term, term == 1, ALLOWANCE, gateways.iter().copied());
         for gateway in &gateways {
-            let reading = |share: &f64| LevelReading { name: NAME, level: BURST, at: 1, share: *share };
-            gauge.recall(ms(0), *gateway, &Vec::from_iter(told.get(gateway).map(reading)));
+            let reading = |share: &f64| LevelReading { bucket: NAME, level: BURST, at_us: 1, share: *share };
+            gauge.apply_readings(ms(0), *gateway, &Vec::from_iter(told.get(gateway).map(reading)));
         }
         for (turn, gateway) in (0..).zip(&gateways) {
             let now = ms(1 + turn * 3_000);
--- a/crates/starlinghill-quota-counter/tests/unreported_usage.rs
+++ b/crates/starlinghill-quota-counter/tests/unreported_usage.rs
@@ -1,47 +1,51 @@
 //! What a gateway used without the counter's word is charged once, and what the store gave for nothing goes back.
 
-use starlinghill_quota_counter::{Allowance, Debts, Draw, DrawEnd, QuotaCounter};
+use starlinghill_quota_counter::{Allowance, Draw, DrawOutcome, QuotaCounter, UnreportedUsage};
 use std::time::Duration;
 use test_case::test_case;
 
 const NAME: u64 = 4;
 const RATE: f64 = 10.0;
 
-#[test_case(DrawEnd::Granted, true, 0.0; "granted in time: the request went on by that")]
-#[test_case(DrawEnd::Granted, false, -1.0; "granted too late: it goes back")]
-#[test_case(DrawEnd::Refused, true, 0.0; "refused in time")]
-#[test_case(DrawEnd::Refused, false, 0.0; "refused too late: nothing was taken")]
-#[test_case(DrawEnd::Unknown, false, 3.0; "nobody knows: what it carried is told again")]
-fn a_draw_that_carried_three_units_and_wanted_one_leaves_a_debt_of(end: DrawEnd, waited: bool, left: f64) {
-    let mut debts = Debts::default();
-    debts.charge(NAME, 3.0, RATE);
+#[test_case(DrawOutcome::Granted, true, 0.0; "granted in time: the request went on by that")]
+#[test_case(DrawOutcome::Granted, false, -1.0; "granted too late: it goes back")]
+#[test_case(DrawOutcome::Refused, true, 0.0; "refused in time")]
+#[test_case(DrawOutcome::Refused, false, 0.0; "refused too late: nothing was taken")]
+#[test_case(DrawOutcome::Unknown, false, 3.0; "nobody knows: what it carried is told again")]
+fn a_draw_that_carried_three_units_and_wanted_one_leaves_a_debt_of(
+    end: DrawOutcome,
+    waited: bool,
+    left: f64,
+) {
+    let mut debts = UnreportedUsage::default();
+    debts.add(NAME, 3.0, RATE);
     let owed = debts.take(NAME);
     assert_eq!(owed, 3.0);
-    debts.settle(NAME, (owed, 1.0), end, waited);
+    debts.settle_draw(NAME, (owed, 1.0), end, waited);
     assert_eq!(debts.take(NAME), left);
     assert!(debts.is_empty());
 }
 
 #[test]
 fn what_a_gateway_used_while_it_told_nobody_is_paid_by_its_share_and_what_goes_back_is_not() {
-    let mut debts = Debts::default();
-    debts.charge(NAME, 25.0, RATE);
-    debts.charge(NAME + 1, -2.0, RATE);
-    debts.unheard_for(Duration::from_secs(2));
+    let mut debts = UnreportedUsage::default();
+    debts.add(NAME, 25.0, RATE);
+    debts.add(NAME + 1, -2.0, RATE);
+    debts.deduct_own_share(Duration::from_secs(2));
     assert_eq!(debts.take(NAME), 5.0);
     assert_eq!(debts.take(NAME + 1), -2.0);
-    debts.charge(NAME, 25.0, RATE);
-    debts.unheard_for(Duration::from_secs(3));
+    debts.add(NAME, 25.0, RATE);
+    debts.deduct_own_share(Duration::from_secs(3));
     assert!(debts.is_empty());
 }
 
 #[test]
 fn debts_of_many_stores_are_told_in_parts_each_once() {
-    let mut debts = Debts::default();
-    (0..10).for_each(|name| debts.charge(name, 1.0, RATE));
-    let mut told: Vec<(u64, f64)> = debts.take_some(6);
+    let mut debts = UnreportedUsage::default();
+    (0..10).for_each(|name| debts.add(name, 1.0, RATE));
+    let mut told: Vec<(u64, f64)> = debts.take_up_to(6);
     assert_eq!(told.len(), 6);
-    told.extend(debts.take_some(6));
+    told.extend(debts.take_up_to(6));
     told.sort_by_key(|(name, _)| *name);
     assert_eq!(told, (0..10).map(|name| (name, 1.0)).collect::<Vec<_>>());
     assert!(debts.is_empty());
@@ -49,13 +53,21 @@
 
 fn counter() -> QuotaCounter {
     let allowance = Allowance { window_s: 5.0, excess: 0.1, extra: 20.0 };
-    let mut gauge = QuotaCounter::begin(Duration::ZERO, 1, true, allowance, [1]);
-    gauge.recall(Duration::ZERO, 1, &[]);
+    let mut gauge = QuotaCounter::start(Duration::ZERO, 1, true, allowance, [1]);
+    gauge.apply_readings(Duration::ZERO, 1, &[]);
     gauge
 }
 
 fn tell(gauge: &mut QuotaCounter, at: Duration, owed: f64) {
-    let draw = Draw { name: NAME, owed, units: 0.0, rate: RATE, burst: RATE, service: 0, within_ms: 0 };
+    let draw = Draw {
+        bucket: NAME,
+        unreported: owed,
+        units: 0.0,
+        rate: RATE,
+        burst: RATE,
+        service: 0,
+        max_response_ms: 0,
+    };
     assert!(gauge.draw(at, 1, &[draw]).is_some());
 }
 
--- a/crates/starlinghill-registry/src/http.rs
+++ b/crates/starlinghill-registry/src/http.rs
@@ -189,7 +189,7 @@
     async fn read(&self) -> Reply {
         match ask_store(&self.net, self.stores(), Ask::Read, ORDER_RESPONSE_TIMEOUT).await {
             Some(StoreResponse::Whole(items)) => {
-                reply(StatusCode::OK, ItemSet::of(items).layout().encode().into_bytes())
+                reply(StatusCode::OK, ItemSet::from_items(items).to_upsert().encode().into_bytes())
             }
             _ => problem(StatusCode::SERVICE_UNAVAILABLE, "no majority of stores in time"),
         }
@@ -225,8 +225,8 @@
         version: if version.is_there() { version.text(f) } else { String::new() },
         capacity: details.at("capacity").count(f).clamp(1, 100_000) as u32,
         state,
-        calls: observed.at("call_count").count(f),
-        warm_at: 0,
+        beat_count: observed.at("call_count").count(f),
+        warm_at_us: 0,
     };
     let whole = faults.settle((instance, warmup));
     whole.map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))
--- a/crates/starlinghill-registry/src/members.rs
+++ b/crates/starlinghill-registry/src/members.rs
@@ -42,7 +42,7 @@
             return false;
         }
         // One that has just started may have gone by the set before until then.
-        for set in [ips(&self.members.voters), ips(&members.before)] {
+        for set in [ips(&self.members.voters), ips(&members.previous_voters)] {
             if !set.is_empty() {
                 self.left.push((now + self.left_for, set));
             }
--- a/crates/starlinghill-registry/src/peers.rs
+++ b/crates/starlinghill-registry/src/peers.rs
@@ -55,8 +55,8 @@
         let newer = known.voters.is_empty() && !members.voters.is_empty() || members.epoch > known.epoch;
         if newer {
             *known = members.clone();
-            self.lines.borrow_mut().retain(|ip, _| members.at(*ip).is_some());
-            self.missed.borrow_mut().retain(|ip| members.at(*ip).is_some());
+            self.lines.borrow_mut().retain(|ip, _| members.member_at(*ip).is_some());
+            self.missed.borrow_mut().retain(|ip| members.member_at(*ip).is_some());
         }
         newer
     }
@@ -103,11 +103,11 @@
                 });
             }
             drop(told);
-            let mut noted: BTreeSet<Member> = members.at(self.me).into_iter().collect();
+            let mut noted: BTreeSet<Member> = members.member_at(self.me).into_iter().collect();
             let mut newer = false;
             while !may_confirm_drain(noted.len(), members.voters.len()) && !newer {
                 match answers.recv().await {
-                    Some((ip, RegistryResponse::Noted)) => noted.extend(members.at(ip)),
+                    Some((ip, RegistryResponse::Noted)) => noted.extend(members.member_at(ip)),
                     Some((_, RegistryResponse::Newer(known))) => newer = self.follow(&known),
                     Some(_) => {}
                     None => return false,
@@ -233,7 +233,7 @@
         let _ = owner.send(Command::Now(reply)).await;
         let Ok(begun) = now.await else { return };
         let asked = Instant::now();
-        match caller.call(&store::StoreRequest::News(have, was_fresh), chain.given_up).await {
+        match caller.call(&store::StoreRequest::News(have, was_fresh), chain.request_timeout).await {
             Ok(store::StoreResponse::News { ballot, contact, members, votes, proposed, items }) => {
                 (silent, was_fresh) = (false, contact.is_some());
                 // A store that begins anew may know less than it did: nothing of that is news.
--- a/crates/starlinghill-registry/src/program.rs
+++ b/crates/starlinghill-registry/src/program.rs
@@ -82,7 +82,7 @@
     let owner = state::start(node, &essentials);
     let (stop, stopping) = watch::channel(false);
     essentials.spawn("peers", peers.clone().run(owner.clone()));
-    let chain = StalenessBudget::of(node.bounds.apply);
+    let chain = StalenessBudget::from_apply_bound(node.bounds.apply);
     essentials.spawn("store", follow_store(net.clone(), store, owner.clone(), peers.clone(), chain));
     let desk = Desk {
         net: net.clone(),
--- a/crates/starlinghill-registry/src/state.rs
+++ b/crates/starlinghill-registry/src/state.rs
@@ -4,8 +4,8 @@
 use crate::wire::{
     CounterStatus, KnownState, PeerReport, RegistryRequest, RegistryResponse, RegistryStatus, RegistryUpdate,
 };
-use starlinghill_catalog::{number, service_number, BackendState, Catalog, Instance, Liveness, Observation};
-use starlinghill_config_model::items::digest;
+use starlinghill_catalog::{name_hash, service_hash, BackendState, Catalog, Instance, Liveness, Observation};
+use starlinghill_config_model::items::versions_digest;
 use starlinghill_config_model::{Item, ItemKind};
 use starlinghill_config_store::wire::Value;
 use starlinghill_consensus::Members;
@@ -111,7 +111,7 @@
 pub fn start(node: &NodeSettings, essentials: &EssentialTasks) -> Owner {
     let me = node.ip;
     let (queue, mut commands) = mpsc::channel(QUEUE);
-    let chain = StalenessBudget::of(node.bounds.apply);
+    let chain = StalenessBudget::from_apply_bound(node.bounds.apply);
     let mut tables = Tables {
         life: fastrand::u64(1..),
         first: node.first_start,
@@ -124,7 +124,7 @@
         chain,
         contact: None,
         duty: LeaseParticipant::new(me, Duration::ZERO),
-        sets: Sets::new(chain.contact),
+        sets: Sets::new(chain.max_contact_age),
         me,
         vouched: Duration::ZERO,
         members_changed: 0,
@@ -162,18 +162,18 @@
     }
 
     fn may_vouch(&self, now: Duration) -> bool {
-        self.chain.may_vouch(self.contact.map(|contact| contact.age(now)))
+        self.chain.is_fresh(self.contact.map(|contact| contact.age(now)))
     }
 
     fn take(&mut self, command: Command) {
         let now = self.now();
-        let before = self.catalog.urgent();
+        let before = self.catalog.urgent_seq();
         match command {
             Command::Ask(question, reply) => return self.asked(now, question, reply),
             Command::Beat(instance, warmup, reply) => {
-                let instance = Instance { warm_at: self.time() + warmup, ..instance };
+                let instance = Instance { warm_at_us: self.time() + warmup, ..instance };
                 let id = instance.id.clone();
-                if self.catalog.heard(now, instance.clone(), Duration::ZERO) {
+                if self.catalog.record_backend(now, instance.clone(), Duration::ZERO) {
                     let state = self.catalog.get(&id).map_or(instance.state, |known| known.state);
                     log::info!(
                         "event=backend id={id} service={} address={} state={state:?}",
@@ -184,24 +184,24 @@
                 let _ = reply.send(self.catalog.get(&id).cloned().unwrap_or(instance));
             }
             Command::Leave(id, reply) => {
-                let known = self.catalog.left(now, &id);
+                let known = self.catalog.mark_gone(now, &id);
                 log::info!("event=backend_left id={id} known={known}");
                 let _ = reply.send(());
             }
             Command::Store(items, contact, asked) => {
                 let had = self.may_vouch(now);
                 let asked = asked.saturating_duration_since(self.start);
-                let heard = contact.map(|contact| LastQuorumContact::passed_on(contact, asked, now));
-                self.contact = LastQuorumContact::newer(self.contact, heard, now);
+                let heard = contact.map(|contact| LastQuorumContact::from_peer(contact, asked, now));
+                self.contact = LastQuorumContact::newest(self.contact, heard, now);
                 if !had && self.may_vouch(now) {
                     // Gateways that have just started wait for this word.
-                    self.catalog.number();
+                    self.catalog.next_urgent_seq();
                 }
                 self.store(items.unwrap_or_default());
             }
             Command::Members(asked, members, proposed) => {
                 self.vouched =
-                    asked.map_or(self.vouched, |asked| self.vouched.max(asked + self.chain.contact));
+                    asked.map_or(self.vouched, |asked| self.vouched.max(asked + self.chain.max_contact_age));
                 self.sets.propose(now, proposed.as_ref());
                 self.follow(now, &members);
             }
@@ -211,16 +211,16 @@
                 let due = self.tick(now);
                 let _ = reply.send(due);
             }
-            Command::Duty(from, asked, ask, tell) => self.duty.told(now, from, asked, ask, tell),
+            Command::Duty(from, asked, ask, tell) => self.duty.handle_reply(now, from, asked, ask, tell),
             Command::End(reply) => {
                 let next = self.sets.members().voters.iter().map(|m| m.ip).find(|ip| *ip != self.me);
                 self.gauge = None;
-                let _ = reply.send(next.and_then(|next| self.duty.leave(now, next)));
+                let _ = reply.send(next.and_then(|next| self.duty.resign(now, next)));
             }
         }
         self.look_at_duty(now);
         self.list_backends(now);
-        if self.catalog.urgent() != before {
+        if self.catalog.urgent_seq() != before {
             self.answer_waiting(true);
         }
     }
@@ -229,10 +229,10 @@
     fn follow(&mut self, now: Duration, members: &Members) {
         if self.sets.follow(now, members) {
             log::info!("event=members epoch={} voters={:?}", members.epoch, members.voters);
-            self.members_changed = self.catalog.number();
+            self.members_changed = self.catalog.next_urgent_seq();
         }
         let sets = self.sets.count(now);
-        self.duty.vouch(sets, self.vouched);
+        self.duty.set_voters(sets, self.vouched);
     }
 
     /// What counts toward a majority must be told among the members as they are.
@@ -247,17 +247,17 @@
     fn list_backends(&mut self, now: Duration) {
         let (seq, time) = (self.catalog.seq(), self.time());
         let Some(gauge) = self.gauge.as_mut().filter(|_| self.listed != seq) else { return };
-        for Observation { instance, liveness } in self.catalog.since(self.listed).backends {
-            gauge.loads.listed(
+        for Observation { instance, liveness } in self.catalog.changes_since(self.listed).backends {
+            gauge.loads.update_listing(
                 now,
                 ListedBackend {
-                    backend: instance.number(),
-                    service: service_number(&instance.service),
-                    zone: number(&instance.zone),
+                    backend: instance.id_hash(),
+                    service: service_hash(&instance.service),
+                    zone: name_hash(&instance.zone),
                     capacity: instance.capacity,
-                    serves: instance.state == BackendState::Ready && liveness < Liveness::Lost,
-                    silent: liveness == Liveness::Silent,
-                    cold_for: Duration::from_micros(instance.warm_at.saturating_sub(time)),
+                    accepts_work: instance.state == BackendState::Ready && liveness < Liveness::Lost,
+                    is_silent: liveness == Liveness::Silent,
+                    warm_up_left: Duration::from_micros(instance.warm_at_us.saturating_sub(time)),
                 },
             );
         }
@@ -269,7 +269,7 @@
             let key = (item.kind, item.name.clone());
             let stands = self.items.get(&key).map(|(known, _)| known.version);
             if stands.is_none_or(|version| version < item.version) {
-                let seq = self.catalog.number();
+                let seq = self.catalog.next_urgent_seq();
                 log::info!("event=item kind={:?} name={} version=r{}", item.kind, item.name, item.version);
                 self.items.insert(key, (item, seq));
             }
@@ -277,21 +277,21 @@
     }
 
     fn asked(&mut self, now: Duration, question: RegistryRequest, reply: oneshot::Sender<RegistryResponse>) {
-        let before = self.catalog.urgent();
+        let before = self.catalog.urgent_seq();
         // Whoever asked may have gone.
         let answer = |reply: oneshot::Sender<RegistryResponse>, answer| drop(reply.send(answer));
         match question {
             RegistryRequest::News(have) => {
                 self.hear_time(have.time);
-                self.duty.seen(have.term);
+                self.duty.observe_term(have.term);
                 self.in_force.insert(have.gateway.ip, have.digest);
-                self.sight.told(now, have.gateway.ip, have.gateway.life, &have.seen);
+                self.sight.record_report(now, have.gateway.ip, have.gateway.incarnation, &have.seen);
                 if have.leaving {
-                    self.catalog.leaves(now, &have.gateway);
+                    self.catalog.mark_gateway_leaving(now, &have.gateway);
                 } else {
-                    self.catalog.asks(now, have.gateway.clone(), Duration::ZERO);
+                    self.catalog.record_gateway(now, have.gateway.clone(), Duration::ZERO);
                 }
-                let nothing_new = have.rack == self.life && have.seq >= self.catalog.urgent();
+                let nothing_new = have.rack == self.life && have.seq >= self.catalog.urgent_seq();
                 if nothing_new && self.waiting.len() < MOST_WAITING {
                     self.waiting.push((have, now, reply));
                 } else {
@@ -301,8 +301,8 @@
             }
             RegistryRequest::Count { term, from, draws, words } => {
                 let levels = match &mut self.gauge {
-                    Some(gauge) if gauge.term == term && self.duty.may_draw(now, term) => {
-                        gauge.loads.tell(now, from, &words);
+                    Some(gauge) if gauge.term == term && self.duty.may_act_in(now, term) => {
+                        gauge.loads.apply_reports(now, from, &words);
                         gauge.draw(now, from, &draws)
                     }
                     _ => None,
@@ -317,8 +317,8 @@
                 );
             }
             RegistryRequest::Recall { term, from, readings } => match &mut self.gauge {
-                Some(gauge) if gauge.term == term && self.duty.may_draw(now, term) => {
-                    gauge.recall(now, from, &readings);
+                Some(gauge) if gauge.term == term && self.duty.may_act_in(now, term) => {
+                    gauge.apply_readings(now, from, &readings);
                     answer(reply, RegistryResponse::Noted);
                 }
                 _ => answer(reply, RegistryResponse::NotMine(self.duty.holder().map_or(0, |(term, _)| term))),
@@ -327,7 +327,7 @@
                 answer(reply, self.noted(epoch))
             }
             RegistryRequest::Duty(_, ask) => {
-                let tell = self.duty.asked(now, ask);
+                let tell = self.duty.handle_request(now, ask);
                 answer(reply, RegistryResponse::Duty(tell));
             }
             RegistryRequest::Heard(heard) => {
@@ -336,7 +336,7 @@
                 answer(reply, noted);
             }
             RegistryRequest::Left(epoch, id) => {
-                self.catalog.left(now, &id);
+                self.catalog.mark_gone(now, &id);
                 answer(reply, self.noted(epoch));
             }
             RegistryRequest::Status => {
@@ -347,7 +347,7 @@
                 Some(instance) => {
                     log::info!("event=drain_ordered id={id}");
                     let state = instance.state.max(BackendState::Draining);
-                    self.catalog.heard(now, Instance { state, ..instance }, Duration::ZERO);
+                    self.catalog.record_backend(now, Instance { state, ..instance }, Duration::ZERO);
                     answer(reply, RegistryResponse::Noted);
                 }
                 None => answer(reply, RegistryResponse::Unknown),
@@ -356,15 +356,15 @@
                 reply,
                 RegistryResponse::All(PeerReport {
                     epoch: self.sets.members().epoch,
-                    backends: self.catalog.heard_within(now, Duration::MAX),
-                    gateways: self.catalog.asked_within(now, Duration::MAX),
+                    backends: self.catalog.backends_heard_within(now, Duration::MAX),
+                    gateways: self.catalog.gateways_heard_within(now, Duration::MAX),
                     time: self.time(),
                 }),
             ),
         }
         self.look_at_duty(now);
         self.list_backends(now);
-        if self.catalog.urgent() != before {
+        if self.catalog.urgent_seq() != before {
             self.answer_waiting(true);
         }
     }
@@ -374,11 +374,11 @@
         let item =
             |(item, _): &(Item, u64)| (item.kind, item.name.clone(), item.version, item.body.is_some());
         let in_force = |ip: &IpAddr| self.in_force.get(ip).copied().unwrap_or_default();
-        let gateways = self.catalog.asked_within(now, Duration::MAX);
+        let gateways = self.catalog.gateways_heard_within(now, Duration::MAX);
         let told = |count: &QuotaCounter| CounterStatus {
-            silent: count.state().1 as u64,
-            stores: count.stores(now),
-            rooms: count.loads.seen(),
+            silent: count.counts().1 as u64,
+            stores: count.bucket_levels(now),
+            rooms: count.loads.snapshot(),
         };
         RegistryStatus {
             ip: self.me,
@@ -387,8 +387,8 @@
             fresh: self.may_vouch(now),
             members: self.sets.members().clone(),
             items: self.items.values().map(item).collect(),
-            digest: digest(self.items.values().map(|(item, _)| item)),
-            backends: self.catalog.all(now),
+            digest: versions_digest(self.items.values().map(|(item, _)| item)),
+            backends: self.catalog.present_backends(now),
             gateways: gateways
                 .into_iter()
                 .map(|(gateway, ago)| {
@@ -397,17 +397,17 @@
                 })
                 .collect(),
             holder,
-            count: self.gauge.as_ref().filter(|_| self.duty.holds(now).is_some()).map(told),
+            count: self.gauge.as_ref().filter(|_| self.duty.held_term(now).is_some()).map(told),
         }
     }
 
     fn heard(&mut self, now: Duration, heard: PeerReport) {
         self.hear_time(heard.time);
         for (instance, ago) in heard.backends {
-            self.catalog.heard(now, instance, Duration::from_millis(ago));
+            self.catalog.record_backend(now, instance, Duration::from_millis(ago));
         }
         for (gateway, ago) in heard.gateways {
-            self.catalog.asks(now, gateway, Duration::from_millis(ago));
+            self.catalog.record_gateway(now, gateway, Duration::from_millis(ago));
         }
     }
 
@@ -415,7 +415,7 @@
     fn news(&self, have: &KnownState, asked: Duration) -> RegistryUpdate {
         let now = self.now();
         let since = if have.rack == self.life { have.seq } else { 0 };
-        let new = self.catalog.since(since);
+        let new = self.catalog.changes_since(since);
         // The same as with backends: nothing to look through where nothing is new.
         let to_look_at = if since < self.catalog.seq() { self.items.len() } else { 0 };
         let items = self.items.values().take(to_look_at).filter(|(_, seq)| *seq > since);
@@ -423,7 +423,7 @@
         RegistryUpdate {
             rack: self.life,
             seq: self.catalog.seq(),
-            contact: self.contact.filter(|_| self.may_vouch(now)).map(|contact| contact.pass_on(now, asked)),
+            contact: self.contact.filter(|_| self.may_vouch(now)).map(|contact| contact.to_peer(now, asked)),
             items: items.map(|(item, _)| item.clone()).collect(),
             backends: new.backends,
             whole: since == 0,
@@ -436,7 +436,7 @@
 
     /// Answers the questions that have waited long enough, or all.
     fn answer_waiting(&mut self, all: bool) {
-        let (now, holds) = (self.now(), self.chain.registry_holds);
+        let (now, holds) = (self.now(), self.chain.registry_long_poll);
         let (due, waiting) = std::mem::take(&mut self.waiting)
             .into_iter()
             .partition(|(_, asked, _)| all || now.saturating_sub(*asked) >= holds);
@@ -456,17 +456,17 @@
         if let Some(gauge) = &mut self.gauge {
             let all = self.catalog.gateways().map(|gateway| gateway.ip).collect();
             // What the dead had as their share is for the others.
-            let dead = self.sight.dead(now, &all);
+            let dead = self.sight.dead_gateways(now, &all);
             let living = self.catalog.gateways().filter(|gateway| !dead.contains(&gateway.ip));
             let mut lives = BTreeSet::new();
             for gateway in living {
-                lives.insert(gateway.life);
-                gauge.loads.gateway(gateway.life, number(&gateway.zone));
+                lives.insert(gateway.incarnation);
+                gauge.loads.set_gateway_zone(gateway.incarnation, name_hash(&gateway.zone));
             }
-            let before = gauge.state().1;
+            let before = gauge.counts().1;
             gauge.tick(now, &lives);
-            if gauge.state().1 != before {
-                log::info!("event=gateways_silent count={} of={}", gauge.state().1, lives.len());
+            if gauge.counts().1 != before {
+                log::info!("event=gateways_silent count={} of={}", gauge.counts().1, lives.len());
             }
             let violations = gauge.violations();
             if std::mem::replace(&mut self.violations, violations) < violations {
@@ -476,7 +476,7 @@
         self.answer_waiting(false);
         self.rounds += 1;
         let sets = self.sets.count(now);
-        self.duty.vouch(sets, self.vouched);
+        self.duty.set_voters(sets, self.vouched);
         let epoch = self.sets.members().epoch;
         let duty = self.duty.tick(now, self.time() / TERM).map(|ask| (now, ask));
         // What others may know a little later: beats that say nothing new.
@@ -484,8 +484,8 @@
             let since = now.saturating_sub(std::mem::replace(&mut self.relayed, now));
             PeerReport {
                 epoch,
-                backends: self.catalog.heard_within(now, since),
-                gateways: self.catalog.asked_within(now, since),
+                backends: self.catalog.backends_heard_within(now, since),
+                gateways: self.catalog.gateways_heard_within(now, since),
                 time: self.time(),
             }
         });
@@ -493,18 +493,18 @@
     }
 
     fn look_at_duty(&mut self, now: Duration) {
-        let holds = self.duty.holds(now);
+        let holds = self.duty.held_term(now);
         if let Some(term) = holds.filter(|term| self.gauge.as_ref().is_none_or(|g| g.term != *term)) {
-            let asked = self.catalog.asked_within(now, RECALLED_WITHIN);
-            let gateways: Vec<u64> = asked.iter().map(|(gateway, _)| gateway.life).collect();
+            let asked = self.catalog.gateways_heard_within(now, RECALLED_WITHIN);
+            let gateways: Vec<u64> = asked.iter().map(|(gateway, _)| gateway.incarnation).collect();
             log::info!("event=count_held term={term} gateways={}", gateways.len());
-            self.gauge = Some(QuotaCounter::begin(now, term, self.first, self.allowance, gateways));
+            self.gauge = Some(QuotaCounter::start(now, term, self.first, self.allowance, gateways));
             self.violations = 0;
             self.listed = 0;
         }
         if self.duty.holder() != self.told_holder {
             self.told_holder = self.duty.holder();
-            self.holder_changed = self.catalog.number();
+            self.holder_changed = self.catalog.next_urgent_seq();
         }
     }
 }
--- a/crates/starlinghill-registry/tests/contact.rs
+++ b/crates/starlinghill-registry/tests/contact.rs
@@ -44,7 +44,8 @@
 }
 
 async fn ask(owner: &Owner, rack: u64, seq: u64) -> RegistryUpdate {
-    let gateway = Gateway { ip: [10, 0, 1, 1].into(), life: 7, zone: String::new(), node: String::new() };
+    let gateway =
+        Gateway { ip: [10, 0, 1, 1].into(), incarnation: 7, zone: String::new(), node: String::new() };
     let (time, term, leaving, digest, seen) = (0, 0, false, 0, Vec::new());
     let have = KnownState { gateway, rack, seq, time, term, leaving, digest, seen };
     let (reply, answer) = oneshot::channel();
@@ -56,7 +57,7 @@
 /// The store passes on a word that a majority gave so long ago.
 async fn store_says(owner: &Owner, ago: Duration) {
     let majority = LastQuorumContact::from_majority(Duration::ZERO);
-    let contact = Some(majority.pass_on(ago, ago));
+    let contact = Some(majority.to_peer(ago, ago));
     assert!(owner.send(Command::Store(None, contact, Instant::now())).await.is_ok());
 }
 
@@ -77,8 +78,11 @@
             }
             advance(Duration::from_millis(40)).await;
         }
-        let chain = StalenessBudget::of(APPLY);
-        assert!(oldest <= chain.contact && oldest + chain.look >= chain.contact, "{oldest:?}");
+        let chain = StalenessBudget::from_apply_bound(APPLY);
+        assert!(
+            oldest <= chain.max_contact_age && oldest + chain.poll_interval >= chain.max_contact_age,
+            "{oldest:?}"
+        );
     })
     .await;
 }
@@ -102,12 +106,12 @@
         let asked = Instant::now();
         let news = ask(&owner, known.rack, known.seq).await;
         assert!(
-            asked.elapsed() >= StalenessBudget::of(APPLY).registry_holds,
+            asked.elapsed() >= StalenessBudget::from_apply_bound(APPLY).registry_long_poll,
             "it waited {:?}",
             asked.elapsed()
         );
         let (asked, now) = (asked.duration_since(start), start.elapsed());
-        let heard = news.contact.map(|word| LastQuorumContact::passed_on(word, asked, now).age(now));
+        let heard = news.contact.map(|word| LastQuorumContact::from_peer(word, asked, now).age(now));
         let (heard, age) = (heard.expect("still young"), ago + now);
         assert!(heard >= age && heard <= age + Duration::from_millis(5), "{heard:?} of {age:?}");
     })
--- a/crates/starlinghill-runtime/src/validation.rs
+++ b/crates/starlinghill-runtime/src/validation.rs
@@ -3,7 +3,7 @@
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use starlinghill_config_model::routing::time;
+use starlinghill_config_model::routing::parse_duration;
 use std::time::Duration;
 
 /// The most faults that are named of one document.
@@ -132,7 +132,7 @@
 
     /// A time, as in `1500ms` or `2.5s`.
     pub fn time(&self, faults: &mut Faults) -> Duration {
-        let found = self.value.and_then(|v| v.as_str()).and_then(time);
+        let found = self.value.and_then(|v| v.as_str()).and_then(parse_duration);
         self.need(faults, found, "a time such as \"1500ms\" or \"2.5s\"")
     }
 
--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -289,7 +289,7 @@
             && core.registry.borrow().is_awake()
             && !disk.is_stalled()
             && !disk.refuses
-            && disk.kept().is_some_and(|kept| kept.members.has(kept.me))
+            && disk.kept().is_some_and(|kept| kept.members.contains(kept.me))
     }
 
     /// The newest members of which a disk says that they were agreed on.
@@ -307,7 +307,7 @@
 
     /// Of these members a disk is there.
     fn has_disk(&self, members: &Members, i: usize) -> bool {
-        self.cores[i].disk.borrow().kept().is_some_and(|kept| members.has(kept.me))
+        self.cores[i].disk.borrow().kept().is_some_and(|kept| members.contains(kept.me))
     }
 
     /// All disks hold what their members promised, and a majority knows that they are members: one more may be lost.
--- a/crates/starlinghill-simulator/src/fleet.rs
+++ b/crates/starlinghill-simulator/src/fleet.rs
@@ -191,7 +191,7 @@
             now: BEGINNING,
             serial: 0,
             one_late_in,
-            gauge: Some(QuotaCounter::begin(began, 1, true, bounds().allowance(), lives)),
+            gauge: Some(QuotaCounter::start(began, 1, true, bounds().allowance(), lives)),
             term: 1,
             violations: 0,
             gone: Vec::new(),
@@ -251,7 +251,7 @@
     fn counter_begins(&mut self) {
         self.term += 1;
         let lives = self.proxies.iter().map(|proxy| proxy.incarnation).collect::<Vec<_>>();
-        self.gauge = Some(QuotaCounter::begin(self.instant(), self.term, false, bounds().allowance(), lives));
+        self.gauge = Some(QuotaCounter::start(self.instant(), self.term, false, bounds().allowance(), lives));
         // The connections to the one before are of no use.
         (0..self.proxies.len()).for_each(|at| self.lose(at));
     }
@@ -308,7 +308,7 @@
                 }
             }
             What::TellDebts(at) => {
-                if self.proxies[at].connection.is_some() && self.proxies[at].client.owes() {
+                if self.proxies[at].connection.is_some() && self.proxies[at].client.has_unreported() {
                     self.send(at, None, None);
                 }
             }
@@ -340,9 +340,9 @@
     fn recall(&mut self, at: usize) {
         let now = self.instant();
         let proxy = &mut self.proxies[at];
-        let readings = proxy.client.recall(now, self.now);
+        let readings = proxy.client.readings_for_recovery(now, self.now);
         if let Some(gauge) = &mut self.gauge {
-            gauge.recall(now, proxy.incarnation, &readings);
+            gauge.apply_readings(now, proxy.incarnation, &readings);
         }
     }
 
@@ -350,7 +350,7 @@
         self.serial += 1;
         let connection = self.serial;
         let (now, term) = (self.instant(), self.term);
-        self.proxies[at].client.calls(now, term);
+        self.proxies[at].client.on_connect(now, term);
         self.recall(at);
         let proxy = &mut self.proxies[at];
         (proxy.connection, proxy.broken, proxy.heard) = (Some(connection), false, self.now);
@@ -362,7 +362,7 @@
         self.proxies[at].connection = None;
         for sent in std::mem::take(&mut self.proxies[at].sent) {
             if let Some(draw) = sent.draw {
-                self.proxies[at].client.failed(&draw);
+                self.proxies[at].client.on_draw_failed(&draw);
             }
             if let Some(call) = sent.call.filter(|call| self.proxies[at].calls.contains(call)) {
                 self.counted(at, call, Outcome::Reset, 0.0, None);
@@ -408,7 +408,7 @@
             Action::Draw(name, units, _) => self.draw(at, name, units),
             Action::Charge(name, units) => {
                 let gateways = self.proxies.len();
-                self.proxies[at].client.charge(name.0, units, RATE, gateways);
+                self.proxies[at].client.add_unreported(name.0, units, RATE, gateways);
                 self.after(TELL, What::TellDebts(at));
             }
             _ => {}
@@ -422,8 +422,15 @@
         if self.proxies[at].connection.is_none() {
             return self.counted(at, call, Outcome::ConnectFailed, 0.0, None);
         }
-        let draw =
-            Draw { name: name.0, owed: 0.0, units, rate: RATE, burst: BURST, service: 0, within_ms: 0 };
+        let draw = Draw {
+            bucket: name.0,
+            unreported: 0.0,
+            units,
+            rate: RATE,
+            burst: BURST,
+            service: 0,
+            max_response_ms: 0,
+        };
         self.send(at, Some(call), Some(draw));
         self.after(PATIENCE.as_micros() as u64, What::GivenUp(at, call));
     }
@@ -435,11 +442,18 @@
         let hears = proxy.cut_until <= self.now;
         let reached = (hears || proxy.cut_one_way) && !(proxy.broken && hears);
         let name = starlinghill_decision::store_name(CUSTOMER).0;
-        let nothing =
-            Draw { name, owed: 0.0, units: 0.0, rate: RATE, burst: BURST, service: 0, within_ms: 0 };
+        let nothing = Draw {
+            bucket: name,
+            unreported: 0.0,
+            units: 0.0,
+            rate: RATE,
+            burst: BURST,
+            service: 0,
+            max_response_ms: 0,
+        };
         let mut draws = Vec::from_iter(draw);
-        let others = proxy.client.tells(now, draws.iter_mut(), 1);
-        draws.extend(others.into_iter().map(|(_, owed)| Draw { owed, ..nothing }));
+        let others = proxy.client.on_send(now, draws.iter_mut(), 1);
+        draws.extend(others.into_iter().map(|(_, owed)| Draw { unreported: owed, ..nothing }));
         let draw = draws.first().copied();
         let gauge = self.gauge.as_mut().filter(|_| reached);
         let levels = gauge.and_then(|gauge| gauge.draw(now, proxy.incarnation, &draws));
@@ -459,17 +473,17 @@
         let (now, term) = (self.instant(), self.term);
         self.proxies[at].heard = self.now;
         let Some(Sent { call, draw, answer }) = self.proxies[at].sent.pop_front() else { return };
-        let Some(draw) = draw else { return self.proxies[at].client.hears(now, term) };
+        let Some(draw) = draw else { return self.proxies[at].client.on_reply(now, term) };
         let waits = call.filter(|call| self.proxies[at].calls.contains(call));
         let Some(level) = answer else {
             // The counter took nothing in. It is told again what was heard, as it may have forgotten this gateway.
             self.recall(at);
-            self.proxies[at].client.failed(&draw);
+            self.proxies[at].client.on_draw_failed(&draw);
             return waits.into_iter().for_each(|call| self.counted(at, call, Outcome::Full, 0.0, None));
         };
         let client = &mut self.proxies[at].client;
-        client.hears(now, term);
-        client.answered(self.now, &draw, &level, waits.is_some());
+        client.on_reply(now, term);
+        client.on_draw_answered(self.now, &draw, &level, waits.is_some());
         if let Some(call) = waits {
             self.counted(at, call, Outcome::Ok, level.level, Some(level.share));
         }
--- a/crates/starlinghill-testkit/examples/scale/hollow.rs
+++ b/crates/starlinghill-testkit/examples/scale/hollow.rs
@@ -1,7 +1,7 @@
 //! Gateways and backends that only speak: tasks of this process, each from a loopback address of its own.
 
 use crate::machines::Net;
-use starlinghill_catalog::{number, service_number, BackendState, Gateway, Observation};
+use starlinghill_catalog::{name_hash, service_hash, BackendState, Gateway, Observation};
 use starlinghill_failure_detector::PeerSighting;
 use starlinghill_quota_counter::{Draw, LoadReport};
 use starlinghill_registry::wire::{KnownState, RegistryRequest, RegistryResponse, RegistryUpdate};
@@ -153,7 +153,7 @@
     pub fn gateway(self: &Arc<Self>, i: usize, all: usize, tasks: &mut JoinSet<()>) -> Arc<HollowGateway> {
         let me = Gateway {
             ip: self.net.hollow(i),
-            life: fastrand::u64(1..),
+            incarnation: fastrand::u64(1..),
             zone: format!("zone-{}", i % 3),
             node: format!("hollow-{i}"),
         };
@@ -181,7 +181,8 @@
         let mut line: Option<(TcpStream, Reader)> = None;
         let (mut life, mut seq, mut listed) = (0, 0, Listed::default());
         // A watcher on the ring tells of three others.
-        let seen = |by: usize| PeerSighting { ip: self.net.hollow((i + by) % all), life: 1, ago_ms: 100 };
+        let seen =
+            |by: usize| PeerSighting { ip: self.net.hollow((i + by) % all), incarnation: 1, ago_ms: 100 };
         while !self.is_over() {
             let have = KnownState {
                 gateway: gateway.me.clone(),
@@ -274,7 +275,7 @@
                 continue;
             };
             stream.tune();
-            let (mut reader, from) = (Reader::default(), gateway.me.life);
+            let (mut reader, from) = (Reader::default(), gateway.me.incarnation);
             let recall = RegistryRequest::Recall { term, from, readings: Vec::new() };
             let mut answer = ask(&mut stream, &mut reader, &recall).await;
             sleep(pause.mul_f64(fastrand::f64())).await;
@@ -283,7 +284,7 @@
                     Ok(RegistryResponse::Noted) => {}
                     Ok(RegistryResponse::Levels(levels, _)) => {
                         self.answers.fetch_add(1, Ordering::Relaxed);
-                        let room = levels.first().and_then(|level| level.rooms.first());
+                        let room = levels.first().and_then(|level| level.offers.first());
                         last = room.map_or(0, |room| room.backend);
                         gateway.look(|known| {
                             known.counted_at.get_or_insert_with(Instant::now);
@@ -306,13 +307,13 @@
 
     fn a_draw(&self) -> Draw {
         Draw {
-            name: number(&format!("t-{}", fastrand::usize(..self.tenants))),
-            owed: 0.0,
+            bucket: name_hash(&format!("t-{}", fastrand::usize(..self.tenants))),
+            unreported: 0.0,
             units: 1.0,
             rate: 500.0,
             burst: 500.0,
-            service: service_number(&format!("s-{}", fastrand::usize(..self.services))),
-            within_ms: 300,
+            service: service_hash(&format!("s-{}", fastrand::usize(..self.services))),
+            max_response_ms: 300,
         }
     }
 
@@ -397,7 +398,7 @@
 }
 
 fn word(backend: u64) -> Vec<LoadReport> {
-    let word = LoadReport { backend, out: 0, well: 1, took_ms: 40, ill: 0 };
+    let word = LoadReport { backend, outstanding: 0, succeeded: 1, total_latency_ms: 40, failed: 0 };
     (backend != 0).then_some(word).into_iter().collect()
 }
 
--- a/crates/starlinghill-testkit/examples/scale/pieces.rs
+++ b/crates/starlinghill-testkit/examples/scale/pieces.rs
@@ -1,7 +1,7 @@
 //! What single messages weigh, and what single acts cost.
 
 use starlinghill_catalog::{
-    number, service_number, BackendState, Catalog, Gateway, Instance, Liveness, Observation,
+    name_hash, service_hash, BackendState, Catalog, Gateway, Instance, Liveness, Observation,
 };
 use starlinghill_config_model::{ConfigChange, Item, ItemSet};
 use starlinghill_failure_detector::{GatewayLiveness, PeerSighting};
@@ -22,20 +22,20 @@
 
 fn gateway(i: usize) -> Gateway {
     let zone = format!("mu-north-{}", i % 21);
-    Gateway { ip: ip(i), life: fastrand::u64(1..), zone, node: format!("front-{i:04}") }
+    Gateway { ip: ip(i), incarnation: fastrand::u64(1..), zone, node: format!("front-{i:04}") }
 }
 
 fn instance(i: usize, services: usize) -> Instance {
     Instance {
-        id: format!("i-{:08x}", number(&i.to_string()) as u32),
+        id: format!("i-{:08x}", name_hash(&i.to_string()) as u32),
         service: format!("huvo{:03}a", i % services),
         address: SocketAddr::new(ip(100_000 + i), 8080),
         zone: format!("mu-north-{}", i % 21),
         version: "v1".into(),
         capacity: 4,
         state: BackendState::Ready,
-        calls: 1_000 + i as u64,
-        warm_at: 90_000_000_000 + i as u64,
+        beat_count: 1_000 + i as u64,
+        warm_at_us: 90_000_000_000 + i as u64,
     }
 }
 
@@ -45,7 +45,7 @@
     let tenants = items - routes - routes.div_ceil(10) - 1;
     let mut book = ItemSet::default();
     for call in crate::first_calls(routes.div_ceil(10), routes, tenants) {
-        let change = ConfigChange::read(call.as_bytes()).expect("a change");
+        let change = ConfigChange::parse(call.as_bytes()).expect("a change");
         book.merge(change.items.iter().map(|held| held.item.clone()));
     }
     book
@@ -78,23 +78,23 @@
     let items: Vec<Item> = book(8_575).items().map(|held| held.item.clone()).collect();
     weigh("item, as they are mixed at the target", |i| items[i * 8 % items.len()].clone());
     let draw = |i: usize| Draw {
-        name: number(&i.to_string()),
-        owed: 0.0,
+        bucket: name_hash(&i.to_string()),
+        unreported: 0.0,
         units: 1.0,
         rate: 500.0,
         burst: 500.0,
         service: 77,
-        within_ms: 300,
+        max_response_ms: 300,
     };
     weigh("draw", draw);
     weigh("word on a backend", |i| LoadReport {
-        backend: number(&i.to_string()),
-        out: 2,
-        well: 3,
-        took_ms: 120,
-        ill: 0,
+        backend: name_hash(&i.to_string()),
+        outstanding: 2,
+        succeeded: 3,
+        total_latency_ms: 120,
+        failed: 0,
     });
-    let seen = |i: usize| PeerSighting { ip: ip(i), life: fastrand::u64(..), ago_ms: 100 };
+    let seen = |i: usize| PeerSighting { ip: ip(i), incarnation: fastrand::u64(..), ago_ms: 100 };
     let have = KnownState {
         gateway: gateway(1),
         rack: 1 << 60,
@@ -144,43 +144,49 @@
     println!("\n| a draw, with so many backends of its service, gateways | one draw |\n| --- | --- |");
     for (of_service, gateways) in [(4, 100), (43, 100), (43, 300), (43, 1_000), (43, 2_800), (512, 300)] {
         let (now, services) = (Duration::from_secs(10), 20);
-        let mut gauge = QuotaCounter::begin(Duration::ZERO, 1, true, ALLOWANCE, []);
+        let mut gauge = QuotaCounter::start(Duration::ZERO, 1, true, ALLOWANCE, []);
         let lives: BTreeSet<u64> = (1..=gateways).collect();
         for life in &lives {
-            gauge.recall(now, *life, &[]);
+            gauge.apply_readings(now, *life, &[]);
         }
         gauge.tick(now, &lives);
         for i in 0..of_service * services {
-            gauge.loads.listed(
+            gauge.loads.update_listing(
                 now,
                 ListedBackend {
                     backend: i as u64 + 1,
-                    service: service_number(&format!("s-{}", i % services)),
+                    service: service_hash(&format!("s-{}", i % services)),
                     zone: i as u64 % 21,
                     capacity: 4,
-                    serves: true,
-                    silent: false,
-                    cold_for: Duration::ZERO,
+                    accepts_work: true,
+                    is_silent: false,
+                    warm_up_left: Duration::ZERO,
                 },
             );
         }
-        let names: Vec<u32> = (0..services).map(|i| service_number(&format!("s-{i}"))).collect();
+        let names: Vec<u32> = (0..services).map(|i| service_hash(&format!("s-{i}"))).collect();
         let mut draw = |i: usize| {
             let draw = Draw {
-                name: fastrand::u64(..1_000),
-                owed: 0.0,
+                bucket: fastrand::u64(..1_000),
+                unreported: 0.0,
                 units: 1.0,
                 rate: 500.0,
                 burst: 500.0,
                 service: names[i % services],
-                within_ms: 300,
+                max_response_ms: 300,
             };
             let now = now + Duration::from_micros(i as u64 * 20);
             let from = 1 + fastrand::u64(..gateways);
             let levels = gauge.draw(now, from, &[draw]);
-            if let Some(room) = levels.as_ref().and_then(|l| l.first()?.rooms.first().copied()) {
-                let word = LoadReport { backend: room.backend, out: 0, well: 1, took_ms: 40, ill: 0 };
-                gauge.loads.tell(now, from, &[word]);
+            if let Some(room) = levels.as_ref().and_then(|l| l.first()?.offers.first().copied()) {
+                let word = LoadReport {
+                    backend: room.backend,
+                    outstanding: 0,
+                    succeeded: 1,
+                    total_latency_ms: 40,
+                    failed: 0,
+                };
+                gauge.loads.apply_reports(now, from, &[word]);
             }
             black_box(levels);
         };
@@ -198,19 +204,19 @@
         let now = Duration::from_secs(10);
         let mut instances: Vec<Instance> = (0..backends).map(|i| instance(i, 950)).collect();
         for instance in &instances {
-            catalog.heard(now, instance.clone(), Duration::ZERO);
+            catalog.record_backend(now, instance.clone(), Duration::ZERO);
         }
-        (0..gateways).for_each(|i| catalog.asks(now, gateway(i), Duration::ZERO));
+        (0..gateways).for_each(|i| catalog.record_gateway(now, gateway(i), Duration::ZERO));
         let beat = timed(backends, |i| {
-            instances[i].calls += 1;
-            black_box(catalog.heard(now, instances[i].clone(), Duration::ZERO));
+            instances[i].beat_count += 1;
+            black_box(catalog.record_backend(now, instances[i].clone(), Duration::ZERO));
         });
         let seq = catalog.seq();
-        let since = timed(50, |_| drop(black_box(catalog.since(seq))));
+        let since = timed(50, |_| drop(black_box(catalog.changes_since(seq))));
         let all: BTreeSet<IpAddr> = (0..gateways).map(ip).collect();
         let mut sight = GatewayLiveness::default();
-        (0..gateways).for_each(|i| sight.told(now, ip(i), 1, &[]));
-        let dead = timed(2, |_| drop(black_box(sight.dead(now, &all))));
+        (0..gateways).for_each(|i| sight.record_report(now, ip(i), 1, &[]));
+        let dead = timed(2, |_| drop(black_box(sight.dead_gateways(now, &all))));
         let tick = timed(20, |_| drop(catalog.tick(now)));
         println!("| {backends}, {gateways} | {} | {} | {} | {} |", us(beat), us(since), us(dead), us(tick));
     }
@@ -223,10 +229,11 @@
         let book = book(items);
         let value: Vec<Item> = book.items().map(|held| held.item.clone()).collect();
         let bytes = bitcode::encode(&value);
-        let again = timed(2, |_| drop(black_box(ItemSet::of(value.iter().cloned()))));
+        let again = timed(2, |_| drop(black_box(ItemSet::from_items(value.iter().cloned()))));
         let one = format!(r#"{{"upsert":{{"ports":[{}]}},"remove":{{}}}}"#, crate::route(0, 1, 2));
-        let change = ConfigChange::read(one.as_bytes()).expect("a change");
-        let with = timed(5, |_| drop(black_box(book.with(&change).map(|next| next.beyond(&book)))));
+        let change = ConfigChange::parse(one.as_bytes()).expect("a change");
+        let with =
+            timed(5, |_| drop(black_box(book.with_change(&change).map(|next| next.differing_items(&book)))));
         let encoded = timed(5, |_| drop(black_box(bitcode::encode(&value))));
         println!("| {} | {} | {} | {} | {} |", value.len(), bytes.len(), us(again), us(with), us(encoded));
     }
--- a/crates/starlinghill-testkit/src/balancing.rs
+++ b/crates/starlinghill-testkit/src/balancing.rs
@@ -95,11 +95,18 @@
         let mut loads = LoadTable::default();
         for backend in 0..self.backends {
             let (zone, cold_for, capacity) = (backend % 3, Duration::ZERO, PLACES as u32);
-            let listed =
-                ListedBackend { backend, service: 1, zone, capacity, serves: true, silent: false, cold_for };
-            loads.listed(Duration::ZERO, listed);
+            let listed = ListedBackend {
+                backend,
+                service: 1,
+                zone,
+                capacity,
+                accepts_work: true,
+                is_silent: false,
+                warm_up_left: cold_for,
+            };
+            loads.update_listing(Duration::ZERO, listed);
         }
-        (0..self.gateways).for_each(|gateway| loads.gateway(gateway, gateway % 3));
+        (0..self.gateways).for_each(|gateway| loads.set_gateway_zone(gateway, gateway % 3));
         let parts: Vec<Vec<u64>> = match way {
             Way::Part(size) => {
                 let all: Vec<u64> = (0..self.backends).collect();
@@ -125,7 +132,7 @@
                 self.end(now, gateway, backend, arrived);
             }
             for (gateway, word) in self.words.remove(&now).unwrap_or_default() {
-                self.loads.tell(Duration::from_millis(now), gateway, &[word]);
+                self.loads.apply_reports(Duration::from_millis(now), gateway, &[word]);
                 if now >= WARM_UP {
                     bytes += size(&word);
                 }
@@ -142,7 +149,8 @@
                     Way::Part(size) => parts[gateway as usize][self.rng.usize(0..size)],
                     Way::Named => {
                         let patient = Duration::from_secs(60);
-                        let rooms = self.loads.room(Duration::from_millis(now), gateway, 1, patient);
+                        let rooms =
+                            self.loads.offer_backends(Duration::from_millis(now), gateway, 1, patient);
                         let first = rooms[0].backend;
                         if now >= WARM_UP {
                             bytes += asking(rooms);
@@ -186,9 +194,13 @@
         self.used.insert((gateway, to), now);
         let backend = &mut self.backends[to as usize];
         if backend.waiting.len() >= WAITING {
-            let word = LoadReport { backend: to, out: 0, well: 0, took_ms: 0, ill: 1 };
+            let word =
+                LoadReport { backend: to, outstanding: 0, succeeded: 0, total_latency_ms: 0, failed: 1 };
             let out = self.out.get(&(gateway, to)).copied().unwrap_or(0);
-            self.words.entry(now + LATE).or_default().push((gateway, LoadReport { out, ..word }));
+            self.words
+                .entry(now + LATE)
+                .or_default()
+                .push((gateway, LoadReport { outstanding: out, ..word }));
             return;
         }
         backend.went += u32::from(now >= WARM_UP);
@@ -220,7 +232,13 @@
     fn tell(&mut self, now: u64, gateway: u64, backend: u64, more: i16, well: u16, took: u64) {
         let out = self.out.entry((gateway, backend)).or_default();
         *out = out.saturating_add_signed(more);
-        let word = LoadReport { backend, out: *out, well, took_ms: took as u32, ill: 0 };
+        let word = LoadReport {
+            backend,
+            outstanding: *out,
+            succeeded: well,
+            total_latency_ms: took as u32,
+            failed: 0,
+        };
         self.words.entry(now + LATE).or_default().push((gateway, word));
     }
 }
@@ -231,10 +249,18 @@
 
 /// The bytes of one draw with its answer, but for the words.
 fn asking(rooms: Vec<starlinghill_quota_counter::BackendOffer>) -> usize {
-    let draw = Draw { name: 1, owed: 0.0, units: 1.0, rate: 90.0, burst: 90.0, service: 1, within_ms: 500 };
+    let draw = Draw {
+        bucket: 1,
+        unreported: 0.0,
+        units: 1.0,
+        rate: 90.0,
+        burst: 90.0,
+        service: 1,
+        max_response_ms: 500,
+    };
     let question =
         RegistryRequest::Count { term: 1 << 20, from: u64::MAX, draws: vec![draw], words: Vec::new() };
-    let level = QuotaLevel { level: 10.0, share: 0.1, rooms };
+    let level = QuotaLevel { level: 10.0, share: 0.1, offers: rooms };
     let answer = RegistryResponse::Levels(vec![level], 1 << 30);
     // Each has a length and a version.
     bitcode::encode(&question).len() + bitcode::encode(&answer).len() + 10
--- a/crates/starlinghill-testkit/tests/system.rs
+++ b/crates/starlinghill-testkit/tests/system.rs
@@ -383,7 +383,7 @@
     // One move, noticed within the lease and what a gateway waits; a request in hand at each gateway.
     let quota = Quota { rate, burst: rate };
     let allowance = Allowance { window_s: 5.0, excess: 0.1, extra: 20.0 };
-    let troubles = Disruptions { moves: 1, late_s: 0.7, cut: 1.0 };
+    let troubles = Disruptions { counter_moves: 1, detection_delay_s: 0.7, cut_off_fraction: 1.0 };
     let bound = (max_granted_in_window(quota, allowance, troubles) + 3.0).min(allowance.most(quota));
     assert!(most <= bound, "{most} of {bound}: {statuses:?}");
     assert!(granted.len() as f64 > rate * 4.0, "{} were granted: {statuses:?}", granted.len());
