--- a/crates/starlinghill-consensus/src/lib.rs
+++ b/crates/starlinghill-consensus/src/lib.rs
@@ -1,17 +1,17 @@
-//! Joinery: a clamp presses pieces together until the glue has set, and then is taken away. Here it is the agreement of the
-//! stores on the configuration: a ballot holds the copies together for one change; no log stays behind, and no leader.
+//! Agreement of the configuration stores on one value, by Paxos without a log and without a leader.
 //!
-//! The state is one value (all items with their versions) and the members that vote on it. Whoever has a change to make, a
-//! proposer, asks the members for a promise under a ballot of its own, takes the state of the highest ballot that it hears
-//! of, merges the change into it, and has the outcome accepted by a quorum. Since any two quorums meet in a voter, each
-//! change sees all that were agreed on before it: two contents of one version, or two items that make no sense together,
-//! can't both be taken.
+//! The value holds all configuration items with their versions; a [`State`] is that value together with the members
+//! that vote on it. To make a change, a proposer picks a ballot of its own, asks the members to promise it, takes the
+//! state with the highest accepted ballot among the replies, merges its change into that state and asks a quorum to
+//! accept the result. Any two quorums share a voter, so each change is built on all changes chosen before it. Two
+//! contents of one version, or two items that contradict each other, therefore cannot both be chosen.
 //!
-//! Members change by the same agreement, one at a time: each change begins an epoch, and is accepted only by a majority of
-//! the old set and by one of the new. A member is an address and an incarnation, the life of its disk: one that lost its disk is
-//! another member, and takes its own place as any successor would.
+//! Membership changes go through the same agreement, one member at a time. Each change starts a new epoch and needs a
+//! majority of the old voters and a majority of the new ones. A member is an address plus an incarnation, which stands
+//! for one disk. A store that lost its disk is a new member, and replaces its old self like any other successor.
 //!
-//! No I/O and no clock: [`Voter`] answers questions and says what must be on disk first, [`Round`] is one attempt to agree.
+//! The crate does no I/O and reads no clock: [`Acceptor`] answers requests and says what must reach the disk before
+//! the reply may be sent, and [`ProposerRound`] is one attempt to get a state chosen.
 
 mod acceptor;
 mod members;
@@ -23,78 +23,79 @@
 
 use bitcode::{Decode, Encode};
 
-/// The number of a round: no two rounds have the same.
+/// A unique proposal number, ordered by round and then by proposer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Encode, Decode)]
 pub struct Ballot {
-    /// Higher than all that its owner had seen.
+    /// Higher than every round that the proposer had seen when it picked this one.
     pub round: u64,
-    /// Whose it is. Owners have numbers of their own.
+    /// The proposer's number. No two proposers share one, so no two ballots are equal.
     pub proposer: u32,
 }
 
-/// What is agreed on: a value, and who votes on the next one.
+/// The subject of the agreement: a value and the members that vote on the next state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Encode, Decode)]
 pub struct State<V> {
-    /// Who votes.
+    /// The members that vote on the successor of this state.
     pub members: Members,
-    /// The value.
+    /// The agreed content.
     pub value: V,
 }
 
-/// What a voter is asked. The epoch is that of the members whose votes the proposer counts.
+/// A request to a voter. `epoch` is the epoch of the members whose votes the proposer counts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum AcceptorRequest<V> {
-    /// For a promise to accept nothing under a lower ballot.
+    /// Asks for the promise to accept nothing under a lower ballot.
     Prepare {
-        /// The ballot.
+        /// The ballot to promise.
         ballot: Ballot,
-        /// The epoch.
+        /// The epoch whose votes are counted.
         epoch: u64,
-        /// It has the state of that ballot.
+        /// The ballot of the state that the proposer has: the reply carries a state only if it is newer.
         newer_than: Ballot,
     },
-    /// To accept a state.
+    /// Asks to accept a state.
     Accept {
-        /// The ballot.
+        /// The ballot under which the state is proposed.
         ballot: Ballot,
-        /// The epoch.
+        /// The epoch whose votes are counted.
         epoch: u64,
-        /// The state.
+        /// The proposed state.
         state: State<V>,
     },
-    /// It is told that the state of a ballot was agreed on.
+    /// Reports that the state of this ballot was chosen.
     Chosen(Ballot),
-    /// It is given a state that was agreed on, a snapshot: for one that was away, or is about to join.
+    /// Installs a chosen state as a snapshot, for a store that was away or is about to join.
     Learn {
-        /// The ballot.
+        /// The ballot of the state.
         ballot: Ballot,
-        /// The state.
+        /// The chosen state.
         state: State<V>,
     },
-    /// For what it has; the state only if that is newer than this.
+    /// Reads the voter's state, which is sent only if its ballot is higher than this one.
     Read(Ballot),
 }
 
-/// What a voter answers.
+/// A voter's reply.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum AcceptorReply<V> {
-    /// It has promised, or notes, or merely looks; this is what it has.
+    /// The voter's status, in reply to every request but `Accept`. A `Prepare` was granted if `promised` is its ballot.
     Status {
-        /// Its promise.
+        /// The highest promised ballot.
         promised: Ballot,
-        /// The ballot of its state.
+        /// The ballot of the voter's state.
         accepted: Ballot,
-        /// The highest ballot that it knows to be agreed on.
+        /// The highest ballot that the voter knows to be chosen.
         chosen: Ballot,
-        /// Its state, where the one who asks has an older one.
+        /// The voter's state, if it is newer than the one that the caller has.
         state: Option<State<V>>,
     },
-    /// It has accepted.
+    /// The state was accepted.
     Accepted,
-    /// It has promised something higher.
+    /// The voter has promised this higher ballot.
     Preempted(Ballot),
-    /// The members of that epoch are no longer those who vote: a newer set was agreed on, under no higher ballot than this.
+    /// The proposer counts the votes of an old epoch: these members were chosen since, under a ballot no
+    /// higher than the given one. The next round must use a higher ballot.
     NewerMembers(Members, Ballot),
-    /// At that address is another incarnation now.
+    /// The voter at this address is another incarnation than the one addressed.
     WrongIncarnation(Member),
 }
--- a/crates/starlinghill-consensus/src/members.rs
+++ b/crates/starlinghill-consensus/src/members.rs
@@ -1,66 +1,66 @@
-//! Who votes: members, by epochs.
+//! The voting members and their changes. Each change starts a new epoch.
 
 use bitcode::{Decode, Encode};
 use std::collections::BTreeSet;
 use std::net::IpAddr;
 
-/// The most members. Guards the size of messages, and of quorums.
-const MOST: usize = 9;
+/// The most members of a set. Bounds the size of messages and the number of votes that a quorum needs.
+const MAX_MEMBERS: usize = 9;
 
-/// One that votes: an address, and the life of the disk there.
+/// A voter: an address and the incarnation of the disk at that address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Member {
-    /// Where it is.
+    /// The address of the store.
     pub ip: IpAddr,
-    /// A disk that began empty has another one; the founders have 0.
+    /// The incarnation of its disk. A store that starts with an empty disk gets a new one; the founders have 0.
     pub incarnation: u64,
 }
 
-/// The members of an epoch.
+/// The members of one epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Encode, Decode)]
 pub struct Members {
     /// Rises by one with each change.
     pub epoch: u64,
-    /// Who votes, in order.
+    /// The voters of this epoch, sorted.
     pub voters: Vec<Member>,
-    /// Who voted in the epoch before. That these were agreed on is known wherever this set is proposed.
+    /// The voters of the epoch before. That set is known to be chosen as soon as this one is proposed.
     pub previous_voters: Vec<Member>,
 }
 
-/// One change: of one member.
+/// A change of one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum MemberChange {
-    /// One more.
+    /// Adds a member.
     Add(Member),
-    /// One less.
+    /// Removes a member.
     Remove(Member),
-    /// One in the place of another.
+    /// Replaces one member by another in a single step.
     Replace {
-        /// Who goes.
+        /// The member that is removed.
         leaves: Member,
-        /// Who comes.
+        /// The member that is added.
         joins: Member,
     },
 }
 
-/// Why members can't change so.
+/// Why a membership change is not possible.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub enum MembersRefusal {
-    /// It votes already, or another incarnation at its address does.
+    /// The joining member votes already, or another incarnation at its address does.
     Member,
-    /// Who is to go does not vote.
+    /// The leaving member is not in the set.
     Unknown,
-    /// There would be none, or too many.
+    /// The new set would be empty, or have more members than allowed.
     Count,
 }
 
-/// More than half of a set is among these.
+/// Whether `votes` holds more than half of a set.
 pub fn has_majority(set: &[Member], votes: &BTreeSet<Member>) -> bool {
     set.iter().filter(|member| votes.contains(member)).count() > set.len() / 2
 }
 
 impl Members {
-    /// The founders at these addresses.
+    /// The founding members, at these addresses.
     pub fn founding(ips: impl IntoIterator<Item = IpAddr>) -> Members {
         let mut voters: Vec<Member> = ips.into_iter().map(|ip| Member { ip, incarnation: 0 }).collect();
         voters.sort_unstable();
@@ -68,13 +68,14 @@
         Members { epoch: 0, voters, previous_voters: Vec::new() }
     }
 
-    /// The set of the epoch before, which was agreed on if this one was so much as proposed.
+    /// The set of the epoch before, without its own predecessor. It was chosen, or this set would not have been
+    /// proposed. `None` for the founding set.
     pub fn previous(&self) -> Option<Members> {
         let epoch = self.epoch.checked_sub(1)?;
         Some(Members { epoch, voters: self.previous_voters.clone(), previous_voters: Vec::new() })
     }
 
-    /// The next set.
+    /// The set of the next epoch, with a change applied.
     pub fn with_change(&self, change: MemberChange) -> Result<Members, MembersRefusal> {
         let mut voters = self.voters.clone();
         let (leaves, joins) = match change {
@@ -92,24 +93,24 @@
             }
             voters.push(joins);
         }
-        if voters.is_empty() || voters.len() > MOST {
+        if voters.is_empty() || voters.len() > MAX_MEMBERS {
             return Err(MembersRefusal::Count);
         }
         voters.sort_unstable();
         Ok(Members { epoch: self.epoch + 1, voters, previous_voters: self.voters.clone() })
     }
 
-    /// The member at an address.
+    /// The member at an address, in whatever incarnation.
     pub fn member_at(&self, ip: IpAddr) -> Option<Member> {
         self.voters.iter().copied().find(|member| member.ip == ip)
     }
 
-    /// It votes.
+    /// Whether a member votes in this epoch.
     pub fn contains(&self, member: Member) -> bool {
         self.voters.contains(&member)
     }
 
-    /// More than half of them are among these.
+    /// Whether `votes` holds more than half of this epoch's voters.
     pub fn has_majority(&self, votes: &BTreeSet<Member>) -> bool {
         has_majority(&self.voters, votes)
     }
--- a/crates/starlinghill-consensus/src/proposer.rs
+++ b/crates/starlinghill-consensus/src/proposer.rs
@@ -1,166 +1,173 @@
-//! One attempt to agree on a state, by a proposer.
+//! One attempt of a proposer to get a state chosen.
 
 use crate::{AcceptorReply, AcceptorRequest, Ballot, Member, Members, State};
 use std::collections::BTreeSet;
 
-/// What is to be done next.
+/// What the caller does after a reply was handled.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposerStep<V> {
-    /// Nothing yet.
+    /// Wait for more replies.
     Wait,
-    /// A state with newer members was accepted somewhere, and may have been agreed on: these are to be asked as well.
+    /// Send the prepare request to these members too: a state with newer members was accepted somewhere and may have
+    /// been chosen.
     Extend(Vec<Member>),
-    /// A quorum has promised. This is the state that the next one must be made from, and whether it is known to be agreed on.
+    /// A quorum has promised. Build the next state from this one; the flag says whether it is known to be chosen.
     Base(State<V>, bool),
-    /// A quorum has accepted.
+    /// A quorum has accepted the proposed state.
     Chosen,
-    /// Another round is in the way: try again above that ballot.
+    /// A voter has promised another proposer this ballot: start a new round with a higher one.
     Preempted(Ballot),
-    /// Newer members were agreed on: try again among them, above that ballot.
+    /// Newer members were chosen: start a new round among them, with a ballot higher than this one.
     NewerMembers(Members, Ballot),
 }
 
-/// One attempt, among the members of an epoch that is known to have been agreed on, under a ballot that is higher than the one
-/// by which it was.
+/// One round, among members that are known to be chosen. Its ballot is higher than the one under which they were.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ProposerRound<V> {
     ballot: Ballot,
+    /// The members whose votes are counted.
     members: Members,
-    asked: BTreeSet<Member>,
+    /// All members that requests go to: `members`, and those of a newer set that may have been chosen.
+    recipients: BTreeSet<Member>,
     promised: BTreeSet<Member>,
     accepted: BTreeSet<Member>,
+    /// The state with the highest accepted ballot so far, which the proposal must be built on.
     base: (Ballot, State<V>),
+    /// The highest ballot that any voter knows to be chosen.
     chosen: Ballot,
-    /// The members that come with the state proposed.
+    /// The members in the proposed state.
     proposed: Option<Members>,
-    based: bool,
-    over: bool,
+    /// A quorum has promised, and the base is final.
+    is_base_final: bool,
+    is_over: bool,
 }
 
 impl<V: Clone> ProposerRound<V> {
-    /// Under that ballot, among these members, by one who has the state of `have`, which was agreed on.
-    pub fn new(ballot: Ballot, members: Members, have: (Ballot, State<V>)) -> ProposerRound<V> {
-        let (asked, chosen) = (members.voters.iter().copied().collect(), have.0);
-        let mut base = have;
+    /// Starts a round under `ballot`, among `members`. `known` is the chosen state that the proposer has, with its
+    /// ballot.
+    pub fn new(ballot: Ballot, members: Members, known: (Ballot, State<V>)) -> ProposerRound<V> {
+        let (recipients, chosen) = (members.voters.iter().copied().collect(), known.0);
+        let mut base = known;
         if base.0 == Ballot::default() {
-            // Where nothing was ever agreed on, the founders vote.
+            // Nothing was ever chosen, so the first state is built on the founding members.
             base.1.members = members.clone();
         }
-        let (promised, accepted) = (BTreeSet::new(), BTreeSet::new());
         ProposerRound {
             ballot,
             members,
-            asked,
-            promised,
-            accepted,
+            recipients,
+            promised: BTreeSet::new(),
+            accepted: BTreeSet::new(),
             base,
             chosen,
             proposed: None,
-            based: false,
-            over: false,
+            is_base_final: false,
+            is_over: false,
         }
     }
 
-    /// Its ballot.
+    /// The ballot of this round.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// The epoch of the members whose votes it counts.
+    /// The epoch of the members whose votes are counted.
     pub fn epoch(&self) -> u64 {
         self.members.epoch
     }
 
-    /// Who is asked.
+    /// The members that requests go to.
     pub fn recipients(&self) -> impl Iterator<Item = Member> + '_ {
-        self.asked.iter().copied()
+        self.recipients.iter().copied()
     }
 
-    /// What every voter is asked first.
+    /// The request that opens the round at every recipient.
     pub fn prepare_request(&self) -> AcceptorRequest<V> {
-        AcceptorRequest::Prepare { ballot: self.ballot, epoch: self.members.epoch, newer_than: self.base.0 }
+        let (epoch, newer_than) = (self.members.epoch, self.base.0);
+        AcceptorRequest::Prepare { ballot: self.ballot, epoch, newer_than }
     }
 
-    /// What all are asked once the next state is made. `None` where its members can't follow here: the change that is
-    /// under way has to be settled first, by proposing the base as it is.
+    /// The accept request for the next state, for all recipients. `None` if its members cannot follow on the base: a
+    /// membership change is under way, which the caller settles first by proposing the base unchanged.
     pub fn propose(&mut self, state: State<V>) -> Option<AcceptorRequest<V>> {
         let base = &self.base.1.members;
         let next = &state.members;
-        let one_step = next.epoch == self.members.epoch + 1 && base.epoch == self.members.epoch;
-        if next != base && !one_step {
+        let is_next_epoch = next.epoch == self.members.epoch + 1 && base.epoch == self.members.epoch;
+        if next != base && !is_next_epoch {
             return None;
         }
-        self.asked.extend(&next.voters);
+        self.recipients.extend(&next.voters);
         self.proposed = Some(next.clone());
         Some(AcceptorRequest::Accept { ballot: self.ballot, epoch: self.members.epoch, state })
     }
 
-    /// A voter has answered.
-    pub fn handle_reply(&mut self, by: Member, tell: AcceptorReply<V>) -> ProposerStep<V> {
-        if self.over {
+    /// Handles a voter's reply and returns what to do next.
+    pub fn handle_reply(&mut self, from: Member, reply: AcceptorReply<V>) -> ProposerStep<V> {
+        if self.is_over {
             return ProposerStep::Wait;
         }
-        match tell {
+        match reply {
             AcceptorReply::Status { promised, accepted, chosen, state } => {
-                if self.based || promised != self.ballot {
+                if self.is_base_final || promised != self.ballot {
                     return ProposerStep::Wait;
                 }
-                self.promised.insert(by);
+                self.promised.insert(from);
                 self.chosen = self.chosen.max(chosen);
                 if let Some(state) = state.filter(|_| accepted > self.base.0) {
                     self.base = (accepted, state);
                 }
-                self.has_promises()
+                self.after_promise()
             }
             AcceptorReply::Accepted => {
-                self.accepted.insert(by);
-                let joint =
+                self.accepted.insert(from);
+                // A proposal with new members also needs a majority of these.
+                let has_next_majority =
                     |set: &Members| set.epoch == self.members.epoch || set.has_majority(&self.accepted);
-                self.over =
-                    self.members.has_majority(&self.accepted) && self.proposed.as_ref().is_some_and(joint);
-                if self.over {
+                self.is_over = self.members.has_majority(&self.accepted)
+                    && self.proposed.as_ref().is_some_and(has_next_majority);
+                if self.is_over {
                     ProposerStep::Chosen
                 } else {
                     ProposerStep::Wait
                 }
             }
             AcceptorReply::Preempted(promised) => {
-                self.over = true;
+                self.is_over = true;
                 ProposerStep::Preempted(promised)
             }
             AcceptorReply::NewerMembers(members, ballot) if members.epoch > self.members.epoch => {
-                self.over = true;
+                self.is_over = true;
                 ProposerStep::NewerMembers(members, ballot)
             }
             AcceptorReply::NewerMembers(..) | AcceptorReply::WrongIncarnation(_) => ProposerStep::Wait,
         }
     }
 
-    fn has_promises(&mut self) -> ProposerStep<V> {
+    fn after_promise(&mut self) -> ProposerStep<V> {
         if !self.members.has_majority(&self.promised) {
             return ProposerStep::Wait;
         }
         let (ballot, set) = (self.base.0, &self.base.1.members);
-        let known = self.chosen >= ballot;
+        let is_chosen = self.chosen >= ballot;
         if set.epoch > self.members.epoch {
-            if known {
-                self.over = true;
+            if is_chosen {
+                self.is_over = true;
                 return ProposerStep::NewerMembers(set.clone(), ballot);
             }
-            // Whoever proposed a set knew that the one before it was agreed on.
+            // The proposer of a set knew that the set before it was chosen.
             if let Some(previous) = set.previous().filter(|previous| previous.epoch > self.members.epoch) {
-                self.over = true;
+                self.is_over = true;
                 return ProposerStep::NewerMembers(previous, ballot);
             }
-            // What those members agreed on since is to be heard too.
+            // If the newer set was chosen, it may have chosen further states: a majority of it must promise too.
             if !set.has_majority(&self.promised) {
-                let new = |member: &Member| !self.asked.contains(member);
-                let more: Vec<Member> = set.voters.iter().copied().filter(new).collect();
-                self.asked.extend(&more);
+                let is_new = |member: &Member| !self.recipients.contains(member);
+                let more: Vec<Member> = set.voters.iter().copied().filter(is_new).collect();
+                self.recipients.extend(&more);
                 return if more.is_empty() { ProposerStep::Wait } else { ProposerStep::Extend(more) };
             }
         }
-        self.based = true;
-        ProposerStep::Base(self.base.1.clone(), known)
+        self.is_base_final = true;
+        ProposerStep::Base(self.base.1.clone(), is_chosen)
     }
 }
--- a/crates/starlinghill-consensus/tests/agreement.rs
+++ b/crates/starlinghill-consensus/tests/agreement.rs
@@ -1,6 +1,7 @@
-//! Histories of changes, checked after the fact: seeded orders of messages, losses, restarts, power losses, lost disks, and
-//! members that are added, removed and replaced meanwhile, three to five of them. What was acknowledged is read back, no
-//! version has two contents, and of any two states that were agreed on the later one holds all of the earlier.
+//! Random histories of the agreement, checked for safety. A seed decides the order of messages, message losses, restarts,
+//! power losses, lost disks, and the adding, removing and replacing of members, with three to five voters. The checks:
+//! every acknowledged item can be read back, no version has two contents, and of any two chosen states the later one
+//! holds everything in the earlier one.
 
 use starlinghill_consensus::{
     Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Member, MemberChange, Members,
@@ -10,43 +11,45 @@
 use std::net::IpAddr;
 use test_case::test_case;
 
-/// Items by name: a version, and who wrote it.
+/// Items: a name, then a version and the number of the proposer that wrote it.
 type Value = Vec<(u8, (u64, u64))>;
 
-/// What is left out, to see that it is missed.
+/// A defect put in on purpose, to show that the checks detect it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     Nothing,
-    /// A change of members counts once a majority of the new set has it.
+    /// A membership change counts as chosen with a majority of the new set alone.
     NewSetOnly,
-    /// A wiped voter goes on as the member that it was.
+    /// A voter that lost its disk keeps its old incarnation.
     SameIncarnation,
 }
 
 struct Machine {
     voter: Acceptor<Value>,
-    /// What is on its disk.
+    /// The content of its disk, which is what a power loss leaves.
     disk: (AcceptorState, State<Value>),
 }
 
+/// The goal of a proposer.
 #[derive(Debug, Clone, Copy)]
-enum Wish {
-    Item(u8, (u64, u64)),
-    Members(MemberChange),
-    Nothing,
+enum Goal {
+    Write(u8, (u64, u64)),
+    ChangeMembers(MemberChange),
+    Read,
 }
 
-/// A proposer: it knows no more than it was told.
-struct Writer {
-    wish: Wish,
+/// A proposer. Of the members it knows only what replies have told it.
+struct Proposer {
+    goal: Goal,
     round: Option<ProposerRound<Value>>,
+    /// The proposed state, and whether it holds the goal: else it only settles the base.
     proposed: Option<(State<Value>, bool)>,
     members: Members,
-    seen: u64,
+    highest_round: u64,
     votes: BTreeSet<Member>,
-    done: bool,
-    /// A higher version stood: this one has no effect, whatever it holds.
-    overtaken: bool,
+    is_done: bool,
+    /// A higher version of the item was already chosen, so that this write has no effect.
+    is_superseded: bool,
     read: Option<Value>,
 }
 
@@ -54,40 +57,42 @@
     rng: fastrand::Rng,
     fault: Fault,
     machines: BTreeMap<Member, Machine>,
-    /// Questions and answers on their way: to a voter, of that writer, in that round.
-    mail: VecDeque<(Member, usize, Ballot, AcceptorRequest<Value>)>,
-    back: VecDeque<(Member, usize, Ballot, AcceptorReply<Value>)>,
-    writers: Vec<Writer>,
-    /// All that was agreed on.
+    /// Requests and replies in flight: the voter, the index of the proposer, its ballot, the message.
+    requests: VecDeque<(Member, usize, Ballot, AcceptorRequest<Value>)>,
+    replies: VecDeque<(Member, usize, Ballot, AcceptorReply<Value>)>,
+    proposers: Vec<Proposer>,
+    /// Every state that was chosen.
     chosen: BTreeMap<Ballot, State<Value>>,
     acknowledged: BTreeMap<u8, (u64, u64)>,
-    /// A disk was lost, and who comes in its place: no second one may go before that is agreed on.
-    mourning: Option<(Member, Member)>,
-    machines_ever: u8,
+    /// The member that lost its disk and its successor. No second disk is lost until the replacement is chosen, since
+    /// the agreement survives only one lost voter at a time.
+    replacement: Option<(Member, Member)>,
+    addresses_used: u8,
+    /// The highest epoch that was chosen.
     epochs: u64,
-    wrong: Option<String>,
+    violation: Option<String>,
 }
 
 fn address(i: u8) -> IpAddr {
     IpAddr::from([10, 0, 0, i])
 }
 
-fn merged(base: &Value, name: u8, item: (u64, u64)) -> Result<Value, ()> {
+fn merge_item(base: &Value, name: u8, item: (u64, u64)) -> Result<Value, ()> {
     let mut next = base.clone();
-    match next.iter_mut().find(|(known, _)| *known == name) {
-        Some((_, stands)) if stands.0 == item.0 && stands.1 != item.1 => return Err(()),
-        Some((_, stands)) if stands.0 >= item.0 => {}
-        Some((_, stands)) => *stands = item,
+    match next.iter_mut().find(|(other, _)| *other == name) {
+        Some((_, current)) if current.0 == item.0 && current.1 != item.1 => return Err(()),
+        Some((_, current)) if current.0 >= item.0 => {}
+        Some((_, current)) => *current = item,
         None => next.push((name, item)),
     }
     Ok(next)
 }
 
-/// All that the earlier one holds, the later one holds too, or something newer.
-fn follows(earlier: &State<Value>, later: &State<Value>) -> bool {
+/// Whether the later state holds every item of the earlier one, or a newer version of it.
+fn is_superset_of(earlier: &State<Value>, later: &State<Value>) -> bool {
     let newer = |(name, item): &(u8, (u64, u64))| {
-        let stands = later.value.iter().find(|(known, _)| known == name).map(|(_, stands)| *stands);
-        stands.is_some_and(|stands| stands.0 > item.0 || stands == *item)
+        let current = later.value.iter().find(|(other, _)| other == name).map(|(_, current)| *current);
+        current.is_some_and(|current| current.0 > item.0 || current == *item)
     };
     let set = earlier.members.epoch < later.members.epoch || earlier.members == later.members;
     set && earlier.value.iter().all(newer)
@@ -105,373 +110,391 @@
             rng: fastrand::Rng::with_seed(seed),
             fault,
             machines,
-            mail: VecDeque::new(),
-            back: VecDeque::new(),
-            writers: Vec::new(),
+            requests: VecDeque::new(),
+            replies: VecDeque::new(),
+            proposers: Vec::new(),
             chosen: BTreeMap::from([(Ballot::default(), State { members, value: Value::new() })]),
             acknowledged: BTreeMap::new(),
-            mourning: None,
-            machines_ever: founders,
+            replacement: None,
+            addresses_used: founders,
             epochs: 0,
-            wrong: None,
+            violation: None,
         }
     }
 
-    fn newest(&self) -> (Ballot, State<Value>) {
+    fn newest_chosen(&self) -> (Ballot, State<Value>) {
         self.chosen.iter().next_back().map(|(b, s)| (*b, s.clone())).unwrap_or_default()
     }
 
-    fn wish(&mut self, wish: Wish) -> usize {
-        // It may know only of the founders, or of any members since.
+    /// Adds a proposer with a goal and returns its index.
+    fn add_proposer(&mut self, goal: Goal) -> usize {
+        // A proposer may start with an old set of members, back to the founding one.
         let known: Vec<(Ballot, Members)> =
             self.chosen.iter().map(|(ballot, state)| (*ballot, state.members.clone())).collect();
         let (ballot, members) = known[self.rng.usize(0..known.len())].clone();
-        self.writers.push(Writer {
-            wish,
+        self.proposers.push(Proposer {
+            goal,
             round: None,
             proposed: None,
             members,
-            seen: ballot.round,
+            highest_round: ballot.round,
             votes: BTreeSet::new(),
-            done: false,
-            overtaken: false,
+            is_done: false,
+            is_superseded: false,
             read: None,
         });
-        let id = self.writers.len() - 1;
-        self.begin(id);
+        let id = self.proposers.len() - 1;
+        self.start_round(id);
         id
     }
 
-    /// A writer begins a round under a ballot that nobody else has.
-    fn begin(&mut self, id: usize) {
-        let more = 1 + self.rng.u64(0..2);
-        let writer = &mut self.writers[id];
-        writer.seen += more;
-        let ballot = Ballot { round: writer.seen, proposer: id as u32 };
-        let round = ProposerRound::new(ballot, writer.members.clone(), Default::default());
-        let ask = round.prepare_request();
-        round.recipients().for_each(|to| self.mail.push_back((to, id, ballot, ask.clone())));
-        (writer.round, writer.proposed) = (Some(round), None);
-        writer.votes.clear();
+    /// Starts a new round of a proposer.
+    fn start_round(&mut self, id: usize) {
+        let increment = 1 + self.rng.u64(0..2);
+        let proposer = &mut self.proposers[id];
+        proposer.highest_round += increment;
+        let ballot = Ballot { round: proposer.highest_round, proposer: id as u32 };
+        let round = ProposerRound::new(ballot, proposer.members.clone(), Default::default());
+        let request = round.prepare_request();
+        round.recipients().for_each(|to| self.requests.push_back((to, id, ballot, request.clone())));
+        (proposer.round, proposer.proposed) = (Some(round), None);
+        proposer.votes.clear();
     }
 
-    fn write(&mut self) {
-        let id = self.writers.len() as u64;
+    fn start_write(&mut self) {
+        let id = self.proposers.len() as u64;
         let (name, version) = (self.rng.u8(0..3), 1 + self.rng.u64(0..8));
-        self.wish(Wish::Item(name, (version, id)));
+        self.add_proposer(Goal::Write(name, (version, id)));
     }
 
-    fn ask(&mut self, to: Member, ask: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
+    fn handle_request(
+        &mut self,
+        to: Member,
+        request: AcceptorRequest<Value>,
+    ) -> Option<AcceptorReply<Value>> {
         let machine = self.machines.get_mut(&to)?;
-        let (tell, save) = machine.voter.handle(to, ask);
-        match save {
+        let (reply, required_write) = machine.voter.handle(to, request);
+        match required_write {
             RequiredWrite::Nothing => {}
             RequiredWrite::Metadata => machine.disk.0 = machine.voter.metadata().clone(),
             RequiredWrite::MetadataAndState => {
                 machine.disk = (machine.voter.metadata().clone(), machine.voter.state().clone())
             }
         }
-        Some(tell)
+        Some(reply)
     }
 
-    fn deliver(&mut self) {
-        let at = (!self.mail.is_empty()).then(|| self.rng.usize(0..self.mail.len()));
-        let Some((to, writer, ballot, ask)) = at.and_then(|at| self.mail.remove(at)) else { return };
+    fn deliver_request(&mut self) {
+        let at = (!self.requests.is_empty()).then(|| self.rng.usize(0..self.requests.len()));
+        let Some((to, proposer, ballot, request)) = at.and_then(|at| self.requests.remove(at)) else {
+            return;
+        };
         if self.rng.u8(0..20) == 0 {
-            // It comes again later.
-            self.mail.push_back((to, writer, ballot, ask.clone()));
+            // The network delivers some requests twice.
+            self.requests.push_back((to, proposer, ballot, request.clone()));
         }
-        let Some(tell) = self.ask(to, ask) else { return };
+        let Some(reply) = self.handle_request(to, request) else { return };
         if self.rng.u8(0..10) > 0 {
-            self.back.push_back((to, writer, ballot, tell));
+            self.replies.push_back((to, proposer, ballot, reply));
         }
     }
 
-    fn answer(&mut self) {
-        let at = (!self.back.is_empty()).then(|| self.rng.usize(0..self.back.len()));
-        let Some((from, id, ballot, tell)) = at.and_then(|at| self.back.remove(at)) else { return };
-        let writer = &mut self.writers[id];
-        let Some(round) = writer.round.as_mut().filter(|round| round.ballot() == ballot) else { return };
-        if tell == AcceptorReply::Accepted {
-            writer.votes.insert(from);
+    fn receive_reply(&mut self) {
+        let at = (!self.replies.is_empty()).then(|| self.rng.usize(0..self.replies.len()));
+        let Some((from, id, ballot, reply)) = at.and_then(|at| self.replies.remove(at)) else { return };
+        let proposer = &mut self.proposers[id];
+        let Some(round) = proposer.round.as_mut().filter(|round| round.ballot() == ballot) else { return };
+        if reply == AcceptorReply::Accepted {
+            proposer.votes.insert(from);
         }
-        let mut step = round.handle_reply(from, tell);
-        if let (Fault::NewSetOnly, Some((state, _))) = (self.fault, &writer.proposed) {
-            if state.members.has_majority(&writer.votes) {
+        let mut step = round.handle_reply(from, reply);
+        if let (Fault::NewSetOnly, Some((state, _))) = (self.fault, &proposer.proposed) {
+            if state.members.has_majority(&proposer.votes) {
                 step = ProposerStep::Chosen;
             }
         }
         match step {
             ProposerStep::Wait => {}
-            ProposerStep::Extend(more) => {
-                let ask = round.prepare_request();
-                more.into_iter().for_each(|to| self.mail.push_back((to, id, ballot, ask.clone())));
+            ProposerStep::Extend(members) => {
+                let request = round.prepare_request();
+                members.into_iter().for_each(|to| self.requests.push_back((to, id, ballot, request.clone())));
             }
-            ProposerStep::Base(base, known) => self.propose(id, base, known),
-            ProposerStep::Chosen => self.agreed(id, ballot),
+            ProposerStep::Base(base, is_known) => self.propose(id, base, is_known),
+            ProposerStep::Chosen => self.on_chosen(id, ballot),
             ProposerStep::Preempted(higher) => {
-                writer.seen = writer.seen.max(higher.round);
-                writer.round = None;
+                proposer.highest_round = proposer.highest_round.max(higher.round);
+                proposer.round = None;
             }
             ProposerStep::NewerMembers(members, higher) => {
-                writer.seen = writer.seen.max(higher.round);
-                (writer.members, writer.round) = (members, None);
+                proposer.highest_round = proposer.highest_round.max(higher.round);
+                (proposer.members, proposer.round) = (members, None);
             }
         }
     }
 
-    fn propose(&mut self, id: usize, base: State<Value>, known: bool) {
-        let writer = &mut self.writers[id];
-        let Some(round) = writer.round.as_mut() else { return };
-        let next = match writer.wish {
-            Wish::Nothing if known => {
-                writer.read = Some(base.value);
-                (writer.done, writer.round) = (true, None);
+    /// Proposes the goal on top of `base`, which is a chosen state if `is_known`.
+    fn propose(&mut self, id: usize, base: State<Value>, is_known: bool) {
+        let proposer = &mut self.proposers[id];
+        let Some(round) = proposer.round.as_mut() else { return };
+        let next = match proposer.goal {
+            Goal::Read if is_known => {
+                proposer.read = Some(base.value);
+                (proposer.is_done, proposer.round) = (true, None);
                 return;
             }
-            Wish::Nothing => Some(base.clone()),
-            Wish::Item(name, item) => {
-                let stands = base.value.iter().find(|(known, _)| *known == name);
-                writer.overtaken = stands.is_some_and(|(_, stands)| stands.0 > item.0);
-                let value = merged(&base.value, name, item).ok();
+            Goal::Read => Some(base.clone()),
+            Goal::Write(name, item) => {
+                let current = base.value.iter().find(|(item, _)| *item == name);
+                proposer.is_superseded = current.is_some_and(|(_, current)| current.0 > item.0);
+                let value = merge_item(&base.value, name, item).ok();
                 value.map(|value| State { members: base.members.clone(), value })
             }
-            Wish::Members(change) => {
+            Goal::ChangeMembers(change) => {
                 let members = base.members.with_change(change).ok();
                 members.map(|members| State { members, value: base.value.clone() })
             }
         };
-        if next.is_none() && known {
-            // Refused, by what was agreed on.
-            (writer.done, writer.round) = (true, None);
+        if next.is_none() && is_known {
+            // The chosen state rules this change out.
+            (proposer.is_done, proposer.round) = (true, None);
             return;
         }
-        let asked = next.and_then(|next| Some((round.propose(next.clone())?, next, true)));
-        // What is half done is settled first.
-        let settles = |round: &mut ProposerRound<Value>| Some((round.propose(base.clone())?, base, false));
-        let Some((ask, state, whole)) = asked.or_else(|| settles(round)) else { return };
+        let proposal = next.and_then(|next| Some((round.propose(next.clone())?, next, true)));
+        // An unfinished membership change in the base is settled first, by proposing the base as it is.
+        let settle_base =
+            |round: &mut ProposerRound<Value>| Some((round.propose(base.clone())?, base, false));
+        let Some((request, state, is_goal)) = proposal.or_else(|| settle_base(round)) else { return };
         let (to, ballot): (Vec<Member>, Ballot) = (round.recipients().collect(), round.ballot());
-        writer.proposed = Some((state, whole));
-        to.into_iter().for_each(|to| self.mail.push_back((to, id, ballot, ask.clone())));
+        proposer.proposed = Some((state, is_goal));
+        to.into_iter().for_each(|to| self.requests.push_back((to, id, ballot, request.clone())));
     }
 
-    fn agreed(&mut self, id: usize, ballot: Ballot) {
-        let writer = &mut self.writers[id];
-        writer.round = None;
-        let Some((state, whole)) = writer.proposed.take() else { return };
-        writer.done = whole;
-        for (other, stands) in &self.chosen {
-            let in_order = if *other < ballot { follows(stands, &state) } else { follows(&state, stands) };
+    fn on_chosen(&mut self, id: usize, ballot: Ballot) {
+        let proposer = &mut self.proposers[id];
+        proposer.round = None;
+        let Some((state, is_goal)) = proposer.proposed.take() else { return };
+        proposer.is_done = is_goal;
+        for (other, current) in &self.chosen {
+            let in_order = if *other < ballot {
+                is_superset_of(current, &state)
+            } else {
+                is_superset_of(&state, current)
+            };
             if !in_order {
-                self.wrong = Some(format!("agreed under {other:?}: {stands:?}, under {ballot:?}: {state:?}"));
+                self.violation =
+                    Some(format!("chosen under {other:?}: {current:?}, under {ballot:?}: {state:?}"));
             }
         }
         self.epochs = self.epochs.max(state.members.epoch);
-        if whole {
-            match writer.wish {
-                Wish::Item(name, item) if !writer.overtaken => {
-                    let newest = self.acknowledged.entry(name).or_insert(item);
-                    if newest.0 == item.0 && newest.1 != item.1 {
-                        self.wrong = Some(format!("one version, two contents: {newest:?} {item:?}"));
+        if is_goal {
+            match proposer.goal {
+                Goal::Write(name, item) if !proposer.is_superseded => {
+                    let newest_chosen = self.acknowledged.entry(name).or_insert(item);
+                    if newest_chosen.0 == item.0 && newest_chosen.1 != item.1 {
+                        self.violation =
+                            Some(format!("one version, two contents: {newest_chosen:?} {item:?}"));
                     }
-                    *newest = (*newest).max(item);
+                    *newest_chosen = (*newest_chosen).max(item);
                 }
                 _ => {}
             }
         }
         if self.rng.bool() {
             for to in state.members.voters.clone() {
-                self.mail.push_back((to, id, ballot, AcceptorRequest::Chosen(ballot)));
+                self.requests.push_back((to, id, ballot, AcceptorRequest::Chosen(ballot)));
             }
         }
         self.chosen.insert(ballot, state);
-        self.settle();
+        self.end_replacement();
     }
 
-    /// What was mourned is replaced, and a change of members over, once that is agreed on.
-    fn settle(&mut self) {
-        let members = self.newest().1.members;
-        if self.mourning.is_some_and(|(old, _)| !members.contains(old)) {
-            self.mourning = None;
+    /// Ends a replacement once the chosen members no longer hold the lost one.
+    fn end_replacement(&mut self) {
+        let members = self.newest_chosen().1.members;
+        if self.replacement.is_some_and(|(old, _)| !members.contains(old)) {
+            self.replacement = None;
         }
     }
 
-    /// A change of members is under way.
-    fn changing(&self) -> bool {
-        self.writers.iter().any(|writer| matches!(writer.wish, Wish::Members(_)) && !writer.done)
+    /// Whether a membership change is under way.
+    fn is_changing_members(&self) -> bool {
+        self.proposers
+            .iter()
+            .any(|proposer| matches!(proposer.goal, Goal::ChangeMembers(_)) && !proposer.is_done)
     }
 
-    fn power_loss(&mut self, member: Member) {
+    fn lose_power(&mut self, member: Member) {
         if let Some(machine) = self.machines.get_mut(&member) {
-            let (kept, state) = machine.disk.clone();
-            machine.voter = Acceptor::restore(kept, state);
+            let (metadata, state) = machine.disk.clone();
+            machine.voter = Acceptor::restore(metadata, state);
         }
     }
 
-    fn empty(&mut self, member: Member) {
+    fn start_empty(&mut self, member: Member) {
         let voter: Acceptor<Value> = Acceptor::new(member, Members::default());
         let disk = (voter.metadata().clone(), voter.state().clone());
         self.machines.insert(member, Machine { voter, disk });
     }
 
-    fn disk_loss(&mut self) {
-        let voters = self.newest().1.members.voters;
+    fn lose_disk(&mut self) {
+        let voters = self.newest_chosen().1.members.voters;
         let old = voters[self.rng.usize(0..voters.len())];
         if self.rng.bool() {
-            // All others lose power with it.
+            // All other machines lose power at the same moment.
             let all: Vec<Member> = self.machines.keys().copied().collect();
-            all.into_iter().for_each(|member| self.power_loss(member));
+            all.into_iter().for_each(|member| self.lose_power(member));
         }
         self.machines.remove(&old);
         if self.fault == Fault::SameIncarnation {
-            return self.empty(old);
+            return self.start_empty(old);
         }
         let new = Member { ip: old.ip, incarnation: old.incarnation + 1 };
-        self.empty(new);
-        self.mourning = Some((old, new));
+        self.start_empty(new);
+        self.replacement = Some((old, new));
     }
 
-    /// The successor asks to be a member, with a snapshot or without.
-    fn recover(&mut self) {
-        let Some((leaves, joins)) = self.mourning else { return };
+    /// Proposes the successor as a member; half of the time it receives a snapshot first.
+    fn propose_successor(&mut self) {
+        let Some((leaves, joins)) = self.replacement else { return };
         if self.rng.bool() {
-            let (ballot, state) = self.newest();
-            self.ask(joins, AcceptorRequest::Learn { ballot, state });
+            let (ballot, state) = self.newest_chosen();
+            self.handle_request(joins, AcceptorRequest::Learn { ballot, state });
         }
-        self.wish(Wish::Members(MemberChange::Replace { leaves, joins }));
+        self.add_proposer(Goal::ChangeMembers(MemberChange::Replace { leaves, joins }));
     }
 
     fn change_members(&mut self) {
-        let voters = self.newest().1.members.voters;
-        let one = voters[self.rng.usize(0..voters.len())];
-        self.machines_ever += 1;
-        let joins = Member { ip: address(self.machines_ever), incarnation: 7 };
+        let voters = self.newest_chosen().1.members.voters;
+        let leaving = voters[self.rng.usize(0..voters.len())];
+        self.addresses_used += 1;
+        let joins = Member { ip: address(self.addresses_used), incarnation: 7 };
         let change = match (voters.len(), self.rng.u8(0..3)) {
             (..=4, 0) => MemberChange::Add(joins),
-            (4.., 1) => MemberChange::Remove(one),
-            _ => MemberChange::Replace { leaves: one, joins },
+            (4.., 1) => MemberChange::Remove(leaving),
+            _ => MemberChange::Replace { leaves: leaving, joins },
         };
-        self.empty(joins);
-        self.wish(Wish::Members(change));
+        self.start_empty(joins);
+        self.add_proposer(Goal::ChangeMembers(change));
     }
 
     fn step(&mut self) {
         match self.rng.u8(0..100) {
-            0..=5 if self.writers.len() < 60 => self.write(),
+            0..=5 if self.proposers.len() < 60 => self.start_write(),
             6..=9 => {
-                let open: Vec<usize> = (0..self.writers.len())
-                    .filter(|w| !self.writers[*w].done && self.writers[*w].round.is_none())
+                let open: Vec<usize> = (0..self.proposers.len())
+                    .filter(|id| !self.proposers[*id].is_done && self.proposers[*id].round.is_none())
                     .collect();
-                if let Some(w) = (!open.is_empty()).then(|| open[self.rng.usize(0..open.len())]) {
-                    self.begin(w);
+                if let Some(id) = (!open.is_empty()).then(|| open[self.rng.usize(0..open.len())]) {
+                    self.start_round(id);
                 }
             }
             10 => {
                 let all: Vec<Member> = self.machines.keys().copied().collect();
                 let member = all[self.rng.usize(0..all.len())];
-                self.power_loss(member);
+                self.lose_power(member);
             }
-            11 if self.mourning.is_none() && !self.changing() => self.disk_loss(),
-            12..=13 if self.mourning.is_none() && !self.changing() => self.change_members(),
-            12..=16 if self.mourning.is_some() && !self.changing() => self.recover(),
-            17..=19 => drop(self.mail.pop_front()),
-            20..=60 => self.deliver(),
-            _ => self.answer(),
+            11 if self.replacement.is_none() && !self.is_changing_members() => self.lose_disk(),
+            12..=13 if self.replacement.is_none() && !self.is_changing_members() => self.change_members(),
+            12..=16 if self.replacement.is_some() && !self.is_changing_members() => self.propose_successor(),
+            17..=19 => drop(self.requests.pop_front()),
+            20..=60 => self.deliver_request(),
+            _ => self.receive_reply(),
         }
     }
 
-    /// Goes on without losses until that writer is done, or for so long; `silent` says nothing.
-    fn drive(&mut self, id: usize, silent: Option<Member>) -> bool {
+    /// Delivers messages without losses until the proposer is done, for 3,000 steps at most. `silent` gets no requests.
+    /// Returns whether the proposer was done.
+    fn run_until_done(&mut self, id: usize, silent: Option<Member>) -> bool {
         for _ in 0..3_000 {
-            if self.writers[id].done {
+            if self.proposers[id].is_done {
                 return true;
             }
-            if self.writers[id].round.is_none() || self.mail.is_empty() && self.back.is_empty() {
-                // Where those that it knows don't answer, it asks others who votes now.
+            if self.proposers[id].round.is_none() || self.requests.is_empty() && self.replies.is_empty() {
+                // If the members that it knows do not reply, it learns the current ones from another store.
                 if self.rng.bool() {
-                    let (ballot, state) = self.newest();
-                    let writer = &mut self.writers[id];
-                    writer.seen = writer.seen.max(ballot.round);
-                    writer.members = state.members;
+                    let (ballot, state) = self.newest_chosen();
+                    let proposer = &mut self.proposers[id];
+                    proposer.highest_round = proposer.highest_round.max(ballot.round);
+                    proposer.members = state.members;
                 }
-                self.begin(id);
+                self.start_round(id);
             }
-            self.mail.retain(|(to, ..)| Some(*to) != silent);
+            self.requests.retain(|(to, ..)| Some(*to) != silent);
             if self.rng.bool() {
-                self.deliver();
+                self.deliver_request();
             } else {
-                self.answer();
+                self.receive_reply();
             }
         }
         false
     }
 
-    /// All that is acknowledged stands, by whatever majority is asked.
-    fn read_back(&mut self) {
+    /// Checks that every acknowledged item can be read back, whichever voter is silent.
+    fn check_reads(&mut self) {
         for _ in 0..20 {
-            if self.mourning.is_none() {
+            if self.replacement.is_none() {
                 break;
             }
-            self.recover();
-            let id = self.writers.len() - 1;
-            self.drive(id, None);
-            self.settle();
+            self.propose_successor();
+            let id = self.proposers.len() - 1;
+            self.run_until_done(id, None);
+            self.end_replacement();
         }
-        if self.mourning.is_some() {
-            self.wrong = Some("a wiped voter did not come back".into());
+        if self.replacement.is_some() {
+            self.violation = Some("a voter that lost its disk was not replaced".into());
             return;
         }
-        for member in self.newest().1.members.voters {
-            self.mail.clear();
-            self.back.clear();
-            let id = self.wish(Wish::Nothing);
-            if !self.drive(id, Some(member)) {
-                self.wrong = Some(format!("no majority without {member:?}"));
+        for member in self.newest_chosen().1.members.voters {
+            self.requests.clear();
+            self.replies.clear();
+            let id = self.add_proposer(Goal::Read);
+            if !self.run_until_done(id, Some(member)) {
+                self.violation = Some(format!("no majority without {member:?}"));
                 return;
             }
-            let Some(read) = self.writers[id].read.clone() else { continue };
+            let Some(read) = self.proposers[id].read.clone() else { continue };
             for (name, item) in &self.acknowledged {
-                let stands = read.iter().find(|(known, _)| known == name).map(|(_, item)| *item);
-                if !stands.is_some_and(|stands| stands.0 > item.0 || stands == *item) {
-                    let what = format!("{name}: {item:?} was acknowledged, {stands:?} is read");
-                    self.wrong = Some(format!("{what} without {member:?}"));
+                let current = read.iter().find(|(other, _)| other == name).map(|(_, item)| *item);
+                if !current.is_some_and(|current| current.0 > item.0 || current == *item) {
+                    let finding = format!("{name}: {item:?} was acknowledged, {current:?} was read");
+                    self.violation = Some(format!("{finding} without {member:?}"));
                 }
             }
         }
     }
 }
 
-/// A history: what went wrong in it, and how much there was to go wrong.
-fn history(seed: u64, founders: u8, fault: Fault) -> (Option<String>, usize, u64) {
+/// Runs one history. Returns the violation if there was one, and the numbers of acknowledged items and of epochs.
+fn run_history(seed: u64, founders: u8, fault: Fault) -> (Option<String>, usize, u64) {
     let mut world = World::new(seed, founders, fault);
     for _ in 0..1_000 {
         world.step();
     }
-    if world.wrong.is_none() {
-        world.read_back();
+    if world.violation.is_none() {
+        world.check_reads();
     }
-    (world.wrong, world.acknowledged.len(), world.epochs)
+    (world.violation, world.acknowledged.len(), world.epochs)
 }
 
 #[test_case(3; "three founders")]
 #[test_case(4; "four")]
 #[test_case(5; "five")]
-fn what_is_acknowledged_survives_every_order_of_events(founders: u8) {
-    let (mut taken, mut epochs) = (0, 0);
+fn acknowledged_items_survive_message_loss_power_loss_disk_loss_and_membership_changes(founders: u8) {
+    let (mut items, mut epochs) = (0, 0);
     for seed in 0..1_500 {
-        let (wrong, acknowledged, changes) = history(seed, founders, Fault::Nothing);
-        assert!(wrong.is_none(), "seed {seed}: {}", wrong.unwrap_or_default());
-        (taken, epochs) = (taken + acknowledged, epochs + changes);
+        let (violation, acknowledged, changes) = run_history(seed, founders, Fault::Nothing);
+        assert!(violation.is_none(), "seed {seed}: {}", violation.unwrap_or_default());
+        (items, epochs) = (items + acknowledged, epochs + changes);
     }
-    // The histories hold something to be checked.
-    println!("{taken} acknowledged, {epochs} changes of members");
-    assert!(taken > 1_500 && epochs > 1_000, "{taken} {epochs}");
+    // Guards against histories in which hardly anything is chosen, so that the checks have nothing to check.
+    println!("{items} acknowledged items, {epochs} membership changes");
+    assert!(items > 1_500 && epochs > 1_000, "{items} {epochs}");
 }
 
-#[test_case(Fault::NewSetOnly; "a change of members that the old set does not know of")]
-#[test_case(Fault::SameIncarnation; "a wiped voter that votes on")]
-fn a_fault_that_is_planted_is_found(fault: Fault) {
-    let found = (0..3_000).find(|seed| history(*seed, 3, fault).0.is_some());
+#[test_case(Fault::NewSetOnly; "a membership change without a majority of the old set")]
+#[test_case(Fault::SameIncarnation; "a voter that lost its disk keeps its incarnation")]
+fn the_checks_detect_a_deliberate_fault(fault: Fault) {
+    let found = (0..3_000).find(|seed| run_history(*seed, 3, fault).0.is_some());
     println!("found with seed {found:?}");
     assert!(found.is_some());
 }
@@ -481,24 +504,27 @@
 }
 
 #[test]
-fn another_incarnation_says_nothing_for_the_one_before() {
-    let was = members().voters[0];
-    let now = Member { incarnation: 5, ..was };
-    let mut voter: Acceptor<Value> = Acceptor::new(now, Members::default());
+fn a_voter_refuses_requests_addressed_to_its_earlier_incarnation() {
+    let earlier = members().voters[0];
+    let current = Member { incarnation: 5, ..earlier };
+    let mut voter: Acceptor<Value> = Acceptor::new(current, Members::default());
     let ballot = Ballot { round: 5, proposer: 1 };
     let state = State { members: members(), value: Value::new() };
-    for ask in [
+    for request in [
         AcceptorRequest::Prepare { ballot, epoch: 0, newer_than: Ballot::default() },
         AcceptorRequest::Accept { ballot, epoch: 0, state },
         AcceptorRequest::Read(Ballot::default()),
     ] {
-        let (tell, save) = voter.handle(was, ask);
-        assert!(tell == AcceptorReply::WrongIncarnation(now) && save == RequiredWrite::Nothing, "{tell:?}");
+        let (reply, required_write) = voter.handle(earlier, request);
+        assert!(
+            reply == AcceptorReply::WrongIncarnation(current) && required_write == RequiredWrite::Nothing,
+            "{reply:?}"
+        );
     }
 }
 
 #[test]
-fn a_round_among_members_that_are_no_more_is_answered_with_the_newer_set() {
+fn a_voter_answers_a_round_among_replaced_members_with_the_newer_members() {
     let mut voter: Acceptor<Value> = Acceptor::new(members().voters[1], members());
     let joins = Member { ip: address(4), incarnation: 9 };
     let next = members().with_change(MemberChange::Replace { leaves: members().voters[0], joins });
@@ -509,7 +535,7 @@
         voter.handle(voter.me(), AcceptorRequest::Accept { ballot, epoch: 0, state }).0,
         AcceptorReply::Accepted
     );
-    // Accepted, it may not be agreed on: the old members still count.
+    // The newer set is accepted but not yet known to be chosen, so the old members still count.
     let later = Ballot { round: 6, proposer: 2 };
     let prepare = AcceptorRequest::Prepare { ballot: later, epoch: 0, newer_than: Ballot::default() };
     assert!(matches!(voter.handle(voter.me(), prepare.clone()).0, AcceptorReply::Status { .. }));
@@ -517,38 +543,42 @@
     assert_eq!(voter.handle(voter.me(), prepare).0, AcceptorReply::NewerMembers(next, later));
 }
 
-/// What a majority of the old set needs, with one that is lost for good among them.
+/// One voter of the old set lost its disk; `others` of the rest reply.
 #[test_case(3, 1, false; "of three, one other")]
 #[test_case(3, 2, true; "of three, both others")]
 #[test_case(5, 2, false; "of five, two others")]
 #[test_case(5, 3, true; "of five, three others")]
-fn a_wiped_voter_is_a_member_again_with_a_majority_of_the_old_set(of: u8, others: usize, agreed: bool) {
+fn replacing_a_voter_that_lost_its_disk_needs_a_majority_of_the_old_set(
+    of: u8,
+    others: usize,
+    is_chosen: bool,
+) {
     let old = Members::founding((1..=of).map(address));
     let leaves = old.voters[0];
     let joins = Member { incarnation: 3, ..leaves };
     let ballot = Ballot { round: 1, proposer: 1 };
     let mut round: ProposerRound<Value> = ProposerRound::new(ballot, old.clone(), Default::default());
-    let has = AcceptorReply::Status {
+    let promise = AcceptorReply::Status {
         promised: ballot,
         accepted: Ballot::default(),
         chosen: Ballot::default(),
         state: None,
     };
-    let mut came = ProposerStep::Wait;
+    let mut outcome = ProposerStep::Wait;
     for other in &old.voters[1..=others] {
-        let step = round.handle_reply(*other, has.clone());
-        came = if step == ProposerStep::Wait { came } else { step };
+        let step = round.handle_reply(*other, promise.clone());
+        outcome = if step == ProposerStep::Wait { outcome } else { step };
     }
-    if let ProposerStep::Base(base, _) = came.clone() {
+    if let ProposerStep::Base(base, _) = outcome.clone() {
         let next = base.members.with_change(MemberChange::Replace { leaves, joins });
         let Ok(members) = next else { panic!("{next:?}") };
         assert!(round.propose(State { members, ..base }).is_some());
-        // The new one alone makes no majority of the set before.
-        came = round.handle_reply(joins, AcceptorReply::Accepted);
+        // The successor votes in the new set only and adds nothing to the majority of the old one.
+        outcome = round.handle_reply(joins, AcceptorReply::Accepted);
         for other in &old.voters[1..=others] {
             let step = round.handle_reply(*other, AcceptorReply::Accepted);
-            came = if step == ProposerStep::Wait { came } else { step };
+            outcome = if step == ProposerStep::Wait { outcome } else { step };
         }
     }
-    assert_eq!(came == ProposerStep::Chosen, agreed);
+    assert_eq!(outcome == ProposerStep::Chosen, is_chosen);
 }
