--- a/crates/starlinghill-lease/src/lib.rs
+++ b/crates/starlinghill-lease/src/lib.rs
@@ -1,15 +1,15 @@
-//! Joinery: a holdfast is driven into the bench by one blow and holds one piece. Here it is a duty that one process of
-//! several holds: terms, votes of a majority, and a successor that the holder names when it leaves in order.
+//! A lease on a duty that at most one of several processes holds at a time: terms, votes of a majority, and an orderly
+//! handover to a successor that the holder nominates.
 //!
-//! A holder holds only while a majority lately let it: each yes counts from when it was asked for, so that one which was
-//! frozen or cut off knows by its own clock that it may have been replaced. Whoever said yes lets nobody else hold until a
-//! while after that. Nothing is on disk: one that has just started gives no vote until all that it may have said before
-//! has run out.
+//! A holder acts only while a majority has lately confirmed it. Each vote counts from the moment at which it was asked
+//! for, so a holder that was frozen or cut off sees by its own clock that its lease has expired. Whoever voted grants
+//! nobody else until a while after the lease. Nothing is stored on disk: a process that has just started does not vote
+//! until every vote that it may have cast before its restart has expired.
 //!
-//! Who votes may change: while more than one set of voters may count somewhere, a majority of each is needed. And a process
-//! votes and holds only for as long as somebody vouches that it knows of the newest set.
+//! The voters can change. While more than one set of voters may be in force somewhere, a majority of each is needed. A
+//! process votes and holds the lease only while it knows that its voter sets are current.
 //!
-//! No I/O and no clock: time is an argument, counted from any moment.
+//! The crate does no I/O and reads no clock. Times are arguments, counted from any fixed moment of the process.
 
 pub mod contact;
 
@@ -17,295 +17,306 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A yes holds for so long, from when it was asked for.
+/// How long a vote is valid, counted from the moment at which it was asked for.
 pub const LEASE_DURATION: Duration = Duration::from_millis(500);
-/// Whoever said yes waits this much longer: clocks may run apart by a few per cent.
+/// A voter stays bound this much longer than the lease lasts, since clocks may differ by a few per cent in speed.
 pub const CLOCK_MARGIN: Duration = Duration::from_millis(60);
-/// How often the holder asks again.
+/// How often the holder asks for new votes.
 pub const RENEW_INTERVAL: Duration = Duration::from_millis(120);
-/// The pause between two of those that would take over, so that they don't get into each other's way.
-const RANK: Duration = Duration::from_millis(80);
+/// Candidates bid this far apart, in the order of their position among the voters, so that bids do not collide.
+const RANK_DELAY: Duration = Duration::from_millis(80);
 
-/// What one process asks the others.
+/// A request of one process to the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub enum LeaseRequest<I> {
-    /// To be let hold from that term on.
+    /// Asks for a vote to hold the lease in a new term.
     Acquire {
-        /// The term.
+        /// The new term.
         term: u64,
-        /// Who.
+        /// The process that wants to hold the lease.
         candidate: I,
-        /// The holder of that term has named it: its lease need not be waited for.
+        /// The term whose holder has nominated the candidate, or 0. The lease of that term need not be waited for.
         resigned_term: u64,
     },
-    /// To be let go on holding.
+    /// Asks for a vote to go on holding the lease.
     Renew {
-        /// The term.
+        /// The term of the lease.
         term: u64,
-        /// Who.
+        /// The process that holds it.
         holder: I,
     },
-    /// The holder leaves and names the one who is asked.
+    /// Tells the recipient that the holder gives up the lease and nominates the recipient as its successor.
     Nominate {
-        /// Its term.
+        /// The holder's term.
         term: u64,
-        /// Who leaves.
+        /// The process that gives up the lease.
         holder: I,
     },
 }
 
-/// What is answered.
+/// A reply to a [`LeaseRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct LeaseReply {
-    /// Yes.
+    /// Whether the vote, or the nomination, was granted.
     pub granted: bool,
-    /// The highest term that was seen.
+    /// The highest term that the replying process has seen.
     pub term: u64,
 }
 
-/// One process's part in the duty.
+/// One process's part in the lease protocol: it votes, bids, and holds the lease.
 #[derive(Debug)]
 pub struct LeaseParticipant<I> {
     me: I,
-    /// Of each of these sets a majority is needed.
-    sets: Vec<Vec<I>>,
-    /// Until when that is known to be so.
-    vouched: Duration,
+    /// A lease needs a majority of each of these sets.
+    voter_sets: Vec<Vec<I>>,
+    /// The voter sets are known to be current until then.
+    sets_valid_until: Duration,
     /// The highest term seen.
     term: u64,
-    /// Who holds, as far as is known.
+    /// The last known holder and its term.
     holder: Option<(u64, I)>,
-    /// Until when nobody else is let hold.
-    bound: Duration,
-    /// It takes over no sooner.
-    patience: Duration,
-    /// Its own bid, or its own duty.
+    /// Because of its last vote, this process votes for nobody else until then.
+    bound_until: Duration,
+    /// This process bids no sooner than this.
+    bid_not_before: Duration,
+    /// Its own bid, or its own lease.
     bid: Option<Bid<I>>,
-    asked: Duration,
-    named: Option<u64>,
-    leaving: bool,
+    /// When it last sent a request to the others.
+    last_request_at: Duration,
+    /// The term whose holder has nominated this process.
+    nominated_by: Option<u64>,
+    is_resigning: bool,
 }
 
 #[derive(Debug)]
 struct Bid<I> {
     term: u64,
-    /// Who said yes to the first question.
-    votes: BTreeSet<I>,
-    /// Until when it may act as holder.
-    until: Option<Duration>,
-    /// Of the latest question: when it was asked, and who said yes.
-    latest: (Duration, BTreeSet<I>),
-    /// Who said no to the first question.
-    refused: BTreeSet<I>,
-    /// To whom this one was bound before.
-    before: Duration,
+    /// Until when this process may act as the holder. `None` before a majority has voted.
+    held_until: Option<Duration>,
+    /// When the latest request was sent, and the votes for it.
+    latest_votes: (Duration, BTreeSet<I>),
+    /// The processes that refused the request to acquire.
+    refusals: BTreeSet<I>,
+    /// `bound_until` as it was before this bid.
+    bound_before: Duration,
 }
 
 impl<I: Copy + Ord> LeaseParticipant<I> {
-    /// One of several, of which nobody has vouched for yet who they are. It gives no vote until what it may have said in an
-    /// earlier life has run out.
+    /// A process that has just started and does not know the voters yet. It does not vote until the votes that it may
+    /// have cast before a restart have expired.
     pub fn new(me: I, now: Duration) -> LeaseParticipant<I> {
-        let bound = now + LEASE_DURATION + CLOCK_MARGIN;
+        let bound_until = now + LEASE_DURATION + CLOCK_MARGIN;
         LeaseParticipant {
             me,
-            sets: Vec::new(),
-            vouched: Duration::ZERO,
+            voter_sets: Vec::new(),
+            sets_valid_until: Duration::ZERO,
             term: 0,
             holder: None,
-            bound,
-            patience: bound,
+            bound_until,
+            bid_not_before: bound_until,
             bid: None,
-            asked: Duration::ZERO,
-            named: None,
-            leaving: false,
+            last_request_at: Duration::ZERO,
+            nominated_by: None,
+            is_resigning: false,
         }
     }
 
-    /// Who votes, as is known until that moment: of each of these sets a majority.
+    /// Sets the voters, which are known to be current until `until`. A lease needs a majority of each set.
     pub fn set_voters(&mut self, sets: Vec<Vec<I>>, until: Duration) {
-        if self.sets.is_empty() {
-            self.sets = sets;
-            self.patience = self.bound + RANK * self.rank();
-        } else {
-            self.sets = sets;
+        let is_first = self.voter_sets.is_empty();
+        self.voter_sets = sets;
+        if is_first {
+            self.bid_not_before = self.bound_until + RANK_DELAY * self.rank();
         }
-        self.vouched = self.vouched.max(until);
+        self.sets_valid_until = self.sets_valid_until.max(until);
     }
 
-    fn majority(&self, votes: &BTreeSet<I>) -> bool {
-        let has = |set: &Vec<I>| set.iter().filter(|one| votes.contains(one)).count() > set.len() / 2;
-        !self.sets.is_empty() && self.sets.iter().all(has)
+    fn has_majority(&self, votes: &BTreeSet<I>) -> bool {
+        let has_majority =
+            |set: &Vec<I>| set.iter().filter(|voter| votes.contains(voter)).count() > set.len() / 2;
+        !self.voter_sets.is_empty() && self.voter_sets.iter().all(has_majority)
     }
 
-    /// Without these no majority can be had.
-    fn blocked(&self, refused: &BTreeSet<I>) -> bool {
-        let left = |set: &Vec<I>| set.iter().filter(|one| !refused.contains(one)).count() > set.len() / 2;
-        !self.sets.iter().all(left)
+    /// Whether the refusals make a majority of some set impossible.
+    fn is_blocked_by(&self, refusals: &BTreeSet<I>) -> bool {
+        let can_win =
+            |set: &Vec<I>| set.iter().filter(|voter| !refusals.contains(voter)).count() > set.len() / 2;
+        !self.voter_sets.iter().all(can_win)
     }
 
-    fn votes(&self, who: I) -> bool {
-        self.sets.iter().any(|set| set.contains(&who))
+    fn is_voter(&self, process: I) -> bool {
+        self.voter_sets.iter().any(|set| set.contains(&process))
     }
 
+    /// This process's position in the first voter set, or 0 if it is not in it.
     fn rank(&self) -> u32 {
-        self.sets.first().and_then(|set| set.iter().position(|one| *one == self.me)).unwrap_or_default()
-            as u32
+        let position = |set: &Vec<I>| set.iter().position(|voter| *voter == self.me);
+        self.voter_sets.first().and_then(position).unwrap_or_default() as u32
     }
 
-    /// The term in which this one holds now.
+    /// The term in which this process holds the lease now.
     pub fn held_term(&self, now: Duration) -> Option<u64> {
-        let bid = self.bid.as_ref().filter(|_| now < self.vouched)?;
-        bid.until.is_some_and(|until| now < until).then_some(bid.term)
+        let bid = self.bid.as_ref().filter(|_| now < self.sets_valid_until)?;
+        bid.held_until.is_some_and(|until| now < until).then_some(bid.term)
     }
 
-    /// Whether it may grant draws, or note what was drawn, in that term: a majority lately let it hold. Else it says that the
-    /// duty is not its own.
+    /// Whether this process may carry out the duty, such as granting draws, on behalf of `term`. If not, it has to tell
+    /// the caller that it does not hold the lease.
     pub fn may_act_in(&self, now: Duration, term: u64) -> bool {
         self.held_term(now) == Some(term)
     }
 
-    /// Who holds, as far as is known, and in which term.
+    /// The last known holder and its term.
     pub fn holder(&self) -> Option<(u64, I)> {
         self.holder
     }
 
-    /// Somebody has seen that term.
+    /// Takes note of a term that another process has seen.
     pub fn observe_term(&mut self, term: u64) {
         self.term = self.term.max(term);
     }
 
-    /// Answers a question.
-    pub fn handle_request(&mut self, now: Duration, ask: LeaseRequest<I>) -> LeaseReply {
-        let yes = match ask {
-            LeaseRequest::Acquire { term, candidate: by, resigned_term: leave } => {
-                let left = leave > 0 && self.holder.is_some_and(|(held, _)| held == leave);
-                let free = now >= self.bound || left;
-                let known = now < self.vouched && self.votes(by);
-                let yes = term > self.term && free && self.held_term(now).is_none() && known;
-                if yes {
-                    // Who holds is known once somebody does: a bid may fail.
+    /// Handles a request of another process.
+    pub fn handle_request(&mut self, now: Duration, request: LeaseRequest<I>) -> LeaseReply {
+        let granted = match request {
+            LeaseRequest::Acquire { term, candidate, resigned_term } => {
+                let has_resigned =
+                    resigned_term > 0 && self.holder.is_some_and(|(held, _)| held == resigned_term);
+                let is_free = now >= self.bound_until || has_resigned;
+                let is_known = now < self.sets_valid_until && self.is_voter(candidate);
+                let granted = term > self.term && is_free && self.held_term(now).is_none() && is_known;
+                if granted {
+                    // The bid may fail, so the holder is unknown until a renewal names it.
                     (self.term, self.bid, self.holder) = (term, None, None);
                     self.bind(now);
                 }
-                yes
+                granted
             }
-            LeaseRequest::Renew { term, holder: by } => {
-                let yes = term >= self.term && now < self.vouched && self.votes(by);
-                if yes {
+            LeaseRequest::Renew { term, holder } => {
+                let granted = term >= self.term && now < self.sets_valid_until && self.is_voter(holder);
+                if granted {
                     if self.bid.as_ref().is_some_and(|bid| bid.term < term) {
                         self.bid = None;
                     }
-                    (self.term, self.holder) = (term, Some((term, by)));
+                    (self.term, self.holder) = (term, Some((term, holder)));
                     self.bind(now);
                 }
-                yes
+                granted
             }
-            LeaseRequest::Nominate { term, holder: by } => {
-                let yes = self.holder == Some((term, by)) && !self.leaving;
-                self.named = yes.then_some(term).or(self.named);
-                yes
+            LeaseRequest::Nominate { term, holder } => {
+                let granted = self.holder == Some((term, holder)) && !self.is_resigning;
+                self.nominated_by = granted.then_some(term).or(self.nominated_by);
+                granted
             }
         };
-        LeaseReply { granted: yes, term: self.term }
+        LeaseReply { granted, term: self.term }
     }
 
     fn bind(&mut self, now: Duration) {
-        self.bound = now + LEASE_DURATION + CLOCK_MARGIN;
-        self.patience = self.bound + RANK * (1 + self.rank());
+        self.bound_until = now + LEASE_DURATION + CLOCK_MARGIN;
+        self.bid_not_before = self.bound_until + RANK_DELAY * (1 + self.rank());
     }
 
-    /// What to ask all others now. Call it some ten times a second. A new term is no lower than `least`, which all have in
-    /// common and which grows, as their time does: guards against a term that was held before by one of whom all who
-    /// knew have started anew.
-    pub fn tick(&mut self, now: Duration, least: u64) -> Option<LeaseRequest<I>> {
-        if self.leaving || now >= self.vouched || !self.votes(self.me) {
+    /// Returns the request to send to all other processes now, if any. Call it about ten times a second.
+    ///
+    /// A new term is at least `min_term`, a number that grows at all processes alike, such as the shared time. Without
+    /// it a term could be used twice after every process that knew of it has restarted.
+    pub fn tick(&mut self, now: Duration, min_term: u64) -> Option<LeaseRequest<I>> {
+        if self.is_resigning || now >= self.sets_valid_until || !self.is_voter(self.me) {
             return None;
         }
         if let Some(bid) = &mut self.bid {
-            let over = match bid.until {
+            let is_over = match bid.held_until {
                 Some(until) => now >= until,
-                None => now >= bid.latest.0 + LEASE_DURATION,
+                None => now >= bid.latest_votes.0 + LEASE_DURATION,
             };
-            if !over {
-                if bid.until.is_none() || now < self.asked + RENEW_INTERVAL {
+            if !is_over {
+                if bid.held_until.is_none() || now < self.last_request_at + RENEW_INTERVAL {
                     return None;
                 }
-                self.asked = now;
-                bid.latest = (now, BTreeSet::from([self.me]));
+                self.last_request_at = now;
+                bid.latest_votes = (now, BTreeSet::from([self.me]));
                 return Some(LeaseRequest::Renew { term: bid.term, holder: self.me });
             }
             self.bid = None;
-            self.patience = now + RANK * (1 + self.rank());
+            self.bid_not_before = now + RANK_DELAY * (1 + self.rank());
         }
-        let leave = self.named.take();
-        if leave.is_none() && (now < self.bound || now < self.patience) {
+        let resigned_term = self.nominated_by.take();
+        if resigned_term.is_none() && (now < self.bound_until || now < self.bid_not_before) {
             return None;
         }
-        // Its own term rises if it wins: guards against one that is cut off, bids in vain, and by its high terms would
-        // unseat the holder when it is back.
-        let term = (self.term + 1).max(least);
-        let votes = BTreeSet::from([self.me]);
-        let (before, refused) = (self.bound, BTreeSet::new());
-        let latest = (now, votes.clone());
-        self.bid = Some(Bid { term, votes, until: None, latest, refused, before });
-        self.asked = now;
+        // `self.term` rises only if the bid wins. Otherwise a process that is cut off and bids in vain would return
+        // with a high term and unseat the holder.
+        let term = (self.term + 1).max(min_term);
+        self.bid = Some(Bid {
+            term,
+            held_until: None,
+            latest_votes: (now, BTreeSet::from([self.me])),
+            refusals: BTreeSet::new(),
+            bound_before: self.bound_until,
+        });
+        self.last_request_at = now;
         self.bind(now);
-        self.count(now);
-        Some(LeaseRequest::Acquire { term, candidate: self.me, resigned_term: leave.unwrap_or_default() })
+        self.count_votes(now);
+        let resigned_term = resigned_term.unwrap_or_default();
+        Some(LeaseRequest::Acquire { term, candidate: self.me, resigned_term })
     }
 
-    /// Another one has answered what was asked at that moment.
+    /// Handles a reply to the request that this process sent at `sent_at`.
     pub fn handle_reply(
         &mut self,
         now: Duration,
         from: I,
-        asked: Duration,
-        ask: LeaseRequest<I>,
-        tell: LeaseReply,
+        sent_at: Duration,
+        request: LeaseRequest<I>,
+        reply: LeaseReply,
     ) {
-        self.observe_term(tell.term);
+        self.observe_term(reply.term);
         let Some(bid) = &mut self.bid else { return };
-        let (LeaseRequest::Acquire { term, .. } | LeaseRequest::Renew { term, .. }) = ask else { return };
-        if !tell.granted && tell.term > bid.term {
+        let (LeaseRequest::Acquire { term, .. } | LeaseRequest::Renew { term, .. }) = request else {
+            return;
+        };
+        if !reply.granted && reply.term > bid.term {
             self.bid = None;
             return;
         }
-        if !tell.granted && bid.until.is_none() && bid.term == term {
-            bid.refused.insert(from);
-            // It can't be had now: who says no is bound for a while, as one that has just started is. The vote for itself
-            // is given to nobody any more, so it binds this one to nobody.
-            let (refused, before) = (bid.refused.clone(), bid.before);
-            if self.blocked(&refused) {
-                self.bound = before;
-                self.patience = now + RANK * (1 + self.rank());
+        if !reply.granted && bid.held_until.is_none() && bid.term == term {
+            bid.refusals.insert(from);
+            // A refusing process is bound for a while, as one that has just started is, so a lost bid is given up at
+            // once. The vote of this process for itself is void then and binds it no longer.
+            let (refusals, bound_before) = (bid.refusals.clone(), bid.bound_before);
+            if self.is_blocked_by(&refusals) {
+                self.bound_until = bound_before;
+                self.bid_not_before = now + RANK_DELAY * (1 + self.rank());
                 self.bid = None;
             }
             return;
         }
-        if tell.granted && bid.term == term && bid.latest.0 == asked {
-            bid.votes.insert(from);
-            bid.latest.1.insert(from);
-            self.count(now);
+        if reply.granted && bid.term == term && bid.latest_votes.0 == sent_at {
+            bid.latest_votes.1.insert(from);
+            self.count_votes(now);
         }
     }
 
-    fn count(&mut self, now: Duration) {
-        let whole = self.bid.as_ref().is_some_and(|bid| self.majority(&bid.latest.1));
+    fn count_votes(&mut self, now: Duration) {
+        let is_won = self.bid.as_ref().is_some_and(|bid| self.has_majority(&bid.latest_votes.1));
         let Some(bid) = &mut self.bid else { return };
-        // Yes that comes when the lease which it would begin is over counts for nothing.
-        if whole && now < bid.latest.0 + LEASE_DURATION {
-            if bid.until.is_none() {
-                // The others hear of it with the next question, which goes out at once.
+        // Votes that arrive after the lease they would start has expired do not count.
+        if is_won && now < bid.latest_votes.0 + LEASE_DURATION {
+            if bid.held_until.is_none() {
+                // The next request goes out at once, since the others learn of the new holder by it.
                 (self.term, self.holder) = (bid.term, Some((bid.term, self.me)));
-                self.asked = Duration::ZERO;
+                self.last_request_at = Duration::ZERO;
             }
-            bid.until = Some(bid.until.unwrap_or_default().max(bid.latest.0 + LEASE_DURATION));
+            let until = bid.latest_votes.0 + LEASE_DURATION;
+            bid.held_until = Some(bid.held_until.unwrap_or_default().max(until));
         }
     }
 
-    /// It leaves. Where it holds, it holds no more and names a successor: the one to be told, and what.
+    /// Leaves the protocol for good. If this process holds the lease, it gives it up and returns the nomination to send
+    /// to the successor.
     pub fn resign(&mut self, now: Duration, successor: I) -> Option<(I, LeaseRequest<I>)> {
-        self.leaving = true;
+        self.is_resigning = true;
         let term = self.held_term(now)?;
         self.bid = None;
         Some((successor, LeaseRequest::Nominate { term, holder: self.me }))
