--- a/crates/starlinghill-failure-detector/src/lib.rs
+++ b/crates/starlinghill-failure-detector/src/lib.rs
@@ -1,50 +1,50 @@
-//! Workshop: a grindstone turns, and every tool comes past it. Here it is the ring of gateways: each tells the few that come
-//! next on it that it lives, and they tell the registries whom they heard.
+//! Failure detection among gateways. Each gateway sends heartbeats to the few gateways that follow it on a hash ring,
+//! its watchers, and every gateway reports to the registries whom it heard.
 //!
-//! Registries hear gateways themselves, by their questions. What the watchers add is the difference between one that is
-//! cut off from the core, which serves on by its shares of the quotas, and one that is dead, which needs none. The one
-//! must not be taken for the other: a gateway that hears neither a registry nor any of those that it should hear knows
-//! that others may take it for dead, and uses no share.
+//! Registries also hear gateways directly, by their requests. The watchers' reports add the difference between a gateway
+//! that is cut off from the registries and one that is dead. A gateway that is cut off goes on serving with its share of
+//! the quotas, so that share stays reserved; a dead one needs none. To keep the two apart, a gateway that hears neither
+//! a registry nor any gateway that it watches must assume that others take it for dead, and must not use its share.
 //!
-//! No I/O and no clock.
+//! The crate does no I/O and reads no clock.
 
 use bitcode::{Decode, Encode};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// How many watch each gateway. Two may be lost with it.
+/// The watchers of each gateway. Two of them may fail together with it.
 pub const WATCHERS: usize = 3;
-/// How often a gateway says that it lives.
+/// How often a gateway sends heartbeats to its watchers.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-/// One of whom nobody heard for so long is dead: some six words in a row were lost.
+/// A gateway that nobody heard for this long is dead: about six heartbeats in a row were lost.
 pub const DEAD_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// One that heard nobody for so long takes itself for cut off from all: sooner than others take it for dead, by what a
-/// word may be on its way.
+/// A gateway that heard nobody for this long takes itself for isolated. Shorter than [`DEAD_TIMEOUT`] by more than the
+/// delay of a heartbeat, so that a gateway knows of its isolation before others take it for dead.
 pub const ISOLATION_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The most gateways that are followed. Guards memory.
-const MOST: usize = 20_000;
+/// The most gateways that are tracked. Bounds memory.
+const MAX_GATEWAYS: usize = 20_000;
 
-/// What a gateway says to its watchers.
+/// The message of a gateway to its watchers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct Heartbeat {
-    /// The life of its process.
+    /// The incarnation of the sending process.
     pub incarnation: u64,
 }
 
-/// Of whom a watcher heard.
+/// A watcher's report on a gateway that it heard.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct PeerSighting {
-    /// The gateway.
+    /// The address of the gateway.
     pub ip: IpAddr,
-    /// Its life.
+    /// The incarnation of the gateway's process.
     pub incarnation: u64,
-    /// How long ago, in milliseconds.
+    /// How long ago its last heartbeat arrived, in ms.
     pub ago_ms: u64,
 }
 
-/// The place of a gateway on the ring: spread evenly, and the same wherever it is reckoned.
-fn place(ip: &IpAddr) -> u64 {
+/// The position of a gateway on the ring: an evenly spread hash that is the same on every machine.
+fn ring_position(ip: &IpAddr) -> u64 {
     let mut x = match ip {
         IpAddr::V4(ip) => u64::from(u32::from(*ip)),
         IpAddr::V6(ip) => u128::from(*ip) as u64 ^ (u128::from(*ip) >> 64) as u64,
@@ -54,114 +54,121 @@
     x ^ (x >> 31)
 }
 
-/// The ring: all gateways in the order of their places.
-fn ring(all: &BTreeSet<IpAddr>) -> Vec<(u64, IpAddr)> {
-    let mut ring: Vec<(u64, IpAddr)> = all.iter().map(|ip| (place(ip), *ip)).collect();
+/// All gateways in the order of their positions.
+fn sorted_ring(gateways: &BTreeSet<IpAddr>) -> Vec<(u64, IpAddr)> {
+    let mut ring: Vec<(u64, IpAddr)> = gateways.iter().map(|ip| (ring_position(ip), *ip)).collect();
     ring.sort_unstable();
     ring
 }
 
-/// The next on the ring behind a gateway.
-fn next(of: IpAddr, ring: &[(u64, IpAddr)]) -> impl Iterator<Item = IpAddr> + '_ {
-    let own = (place(&of), of);
-    let from = ring.partition_point(|at| *at <= own);
-    let (before, behind) = ring.split_at(from);
-    behind.iter().chain(before).map(|(_, ip)| *ip).filter(move |ip| *ip != of).take(WATCHERS)
+/// The gateways that follow `gateway` on the ring.
+fn successors(gateway: IpAddr, ring: &[(u64, IpAddr)]) -> impl Iterator<Item = IpAddr> + '_ {
+    let own = (ring_position(&gateway), gateway);
+    let next = ring.partition_point(|entry| *entry <= own);
+    let (before, behind) = ring.split_at(next);
+    behind.iter().chain(before).map(|(_, ip)| *ip).filter(move |ip| *ip != gateway).take(WATCHERS)
 }
 
-/// Those who watch a gateway: the next on the ring.
-pub fn watchers(of: IpAddr, all: &BTreeSet<IpAddr>) -> Vec<IpAddr> {
-    next(of, &ring(all)).collect()
+/// The watchers of a gateway: the next [`WATCHERS`] gateways on the ring.
+pub fn watchers(gateway: IpAddr, all: &BTreeSet<IpAddr>) -> Vec<IpAddr> {
+    successors(gateway, &sorted_ring(all)).collect()
 }
 
-/// A gateway's part in the ring.
+/// A gateway's side: whom it sends heartbeats to, and whom it heard.
 #[derive(Debug)]
 pub struct PeerMonitor {
     me: IpAddr,
-    ring: BTreeSet<IpAddr>,
+    peers: BTreeSet<IpAddr>,
+    /// The incarnation in each gateway's last heartbeat, and when that arrived.
     heard: BTreeMap<IpAddr, (u64, Duration)>,
-    began: Duration,
+    started_at: Duration,
 }
 
 impl PeerMonitor {
-    /// Of a gateway that starts now and knows nobody.
+    /// The monitor of a gateway that starts now and knows no other gateway.
     pub fn new(me: IpAddr, now: Duration) -> PeerMonitor {
-        PeerMonitor { me, ring: BTreeSet::from([me]), heard: BTreeMap::new(), began: now }
+        PeerMonitor { me, peers: BTreeSet::from([me]), heard: BTreeMap::new(), started_at: now }
     }
 
-    /// These gateways there are, as registries tell.
+    /// Sets the gateways that exist, as the registries report them.
     pub fn set_peers(&mut self, gateways: impl IntoIterator<Item = IpAddr>) {
-        self.ring = gateways.into_iter().take(MOST).chain([self.me]).collect();
-        let ring = &self.ring;
-        self.heard.retain(|ip, _| ring.contains(ip));
+        self.peers = gateways.into_iter().take(MAX_GATEWAYS).chain([self.me]).collect();
+        let peers = &self.peers;
+        self.heard.retain(|ip, _| peers.contains(ip));
     }
 
-    /// Whom to tell that this one lives.
+    /// The gateways to send heartbeats to.
     pub fn heartbeat_targets(&self) -> Vec<IpAddr> {
-        watchers(self.me, &self.ring)
+        watchers(self.me, &self.peers)
     }
 
-    /// Another one has said that it lives. Strangers are no gateways yet, and forgotten.
+    /// Takes in a heartbeat. One from a gateway that the registries have not reported yet is dropped.
     pub fn record_heartbeat(&mut self, now: Duration, from: IpAddr, beat: Heartbeat) {
-        if self.ring.contains(&from) && from != self.me {
+        if self.peers.contains(&from) && from != self.me {
             self.heard.insert(from, (beat.incarnation, now));
         }
     }
 
-    /// Of whom it heard, for registries.
+    /// The gateways heard within [`DEAD_TIMEOUT`], to be reported to the registries.
     pub fn recent_sightings(&self, now: Duration) -> Vec<PeerSighting> {
-        let lately = self.heard.iter().filter(|(_, (_, at))| now.saturating_sub(*at) < DEAD_TIMEOUT);
-        let ago = |at: Duration| now.saturating_sub(at).as_millis() as u64;
-        lately
-            .map(|(ip, (life, at))| PeerSighting { ip: *ip, incarnation: *life, ago_ms: ago(*at) })
-            .collect()
+        let recent = self.heard.iter().filter(|(_, (_, at))| now.saturating_sub(*at) < DEAD_TIMEOUT);
+        let ago_ms = |at: Duration| now.saturating_sub(at).as_millis() as u64;
+        let sighting = |(ip, (incarnation, at)): (&IpAddr, &(u64, Duration))| PeerSighting {
+            ip: *ip,
+            incarnation: *incarnation,
+            ago_ms: ago_ms(*at),
+        };
+        recent.map(sighting).collect()
     }
 
-    /// It has heard nobody for a while, where there are some to be heard.
+    /// Whether this gateway has heard no other one for [`ISOLATION_TIMEOUT`], although there are others.
     pub fn is_isolated(&self, now: Duration) -> bool {
-        let last = self.heard.values().map(|(_, at)| *at).max().unwrap_or(self.began);
-        self.ring.len() > 1 && now.saturating_sub(last) > ISOLATION_TIMEOUT
+        let last = self.heard.values().map(|(_, at)| *at).max().unwrap_or(self.started_at);
+        self.peers.len() > 1 && now.saturating_sub(last) > ISOLATION_TIMEOUT
     }
 }
 
-/// What a registry makes of its watchers' words.
+/// A registry's side: which gateways are dead, by the reports of their watchers.
 #[derive(Debug, Default)]
 pub struct GatewayLiveness {
-    /// When each gateway was last heard of, by anybody, and in which life.
+    /// The incarnation in which each gateway was last heard by anybody, and when.
     heard: BTreeMap<IpAddr, (u64, Duration)>,
-    /// When each gateway last told of others.
-    told: BTreeMap<IpAddr, Duration>,
+    /// When each gateway last sent a report.
+    reported_at: BTreeMap<IpAddr, Duration>,
 }
 
 impl GatewayLiveness {
-    /// A gateway asks, and tells of whom it heard.
-    pub fn record_report(&mut self, now: Duration, by: IpAddr, life: u64, seen: &[PeerSighting]) {
-        if self.heard.len() >= MOST {
+    /// Takes in a gateway's report of the gateways that it heard. The report shows that its sender is alive, too.
+    pub fn record_report(&mut self, now: Duration, by: IpAddr, incarnation: u64, seen: &[PeerSighting]) {
+        if self.heard.len() >= MAX_GATEWAYS {
             return;
         }
-        self.told.insert(by, now);
-        let own = PeerSighting { ip: by, incarnation: life, ago_ms: 0 };
-        for PeerSighting { ip, incarnation: life, ago_ms } in seen.iter().chain([&own]).take(MOST) {
+        self.reported_at.insert(by, now);
+        let own = PeerSighting { ip: by, incarnation, ago_ms: 0 };
+        for PeerSighting { ip, incarnation, ago_ms } in seen.iter().chain([&own]).take(MAX_GATEWAYS) {
             let at = now.saturating_sub(Duration::from_millis(*ago_ms));
-            let known = self.heard.entry(*ip).or_insert((*life, at));
+            let known = self.heard.entry(*ip).or_insert((*incarnation, at));
             if known.1 <= at {
-                *known = (*life, at);
+                *known = (*incarnation, at);
             }
         }
     }
 
-    /// Which of these gateways are dead: nobody heard them, though two of their watchers could tell.
+    /// The dead ones among these gateways: nobody heard them for [`DEAD_TIMEOUT`], although at least two of their
+    /// watchers sent reports within that time.
     pub fn dead_gateways(&mut self, now: Duration, gateways: &BTreeSet<IpAddr>) -> BTreeSet<IpAddr> {
         self.heard.retain(|ip, _| gateways.contains(ip));
-        self.told.retain(|ip, _| gateways.contains(ip));
-        let lately = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < DEAD_TIMEOUT);
-        // Put in order once for all: for each gateway anew it takes longer than the pause between two looks at a thousand of them.
-        let ring = ring(gateways);
+        self.reported_at.retain(|ip, _| gateways.contains(ip));
+        let is_recent = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < DEAD_TIMEOUT);
+        // Sorted once for all gateways. With a thousand gateways, sorting anew for each one takes longer than the pause
+        // between two calls.
+        let ring = sorted_ring(gateways);
         let is_dead = |ip: &IpAddr| {
-            let could = next(*ip, &ring);
-            let could = could.filter(|watcher| lately(self.told.get(watcher).copied())).count();
-            let heard = self.heard.get(ip).is_some_and(|(_, at)| lately(Some(*at)));
-            !heard && could >= 2
+            let reporting = successors(*ip, &ring)
+                .filter(|watcher| is_recent(self.reported_at.get(watcher).copied()))
+                .count();
+            let is_heard = self.heard.get(ip).is_some_and(|(_, at)| is_recent(Some(*at)));
+            !is_heard && reporting >= 2
         };
         gateways.iter().copied().filter(is_dead).collect()
     }
