--- a/crates/starlinghill-quota-counter/src/backend_load.rs
+++ b/crates/starlinghill-quota-counter/src/backend_load.rs
@@ -1,107 +1,123 @@
-//! How much room there is at backends: what all gateways together have out there, how long answers take and which attempts
-//! came to nothing, kept where all gateways ask anyway.
+//! The load of the backends, as all gateways together see it: what is outstanding at each backend, how fast it answers, and
+//! how often attempts fail. It is kept at the quota counter because every gateway talks to the counter anyway.
 //!
-//! A gateway that sends some twenty requests a second to hundreds of backends learns nothing of any of them; all gateways
-//! together see each several times a second. So each tells with its draws what it has out, as absolute numbers, and how
-//! attempts ended since its last word; with the answer to a draw it hears which backends of the request's service answer
-//! soonest, as seen from here. The gateway chooses among those, by its own sight. A backend that was named counts as loaded
-//! for a moment, so that gateways that ask at the same time are not all sent to the same one.
+//! A gateway that sends some twenty requests a second to hundreds of backends learns little about each of them, while all
+//! gateways together see each backend several times a second. So every gateway reports, along with its draws, how many
+//! requests it has outstanding (absolute numbers) and how attempts ended since its last report. The answer to a draw
+//! offers the backends of the service that should respond soonest, and the gateway picks one of them by what it knows
+//! itself. The best offer counts as load for a moment, so that gateways that ask at the same time are not all sent to the
+//! same backend.
 
 use bitcode::{Decode, Encode};
 use slotmap::{new_key_type, SlotMap};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
-/// The most backends that are kept, and gateways. Guards memory.
-const MOST: usize = 20_000;
-const MOST_GATEWAYS: usize = 4_096;
-/// How many backends are named to a request, and the most that are looked at for it.
-const NAMED: usize = 3;
-const LOOKED_AT: usize = 512;
-/// A backend that was named counts as loaded for so long, or until more is told to be out there. Gateways tell within some
-/// 60 ms, and thin links hold a word up behind bodies.
-const EXPECTED: Duration = Duration::from_millis(300);
-/// The time in which half of what is held against a backend is forgotten: one that gets nothing must be tried again.
-const FORGIVEN: f64 = 2.0;
-/// The same for how much faster or slower it is than the others.
-const RELEARNT: f64 = 6.0;
-/// So many changes of a backend's load are remembered.
-const REMEMBERED: usize = 24;
-/// What one answer, and one attempt that came to nothing, count for.
-const SMOOTH: f64 = 0.15;
-const SMOOTH_ALL: f64 = 0.01;
-/// One answer says no more than that a backend is so many times slower, or faster, than the others.
-const SLOWEST: f64 = 6.0;
-const FASTEST: f64 = 0.3;
-/// What is held against a backend on which all attempts came to nothing.
-const ILL: f64 = 12.0;
-/// A gateway that sent something there within this time mostly has a connection; another one must open it first, which
-/// costs time at both ends: as much as that part of a round of work.
-const CONNECTED: Duration = Duration::from_millis(4_000);
-const UNCONNECTED: f64 = 0.4;
-/// The same for another zone: it is further, and traffic between zones costs.
-const FAR: f64 = 0.08;
-/// The same for one of which nothing is heard here. Little: of those that are gone gateways tell soon, and half of them may
-/// only be cut off.
-const SILENT: f64 = 0.25;
-/// Backends that are nearly alike are taken by chance.
-const NUDGE: f64 = 0.05;
+/// The most backends in the table. Bounds memory.
+const MAX_BACKENDS: usize = 20_000;
+/// The most gateways whose reports are kept. Bounds memory.
+const MAX_GATEWAYS: usize = 4_096;
+/// The most backends offered to one request.
+const MAX_OFFERS: usize = 3;
+/// The most backends of a service that are scored for one request.
+const MAX_CANDIDATES: usize = 512;
+/// How long an offered backend counts as loaded, unless a gateway reports sooner that it sent something there. Gateways
+/// report within about 60 ms, and on thin links a report may be delayed behind request bodies.
+const OFFER_LIFETIME: Duration = Duration::from_millis(300);
+/// The half-life of a backend's failure rate, in seconds. It has to decay by itself, since a backend that gets no
+/// requests cannot prove that it has recovered.
+const FAILURE_HALF_LIFE_S: f64 = 2.0;
+/// The half-life of a backend's slowdown, in seconds, for the same reason.
+const SLOWDOWN_HALF_LIFE_S: f64 = 6.0;
+/// The number of load changes that are remembered for each backend.
+const MAX_LOAD_HISTORY: usize = 24;
+/// The weight of one attempt in a backend's slowdown and failure rate.
+const SAMPLE_WEIGHT: f64 = 0.15;
+/// The weight of one answer in a service's mean response time.
+const SERVICE_SAMPLE_WEIGHT: f64 = 0.01;
+/// The greatest slowdown that one answer can indicate.
+const MAX_SLOWDOWN: f64 = 6.0;
+/// The smallest slowdown that one answer can indicate.
+const MIN_SLOWDOWN: f64 = 0.3;
+/// The factor that is added to the score of a backend at which all attempts fail.
+const FAILURE_PENALTY: f64 = 12.0;
+/// A gateway that sent something to a backend within this time most likely still has a connection to it.
+const CONNECTION_LIFETIME: Duration = Duration::from_millis(4_000);
 
-/// What a gateway tells of a backend.
+// The penalties below are added to a backend's score, which is in rounds of work: 1 is the time in which the backend
+// answers as many requests as it works on at once.
+
+/// For a gateway without a connection, since opening one costs time at both ends.
+const NEW_CONNECTION_PENALTY: f64 = 0.4;
+/// For a backend in another zone, which is farther away and whose traffic costs money.
+const OTHER_ZONE_PENALTY: f64 = 0.08;
+/// For a backend whose heartbeats do not arrive here. Small, since gateways soon report backends that are gone, and half
+/// of the silent ones may only be cut off from here.
+const SILENCE_PENALTY: f64 = 0.25;
+/// A random addition up to this decides between backends with nearly equal scores.
+const TIE_BREAK_RANGE: f64 = 0.05;
+/// How long, in seconds, a backend gains speed after its start.
+const WARM_UP_S: f64 = 3.0;
+/// The fraction of its full speed that a backend starts with. Backends report how long their warm-up still takes, but not
+/// their speed.
+const COLD_SPEED: f64 = 0.5;
+
+/// A gateway's report on one backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct LoadReport {
-    /// Which one.
+    /// The hash of the backend's id.
     pub backend: u64,
-    /// What the gateway has out there now.
+    /// The requests that the gateway has outstanding at the backend now.
     pub outstanding: u16,
-    /// How many answers came since its last word.
+    /// The answers since the gateway's last report.
     pub succeeded: u16,
-    /// The time that they took, in ms, all together.
+    /// The sum of the response times of these answers, in ms.
     pub total_latency_ms: u32,
-    /// How many attempts came to nothing since.
+    /// The failed attempts since the last report.
     pub failed: u16,
 }
 
-/// A backend as the list has it.
+/// A backend as the catalog lists it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListedBackend {
-    /// Which one.
+    /// The hash of the backend's id.
     pub backend: u64,
-    /// Its service, by its number.
+    /// The hash of its service's name.
     pub service: u32,
-    /// Its zone, by its number.
+    /// The hash of its zone's name.
     pub zone: u64,
-    /// Requests that it works on at once.
+    /// The requests that it works on at once.
     pub capacity: u32,
-    /// It takes new work.
+    /// Whether it takes new requests.
     pub accepts_work: bool,
-    /// Nothing was heard of it here for several beats: it may be gone, or call another registry that is cut off from here.
+    /// Several of its heartbeats have not arrived here: it may be gone, or send them to a registry that is cut off from
+    /// here.
     pub is_silent: bool,
     /// How much longer it is slow after its start.
     pub warm_up_left: Duration,
 }
 
-/// A backend that is named to a request.
+/// A backend that a request may be sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct BackendOffer {
-    /// Which one.
+    /// The hash of the backend's id.
     pub backend: u64,
-    /// When it would answer, in ms; 0 where it begins at once.
+    /// The expected response time in ms, or 0 if the backend can start on the request at once.
     pub expected_response_ms: u16,
 }
 
-/// A backend as the counter sees it.
+/// The load of a backend, for the status page.
 #[derive(Debug, Clone, Copy, PartialEq, Encode, Decode)]
 pub struct BackendLoad {
-    /// Which one.
+    /// The hash of the backend's id.
     pub backend: u64,
-    /// What all gateways have out there.
+    /// The requests that all gateways have outstanding at the backend.
     pub outstanding: u32,
-    /// Requests that it works on at once.
+    /// The requests that it works on at once.
     pub capacity: u32,
-    /// How many times slower it is than its service.
+    /// Its response time as a multiple of the mean of its service.
     pub slowdown: f32,
-    /// The part of attempts that came to nothing of late.
+    /// The fraction of recent attempts that failed.
     pub failure_rate: f32,
 }
 
@@ -109,102 +125,101 @@
 struct Backend {
     listed: ListedBackend,
     warm_at: Duration,
-    /// What each gateway has out, and the sum.
-    out: HashMap<u64, u16>,
-    all: u32,
-    /// When it was named to gateways that have not sent anything since, as far as is known.
-    named: VecDeque<Duration>,
-    /// What it had to do, each time that changed: an answer tells of the load that it met.
-    before: VecDeque<(Duration, u32)>,
-    /// How much slower it is than its service.
-    slow: f64,
-    /// The part of attempts that came to nothing.
-    ill: f64,
-    /// When each gateway last sent something.
-    used: HashMap<u64, Duration>,
+    /// The outstanding requests of each gateway.
+    outstanding: HashMap<u64, u16>,
+    /// The sum over all gateways.
+    total_outstanding: u32,
+    /// When the backend was offered, for offers after which no request has been reported yet.
+    pending_offers: VecDeque<Duration>,
+    /// The load after each change. A response time is judged by the load at the time when the request arrived.
+    load_history: VecDeque<(Duration, u32)>,
+    /// The response time as a multiple of the mean of the service.
+    slowdown: f64,
+    /// The fraction of recent attempts that failed.
+    failure_rate: f64,
+    /// When each gateway last started an attempt.
+    last_attempt: HashMap<u64, Duration>,
 }
 
 #[derive(Debug, Default)]
 struct Service {
     backends: Vec<Key>,
-    /// How long a round of work takes, in ms, and by how many answers.
-    pace: f64,
+    /// The mean time of a round of work, in ms.
+    mean_round_ms: f64,
+    /// The number of answers that the mean is made of.
     answers: u32,
 }
 
 new_key_type! { struct Key; }
 
-/// The table.
+/// The load of all backends.
 #[derive(Debug, Default)]
 pub struct LoadTable {
     backends: SlotMap<Key, Backend>,
-    by: HashMap<u64, Key>,
+    keys: HashMap<u64, Key>,
     services: HashMap<u32, Service>,
-    /// The gateways that told something, and the zones of all.
-    told: BTreeSet<u64>,
+    /// The gateways that have sent a report.
+    reporters: BTreeSet<u64>,
+    /// The zone of each gateway.
     zones: HashMap<u64, u64>,
-    at: Duration,
-    turn: usize,
+    last_tick: Duration,
+    /// Varies which backends are scored first and how ties are broken.
+    random_state: usize,
 }
 
-/// How long a backend is slow after its start, and what part of its work it does at first. Backends say for how long, not
-/// how slow.
-const COLD: f64 = 3.0;
-const COLD_PART: f64 = 0.5;
-
 impl Backend {
-    /// What is out there, and on its way.
+    /// The requests that are outstanding or are expected to arrive after an offer.
     fn load(&self) -> u32 {
-        self.all + self.named.len() as u32
+        self.total_outstanding + self.pending_offers.len() as u32
     }
 
-    /// How many times over it is full with that load.
+    /// The rounds of work that this many requests take.
     fn rounds(&self, load: u32) -> f64 {
         f64::from(load) / f64::from(self.listed.capacity.max(1))
     }
 
-    /// Its load is another one.
-    fn changed(&mut self, now: Duration) {
-        if self.before.len() >= REMEMBERED {
-            self.before.pop_front();
+    fn record_load(&mut self, now: Duration) {
+        if self.load_history.len() >= MAX_LOAD_HISTORY {
+            self.load_history.pop_front();
         }
-        self.before.push_back((now, self.load()));
+        self.load_history.push_back((now, self.load()));
     }
 
-    /// The load that it had then.
+    /// The load at an earlier moment, or the oldest one known.
     fn load_at(&self, at: Duration) -> u32 {
-        let known = self.before.iter().rev().find(|(since, _)| *since <= at).or(self.before.front());
+        let known =
+            self.load_history.iter().rev().find(|(since, _)| *since <= at).or(self.load_history.front());
         known.map_or(0, |(_, load)| *load)
     }
 
-    /// How many times longer it takes than a warm one of usual speed.
-    fn pace(&self, now: Duration) -> f64 {
-        let left = self.warm_at.saturating_sub(now).as_secs_f64();
-        let part = 1.0 - (1.0 - COLD_PART) * (left / COLD).min(1.0);
-        self.slow / part
+    /// The expected response time as a multiple of that of a warm backend of average speed.
+    fn expected_slowdown(&self, now: Duration) -> f64 {
+        let warm_up_left_s = self.warm_at.saturating_sub(now).as_secs_f64();
+        let speed = 1.0 - (1.0 - COLD_SPEED) * (warm_up_left_s / WARM_UP_S).min(1.0);
+        self.slowdown / speed
     }
 }
 
 impl LoadTable {
-    /// The list has something new.
+    /// Takes in a changed entry of the catalog. A backend that takes no new requests is dropped.
     pub fn update_listing(&mut self, now: Duration, listed: ListedBackend) {
-        let (key, new) = match self.by.get(&listed.backend) {
+        let (key, is_new) = match self.keys.get(&listed.backend) {
             Some(key) => (*key, false),
-            None if !listed.accepts_work || self.by.len() >= MOST => return,
+            None if !listed.accepts_work || self.keys.len() >= MAX_BACKENDS => return,
             None => {
                 let backend = Backend {
                     listed,
                     warm_at: now,
-                    out: HashMap::new(),
-                    all: 0,
-                    named: VecDeque::new(),
-                    before: VecDeque::new(),
-                    slow: 1.0,
-                    ill: 0.0,
-                    used: HashMap::new(),
+                    outstanding: HashMap::new(),
+                    total_outstanding: 0,
+                    pending_offers: VecDeque::new(),
+                    load_history: VecDeque::new(),
+                    slowdown: 1.0,
+                    failure_rate: 0.0,
+                    last_attempt: HashMap::new(),
                 };
                 let key = self.backends.insert(backend);
-                self.by.insert(listed.backend, key);
+                self.keys.insert(listed.backend, key);
                 (key, true)
             }
         };
@@ -214,7 +229,7 @@
         let stays = listed.accepts_work && before.service == listed.service;
         if !stays {
             if let Some(service) = self.services.get_mut(&before.service) {
-                service.backends.retain(|held| *held != key);
+                service.backends.retain(|other| *other != key);
                 if service.backends.is_empty() {
                     self.services.remove(&before.service);
                 }
@@ -222,156 +237,168 @@
         }
         if !listed.accepts_work {
             self.backends.remove(key);
-            self.by.remove(&listed.backend);
-        } else if new || !stays {
+            self.keys.remove(&listed.backend);
+        } else if is_new || !stays {
             self.services.entry(listed.service).or_default().backends.push(key);
         }
     }
 
-    /// A gateway is in that zone.
+    /// Sets the zone of a gateway.
     pub fn set_gateway_zone(&mut self, gateway: u64, zone: u64) {
-        if self.zones.len() < MOST_GATEWAYS {
+        if self.zones.len() < MAX_GATEWAYS {
             self.zones.insert(gateway, zone);
         }
     }
 
-    /// A gateway tells how things stand between it and some backends.
-    pub fn apply_reports(&mut self, now: Duration, from: u64, words: &[LoadReport]) {
-        if !self.told.contains(&from) && self.told.len() >= MOST_GATEWAYS {
+    /// Takes in a gateway's reports. Reports may be lost or arrive twice, as their numbers of outstanding requests are
+    /// absolute.
+    pub fn apply_reports(&mut self, now: Duration, from: u64, reports: &[LoadReport]) {
+        if !self.reporters.contains(&from) && self.reporters.len() >= MAX_GATEWAYS {
             return;
         }
-        self.told.insert(from);
-        for word in words {
-            let Some(backend) = self.by.get(&word.backend).and_then(|key| self.backends.get_mut(*key)) else {
+        self.reporters.insert(from);
+        for report in reports {
+            let Some(backend) = self.keys.get(&report.backend).and_then(|key| self.backends.get_mut(*key))
+            else {
                 continue;
             };
             let service = self.services.entry(backend.listed.service).or_default();
-            if word.succeeded > 0 {
-                let took = f64::from(word.total_latency_ms) / f64::from(word.succeeded);
-                let met = backend.load_at(now.saturating_sub(Duration::from_millis(took as u64)));
-                let took = took / backend.rounds(met).max(1.0);
+            if report.succeeded > 0 {
+                let latency_ms = f64::from(report.total_latency_ms) / f64::from(report.succeeded);
+                let arrived_at = now.saturating_sub(Duration::from_millis(latency_ms as u64));
+                let round_ms = latency_ms / backend.rounds(backend.load_at(arrived_at)).max(1.0);
                 if service.answers == 0 {
-                    service.pace = took;
+                    service.mean_round_ms = round_ms;
                 }
-                let slow = (took / service.pace.max(0.1)).clamp(FASTEST, SLOWEST);
-                for _ in 0..word.succeeded.min(8) {
-                    backend.slow += SMOOTH * (slow - backend.slow);
-                    backend.ill -= SMOOTH * backend.ill;
-                    // A counter that has just begun learns sooner.
+                let slowdown = (round_ms / service.mean_round_ms.max(0.1)).clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
+                for _ in 0..report.succeeded.min(8) {
+                    backend.slowdown += SAMPLE_WEIGHT * (slowdown - backend.slowdown);
+                    backend.failure_rate -= SAMPLE_WEIGHT * backend.failure_rate;
+                    // The first answers weigh more, so that a new counter learns the mean quickly.
                     service.answers = service.answers.saturating_add(1);
-                    let weight = SMOOTH_ALL.max(1.0 / f64::from(service.answers));
-                    service.pace += weight * (slow - 1.0) * service.pace;
+                    let weight = SERVICE_SAMPLE_WEIGHT.max(1.0 / f64::from(service.answers));
+                    service.mean_round_ms += weight * (slowdown - 1.0) * service.mean_round_ms;
                 }
             }
-            for _ in 0..word.failed.min(8) {
-                backend.ill += SMOOTH * (1.0 - backend.ill);
+            for _ in 0..report.failed.min(8) {
+                backend.failure_rate += SAMPLE_WEIGHT * (1.0 - backend.failure_rate);
             }
-            let before = match word.outstanding {
-                0 => backend.out.remove(&from).unwrap_or(0),
-                out => backend.out.insert(from, out).unwrap_or(0),
+            let before = match report.outstanding {
+                0 => backend.outstanding.remove(&from).unwrap_or(0),
+                outstanding => backend.outstanding.insert(from, outstanding).unwrap_or(0),
             };
-            backend.all = backend.all + u32::from(word.outstanding) - u32::from(before);
-            // An attempt that began and ended between two words was expected as well.
-            let told = usize::from(word.outstanding) + usize::from(word.succeeded) + usize::from(word.failed);
-            let began = told.saturating_sub(usize::from(before));
-            if began > 0 {
-                backend.used.insert(from, now);
-                backend.named.drain(..began.min(backend.named.len()));
+            backend.total_outstanding =
+                backend.total_outstanding + u32::from(report.outstanding) - u32::from(before);
+            // An attempt that started and ended between two reports has used up an offer, too.
+            let attempts =
+                usize::from(report.outstanding) + usize::from(report.succeeded) + usize::from(report.failed);
+            let started = attempts.saturating_sub(usize::from(before));
+            if started > 0 {
+                backend.last_attempt.insert(from, now);
+                backend.pending_offers.drain(..started.min(backend.pending_offers.len()));
             }
-            backend.changed(now);
+            backend.record_load(now);
         }
     }
 
-    /// The backends of a service that answer soonest, to a request of that gateway, best first. The first counts as loaded, if
-    /// it answers within that time: else the request does not go on.
+    /// Offers a request of a gateway the backends of the service that should respond soonest, best first. The first one
+    /// counts as loaded if it should respond within `max_response`; otherwise the request does not go on.
     pub fn offer_backends(
         &mut self,
         now: Duration,
         from: u64,
         service: u32,
-        within: Duration,
+        max_response: Duration,
     ) -> Vec<BackendOffer> {
         let Some(service) = self.services.get(&service) else { return Vec::new() };
         let zone = self.zones.get(&from).copied();
         let count = service.backends.len();
-        self.turn = self.turn.wrapping_add(0x9E37_79B9_7F4A_7C15);
-        let begin = self.turn % count.max(1);
-        let mut best: Vec<(f64, Key, f64)> = Vec::with_capacity(NAMED + 1);
-        for i in 0..count.min(LOOKED_AT) {
-            let key = service.backends[(begin + i) % count];
+        self.random_state = self.random_state.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let first = self.random_state % count.max(1);
+        // The score, the key, and the expected response time in ms.
+        let mut best: Vec<(f64, Key, f64)> = Vec::with_capacity(MAX_OFFERS + 1);
+        for i in 0..count.min(MAX_CANDIDATES) {
+            let key = service.backends[(first + i) % count];
             let Some(backend) = self.backends.get(key) else { continue };
             let rounds = backend.rounds(backend.load() + 1);
-            let pace = backend.pace(now);
-            let connected = backend.used.get(&from).is_some_and(|at| now < *at + CONNECTED);
-            let mut score = rounds * pace * (1.0 + ILL * backend.ill) + NUDGE * chance(self.turn, i);
-            score += if connected { 0.0 } else { UNCONNECTED };
-            score += if backend.listed.is_silent { SILENT } else { 0.0 };
-            score += if zone == Some(backend.listed.zone) { 0.0 } else { FAR };
-            if best.len() == NAMED && best.last().is_some_and(|(worst, ..)| *worst <= score) {
+            let slowdown = backend.expected_slowdown(now);
+            let is_connected =
+                backend.last_attempt.get(&from).is_some_and(|at| now < *at + CONNECTION_LIFETIME);
+            let mut score = rounds * slowdown * (1.0 + FAILURE_PENALTY * backend.failure_rate)
+                + TIE_BREAK_RANGE * random_fraction(self.random_state, i);
+            score += if is_connected { 0.0 } else { NEW_CONNECTION_PENALTY };
+            score += if backend.listed.is_silent { SILENCE_PENALTY } else { 0.0 };
+            score += if zone == Some(backend.listed.zone) { 0.0 } else { OTHER_ZONE_PENALTY };
+            if best.len() == MAX_OFFERS && best.last().is_some_and(|(worst, ..)| *worst <= score) {
                 continue;
             }
             let at = best.partition_point(|(other, ..)| *other <= score);
-            // Where it works at once, waiting elsewhere would be no sooner. Guards against refusing all by a time that was
-            // learned wrong: nothing that went on would tell the right one.
-            let takes = if rounds <= 1.0 { 0.0 } else { service.pace * pace * rounds };
-            best.insert(at, (score, key, takes));
-            best.truncate(NAMED);
+            // A backend with free capacity starts at once, so that no other one would be sooner. It must not be ruled out
+            // by the expected time: if a wrong mean ruled out every backend, no answer would ever correct the mean.
+            let response_ms = if rounds <= 1.0 { 0.0 } else { service.mean_round_ms * slowdown * rounds };
+            best.insert(at, (score, key, response_ms));
+            best.truncate(MAX_OFFERS);
         }
-        let first = best.first().filter(|(.., takes)| *takes <= within.as_secs_f64() * 1e3);
+        let max_response_ms = max_response.as_secs_f64() * 1e3;
+        let first = best.first().filter(|(.., response_ms)| *response_ms <= max_response_ms);
         if let Some(first) = first.and_then(|(_, key, _)| self.backends.get_mut(*key)) {
-            first.named.push_back(now);
-            first.changed(now);
+            first.pending_offers.push_back(now);
+            first.record_load(now);
         }
-        let room = |(_, key, takes): &(f64, Key, f64)| {
+        let offer = |(_, key, response_ms): &(f64, Key, f64)| {
             let backend = self.backends.get(*key)?.listed.backend;
-            Some(BackendOffer { backend, expected_response_ms: takes.clamp(0.0, f64::from(u16::MAX)) as u16 })
+            let expected_response_ms = response_ms.clamp(0.0, f64::from(u16::MAX)) as u16;
+            Some(BackendOffer { backend, expected_response_ms })
         };
-        best.iter().filter_map(room).collect()
+        best.iter().filter_map(offer).collect()
     }
 
-    /// Time passes, and only these gateways are heard: what others had out is unknown, and counts no more.
+    /// Lets old observations decay, and drops the outstanding requests of all reporters that are not among `gateways`,
+    /// the gateways that are heard now: what became of those requests is unknown.
     pub fn tick(&mut self, now: Duration, gateways: &BTreeSet<u64>) {
-        let passed = now.saturating_sub(std::mem::replace(&mut self.at, now)).as_secs_f64();
-        let (kept, unlearnt) = ((-passed / FORGIVEN).exp2(), (-passed / RELEARNT).exp2());
+        let passed_s = now.saturating_sub(std::mem::replace(&mut self.last_tick, now)).as_secs_f64();
+        let failure_decay = (-passed_s / FAILURE_HALF_LIFE_S).exp2();
+        let slowdown_decay = (-passed_s / SLOWDOWN_HALF_LIFE_S).exp2();
         for backend in self.backends.values_mut() {
-            backend.ill *= kept;
-            backend.slow = 1.0 + (backend.slow - 1.0) * unlearnt;
-            while backend.named.front().is_some_and(|at| now >= *at + EXPECTED) {
-                backend.named.pop_front();
+            backend.failure_rate *= failure_decay;
+            backend.slowdown = 1.0 + (backend.slowdown - 1.0) * slowdown_decay;
+            while backend.pending_offers.front().is_some_and(|at| now >= *at + OFFER_LIFETIME) {
+                backend.pending_offers.pop_front();
             }
         }
-        let gone: Vec<u64> = self.told.difference(gateways).copied().collect();
+        let gone: Vec<u64> = self.reporters.difference(gateways).copied().collect();
         for gateway in gone {
-            self.told.remove(&gateway);
+            self.reporters.remove(&gateway);
             self.zones.remove(&gateway);
             for backend in self.backends.values_mut() {
-                backend.all -= u32::from(backend.out.remove(&gateway).unwrap_or(0));
-                backend.used.remove(&gateway);
+                backend.total_outstanding -= u32::from(backend.outstanding.remove(&gateway).unwrap_or(0));
+                backend.last_attempt.remove(&gateway);
             }
         }
     }
 
-    /// All backends as they are seen from here.
+    /// The load of every backend.
     pub fn snapshot(&self) -> Vec<BackendLoad> {
-        let seen = |backend: &Backend| BackendLoad {
+        let load = |backend: &Backend| BackendLoad {
             backend: backend.listed.backend,
-            outstanding: backend.all,
+            outstanding: backend.total_outstanding,
             capacity: backend.listed.capacity,
-            slowdown: backend.slow as f32,
-            failure_rate: backend.ill as f32,
+            slowdown: backend.slowdown as f32,
+            failure_rate: backend.failure_rate as f32,
         };
-        self.backends.values().map(seen).collect()
+        self.backends.values().map(load).collect()
     }
 
-    /// What all gateways have out at a backend, as far as they told.
+    /// The requests that all gateways have reported as outstanding at a backend.
     pub fn outstanding(&self, backend: u64) -> u32 {
-        self.by.get(&backend).and_then(|key| self.backends.get(*key)).map_or(0, |backend| backend.all)
+        let backend = self.keys.get(&backend).and_then(|key| self.backends.get(*key));
+        backend.map_or(0, |backend| backend.total_outstanding)
     }
 }
 
-/// A number from 0 to 1 that is another one for each backend and each time.
-fn chance(turn: usize, i: usize) -> f64 {
-    let mut x = (turn as u64) ^ (i as u64).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+/// A number from 0 to 1 that differs for each backend and each call.
+fn random_fraction(state: usize, i: usize) -> f64 {
+    let mut x = (state as u64) ^ (i as u64).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     x ^= x >> 31;
     x = x.wrapping_mul(0x94D0_49BB_1331_11EB);
     x ^= x >> 29;
--- a/crates/starlinghill-quota-counter/src/bounds.rs
+++ b/crates/starlinghill-quota-counter/src/bounds.rs
@@ -1,64 +1,65 @@
-//! What can go on in all, as a function of the settings: what tests and pages go by.
+//! The shares of gateways, and the most requests that can be granted in a window, as functions of the settings. Tests and
+//! the documentation use these bounds.
 
 use starlinghill_rate_limit::allowance::UNTOLD_SHARE;
 use starlinghill_rate_limit::{Allowance, Quota};
 
-/// The part of the rates at which stores fill while so many of all gateways are silent: each of those may be deciding by
-/// itself, by its share.
+/// The fraction of its rate at which a bucket fills while `silent` of `all` gateways are silent. Each of these may be
+/// granting requests by its own share, which the counter must not grant again.
 pub fn fill_fraction(silent: usize, all: usize, allowance: Allowance) -> f64 {
-    fill_part_of(silent as f64 / all.max(1) as f64, allowance)
+    fill_fraction_beside(silent as f64 / all.max(1) as f64, allowance)
 }
 
-/// The same for the sum of their shares.
-pub(crate) fn fill_part_of(shares: f64, allowance: Allowance) -> f64 {
-    1.0 - (shares - allowance.beside_silent()).clamp(0.0, 1.0)
+/// The same for a given sum of the silent gateways' shares.
+pub(crate) fn fill_fraction_beside(silent_shares: f64, allowance: Allowance) -> f64 {
+    1.0 - (silent_shares - allowance.beside_silent()).clamp(0.0, 1.0)
 }
 
-/// The share of a tenant's rate of a gateway that never heard a counter.
+/// The share of a gateway that never got an answer from any counter.
 pub(crate) fn even_share(gateways: usize) -> f64 {
     1.0 / gateways.max(1) as f64
 }
 
-/// The share of a tenant's rate of a gateway that knows the counter, and was told nothing of that tenant.
+/// The share of a tenant's rate for a gateway that the counter has answered, but that was assigned no share of this
+/// tenant.
 pub fn unassigned_share(gateways: usize) -> f64 {
     UNTOLD_SHARE * even_share(gateways)
 }
 
-/// A gateway's share of a tenant's rate: mostly the part of its traffic that came through it of late, the rest even. Over
-/// all gateways shares of one moment sum to one.
-pub fn own_share(drew: f64, all_drew: f64, gateways: usize) -> f64 {
-    let even = even_share(gateways);
-    match all_drew > 0.0 {
-        true => (1.0 - UNTOLD_SHARE) * drew / all_drew + unassigned_share(gateways),
-        false => even,
+/// The share of a tenant's rate for a gateway that recently asked for `own_units` of `all_units`. Most of the rate is
+/// split by recent traffic and the rest evenly. The shares of all gateways at one moment sum to one.
+pub fn own_share(own_units: f64, all_units: f64, gateways: usize) -> f64 {
+    match all_units > 0.0 {
+        true => (1.0 - UNTOLD_SHARE) * own_units / all_units + unassigned_share(gateways),
+        false => even_share(gateways),
     }
 }
 
-/// What befell the gateways and the counter within a window.
+/// The disruptions of the gateways and of the counter within one window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Disruptions {
-    /// How often the counter moved.
+    /// How often the counter moved to another process.
     pub counter_moves: u32,
-    /// For how long, in seconds, the counter may take a gateway for one that it hears though that decides by itself already.
+    /// The longest time, in seconds, for which a gateway decides by its share before the counter notices.
     pub detection_delay_s: f64,
-    /// The part of the gateways that did.
+    /// The fraction of the gateways that were cut off, by their shares.
     pub cut_off_fraction: f64,
 }
 
-/// The most requests of a tenant that can go on in any window, over all gateways: what a store holds, what fills it or the
-/// gateways' shares, and what gateways that can't hear the counter begin with.
-pub fn max_granted_in_window(quota: Quota, allowance: Allowance, troubles: Disruptions) -> f64 {
-    let Disruptions { counter_moves: moves, detection_delay_s: late_s, cut_off_fraction: cut } = troubles;
-    let beside_silent = cut.min(allowance.beside_silent());
-    let of_each_move = cut * (quota.rate * late_s + allowance.unheard(quota));
+/// The most requests of a tenant that all gateways together can grant in any window: the burst, the rate (at the counter
+/// or by the gateways' shares), and what each cut-off gateway starts with when it begins to decide by itself.
+pub fn max_granted_in_window(quota: Quota, allowance: Allowance, disruptions: Disruptions) -> f64 {
+    let Disruptions { counter_moves, detection_delay_s, cut_off_fraction } = disruptions;
+    let excess_rate = cut_off_fraction.min(allowance.beside_silent());
+    let per_disruption = cut_off_fraction * (quota.rate * detection_delay_s + allowance.unheard(quota));
     quota.burst
-        + quota.rate * allowance.window_s * (1.0 + beside_silent)
-        + of_each_move * f64::from(1 + moves)
+        + quota.rate * allowance.window_s * (1.0 + excess_rate)
+        + per_disruption * f64::from(1 + counter_moves)
 }
 
-/// The most requests of a tenant that can go on in any window, over all gateways, where so often in it the counter and all
-/// gateways' processes were lost at once: what the store held and what filled it, here or at the gateways by their
-/// shares, which begin empty, and what it began with after each loss.
+/// The most requests of a tenant that all gateways together can grant in any window in which the counter and all gateway
+/// processes were lost at once, `losses` times: the burst, the rate (at the counter or by the gateways' shares, which
+/// start empty), and what a new bucket starts with after each loss.
 pub fn max_granted_after_losses(quota: Quota, allowance: Allowance, losses: u32) -> f64 {
     quota.burst + quota.rate * allowance.window_s + f64::from(losses) * allowance.after_loss(quota)
 }
--- a/crates/starlinghill-quota-counter/src/unreported_usage.rs
+++ b/crates/starlinghill-quota-counter/src/unreported_usage.rs
@@ -1,20 +1,20 @@
-//! What a gateway used of tenants' stores without a word of the counter's, kept until the counter was told.
+//! The units that a gateway used on its own decision, kept until the counter has been told.
 //!
-//! A request whose draw is not answered in time is decided by the gateway itself. What becomes of that draw is known later:
-//! the answer still comes, or it never does. Each unit that went on has to be taken from the store once, and each unit that
-//! the store gave for nothing has to go back:
+//! If the counter does not answer a draw in time, the gateway decides the request itself. What became of the draw is
+//! known later: the answer arrives late, or never. Each unit that was used must be taken from the bucket once, and each
+//! unit that the bucket granted for nothing must go back:
 //!
-//! | the draw | the request went on by itself | it did not |
+//! | the draw | the gateway let the request through | it did not |
 //! | --- | --- | --- |
-//! | answered late, the store gave the units | charged, then given back | given back |
-//! | answered late, it did not | charged | nothing |
-//! | not taken in, or never answered | charged | nothing |
+//! | answered late, granted | add a unit, then give one back | give one back |
+//! | answered late, refused | add a unit | nothing |
+//! | not received, or never answered | add a unit | nothing |
 //!
-//! Where it is not known whether the counter took something in, it is told again: a tenant may get less for a moment, never
-//! more.
+//! If it is not known whether the counter received a report, the usage is reported again: a tenant may get too little for
+//! a moment, but never too much.
 //!
-//! While a gateway tells no counter anything its share of the rate is kept free for it, so that much of what it used needs
-//! not be told.
+//! While a gateway reports to no counter, its share of the rate is reserved for it. What it used within that share needs
+//! no report.
 
 use crate::MAX_BUCKETS;
 use std::collections::HashMap;
@@ -23,76 +23,83 @@
 /// How a draw ended at the counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrawOutcome {
-    /// It took in the draw, and the store held what was wanted.
+    /// The counter received the draw, and the bucket held the requested units.
     Granted,
-    /// It took in the draw, and the store did not hold that.
+    /// The counter received the draw, and the bucket held too little.
     Refused,
-    /// It took nothing in, or nobody knows.
+    /// The counter did not receive the draw, or it is not known whether it did.
     Unknown,
 }
 
-/// What a gateway goes by of one store.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-struct Debt {
+struct Usage {
+    /// Units to report. Negative if more units have to go back than were used.
     units: f64,
-    /// The rate that this gateway may use of it while nobody is told anything.
+    /// The rate, in units a second, that this gateway may use by its share while it reports to no counter.
     own_rate: f64,
 }
 
-/// What is to be told, by stores.
+/// The usage to report, by bucket.
 #[derive(Debug, Default)]
 pub struct UnreportedUsage {
-    stores: HashMap<u64, Debt>,
+    buckets: HashMap<u64, Usage>,
 }
 
 impl UnreportedUsage {
-    /// So many units of a store were used without a word of the counter's; fewer than none where some that it gave were not
-    /// used. `own_rate` is this gateway's share of the rate.
-    pub fn add(&mut self, name: u64, units: f64, own_rate: f64) {
-        if self.stores.len() >= MAX_BUCKETS && !self.stores.contains_key(&name) {
+    /// Adds units that were used without the counter's grant. A negative number gives back units that were granted and
+    /// not used. `own_rate` is this gateway's share of the bucket's rate, in units a second.
+    pub fn add(&mut self, bucket: u64, units: f64, own_rate: f64) {
+        if self.buckets.len() >= MAX_BUCKETS && !self.buckets.contains_key(&bucket) {
             return;
         }
-        let debt = self.stores.entry(name).or_default();
-        debt.units += units;
-        debt.own_rate = own_rate;
-        if debt.units == 0.0 {
-            self.stores.remove(&name);
+        let usage = self.buckets.entry(bucket).or_default();
+        usage.units += units;
+        usage.own_rate = own_rate;
+        if usage.units == 0.0 {
+            self.buckets.remove(&bucket);
         }
     }
 
-    /// A draw that carried `owed` and wanted `units` has ended. `waited`: its request was decided by that.
-    pub fn settle_draw(&mut self, name: u64, (owed, units): (f64, f64), end: DrawOutcome, waited: bool) {
-        let own_rate = self.stores.get(&name).map(|debt| debt.own_rate).unwrap_or_default();
-        match end {
-            DrawOutcome::Granted if !waited => self.add(name, -units, own_rate),
-            DrawOutcome::Unknown => self.add(name, owed, own_rate),
+    /// Settles a draw that reported `unreported` units and asked for `units`. `was_awaited` says that its request was
+    /// decided by the answer, and not by the gateway itself.
+    pub fn settle_draw(
+        &mut self,
+        bucket: u64,
+        (unreported, units): (f64, f64),
+        outcome: DrawOutcome,
+        was_awaited: bool,
+    ) {
+        let own_rate = self.buckets.get(&bucket).map(|usage| usage.own_rate).unwrap_or_default();
+        match outcome {
+            DrawOutcome::Granted if !was_awaited => self.add(bucket, -units, own_rate),
+            DrawOutcome::Unknown => self.add(bucket, unreported, own_rate),
             DrawOutcome::Granted | DrawOutcome::Refused => {}
         }
     }
 
-    /// No counter was told anything for so long: what this gateway's shares came to in that time is its own.
+    /// Deducts from all usage what this gateway's shares amounted to in `span`, in which it reported to no counter.
     pub fn deduct_own_share(&mut self, span: Duration) {
-        self.stores.retain(|_, debt| {
-            if debt.units > 0.0 {
-                debt.units = (debt.units - debt.own_rate * span.as_secs_f64()).max(0.0);
+        self.buckets.retain(|_, usage| {
+            if usage.units > 0.0 {
+                usage.units = (usage.units - usage.own_rate * span.as_secs_f64()).max(0.0);
             }
-            debt.units != 0.0
+            usage.units != 0.0
         });
     }
 
-    /// What goes along with a draw on that store.
-    pub fn take(&mut self, name: u64) -> f64 {
-        self.stores.remove(&name).map(|debt| debt.units).unwrap_or_default()
+    /// Takes out the units of a bucket, to be sent along with a draw from it.
+    pub fn take(&mut self, bucket: u64) -> f64 {
+        self.buckets.remove(&bucket).map(|usage| usage.units).unwrap_or_default()
     }
 
-    /// Of so many stores at most, what is to be told.
-    pub fn take_up_to(&mut self, most: usize) -> Vec<(u64, f64)> {
-        let names: Vec<u64> = self.stores.keys().copied().take(most).collect();
-        names.into_iter().map(|name| (name, self.take(name))).collect()
+    /// Takes out the units of up to `max_buckets` buckets.
+    pub fn take_up_to(&mut self, max_buckets: usize) -> Vec<(u64, f64)> {
+        let buckets: Vec<u64> = self.buckets.keys().copied().take(max_buckets).collect();
+        buckets.into_iter().map(|bucket| (bucket, self.take(bucket))).collect()
     }
 
-    /// Nothing is to be told.
+    /// Whether there is nothing to report.
     pub fn is_empty(&self) -> bool {
-        self.stores.is_empty()
+        self.buckets.is_empty()
     }
 }
