--- a/crates/starlinghill-catalog/src/catalog.rs
+++ b/crates/starlinghill-catalog/src/catalog.rs
@@ -1,129 +1,140 @@
-//! A registry's own list.
+//! The catalog of one registry.
 
 use crate::{BackendState, Gateway, Instance, Liveness, Observation};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// The most backends and gateways that are kept. Guards memory: anybody may call.
-const MOST: usize = 20_000;
-/// How long a backend is remembered after it was last heard of: longer than any beat of one that is gone may be on its way.
-const TOMB: Duration = Duration::from_secs(180);
-/// A gateway that has not asked for so long is one no more. Long: a count that is too small doubles shares.
-const AWAY: Duration = Duration::from_secs(30);
-/// The same of one that said that it leaves: it asks twice a second.
-const LEFT: Duration = Duration::from_millis(1_200);
+/// The most backends, and the most gateways, that are kept. Bounds memory, since anybody may send heartbeats.
+const MAX_ENTRIES: usize = 20_000;
+/// How long an entry is remembered after it was last heard. Longer than a heartbeat of a gone backend can be delayed, so
+/// that a late one does not bring it back.
+const TOMBSTONE_LIFETIME: Duration = Duration::from_secs(180);
+/// A gateway that has sent no request for this long no longer counts. Long, because a count that is too low makes the
+/// quota shares of the others too large.
+const GATEWAY_TIMEOUT: Duration = Duration::from_secs(30);
+/// The same for a gateway that has announced its leave. A gateway sends two requests a second.
+const LEAVING_GATEWAY_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 #[derive(Debug)]
-struct Member {
+struct GatewayEntry {
     gateway: Gateway,
-    heard: Duration,
-    /// It carries traffic; else it has left, or was not heard of for long, and is only remembered.
-    here: bool,
-    /// It said that it leaves. Until it asks no more it still carries what it has, and what comes.
-    leaving: bool,
+    heard_at: Duration,
+    /// Whether it carries traffic. If not, it has left or timed out, and is only remembered.
+    is_present: bool,
+    /// It has announced its leave. While it still sends requests it also carries traffic.
+    is_leaving: bool,
+    /// The sequence number of its last change.
     changed: u64,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct BackendEntry {
     instance: Instance,
-    heard: Duration,
+    heard_at: Duration,
     liveness: Liveness,
+    /// The sequence number of its last change.
     changed: u64,
 }
 
-/// A registry's list.
+/// The backends and gateways that one registry knows.
 #[derive(Debug)]
 pub struct Catalog {
-    beat: Duration,
-    backends: BTreeMap<String, Entry>,
-    gateways: BTreeMap<IpAddr, Member>,
+    beat_interval: Duration,
+    backends: BTreeMap<String, BackendEntry>,
+    gateways: BTreeMap<IpAddr, GatewayEntry>,
     seq: u64,
-    /// The last change that must be told at once.
-    urgent: u64,
+    urgent_seq: u64,
 }
 
-/// What is new since a number.
+/// The entries that changed after a sequence number.
 #[derive(Debug, Default)]
 pub struct CatalogChanges {
-    /// Backends.
+    /// The changed backends.
     pub backends: Vec<Observation>,
-    /// Gateways that changed, and whether they carry traffic now.
+    /// The changed gateways, each with whether it carries traffic now.
     pub gateways: Vec<(Gateway, bool)>,
 }
 
 impl Catalog {
-    /// An empty one.
-    pub fn new(beat: Duration) -> Catalog {
+    /// An empty catalog of backends that send a heartbeat every `beat_interval`.
+    pub fn new(beat_interval: Duration) -> Catalog {
         let (backends, gateways) = (BTreeMap::new(), BTreeMap::new());
-        Catalog { beat, backends, gateways, seq: 0, urgent: 0 }
+        Catalog { beat_interval, backends, gateways, seq: 0, urgent_seq: 0 }
     }
 
-    /// The number of the last change. Callers number changes of their own with [`Catalog::number`].
+    /// The sequence number of the last change. Callers number further changes of their own with
+    /// [`Catalog::next_urgent_seq`].
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// The number of the last change that must be told at once. That a gateway came or went can wait: guards against telling
-    /// hundreds of them of each one when many are started again, over links that have other things to carry.
+    /// The sequence number of the last change that must be sent at once. Changes of gateways can wait for the next
+    /// request: if many gateways restart, sending each change to hundreds of others at once would load the links.
     pub fn urgent_seq(&self) -> u64 {
-        self.urgent
+        self.urgent_seq
     }
 
-    /// A number for a change that must be told at once.
+    /// A new sequence number for a change that must be sent at once.
     pub fn next_urgent_seq(&mut self) -> u64 {
         self.seq += 1;
-        self.urgent = self.seq;
+        self.urgent_seq = self.seq;
         self.seq
     }
 
-    /// A backend has said something, here or at another registry, so long ago. Returns whether that is news.
+    /// Takes in a backend's heartbeat, which arrived here or at another registry `ago`. Returns whether this changes the
+    /// entry of the backend.
     pub fn record_backend(&mut self, now: Duration, instance: Instance, ago: Duration) -> bool {
-        let heard = now.saturating_sub(ago);
+        let heard_at = now.saturating_sub(ago);
         match self.backends.get_mut(&instance.id) {
             None => {
-                if self.backends.len() >= MOST {
+                if self.backends.len() >= MAX_ENTRIES {
                     return false;
                 }
                 let changed = self.next_urgent_seq();
                 let id = instance.id.clone();
-                // Another registry may tell of one that has been silent for long: nobody is to take it for one that serves
-                // until the next tick.
-                let liveness = Liveness::of(instance.state, ago, self.beat);
-                self.backends.insert(id, Entry { instance, heard, liveness, changed });
+                // Another registry may report a backend that has been silent for long. Without its true liveness here,
+                // gateways would send requests to it until the next tick.
+                let liveness = Liveness::of(instance.state, ago, self.beat_interval);
+                self.backends.insert(id, BackendEntry { instance, heard_at, liveness, changed });
                 true
             }
             Some(entry) => {
-                entry.heard = entry.heard.max(heard);
+                entry.heard_at = entry.heard_at.max(heard_at);
                 let state = entry.instance.state.max(instance.state);
-                let newer = instance.beat_count > entry.instance.beat_count;
-                let since = now.saturating_sub(entry.heard);
-                let liveness = if newer { Liveness::of(state, since, self.beat) } else { entry.liveness };
-                let news = state != entry.instance.state || liveness != entry.liveness;
-                let moved = newer
+                let is_newer = instance.beat_count > entry.instance.beat_count;
+                let since_heard = now.saturating_sub(entry.heard_at);
+                let liveness = if is_newer {
+                    Liveness::of(state, since_heard, self.beat_interval)
+                } else {
+                    entry.liveness
+                };
+                let has_changed = state != entry.instance.state || liveness != entry.liveness;
+                let has_moved = is_newer
                     && state != BackendState::Gone
                     && (instance.address, &instance.service)
                         != (entry.instance.address, &entry.instance.service);
-                if newer {
-                    // What a beat says of warmth is reckoned anew each time and shifts a little; that is no news.
-                    let warm_at = entry.instance.warm_at_us;
-                    entry.instance = Instance { warm_at_us: warm_at, ..instance };
+                if is_newer {
+                    // The warm-up time is computed anew for each heartbeat and varies a little. The first one is kept,
+                    // since such a variation is no change.
+                    let warm_at_us = entry.instance.warm_at_us;
+                    entry.instance = Instance { warm_at_us, ..instance };
                 }
                 entry.instance.state = state;
                 entry.liveness = liveness;
-                if news || moved {
+                if has_changed || has_moved {
                     self.seq += 1;
-                    self.urgent = self.seq;
+                    self.urgent_seq = self.seq;
                     entry.changed = self.seq;
                 }
-                news || moved
+                has_changed || has_moved
             }
         }
     }
 
-    /// A backend has left. One that is not known here is noted all the same: gateways may know it, by what this registry
-    /// knew before it was started again, and its word counts once it is acknowledged. Returns whether it was known.
+    /// Marks a backend as gone. An unknown one is recorded too: this registry may have forgotten it in a restart while
+    /// gateways still send requests to it, and a leave that was acknowledged must take effect. Returns whether the
+    /// backend was known.
     pub fn mark_gone(&mut self, now: Duration, id: &str) -> bool {
         let known = self.backends.get(id).map(|entry| entry.instance.clone());
         let was_known = known.is_some();
@@ -132,115 +143,117 @@
         was_known
     }
 
-    /// A backend by its id.
+    /// The backend with this id.
     pub fn get(&self, id: &str) -> Option<&Instance> {
         self.backends.get(id).map(|entry| &entry.instance)
     }
 
-    /// A gateway asks, or another registry says that it did so long ago.
+    /// Takes in that a gateway sent a request, here or to another registry `ago`.
     pub fn record_gateway(&mut self, now: Duration, gateway: Gateway, ago: Duration) {
-        let heard = now.saturating_sub(ago);
-        let room = self.gateways.len() < MOST;
-        let new = match self.gateways.get_mut(&gateway.ip) {
-            None => room,
-            // One that said that it leaves is not back because another registry heard of it before.
-            Some(known) if known.gateway == gateway && (known.here || known.heard >= heard) => {
-                known.heard = known.heard.max(heard);
+        let heard_at = now.saturating_sub(ago);
+        let has_room = self.gateways.len() < MAX_ENTRIES;
+        let is_new = match self.gateways.get_mut(&gateway.ip) {
+            None => has_room,
+            // A gateway that has left does not return because another registry heard it before that.
+            Some(known) if known.gateway == gateway && (known.is_present || known.heard_at >= heard_at) => {
+                known.heard_at = known.heard_at.max(heard_at);
                 return;
             }
-            // Of two lives, the one heard of last.
-            Some(known) => known.heard <= heard,
+            // Of two incarnations, the one that was heard last counts.
+            Some(known) => known.heard_at <= heard_at,
         };
-        if new {
+        if is_new {
             self.seq += 1;
-            let (here, leaving, changed) = (true, false, self.seq);
-            self.gateways.insert(gateway.ip, Member { gateway, heard, here, leaving, changed });
+            let (is_present, is_leaving, changed) = (true, false, self.seq);
+            let entry = GatewayEntry { gateway, heard_at, is_present, is_leaving, changed };
+            self.gateways.insert(entry.gateway.ip, entry);
         }
     }
 
-    /// A gateway says that it leaves. It is one until it has asked nothing for a moment. Guards against one that takes
-    /// clients for seconds after SIGTERM and is refused by the count meanwhile.
+    /// Takes in that a gateway announces its leave. It counts as a gateway until it has sent no request for a moment: a
+    /// gateway takes client requests for seconds after SIGTERM, and the quota counter would refuse its draws if it no
+    /// longer counted.
     pub fn mark_gateway_leaving(&mut self, now: Duration, gateway: &Gateway) {
-        let known = self
-            .gateways
-            .get_mut(&gateway.ip)
-            .filter(|known| known.gateway.incarnation == gateway.incarnation);
+        let known = self.gateways.get_mut(&gateway.ip);
+        let known = known.filter(|known| known.gateway.incarnation == gateway.incarnation);
         if let Some(known) = known {
-            (known.heard, known.leaving) = (now, true);
+            (known.heard_at, known.is_leaving) = (now, true);
         }
     }
 
-    /// Notes who was not heard of for long. Returns the backends that are lost now.
+    /// Updates the liveness of all entries. Returns the ids of the backends that became lost.
     pub fn tick(&mut self, now: Duration) -> Vec<String> {
         let mut seq = self.seq;
         let mut lost = Vec::new();
         for entry in self.backends.values_mut() {
-            let liveness = Liveness::of(entry.instance.state, now.saturating_sub(entry.heard), self.beat);
+            let since_heard = now.saturating_sub(entry.heard_at);
+            let liveness = Liveness::of(entry.instance.state, since_heard, self.beat_interval);
             if liveness > entry.liveness {
                 entry.liveness = liveness;
                 if liveness == Liveness::Lost {
                     lost.push(entry.instance.id.clone());
                 }
                 seq += 1;
-                self.urgent = seq;
+                self.urgent_seq = seq;
                 entry.changed = seq;
             }
         }
-        self.backends.retain(|_, entry| now.saturating_sub(entry.heard) < TOMB);
-        for member in self.gateways.values_mut() {
-            let away = if member.leaving { LEFT } else { AWAY };
-            if member.here && now.saturating_sub(member.heard) >= away {
-                member.here = false;
+        self.backends.retain(|_, entry| now.saturating_sub(entry.heard_at) < TOMBSTONE_LIFETIME);
+        for entry in self.gateways.values_mut() {
+            let timeout = if entry.is_leaving { LEAVING_GATEWAY_TIMEOUT } else { GATEWAY_TIMEOUT };
+            if entry.is_present && now.saturating_sub(entry.heard_at) >= timeout {
+                entry.is_present = false;
                 seq += 1;
-                member.changed = seq;
+                entry.changed = seq;
             }
         }
-        self.gateways.retain(|_, member| now.saturating_sub(member.heard) < TOMB);
+        self.gateways.retain(|_, entry| now.saturating_sub(entry.heard_at) < TOMBSTONE_LIFETIME);
         self.seq = seq;
         lost
     }
 
-    /// What has changed since that number.
+    /// The entries that changed after a sequence number.
     pub fn changes_since(&self, seq: u64) -> CatalogChanges {
-        // Mostly there is nothing: each gateway asks twice a second, and must not cost a look at all backends.
+        // Each gateway asks twice a second, mostly without any change. That must not cost a scan of all backends.
         if seq >= self.seq {
             return CatalogChanges::default();
         }
-        let new = self.backends.values().filter(|entry| entry.changed > seq);
-        let backends = new
-            .map(|entry| Observation { instance: entry.instance.clone(), liveness: entry.liveness })
-            .collect();
-        let members = self.gateways.values().filter(|member| member.changed > seq);
-        let gateways = members.map(|member| (member.gateway.clone(), member.here)).collect();
-        CatalogChanges { backends, gateways }
+        let backends = self.backends.values().filter(|entry| entry.changed > seq);
+        let observation =
+            |entry: &BackendEntry| Observation { instance: entry.instance.clone(), liveness: entry.liveness };
+        let gateways = self.gateways.values().filter(|entry| entry.changed > seq);
+        CatalogChanges {
+            backends: backends.map(observation).collect(),
+            gateways: gateways.map(|entry| (entry.gateway.clone(), entry.is_present)).collect(),
+        }
     }
 
-    /// The gateways, in the order of their addresses.
+    /// The gateways that carry traffic, ordered by address.
     pub fn gateways(&self) -> impl Iterator<Item = &Gateway> {
-        self.gateways.values().filter(|member| member.here).map(|member| &member.gateway)
+        self.gateways.values().filter(|entry| entry.is_present).map(|entry| &entry.gateway)
     }
 
-    /// All backends that were heard of within that time, and how long ago: for another registry.
+    /// The backends heard within a time, for another registry, and how many ms ago each was heard.
     pub fn backends_heard_within(&self, now: Duration, within: Duration) -> Vec<(Instance, u64)> {
-        let ago = |entry: &Entry| now.saturating_sub(entry.heard);
+        let ago = |entry: &BackendEntry| now.saturating_sub(entry.heard_at);
         let recent = self.backends.values().filter(|entry| ago(entry) <= within);
         recent.map(|entry| (entry.instance.clone(), ago(entry).as_millis() as u64)).collect()
     }
 
-    /// All backends that are not gone, and how long ago each was heard of, in milliseconds.
+    /// The backends that have not left, and how many ms ago each was heard.
     pub fn present_backends(&self, now: Duration) -> Vec<(Observation, u64)> {
-        let here = self.backends.values().filter(|entry| entry.instance.state != BackendState::Gone);
-        let told = |entry: &Entry| {
-            let ago = now.saturating_sub(entry.heard).as_millis() as u64;
-            (Observation { instance: entry.instance.clone(), liveness: entry.liveness }, ago)
+        let present = self.backends.values().filter(|entry| entry.instance.state != BackendState::Gone);
+        let observation = |entry: &BackendEntry| {
+            let ago_ms = now.saturating_sub(entry.heard_at).as_millis() as u64;
+            (Observation { instance: entry.instance.clone(), liveness: entry.liveness }, ago_ms)
         };
-        here.map(told).collect()
+        present.map(observation).collect()
     }
 
-    /// All gateways that asked within that time, likewise.
+    /// The gateways that sent a request within a time, for another registry, and how many ms ago each did.
     pub fn gateways_heard_within(&self, now: Duration, within: Duration) -> Vec<(Gateway, u64)> {
-        let ago = |member: &Member| now.saturating_sub(member.heard);
-        let recent = self.gateways.values().filter(|member| member.here && ago(member) <= within);
-        recent.map(|member| (member.gateway.clone(), ago(member).as_millis() as u64)).collect()
+        let ago = |entry: &GatewayEntry| now.saturating_sub(entry.heard_at);
+        let recent = self.gateways.values().filter(|entry| entry.is_present && ago(entry) <= within);
+        recent.map(|entry| (entry.gateway.clone(), ago(entry).as_millis() as u64)).collect()
     }
 }
--- a/crates/starlinghill-catalog/src/lib.rs
+++ b/crates/starlinghill-catalog/src/lib.rs
@@ -1,10 +1,13 @@
-//! The backends and gateways that are known: backends by what they say of themselves, gateways by what they ask.
+//! The known backends and gateways. Backends are known by their heartbeats, gateways by their requests.
 //!
-//! [`Catalog`] is a registry's own; [`MergedView`] is what a gateway makes of several registries' catalogs.
+//! A [`Catalog`] is what one registry keeps. A [`MergedView`] is what a gateway makes of the catalogs of several
+//! registries.
 //!
-//! A backend's id is one incarnation. What was once said to drain or to be gone never serves again, whoever says so later: beats
-//! may come late, out of order, and at three registries. What an observer has not heard for long is no such word: see
-//! [`Liveness`]. No I/O and no clock.
+//! The id of a backend names one incarnation of it. Once an incarnation was reported as draining or gone, it never serves
+//! again, whatever arrives later, since heartbeats may arrive late, out of order and at three registries. That an
+//! observer has not heard a backend for long is no such report; see [`Liveness`].
+//!
+//! The crate does no I/O and reads no clock.
 
 mod catalog;
 mod liveness;
@@ -18,42 +21,42 @@
 use std::net::{IpAddr, SocketAddr};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Whether a backend takes new work.
+/// Whether a backend takes new requests, as it says itself. The order matters: a state never goes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub enum BackendState {
-    /// It does.
+    /// It takes new requests.
     Ready,
-    /// It finishes what it has.
+    /// It finishes the requests that it has.
     Draining,
     /// It has left.
     Gone,
 }
 
-/// An instance of a service, a backend, as it last said.
+/// A backend, which is one instance of a service, as it last described itself.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Instance {
-    /// Its id: one incarnation.
+    /// Names one incarnation of the backend.
     pub id: String,
-    /// The service that it is of.
+    /// The name of its service.
     pub service: String,
-    /// Where it listens.
+    /// The address at which it takes requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The name of its zone.
     pub zone: String,
     /// The version of its software.
     pub version: String,
-    /// Requests that it works on at once.
+    /// The requests that it works on at once.
     pub capacity: u32,
-    /// Whether it takes work.
+    /// Whether it takes new requests.
     pub state: BackendState,
-    /// Rises with each of its calls.
+    /// Rises with each of its heartbeats, which shows which of two descriptions is the newer one.
     pub beat_count: u64,
-    /// When it is warm, in microseconds of the system's time.
+    /// When it is warm, in microseconds of the system clock.
     pub warm_at_us: u64,
 }
 
 impl Instance {
-    /// One of which no more is known than that it has left.
+    /// A backend of which nothing is known except that it has left.
     fn gone(id: &str) -> Instance {
         Instance {
             id: id.into(),
@@ -68,28 +71,28 @@
         }
     }
 
-    /// Its number.
+    /// The hash by which messages name this backend.
     pub fn id_hash(&self) -> u64 {
         name_hash(&self.id)
     }
 }
 
-/// The number of a name, the same in every process.
+/// The hash of a name, which is the same in every process.
 pub fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// The number of a service; none has 0.
+/// The hash of a service's name. Never 0, which stands for no service.
 pub fn service_hash(name: &str) -> u32 {
     name_hash(name) as u32 | 1
 }
 
-/// A backend as a registry observes it.
+/// A backend as one registry observes it.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Observation {
     /// The backend.
     pub instance: Instance,
-    /// How lately that registry heard of it.
+    /// How recently that registry heard of it.
     pub liveness: Liveness,
 }
 
@@ -98,10 +101,10 @@
 pub struct Gateway {
     /// Its address.
     pub ip: IpAddr,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: u64,
-    /// Its zone.
+    /// The name of its zone.
     pub zone: String,
-    /// Its name.
+    /// The name of its node.
     pub node: String,
 }
--- a/crates/starlinghill-catalog/src/merged.rs
+++ b/crates/starlinghill-catalog/src/merged.rs
@@ -1,38 +1,41 @@
-//! What a gateway makes of several registries' lists.
+//! A gateway's view of the backends, merged from the catalogs of several registries.
 
 use crate::{BackendState, Instance, Liveness, Observation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A backend that no registry knows in its present life is forgotten after this; registries may only have begun anew.
-const UNKNOWN: Duration = Duration::from_secs(20);
-/// It gets no new work after this, where others of its service are known: time for a beat, for the second that a backend waits
-/// for its answer, and for the pauses until it has found a registry that is back. Guards against sending to one whose drain
-/// all registries have forgotten.
-const YIELDS: Duration = Duration::from_secs(5);
-/// A gateway that did not look at its list for so long stood still: it looks twice a second.
-const STOOD: Duration = Duration::from_secs(1);
-/// How long a gateway remembers a backend that is gone, or that all who tell of it have lost.
-const TOMB: Duration = Duration::from_secs(180);
+/// A backend that no registry knows in its present incarnation is dropped after this. Long, since all registries may just
+/// have restarted.
+const UNKNOWN_TIMEOUT: Duration = Duration::from_secs(20);
+/// After this such a backend gets no new requests if its service has others that are known. The time covers a heartbeat
+/// interval, the second for which a backend waits for an answer, and the pauses until it has found a registry that is
+/// back. Without this rule a gateway could send requests to a backend whose drain all registries have forgotten.
+///
+/// A registry that has not answered for this long, while others have, counts as absent.
+const UNKNOWN_GRACE: Duration = Duration::from_secs(5);
+/// A gateway calls `tick` twice a second. If it did not for this long, its process was frozen.
+const FREEZE_THRESHOLD: Duration = Duration::from_secs(1);
+/// How long a backend is remembered after it has left, or after every registry that reports it has lost it.
+const TOMBSTONE_LIFETIME: Duration = Duration::from_secs(180);
 
 #[derive(Debug)]
-struct Seen {
+struct Entry {
     instance: Instance,
-    /// Who tells of it, in which life, and how lately it was heard of there.
-    by: BTreeMap<usize, (u64, Liveness)>,
-    /// When somebody last told of it. Only what changes is told: that may be long ago.
-    at: Duration,
-    /// Since when nobody has known it.
-    unknown: Option<Duration>,
-    /// It is no better than that while nobody knows it: silent where it yields to others of its service, lost where it is
-    /// dropped.
-    doubt: Liveness,
-    /// What was said of it last to whoever sends requests.
+    /// For each registry that reported the backend: the registry's incarnation and the liveness that it reported.
+    reports: BTreeMap<usize, (u64, Liveness)>,
+    /// When the last report arrived. Registries report only changes, so this may be long ago.
+    reported_at: Duration,
+    /// Since when no registry has known the backend.
+    unknown_since: Option<Duration>,
+    /// The best liveness that the backend can have while no registry knows it: silent once it yields to other backends
+    /// of its service, lost once it is dropped.
+    liveness_limit: Liveness,
+    /// The last announced change.
     announced: Option<Announced>,
 }
 
-/// What whoever sends requests goes by.
+/// The properties of a backend whose changes are announced to the part of the gateway that sends requests.
 #[derive(Debug)]
 struct Announced {
     state: BackendState,
@@ -42,242 +45,270 @@
 }
 
 impl Announced {
-    fn still_holds(&self, instance: &Instance, liveness: Liveness) -> bool {
+    fn matches(&self, instance: &Instance, liveness: Liveness) -> bool {
         (self.state, self.address, &self.service, self.liveness)
             == (instance.state, instance.address, &instance.service, liveness)
     }
 }
 
-/// All backends, as this gateway knows them.
+/// All backends, as a gateway knows them from the registries. Registries are numbered by the caller.
 #[derive(Debug, Default)]
 pub struct MergedView {
-    backends: BTreeMap<String, Seen>,
-    lives: BTreeMap<usize, u64>,
+    backends: BTreeMap<String, Entry>,
+    /// The present incarnation of each registry.
+    incarnations: BTreeMap<usize, u64>,
     /// When each registry last answered.
-    heard: BTreeMap<usize, Duration>,
-    /// Those that have not for long, while others have: what they said last counts no more.
+    answered_at: BTreeMap<usize, Duration>,
+    /// Registries that have not answered for long while others have. Their reports do not count.
     absent: BTreeSet<usize>,
-    /// When it was last looked at.
-    looked: Duration,
-    /// From when to when it was not looked at for long: this gateway stood still.
-    stood: Option<(Duration, Duration)>,
+    last_tick: Duration,
+    /// The last freeze of this gateway: the last tick before it and the first one after it.
+    last_freeze: Option<(Duration, Duration)>,
 }
 
-/// A backend that changed.
+/// A change of a backend.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BackendChange {
     /// The backend.
     pub instance: Instance,
-    /// How lately any of those who tell of it heard of it.
+    /// The best liveness that any registry reports.
     pub liveness: Liveness,
 }
 
-/// Backends of a service that take work and that one registry does not know.
+/// Backends of one service that take requests and that one registry does not know.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct UnknownBackends {
-    /// The part of the service's capacity that is theirs.
+    /// Their fraction of the service's capacity.
     pub capacity_fraction: f64,
-    /// Their numbers.
+    /// The hashes of their ids.
     pub backends: Vec<u64>,
 }
 
 impl MergedView {
-    /// A registry, in that life, tells of backends. Returns those that are other than they were.
+    /// Takes in the reports of a registry in this incarnation. Returns the resulting changes.
     pub fn apply_observations(
         &mut self,
         now: Duration,
-        by: usize,
-        life: u64,
-        told: Vec<Observation>,
+        registry: usize,
+        incarnation: u64,
+        observations: Vec<Observation>,
     ) -> Vec<BackendChange> {
-        self.lives.insert(by, life);
-        self.heard.insert(by, now);
-        let was_absent = self.absent.remove(&by);
+        self.incarnations.insert(registry, incarnation);
+        self.answered_at.insert(registry, now);
+        let was_absent = self.absent.remove(&registry);
         let mut changes = Vec::new();
-        for Observation { instance, liveness } in told {
+        for Observation { instance, liveness } in observations {
             let id = instance.id.clone();
-            let seen = self.backends.entry(id.clone()).or_insert_with(|| Seen {
+            let entry = self.backends.entry(id.clone()).or_insert_with(|| Entry {
                 instance: instance.clone(),
-                by: BTreeMap::new(),
-                at: now,
-                unknown: None,
-                doubt: Liveness::Alive,
+                reports: BTreeMap::new(),
+                reported_at: now,
+                unknown_since: None,
+                liveness_limit: Liveness::Alive,
                 announced: None,
             });
-            // What once drained never serves again, whoever says so.
-            let state = seen.instance.state.max(instance.state);
-            if instance.beat_count > seen.instance.beat_count {
-                seen.instance = instance;
+            // A backend that once drained never serves again, whatever is reported later.
+            let state = entry.instance.state.max(instance.state);
+            if instance.beat_count > entry.instance.beat_count {
+                entry.instance = instance;
             }
-            seen.instance.state = state;
-            seen.by.insert(by, (life, liveness));
-            (seen.at, seen.unknown, seen.doubt) = (now, None, Liveness::Alive);
+            entry.instance.state = state;
+            entry.reports.insert(registry, (incarnation, liveness));
+            (entry.reported_at, entry.unknown_since, entry.liveness_limit) = (now, None, Liveness::Alive);
             changes.extend(self.announce(&id));
         }
         if was_absent {
-            // What it said before counts again, and it has no need to say it again.
-            let ids =
-                self.backends.iter().filter(|(_, seen)| seen.by.contains_key(&by)).map(|(id, _)| id.clone());
-            for id in ids.collect::<Vec<_>>() {
+            // Its earlier reports count again, and it will not repeat them.
+            let reported = self.backends.iter().filter(|(_, entry)| entry.reports.contains_key(&registry));
+            let ids: Vec<String> = reported.map(|(id, _)| id.clone()).collect();
+            for id in ids {
                 changes.extend(self.announce(&id));
             }
         }
         changes
     }
 
-    /// How a backend is, if that is other than what was said of it last.
+    /// The change of a backend since it was last announced, if there is one.
     fn announce(&mut self, id: &str) -> Option<BackendChange> {
-        let seen = self.backends.get(id)?;
-        let liveness = self.liveness(seen);
-        if seen.announced.as_ref().is_some_and(|said| said.still_holds(&seen.instance, liveness)) {
+        let entry = self.backends.get(id)?;
+        let liveness = self.liveness(entry);
+        if entry.announced.as_ref().is_some_and(|announced| announced.matches(&entry.instance, liveness)) {
             return None;
         }
-        let instance = seen.instance.clone();
+        let instance = entry.instance.clone();
         let Instance { state, address, service, .. } = &instance;
-        let news = Announced { state: *state, address: *address, service: service.clone(), liveness };
-        self.backends.get_mut(id)?.announced = Some(news);
+        let announced = Announced { state: *state, address: *address, service: service.clone(), liveness };
+        self.backends.get_mut(id)?.announced = Some(announced);
         Some(BackendChange { instance, liveness })
     }
 
-    /// A registry is asked no more: what it told counts as that of a life which has ended.
-    pub fn remove_registry(&mut self, by: usize) {
-        self.lives.remove(&by);
-        self.heard.remove(&by);
-        self.absent.remove(&by);
+    /// Removes a registry that is no longer asked. Its reports count like those of an earlier incarnation.
+    pub fn remove_registry(&mut self, registry: usize) {
+        self.incarnations.remove(&registry);
+        self.answered_at.remove(&registry);
+        self.absent.remove(&registry);
     }
 
-    /// By whoever heard of it last. What nobody knows stands as it was announced, until it yields: that nobody knows it says
-    /// nothing of it, neither well nor ill.
-    fn liveness(&self, seen: &Seen) -> Liveness {
-        let before = || seen.announced.as_ref().map_or(Liveness::Alive, |said| said.liveness);
-        self.known(seen).min().unwrap_or_else(before).max(seen.doubt)
+    /// The best liveness that any present registry reports. A backend that no registry knows keeps its announced
+    /// liveness up to the limit, since the missing reports say nothing about it.
+    fn liveness(&self, entry: &Entry) -> Liveness {
+        let announced = || entry.announced.as_ref().map_or(Liveness::Alive, |announced| announced.liveness);
+        self.current_reports(entry).min().unwrap_or_else(announced).max(entry.liveness_limit)
     }
 
-    /// It takes new work.
-    fn serves(&self, seen: &Seen) -> bool {
-        seen.instance.state == BackendState::Ready && self.liveness(seen) == Liveness::Alive
+    /// Whether a backend takes new requests.
+    fn is_available(&self, entry: &Entry) -> bool {
+        entry.instance.state == BackendState::Ready && self.liveness(entry) == Liveness::Alive
     }
 
-    /// How lately it was heard of, by each registry that knows it in its present life.
-    fn known<'a>(&'a self, seen: &'a Seen) -> impl Iterator<Item = Liveness> + 'a {
-        let is_present = |by: &usize, life| self.lives.get(by) == Some(life) && !self.absent.contains(by);
-        let present = seen.by.iter().filter(move |(by, (life, _))| is_present(by, life));
-        present.map(|(_, (_, liveness))| *liveness)
+    /// The liveness that each registry reports that is present and has not restarted since.
+    fn current_reports<'a>(&'a self, entry: &'a Entry) -> impl Iterator<Item = Liveness> + 'a {
+        let is_current = |registry: &usize, incarnation| {
+            self.incarnations.get(registry) == Some(incarnation) && !self.absent.contains(registry)
+        };
+        let current = entry
+            .reports
+            .iter()
+            .filter(move |(registry, (incarnation, _))| is_current(registry, incarnation));
+        current.map(|(_, (_, liveness))| *liveness)
     }
 
-    /// What nobody tells of any more gets no new work, and is forgotten in the end. Returns what is other than it was.
+    /// Lets time pass. A backend that no registry knows any more first gets no new requests and is dropped in the end.
+    /// Returns the resulting changes.
     pub fn tick(&mut self, now: Duration) -> Vec<BackendChange> {
-        // Where none answers this gateway may be the one that is cut off, and goes by what it has.
-        let newest = self.heard.values().max().copied().unwrap_or_default();
-        let late = |at: Duration| newest.saturating_sub(at) > YIELDS;
-        self.absent = self.heard.iter().filter(|(_, at)| late(**at)).map(|(by, _)| *by).collect();
-        let known = |seen: &Seen| self.known(seen).next().is_some();
+        // Measured from the last answer of any registry: if none answers, this gateway may be the one that is cut off,
+        // and keeps what it knows.
+        let newest = self.answered_at.values().max().copied().unwrap_or_default();
+        let is_late = |at: Duration| newest.saturating_sub(at) > UNKNOWN_GRACE;
+        self.absent =
+            self.answered_at.iter().filter(|(_, at)| is_late(**at)).map(|(registry, _)| *registry).collect();
+        let is_known = |entry: &Entry| self.current_reports(entry).next().is_some();
         let unknown: BTreeSet<String> =
-            self.backends.iter().filter(|(_, seen)| !known(seen)).map(|(id, _)| id.clone()).collect();
-        let serves = |seen: &&Seen| known(seen) && self.serves(seen);
-        let served: BTreeSet<String> =
-            self.backends.values().filter(serves).map(|seen| seen.instance.service.clone()).collect();
-        let before = std::mem::replace(&mut self.looked, now);
-        if now.saturating_sub(before) > STOOD {
-            self.stood = Some((before, now));
+            self.backends.iter().filter(|(_, entry)| !is_known(entry)).map(|(id, _)| id.clone()).collect();
+        let is_known_available = |entry: &&Entry| is_known(entry) && self.is_available(entry);
+        let services_with_known_backends: BTreeSet<String> = self
+            .backends
+            .values()
+            .filter(is_known_available)
+            .map(|entry| entry.instance.service.clone())
+            .collect();
+        let before = std::mem::replace(&mut self.last_tick, now);
+        if now.saturating_sub(before) > FREEZE_THRESHOLD {
+            self.last_freeze = Some((before, now));
         }
-        // What was said while this gateway stood still may be forgotten by all since: it has no time to wait for that.
-        let woken = self.stood.filter(|(_, woke)| now.saturating_sub(*woke) < YIELDS);
-        let from = woken.map_or(now, |(fell, _)| fell);
+        // All registries may have forgotten what was reported during a freeze of this gateway. The grace period then
+        // counts from the start of the freeze.
+        let recent_freeze =
+            self.last_freeze.filter(|(_, thawed_at)| now.saturating_sub(*thawed_at) < UNKNOWN_GRACE);
+        let unknown_from = recent_freeze.map_or(now, |(frozen_at, _)| frozen_at);
         let mut changes = Vec::new();
-        // Who spoke for them answers again, and has no need to tell of them: nothing changed there.
-        let back = |id: &String, seen: &Seen| seen.unknown.is_some() && !unknown.contains(id);
-        let back = self.backends.iter().filter(|(id, seen)| back(id, seen)).map(|(id, _)| id.clone());
-        for id in back.collect::<Vec<_>>() {
-            let Some(seen) = self.backends.get_mut(&id) else { continue };
-            (seen.unknown, seen.doubt) = (None, Liveness::Alive);
+        // A registry that knows these backends answers again. It does not report them, since nothing changed there.
+        let known_again = |id: &String, entry: &Entry| entry.unknown_since.is_some() && !unknown.contains(id);
+        let known_again: Vec<String> = self
+            .backends
+            .iter()
+            .filter(|(id, entry)| known_again(id, entry))
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in known_again {
+            let Some(entry) = self.backends.get_mut(&id) else { continue };
+            (entry.unknown_since, entry.liveness_limit) = (None, Liveness::Alive);
             changes.extend(self.announce(&id));
         }
         for id in unknown {
-            let Some(seen) = self.backends.get_mut(&id) else { continue };
-            let since = now.saturating_sub(*seen.unknown.get_or_insert(from));
-            if seen.instance.state == BackendState::Gone {
+            let Some(entry) = self.backends.get_mut(&id) else { continue };
+            let unknown_for = now.saturating_sub(*entry.unknown_since.get_or_insert(unknown_from));
+            if entry.instance.state == BackendState::Gone {
                 continue;
             }
-            if since > UNKNOWN {
-                seen.doubt = Liveness::Lost;
-            } else if since > YIELDS && served.contains(&seen.instance.service) {
-                seen.doubt = Liveness::Silent;
+            if unknown_for > UNKNOWN_TIMEOUT {
+                entry.liveness_limit = Liveness::Lost;
+            } else if unknown_for > UNKNOWN_GRACE
+                && services_with_known_backends.contains(&entry.instance.service)
+            {
+                entry.liveness_limit = Liveness::Silent;
             }
             changes.extend(self.announce(&id));
-            if since > UNKNOWN && self.backends.get(&id).is_some_and(|seen| !self.is_spoken_for(seen)) {
+            let is_dropped = unknown_for > UNKNOWN_TIMEOUT
+                && self.backends.get(&id).is_some_and(|entry| !self.is_held_by_any(entry));
+            if is_dropped {
                 self.backends.remove(&id);
             }
         }
-        self.forget(now);
+        self.forget_old(now);
         changes
     }
 
-    /// A registry, absent or not, has it in its present life and has not lost it. One that is absent has no need to tell of it
-    /// again once it answers, so that it must not be forgotten here.
-    fn is_spoken_for(&self, seen: &Seen) -> bool {
-        let speaks = |(by, (life, liveness)): (&usize, &(u64, Liveness))| {
-            self.lives.get(by) == Some(life) && *liveness < Liveness::Lost
+    /// Whether any registry, absent or not, still has the backend and has not lost it. Such an entry must be kept: when
+    /// the registry answers again, it does not repeat its report.
+    fn is_held_by_any(&self, entry: &Entry) -> bool {
+        let is_held = |(registry, (incarnation, liveness)): (&usize, &(u64, Liveness))| {
+            self.incarnations.get(registry) == Some(incarnation) && *liveness < Liveness::Lost
         };
-        seen.by.iter().any(speaks)
+        entry.reports.iter().any(is_held)
     }
 
-    /// Forgets what was dropped long ago. Registries have forgotten it by then: they remember no longer from the last beat on
-    /// than this does from their last word.
-    fn forget(&mut self, now: Duration) {
-        let is_lost =
-            |seen: &Seen| seen.announced.as_ref().is_some_and(|said| said.liveness == Liveness::Lost);
-        let is_dropped = |seen: &Seen| {
-            seen.instance.state == BackendState::Gone || is_lost(seen) && !self.is_spoken_for(seen)
+    /// Forgets backends that were dropped long ago. The registries have forgotten them by then: they remember a backend
+    /// for the same time, counted from its last heartbeat, which came before their last report.
+    fn forget_old(&mut self, now: Duration) {
+        let is_lost = |entry: &Entry| {
+            entry.announced.as_ref().is_some_and(|announced| announced.liveness == Liveness::Lost)
+        };
+        let is_dropped = |entry: &Entry| {
+            entry.instance.state == BackendState::Gone || is_lost(entry) && !self.is_held_by_any(entry)
         };
-        let is_old = |seen: &Seen| now.saturating_sub(seen.at) >= TOMB;
-        let old = self.backends.iter().filter(|(_, seen)| is_old(seen) && is_dropped(seen));
+        let is_old = |entry: &Entry| now.saturating_sub(entry.reported_at) >= TOMBSTONE_LIFETIME;
+        let old = self.backends.iter().filter(|(_, entry)| is_old(entry) && is_dropped(entry));
         let old: Vec<String> = old.map(|(id, _)| id.clone()).collect();
         for id in old {
             self.backends.remove(&id);
         }
     }
 
-    /// What takes work and what that registry, in its present life, has never told of or has lost, by service: it began while it
-    /// was cut off from whom these backends call, or has been for long. Nothing where it has not told of anything yet.
-    pub fn unknown_to_registry(&self, rack: usize) -> BTreeMap<&str, UnknownBackends> {
-        let Some(life) = self.lives.get(&rack) else { return BTreeMap::new() };
-        let holds = |(of, liveness): &(u64, Liveness)| of == life && *liveness < Liveness::Lost;
-        let knows = |seen: &Seen| seen.by.get(&rack).is_some_and(holds);
-        let serves = |seen: &&Seen| self.serves(seen);
-        let mut all: BTreeMap<&str, (u32, u32, Vec<u64>)> = BTreeMap::new();
-        for seen in self.backends.values().filter(serves) {
-            let (capacity, unknown, backends) = all.entry(&seen.instance.service).or_default();
-            *capacity += seen.instance.capacity;
-            if !knows(seen) {
-                *unknown += seen.instance.capacity;
-                backends.push(seen.instance.id_hash());
+    /// The available backends that a registry in its present incarnation has never reported or has lost, by service. Such
+    /// a registry started while it was cut off from the registries that these backends call, or has long been cut off.
+    /// Empty for a registry that has not answered yet.
+    pub fn unknown_to_registry(&self, registry: usize) -> BTreeMap<&str, UnknownBackends> {
+        let Some(present) = self.incarnations.get(&registry) else { return BTreeMap::new() };
+        let is_held =
+            |(incarnation, liveness): &(u64, Liveness)| incarnation == present && *liveness < Liveness::Lost;
+        let is_known = |entry: &Entry| entry.reports.get(&registry).is_some_and(is_held);
+        // By service: the whole capacity, the unknown capacity, and the unknown backends.
+        let mut services: BTreeMap<&str, (u32, u32, Vec<u64>)> = BTreeMap::new();
+        for entry in self.backends.values().filter(|entry| self.is_available(entry)) {
+            let (capacity, unknown, backends) = services.entry(&entry.instance.service).or_default();
+            *capacity += entry.instance.capacity;
+            if !is_known(entry) {
+                *unknown += entry.instance.capacity;
+                backends.push(entry.instance.id_hash());
             }
         }
-        let part = |unknown: u32, capacity: u32| f64::from(unknown) / f64::from(capacity.max(1));
-        let some = all.into_iter().filter(|(_, (_, _, backends))| !backends.is_empty());
-        some.map(|(of, (all, unknown, backends))| {
-            (of, UnknownBackends { capacity_fraction: part(unknown, all), backends })
-        })
-        .collect()
+        let fraction = |part: u32, whole: u32| f64::from(part) / f64::from(whole.max(1));
+        let incomplete = services.into_iter().filter(|(_, (_, _, backends))| !backends.is_empty());
+        incomplete
+            .map(|(service, (capacity, unknown, backends))| {
+                (service, UnknownBackends { capacity_fraction: fraction(unknown, capacity), backends })
+            })
+            .collect()
     }
 
-    /// How many backends of each of these services take new work.
+    /// The number of available backends of each of these services.
     pub fn ready_counts<'a>(&self, services: impl IntoIterator<Item = &'a str>) -> BTreeMap<&'a str, usize> {
         let mut counts: BTreeMap<&str, usize> = services.into_iter().map(|service| (service, 0)).collect();
-        for seen in self.backends.values() {
-            if let Some(count) = counts.get_mut(seen.instance.service.as_str()) {
-                *count += usize::from(self.serves(seen));
+        for entry in self.backends.values() {
+            if let Some(count) = counts.get_mut(entry.instance.service.as_str()) {
+                *count += usize::from(self.is_available(entry));
             }
         }
         counts
     }
 
-    /// The services that have a backend which takes work, or may again at any moment.
+    /// The services with a backend that takes new requests, or that is only silent and may do so again at any moment.
     pub fn available_services(&self) -> BTreeSet<&str> {
-        let is_here =
-            |seen: &&Seen| seen.instance.state == BackendState::Ready && self.liveness(seen) < Liveness::Lost;
-        let ready = self.backends.values().filter(is_here);
-        ready.map(|seen| seen.instance.service.as_str()).collect()
+        let is_present = |entry: &&Entry| {
+            entry.instance.state == BackendState::Ready && self.liveness(entry) < Liveness::Lost
+        };
+        let present = self.backends.values().filter(is_present);
+        present.map(|entry| entry.instance.service.as_str()).collect()
     }
 }
