--- a/crates/starlinghill-config-model/src/change.rs
+++ b/crates/starlinghill-config-model/src/change.rs
@@ -1,4 +1,4 @@
-//! What an operator sends: items to set and items to drop, all or none of them.
+//! Parses the order of an operator: items to set and items to remove, which take effect all together or not at all.
 
 use crate::items::{ChangeError, Item, ItemKind, ParsedItem};
 use crate::version_history::VersionHistory;
@@ -8,15 +8,17 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A change that makes sense by itself.
+/// A change whose items are valid one by one. Whether it fits the present items is checked by [`ItemSet::with_change`].
+///
+/// [`ItemSet::with_change`]: crate::items::ItemSet::with_change
 #[derive(Debug, Clone, Default)]
 pub struct ConfigChange {
-    /// Its items by name and version, each number once. Of a name that stands in it twice the higher version prevails, as
-    /// anywhere; a confirmation is one of both.
+    /// The items, sorted by kind, name and version. A name may occur in several versions: the highest one takes effect, and
+    /// all of them are confirmed.
     pub items: Vec<Rc<ParsedItem>>,
 }
 
-/// A version as it is written: `r` and a number.
+/// Parses a version, which is written as `r` and a number.
 pub fn parse_version(value: Option<&OwnedValue>) -> Option<u64> {
     value?.as_str()?.strip_prefix('r')?.parse().ok()
 }
@@ -25,23 +27,25 @@
     Err(ChangeError::Invalid { problem: problem.into() })
 }
 
-fn list<'a>(of: &'a OwnedValue, key: &str) -> Result<&'a [OwnedValue], ChangeError> {
-    match of.get(key) {
+/// The list under a key. A missing key or null is an empty list.
+fn list<'a>(parent: &'a OwnedValue, key: &str) -> Result<&'a [OwnedValue], ChangeError> {
+    match parent.get(key) {
         None => Ok(&[]),
         Some(value) if value.is_null() => Ok(&[]),
         Some(value) => match value.as_array() {
             Some(list) => Ok(list),
-            None => invalid(format!("{key}: found {}, allowed: a list", short(value))),
+            None => invalid(format!("{key}: found {}, allowed: a list", excerpt(value))),
         },
     }
 }
 
-fn short(value: &OwnedValue) -> String {
+/// The start of a value's JSON, for error messages.
+fn excerpt(value: &OwnedValue) -> String {
     value.encode().chars().take(60).collect()
 }
 
 impl ConfigChange {
-    /// Reads the body of a call.
+    /// Parses the body of an operator's request.
     pub fn parse(body: &[u8]) -> Result<ConfigChange, ChangeError> {
         let value = match simd_json::to_owned_value(&mut body.to_vec()) {
             Ok(value) => value,
@@ -52,59 +56,60 @@
         }
         let mut items = Vec::new();
         let empty = OwnedValue::object();
-        let part = |key: &str| match value.get(key) {
+        let section = |key: &str| match value.get(key) {
             None => Ok(&empty),
             Some(part) if part.is_object() => Ok(part),
-            Some(part) => invalid(format!("{key}: found {}, allowed: an object", short(part))),
+            Some(part) => invalid(format!("{key}: found {}, allowed: an object", excerpt(part))),
         };
-        let (upsert, remove) = (part("upsert")?, part("remove")?);
+        let (upsert, remove) = (section("upsert")?, section("remove")?);
         for port in list(upsert, "ports")? {
             let Some(host) = port.get("hostname").and_then(|v| v.as_str()).filter(|v| !v.is_empty()) else {
                 return invalid(format!(
                     "ports.hostname: found {}, allowed: a text that is not empty",
-                    port.get("hostname").map_or_else(|| "nothing".into(), short)
+                    port.get("hostname").map_or_else(|| "nothing".into(), excerpt)
                 ));
             };
             for rule in list(port, "policy")? {
-                items.push(set(ItemKind::Route, host, rule)?);
+                items.push(item_to_set(ItemKind::Route, host, rule)?);
             }
         }
         for (key, kind) in [("customers", ItemKind::Customer), ("groups", ItemKind::Service)] {
             for value in list(upsert, key)? {
-                items.push(set(kind, "", value)?);
+                items.push(item_to_set(kind, "", value)?);
             }
         }
         if let Some(limits) = upsert.get("limits").filter(|v| !v.is_null()) {
-            items.push(set(ItemKind::Limits, "", limits)?);
+            items.push(item_to_set(ItemKind::Limits, "", limits)?);
         }
-        let named = [
+        let removable = [
             ("routes", ItemKind::Route),
             ("customers", ItemKind::Customer),
             ("services", ItemKind::Service),
             ("groups", ItemKind::Service),
         ];
-        for (key, kind) in named {
+        for (key, kind) in removable {
             for value in list(remove, key)? {
-                items.push(ParsedItem::parse(Item { body: None, ..item(kind, "", value)? })?);
+                items.push(ParsedItem::parse(Item { body: None, ..item_header(kind, "", value)? })?);
             }
         }
-        let mut numbers: BTreeMap<(ItemKind, String, u64), ParsedItem> = BTreeMap::new();
-        for held in items {
-            let Item { kind, version, .. } = held.item;
-            match numbers.entry((kind, held.item.name.clone(), version)) {
-                Entry::Vacant(place) => drop(place.insert(held)),
-                Entry::Occupied(place) if place.get().content_digest() == held.content_digest() => {}
+        let mut unique: BTreeMap<(ItemKind, String, u64), ParsedItem> = BTreeMap::new();
+        for parsed in items {
+            let Item { kind, version, .. } = parsed.item;
+            match unique.entry((kind, parsed.item.name.clone(), version)) {
+                Entry::Vacant(entry) => drop(entry.insert(parsed)),
+                Entry::Occupied(entry) if entry.get().content_digest() == parsed.content_digest() => {}
                 Entry::Occupied(_) => {
-                    let name = &held.item.name;
+                    let name = &parsed.item.name;
                     return invalid(format!("{kind:?} {name}: stands twice with one version, r{version}"));
                 }
             }
         }
-        Ok(ConfigChange { items: numbers.into_values().map(Rc::new).collect() })
+        Ok(ConfigChange { items: unique.into_values().map(Rc::new).collect() })
     }
 }
 
-fn item(kind: ItemKind, host: &str, value: &OwnedValue) -> Result<Item, ChangeError> {
+/// An item with its name and version, but without its content.
+fn item_header(kind: ItemKind, host: &str, value: &OwnedValue) -> Result<Item, ChangeError> {
     let name = match kind {
         ItemKind::Limits => "limits",
         _ => match value.get("name").and_then(|v| v.as_str()).filter(|v| !v.is_empty()) {
@@ -115,7 +120,7 @@
     let Some(version) = parse_version(value.get("version")) else {
         return invalid(format!(
             "{kind:?} {name}.version: found {}, allowed: r and a number",
-            value.get("version").map_or_else(|| "nothing".into(), short)
+            value.get("version").map_or_else(|| "nothing".into(), excerpt)
         ));
     };
     Ok(Item {
@@ -128,6 +133,6 @@
     })
 }
 
-fn set(kind: ItemKind, host: &str, value: &OwnedValue) -> Result<ParsedItem, ChangeError> {
-    ParsedItem::parse(Item { body: Some(value.encode()), ..item(kind, host, value)? })
+fn item_to_set(kind: ItemKind, host: &str, value: &OwnedValue) -> Result<ParsedItem, ChangeError> {
+    ParsedItem::parse(Item { body: Some(value.encode()), ..item_header(kind, host, value)? })
 }
--- a/crates/starlinghill-config-model/src/items.rs
+++ b/crates/starlinghill-config-model/src/items.rs
@@ -1,4 +1,5 @@
-//! The items as they stand. Copies merge item by item: of one name the highest version prevails, set or dropped.
+//! The set of configuration items. Copies of it merge item by item: of each name the highest version wins, whether it sets
+//! the item or removes it.
 
 use crate::change::ConfigChange;
 use crate::content_digest;
@@ -13,10 +14,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The most items that are kept, dropped ones included. Guards memory and the size of messages.
+/// The most items that are kept, removed ones included. Bounds memory and the size of messages.
 pub const MAX_ITEMS: usize = 20_000;
 
-/// What an item is of.
+/// The kind of an item. Names are unique within a kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum ItemKind {
     /// A route.
@@ -29,25 +30,25 @@
     Limits,
 }
 
-/// One item in one version, as it goes between processes and onto disks.
+/// One item in one version, as it is sent between processes and stored on disk.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Item {
-    /// What it is.
+    /// The kind of the item.
     pub kind: ItemKind,
-    /// Its name.
+    /// The name, unique within the kind.
     pub name: String,
-    /// Its version.
+    /// The version that the operator gave it.
     pub version: u64,
-    /// The host of a route.
+    /// The host of a route; empty for other kinds.
     pub host: String,
-    /// What the operator sent, as JSON; `None`: dropped.
+    /// The JSON that the operator sent, or `None` if this version removes the item.
     pub body: Option<String>,
-    /// The numbers below the version, where it goes between stores or onto their disks; news go without.
+    /// The confirmed versions below this one. Kept by the stores only; empty in what registries and gateways receive.
     pub history: VersionHistory,
 }
 
 impl Item {
-    /// As news: whoever does not judge orders needs no history.
+    /// A copy without the history, for processes that do not check orders.
     pub fn without_history(&self) -> Item {
         let Item { kind, version, .. } = *self;
         let (name, host, body) = (self.name.clone(), self.host.clone(), self.body.clone());
@@ -55,62 +56,63 @@
     }
 }
 
-/// A number that stands for items in their versions, whatever their order.
+/// A digest of the names and versions of items, independent of their order.
 pub fn versions_digest<'a>(items: impl Iterator<Item = &'a Item>) -> u64 {
-    let one = |item: &Item| {
+    // FNV-1a of each item; the sum over all items does not depend on the order.
+    let item_digest = |item: &Item| {
         let mut hash = 0xcbf2_9ce4_8422_2325_u64;
         let bytes = item.name.bytes().chain([item.kind as u8]).chain(item.version.to_le_bytes());
         bytes.for_each(|byte| hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3));
         hash
     };
-    items.map(one).fold(0, u64::wrapping_add)
+    items.map(item_digest).fold(0, u64::wrapping_add)
 }
 
-/// Why a change is not taken.
+/// Why a change is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ChangeError {
-    /// It makes no sense.
+    /// The change is malformed, or the items would be inconsistent with it.
     #[snafu(display("{problem}"))]
     Invalid {
-        /// What is wrong.
+        /// A description for the operator.
         problem: String,
     },
-    /// That version of an item was confirmed already, with another content.
+    /// This version of an item was confirmed before with another content.
     #[snafu(display("{kind:?} {name}: version r{version} was confirmed with another content"))]
     VersionConflict {
-        /// The item's kind.
+        /// The kind of the item.
         kind: ItemKind,
-        /// Its name.
+        /// The name of the item.
         name: String,
         /// The version.
         version: u64,
     },
-    /// That version lies beyond the horizon: it may have been confirmed, with this content or with another. Neither a
-    /// confirmation nor a refusal is safe.
+    /// This version is too old to be remembered. It may have been confirmed with this content or with another one, so
+    /// that neither a confirmation nor a conflict may be reported.
     #[snafu(display("{kind:?} {name}: what r{version} was is not remembered any more"))]
     VersionForgotten {
-        /// The item's kind.
+        /// The kind of the item.
         kind: ItemKind,
-        /// Its name.
+        /// The name of the item.
         name: String,
         /// The version.
         version: u64,
     },
 }
 
-/// An item that was read: what was sent, and what it means.
+/// An item with its parsed content.
 #[derive(Debug, Clone)]
 pub struct ParsedItem {
-    /// As it was sent.
+    /// The item as it was sent.
     pub item: Item,
-    /// As a value, where it stands.
+    /// The JSON of the body, or `None` if the item is removed.
     pub value: Option<OwnedValue>,
-    /// What it means.
+    /// The meaning of the body, or `None` if the item is removed.
     pub parsed: Option<Parsed>,
 }
 
 impl ParsedItem {
-    /// Reads an item.
+    /// Parses the body of an item.
     pub fn parse(item: Item) -> Result<ParsedItem, ChangeError> {
         let Some(body) = &item.body else { return Ok(ParsedItem { item, value: None, parsed: None }) };
         let invalid = |problem| ChangeError::Invalid { problem };
@@ -120,13 +122,13 @@
         Ok(ParsedItem { value: Some(value), parsed: Some(parsed), item })
     }
 
-    /// The digest of its content.
+    /// The digest of the content.
     pub fn content_digest(&self) -> u64 {
         content_digest::digest(&self.item.host, self.value.as_ref())
     }
 
-    /// What is known of a number of this name.
-    fn known(&self, version: u64) -> VersionStatus {
+    /// What is known of a version of this name.
+    fn version_status(&self, version: u64) -> VersionStatus {
         match version.cmp(&self.item.version) {
             Ordering::Less => self.item.history.status(version),
             Ordering::Equal => VersionStatus::Confirmed(self.content_digest()),
@@ -134,89 +136,90 @@
         }
     }
 
-    /// The same name with one more number confirmed, where that is new.
-    fn confirming(&self, new: &ParsedItem) -> Option<ParsedItem> {
-        let (stands, sent) = (self.item.version, new.item.version);
-        if self.known(sent) != VersionStatus::Unused {
+    /// This item after another version of it is confirmed, or `None` if that version is not unused. The higher one of
+    /// the two becomes the current version, and the other one goes into the history.
+    fn with_confirmed(&self, new: &ParsedItem) -> Option<ParsedItem> {
+        let (current, new_version) = (self.item.version, new.item.version);
+        if self.version_status(new_version) != VersionStatus::Unused {
             return None;
         }
-        let mut next = if sent > stands { new.clone() } else { self.clone() };
+        let mut next = if new_version > current { new.clone() } else { self.clone() };
         next.item.history = self.item.history.clone();
-        match sent > stands {
-            true => next.item.history.confirm(stands, self.content_digest()),
-            false => next.item.history.confirm(sent, new.content_digest()),
+        match new_version > current {
+            true => next.item.history.confirm(current, self.content_digest()),
+            false => next.item.history.confirm(new_version, new.content_digest()),
         }
         Some(next)
     }
 }
 
-/// All items.
+/// All items by kind and name, each in its highest version.
 #[derive(Debug, Clone, Default)]
 pub struct ItemSet {
     items: BTreeMap<(ItemKind, String), Rc<ParsedItem>>,
 }
 
 impl ItemSet {
-    /// From copies of items; what can't be read is left out, as nothing of it was ever taken.
+    /// Builds a set from copies of items. An item that cannot be parsed is left out; such an item was never confirmed.
     pub fn from_items(items: impl IntoIterator<Item = Item>) -> ItemSet {
-        let mut book = ItemSet::default();
-        book.merge(items);
-        book
+        let mut set = ItemSet::default();
+        set.merge(items);
+        set
     }
 
-    /// Takes in copies that were agreed on; returns those that were new. An older version changes nothing.
+    /// Merges copies of chosen items. Returns those that were newer than the present ones.
     pub fn merge(&mut self, items: impl IntoIterator<Item = Item>) -> Vec<Rc<ParsedItem>> {
-        let mut news = Vec::new();
-        for held in items.into_iter().filter_map(|item| ParsedItem::parse(item).ok()) {
-            let held = Rc::new(held);
-            match self.items.entry((held.item.kind, held.item.name.clone())) {
-                Entry::Vacant(place) => {
-                    place.insert(held.clone());
+        let mut newer = Vec::new();
+        for parsed in items.into_iter().filter_map(|item| ParsedItem::parse(item).ok()) {
+            let parsed = Rc::new(parsed);
+            match self.items.entry((parsed.item.kind, parsed.item.name.clone())) {
+                Entry::Vacant(entry) => {
+                    entry.insert(parsed.clone());
                 }
-                Entry::Occupied(mut place) if place.get().item.version < held.item.version => {
-                    place.insert(held.clone());
+                Entry::Occupied(mut entry) if entry.get().item.version < parsed.item.version => {
+                    entry.insert(parsed.clone());
                 }
                 Entry::Occupied(_) => continue,
             }
-            news.push(held);
+            newer.push(parsed);
         }
-        news
+        newer
     }
 
-    /// The book with a change taken in, or why it can't be. Nothing of a change is taken that is refused. One of which
-    /// every number was confirmed before with its content is taken, and changes nothing.
+    /// The set with a change applied, or why the change is refused as a whole. A change whose versions were all confirmed
+    /// before with the same contents is accepted and alters nothing.
     pub fn with_change(&self, change: &ConfigChange) -> Result<ItemSet, ChangeError> {
-        self.judge(change)?;
+        self.check_versions(change)?;
         let mut next = self.clone();
-        for held in &change.items {
-            match next.items.entry((held.item.kind, held.item.name.clone())) {
-                Entry::Vacant(place) => drop(place.insert(held.clone())),
-                Entry::Occupied(mut place) => {
-                    if let Some(new) = place.get().confirming(held) {
-                        place.insert(Rc::new(new));
+        for parsed in &change.items {
+            match next.items.entry((parsed.item.kind, parsed.item.name.clone())) {
+                Entry::Vacant(entry) => drop(entry.insert(parsed.clone())),
+                Entry::Occupied(mut entry) => {
+                    if let Some(new) = entry.get().with_confirmed(parsed) {
+                        entry.insert(Rc::new(new));
                     }
                 }
             }
         }
         next.validate()?;
-        next.forget(version_history::MAX_VERSIONS_TOTAL);
+        next.truncate_histories(version_history::MAX_VERSIONS_TOTAL);
         Ok(next)
     }
 
-    /// No number of a change may have been confirmed with another content. A change that holds such a one was never
-    /// confirmed as a whole, so that is said before anything of what was forgotten.
-    fn judge(&self, change: &ConfigChange) -> Result<(), ChangeError> {
+    /// Checks that no version of a change was confirmed before with another content. A conflict is reported before a
+    /// forgotten version: a change with a conflict was never confirmed as a whole, whatever was forgotten.
+    fn check_versions(&self, change: &ConfigChange) -> Result<(), ChangeError> {
         let mut forgotten = None;
-        for held in &change.items {
-            let Item { kind, version, .. } = held.item;
-            let name = held.item.name.clone();
-            let known = self.items.get(&(kind, name.clone())).map(|stands| stands.known(version));
-            match known {
-                Some(VersionStatus::Confirmed(content)) if content != held.content_digest() => {
+        for parsed in &change.items {
+            let Item { kind, version, .. } = parsed.item;
+            let name = parsed.item.name.clone();
+            let current = self.items.get(&(kind, name.clone()));
+            match current.map(|current| current.version_status(version)) {
+                Some(VersionStatus::Confirmed(digest)) if digest != parsed.content_digest() => {
                     return Err(ChangeError::VersionConflict { kind, name, version });
                 }
                 Some(VersionStatus::Forgotten) => {
-                    forgotten = Some(ChangeError::VersionForgotten { kind, name, version })
+                    forgotten = Some(ChangeError::VersionForgotten { kind, name, version });
                 }
                 _ => {}
             }
@@ -224,36 +227,39 @@
         forgotten.map_or(Ok(()), Err)
     }
 
-    /// Keeps the bound on what is remembered in all.
-    fn forget(&mut self, most: usize) {
-        let lens = self.items.values().map(|held| held.item.history.len());
-        if lens.clone().sum::<usize>() <= most {
+    /// Shortens the longest histories until all together hold at most `max_total` versions.
+    fn truncate_histories(&mut self, max_total: usize) {
+        let lens = self.items.values().map(|parsed| parsed.item.history.len());
+        if lens.clone().sum::<usize>() <= max_total {
             return;
         }
-        let level = version_history::per_item_limit(lens, most);
-        for held in self.items.values_mut().filter(|held| held.item.history.len() > level) {
-            Rc::make_mut(held).item.history.truncate(level);
+        let limit = version_history::per_item_limit(lens, max_total);
+        for parsed in self.items.values_mut().filter(|parsed| parsed.item.history.len() > limit) {
+            Rc::make_mut(parsed).item.history.truncate(limit);
         }
     }
 
-    /// Whether all items make sense together.
+    /// Checks that the items are consistent: their number, the services that routes refer to, and the uniqueness of host
+    /// and prefix and of API keys.
     pub fn validate(&self) -> Result<(), ChangeError> {
         let refuse = |problem: String| Err(ChangeError::Invalid { problem });
         if self.items.len() > MAX_ITEMS {
             return refuse(format!("{} items, allowed: {MAX_ITEMS}", self.items.len()));
         }
-        let stands = |name: &str| {
+        let has_service = |name: &str| {
             let service = self.items.get(&(ItemKind::Service, name.to_string()));
-            service.is_some_and(|held| held.parsed.is_some())
+            service.is_some_and(|service| service.parsed.is_some())
         };
-        let (mut places, mut keys) = (BTreeSet::new(), BTreeMap::new());
-        for held in self.items.values() {
-            match &held.parsed {
+        let (mut prefixes, mut keys) = (BTreeSet::new(), BTreeMap::new());
+        for item in self.items.values() {
+            match &item.parsed {
                 Some(Parsed::Route(route)) => {
-                    if let Some((service, _)) = route.targets.iter().find(|(service, _)| !stands(service)) {
+                    if let Some((service, _)) =
+                        route.targets.iter().find(|(service, _)| !has_service(service))
+                    {
                         return refuse(format!("route {}: no service {service}", route.name));
                     }
-                    if !places.insert((&route.host, &route.prefix)) {
+                    if !prefixes.insert((&route.host, &route.prefix)) {
                         return refuse(format!(
                             "route {}: another route has host {} and prefix {}",
                             route.name, route.host, route.prefix
@@ -273,33 +279,34 @@
         Ok(())
     }
 
-    /// All items, dropped ones included.
+    /// All items, removed ones included.
     pub fn items(&self) -> impl Iterator<Item = &Rc<ParsedItem>> {
         self.items.values()
     }
 
-    /// Those that differ from another book's, histories included: what has to be written where that one stands.
+    /// The items that differ from those of another set, histories included. This is what has to be written to a disk
+    /// that holds the other set.
     pub fn differing_items(&self, other: &ItemSet) -> Vec<Item> {
-        let new = |held: &&Rc<ParsedItem>| {
-            let key = (held.item.kind, held.item.name.clone());
-            other.items.get(&key).is_none_or(|old| old.item != held.item)
+        let differs = |parsed: &&Rc<ParsedItem>| {
+            let key = (parsed.item.kind, parsed.item.name.clone());
+            other.items.get(&key).is_none_or(|old| old.item != parsed.item)
         };
-        self.items.values().filter(new).map(|held| held.item.clone()).collect()
+        self.items.values().filter(differs).map(|parsed| parsed.item.clone()).collect()
     }
 
-    /// Whether anything was ever configured.
+    /// Whether nothing was ever configured.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// All that stands, laid out as an operator sends it.
+    /// The items that are set, in the form of the "upsert" part of an operator's order.
     pub fn to_upsert(&self) -> OwnedValue {
         let mut hosts: BTreeMap<&str, Vec<OwnedValue>> = BTreeMap::new();
         let (mut customers, mut groups, mut limits) = (Vec::new(), Vec::new(), None);
-        for held in self.items.values() {
-            let Some(value) = held.value.clone() else { continue };
-            match held.item.kind {
-                ItemKind::Route => hosts.entry(&held.item.host).or_default().push(value),
+        for parsed in self.items.values() {
+            let Some(value) = parsed.value.clone() else { continue };
+            match parsed.item.kind {
+                ItemKind::Route => hosts.entry(&parsed.item.host).or_default().push(value),
                 ItemKind::Customer => customers.push(value),
                 ItemKind::Service => groups.push(value),
                 ItemKind::Limits => limits = Some(value),
@@ -312,13 +319,13 @@
             port
         };
         let ports: Vec<OwnedValue> = hosts.into_iter().map(port).collect();
-        let mut all = OwnedValue::object();
-        let _ = all.insert("customers", OwnedValue::from(customers));
+        let mut upsert = OwnedValue::object();
+        let _ = upsert.insert("customers", OwnedValue::from(customers));
         if let Some(limits) = limits {
-            let _ = all.insert("limits", limits);
+            let _ = upsert.insert("limits", limits);
         }
-        let _ = all.insert("ports", OwnedValue::from(ports));
-        let _ = all.insert("groups", OwnedValue::from(groups));
-        all
+        let _ = upsert.insert("ports", OwnedValue::from(ports));
+        let _ = upsert.insert("groups", OwnedValue::from(groups));
+        upsert
     }
 }
--- a/crates/starlinghill-config-model/src/lib.rs
+++ b/crates/starlinghill-config-model/src/lib.rs
@@ -1,9 +1,13 @@
-//! Joinery: a template is the pattern that every piece is cut by. Here it is the configuration: named items, each with a
-//! version of its own, and what they come to once they are merged: routes, tenants, services, limits.
+//! The configuration as named items, each with a version of its own, and the routing table that results from the merged
+//! items: routes, tenants, services and limits.
 //!
-//! No I/O and no clock. [`change`] reads what an operator sends, [`items`] holds the items and says whether they make sense
-//! together, [`version_history`] which numbers were confirmed before, [`content_digest`] what is the same content, [`routing`] is what a
-//! proxy decides by.
+//! * [`change`] parses what an operator sends.
+//! * [`items`] holds the items, merges them, and checks that they are consistent.
+//! * [`version_history`] remembers which versions were confirmed before.
+//! * [`content_digest`] decides whether two contents are the same.
+//! * [`routing`] turns the items into what a proxy decides by.
+//!
+//! The crate does no I/O and reads no clock.
 
 pub mod change;
 pub mod content_digest;
--- a/crates/starlinghill-config-model/src/routing.rs
+++ b/crates/starlinghill-config-model/src/routing.rs
@@ -1,4 +1,5 @@
-//! What the items mean: routes by host and prefix, tenants by key, services, limits.
+//! The meaning of the items: routes by host and path prefix, tenants by API key, services, and limits. Parsing of single
+//! items and the routing table of a proxy.
 
 use crate::items::{ItemKind, ItemSet};
 use simd_json::prelude::*;
@@ -7,83 +8,82 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A route.
+/// Requests to one host and path prefix, and the services that answer them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// The name of the item.
     pub name: String,
-    /// The host that it is of, in small letters.
+    /// The host of the requests, in lower case.
     pub host: String,
-    /// What the path begins with.
+    /// The start of the path of the requests.
     pub prefix: String,
-    /// A request may run more than once.
+    /// Whether a request may run more than once. Configured as kind "safe".
     pub idempotent: bool,
-    /// An answer within this earns its full worth.
+    /// An answer within this time has its full worth; a later one is worth less.
     pub target_time: Duration,
-    /// Its rank; 0 is highest.
+    /// The rank of its requests. 0 is the highest.
     pub priority: u64,
-    /// No key is needed.
+    /// Whether requests need no API key.
     pub public: bool,
-    /// Services, each with its weight.
+    /// The services, each with its weight.
     pub targets: Vec<(String, f64)>,
-    /// The longest that a request is held.
+    /// After this a request is given up.
     pub timeout: Duration,
-    /// The most backends that one try may be sent to.
+    /// The most backends that one request may be sent to.
     pub max_tries: u64,
 }
 
-/// A tenant.
+/// A customer with API keys and a quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the item.
     pub name: String,
-    /// Its keys.
+    /// The API keys.
     pub keys: Vec<String>,
-    /// Its rank, in place of the route's.
+    /// The rank of its requests, which overrides that of the route.
     pub priority: Option<u64>,
-    /// Requests a second; 0: no limit.
+    /// The quota in requests a second, or 0 for no limit.
     pub rate: f64,
-    /// What may come on top.
+    /// The requests that may come at once on top of the rate.
     pub burst: f64,
 }
 
-/// A service.
+/// A group of backends that answer the same requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The name of the item.
     pub name: String,
-    /// Where its backends are asked for their health.
+    /// The path of the health check at its backends.
     pub health_path: String,
-    /// Connections that a backend accepts from all callers together.
+    /// The connections that one backend accepts from all callers together, or 0 if not configured.
     pub max_conns: u64,
 }
 
-/// What a client may send, and how long it may take.
+/// Limits on a client's connection and requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// The longest head.
+    /// The most bytes of a request header.
     pub max_header_bytes: u64,
-    /// The longest body.
+    /// The most bytes of a request body.
     pub max_body_bytes: u64,
-    /// How long a head may take.
+    /// How long a client may take to send a request header.
     pub header_timeout: Duration,
-    /// How long a connection may be idle.
+    /// After this an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        let (header_wait, idle) = (Duration::from_secs(3), Duration::from_secs(15));
         Limits {
             max_header_bytes: 16 << 10,
             max_body_bytes: 64 << 20,
-            header_timeout: header_wait,
-            idle_timeout: idle,
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
 
-/// What an item means.
+/// The meaning of an item, by its kind.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Parsed {
     /// A route.
@@ -92,63 +92,74 @@
     Customer(Rc<Tenant>),
     /// A service.
     Service(Rc<Service>),
-    /// Limits.
+    /// The limits on clients.
     Limits(Limits),
 }
 
-struct At<'a> {
+/// An object inside an item. Its methods read one field each and name the item in errors.
+struct Fields<'a> {
+    /// The kind and the name of the item, for error messages.
     item: &'a str,
     value: &'a OwnedValue,
 }
 
-impl<'a> At<'a> {
-    fn wrong<T>(&self, key: &str, allowed: &str) -> Result<T, String> {
+impl<'a> Fields<'a> {
+    /// An error that shows the value found and what is allowed.
+    fn invalid<T>(&self, key: &str, allowed: &str) -> Result<T, String> {
         let found = self.value.get(key).map_or_else(|| "nothing".into(), |v| v.encode());
         let found: String = found.chars().take(60).collect();
         Err(format!("{}.{key}: found {found}, allowed: {allowed}", self.item))
     }
+
     fn text(&self, key: &str) -> Result<&'a str, String> {
         match self.value.get(key).and_then(|v| v.as_str()).filter(|v| !v.is_empty()) {
             Some(text) => Ok(text),
-            None => self.wrong(key, "a text that is not empty"),
+            None => self.invalid(key, "a text that is not empty"),
         }
     }
+
     fn count(&self, key: &str) -> Result<u64, String> {
         match self.value.get(key).and_then(|v| v.as_u64()) {
             Some(count) => Ok(count),
-            None => self.wrong(key, "a whole number of 0 or more"),
+            None => self.invalid(key, "a whole number of 0 or more"),
         }
     }
+
+    /// A number of 0 or more, or 0 if the field is missing.
     fn number(&self, key: &str) -> Result<f64, String> {
         match self.value.get(key) {
             None => Ok(0.0),
             Some(value) => match value.cast_f64().filter(|v| v.is_finite() && *v >= 0.0) {
                 Some(number) => Ok(number),
-                None => self.wrong(key, "a number of 0 or more"),
+                None => self.invalid(key, "a number of 0 or more"),
             },
         }
     }
+
+    /// A flag, or false if the field is missing.
     fn flag(&self, key: &str) -> Result<bool, String> {
         match self.value.get(key) {
             None => Ok(false),
-            Some(value) => value.as_bool().map_or_else(|| self.wrong(key, "true or false"), Ok),
+            Some(value) => value.as_bool().map_or_else(|| self.invalid(key, "true or false"), Ok),
         }
     }
-    fn time(&self, key: &str) -> Result<Duration, String> {
+
+    fn duration(&self, key: &str) -> Result<Duration, String> {
         match self.value.get(key).and_then(|v| v.as_str()).and_then(parse_duration) {
-            Some(time) => Ok(time),
-            None => self.wrong(key, "a time such as \"1500ms\" or \"2.5s\""),
+            Some(duration) => Ok(duration),
+            None => self.invalid(key, "a time such as \"1500ms\" or \"2.5s\""),
         }
     }
-    fn part(&self, key: &str) -> Result<At<'a>, String> {
+
+    fn object(&self, key: &str) -> Result<Fields<'a>, String> {
         match self.value.get(key).filter(|v| v.is_object()) {
-            Some(value) => Ok(At { item: self.item, value }),
-            None => self.wrong(key, "an object"),
+            Some(value) => Ok(Fields { item: self.item, value }),
+            None => self.invalid(key, "an object"),
         }
     }
 }
 
-/// A time as it is written.
+/// Parses a duration such as "1500ms" or "2.5s". `None` if it is negative or 1e9 s or more.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, unit) = match text.trim().strip_suffix("ms") {
         Some(number) => (number, 1e-3),
@@ -158,109 +169,110 @@
     (seconds.is_finite() && (0.0..1e9).contains(&seconds)).then(|| Duration::from_secs_f64(seconds))
 }
 
-/// Reads an item.
+/// Parses the content of an item. The error text names the field, the value found, and what is allowed.
 pub(crate) fn parse(kind: ItemKind, name: &str, host: &str, value: &OwnedValue) -> Result<Parsed, String> {
     let label = format!("{kind:?} {name}");
-    let at = At { item: &label, value };
+    let fields = Fields { item: &label, value };
     match kind {
-        ItemKind::Route => route(&at, host).map(|route| Parsed::Route(Rc::new(route))),
+        ItemKind::Route => parse_route(&fields, host).map(|route| Parsed::Route(Rc::new(route))),
         ItemKind::Customer => {
             let Some(list) = value.get("api_keys").and_then(|v| v.as_array()) else {
-                return at.wrong("api_keys", "a list of keys");
+                return fields.invalid("api_keys", "a list of keys");
             };
             let keys = list.iter().map(|v| v.as_str().filter(|v| !v.is_empty()).map(str::to_string));
             let Some(keys) = keys.collect::<Option<Vec<_>>>() else {
-                return at.wrong("api_keys", "a list of keys");
+                return fields.invalid("api_keys", "a list of keys");
             };
             let priority = match value.get("priority") {
                 None => None,
-                Some(_) => Some(at.count("priority")?),
+                Some(_) => Some(fields.count("priority")?),
             };
-            let (rate, burst) = (at.number("rate_per_s")?, at.number("burst")?);
+            let (rate, burst) = (fields.number("rate_per_s")?, fields.number("burst")?);
             Ok(Parsed::Customer(Rc::new(Tenant { name: name.into(), keys, priority, rate, burst })))
         }
         ItemKind::Service => {
-            let health = value.get("health_path").and_then(|v| v.as_str()).unwrap_or("/").to_string();
-            let max_conns = value.get("max_conns").map_or(Ok(0), |_| at.count("max_conns"))?;
-            Ok(Parsed::Service(Rc::new(Service { name: name.into(), health_path: health, max_conns })))
+            let health_path = value.get("health_path").and_then(|v| v.as_str()).unwrap_or("/").to_string();
+            let max_conns = value.get("max_conns").map_or(Ok(0), |_| fields.count("max_conns"))?;
+            Ok(Parsed::Service(Rc::new(Service { name: name.into(), health_path, max_conns })))
         }
         ItemKind::Limits => Ok(Parsed::Limits(Limits {
-            max_header_bytes: at.count("max_header_bytes")?,
-            max_body_bytes: at.count("max_body_bytes")?,
-            header_timeout: at.time("header_wait")?,
-            idle_timeout: at.time("idle")?,
+            max_header_bytes: fields.count("max_header_bytes")?,
+            max_body_bytes: fields.count("max_body_bytes")?,
+            header_timeout: fields.duration("header_wait")?,
+            idle_timeout: fields.duration("idle")?,
         })),
     }
 }
 
-fn route(at: &At, host: &str) -> Result<Route, String> {
-    let safe = match at.text("kind")? {
+fn parse_route(fields: &Fields, host: &str) -> Result<Route, String> {
+    let idempotent = match fields.text("kind")? {
         "safe" => true,
         "mutating" => false,
-        _ => return at.wrong("kind", "safe or mutating"),
+        _ => return fields.invalid("kind", "safe or mutating"),
     };
-    let (when, then) = (at.part("when")?, at.part("then")?);
+    let (when, then) = (fields.object("when")?, fields.object("then")?);
     let prefix = when.text("path_prefix")?;
     if !prefix.starts_with('/') {
-        return when.wrong("path_prefix", "a path that begins with a slash");
+        return when.invalid("path_prefix", "a path that begins with a slash");
     }
-    let to = match then.value.get("split") {
+    let targets = match then.value.get("split") {
         None => vec![(then.text("service")?.to_string(), 1.0)],
         Some(split) => {
-            let Some(parts) = split.as_array() else { return then.wrong("split", "a list of services") };
-            let mut to = Vec::with_capacity(parts.len());
+            let Some(parts) = split.as_array() else { return then.invalid("split", "a list of services") };
+            let mut targets = Vec::with_capacity(parts.len());
             for part in parts {
-                let part = At { item: at.item, value: part };
-                to.push((part.text("service")?.to_string(), part.number("weight")?));
+                let part = Fields { item: fields.item, value: part };
+                targets.push((part.text("service")?.to_string(), part.number("weight")?));
             }
-            if to.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
-                return then.wrong("split", "weights that sum to more than 0");
+            if targets.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
+                return then.invalid("split", "weights that sum to more than 0");
             }
-            to
+            targets
         }
     };
-    let (timeout, tries) = (then.time("timeout")?, then.count("tries")?);
-    if tries == 0 {
-        return then.wrong("tries", "1 or more");
+    let (timeout, max_tries) = (then.duration("timeout")?, then.count("tries")?);
+    if max_tries == 0 {
+        return then.invalid("tries", "1 or more");
     }
     if timeout.is_zero() {
-        return then.wrong("timeout", "a time above 0");
+        return then.invalid("timeout", "a time above 0");
     }
     Ok(Route {
-        name: at.text("name")?.into(),
+        name: fields.text("name")?.into(),
         host: host.to_ascii_lowercase(),
         prefix: prefix.into(),
-        idempotent: safe,
-        target_time: at.time("target_time")?,
-        priority: at.count("priority")?,
-        public: at.flag("public")?,
-        targets: to,
+        idempotent,
+        target_time: fields.duration("target_time")?,
+        priority: fields.count("priority")?,
+        public: fields.flag("public")?,
+        targets,
         timeout,
-        max_tries: tries,
+        max_tries,
     })
 }
 
-/// What a proxy decides by.
+/// What a proxy decides by: the routes, keys, services and limits of one set of items.
 #[derive(Debug, Clone, Default)]
 pub struct RoutingTable {
-    /// By host, the longest prefix first.
+    /// The routes by host, the longest prefix first.
     hosts: HashMap<String, Vec<Rc<Route>>>,
+    /// The tenants by API key.
     keys: HashMap<String, Rc<Tenant>>,
-    /// Every request must carry a key, but on public routes.
+    /// Whether requests need an API key, except on public routes. Set as soon as there is a tenant.
     pub requires_key: bool,
-    /// The tenants.
+    /// All tenants.
     pub tenants: Vec<Rc<Tenant>>,
     /// The services by name.
     pub services: HashMap<String, Rc<Service>>,
-    /// What clients may send.
+    /// The limits on clients.
     pub limits: Limits,
 }
 
 impl RoutingTable {
-    /// By the items that stand.
-    pub fn from_items(book: &ItemSet) -> RoutingTable {
+    /// Builds the table from the items that are set.
+    pub fn from_items(items: &ItemSet) -> RoutingTable {
         let mut table = RoutingTable::default();
-        for parsed in book.items().filter_map(|held| held.parsed.as_ref()) {
+        for parsed in items.items().filter_map(|item| item.parsed.as_ref()) {
             match parsed {
                 Parsed::Route(route) => {
                     table.hosts.entry(route.host.clone()).or_default().push(route.clone());
@@ -282,10 +294,10 @@
         table
     }
 
-    /// The route of a request: of that host, the one with the longest prefix.
+    /// The route of a request: the one of the host with the longest matching prefix. A port in `host` is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
-        let named = host.rsplit_once(':').filter(|(_, port)| port.bytes().all(|b| b.is_ascii_digit()));
-        let host = named.map_or(host, |(name, _)| name);
+        let without_port = host.rsplit_once(':').filter(|(_, port)| port.bytes().all(|b| b.is_ascii_digit()));
+        let host = without_port.map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(host) {
             Some(routes) => routes,
             None => self.hosts.get(&host.to_ascii_lowercase())?,
@@ -293,12 +305,12 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The tenant that holds a key.
+    /// The tenant with an API key.
     pub fn tenant(&self, key: &str) -> Option<&Rc<Tenant>> {
         self.keys.get(key)
     }
 
-    /// All routes.
+    /// All routes, in no particular order.
     pub fn routes(&self) -> impl Iterator<Item = &Rc<Route>> {
         self.hosts.values().flatten()
     }
--- a/crates/starlinghill-config-model/src/version_history.rs
+++ b/crates/starlinghill-config-model/src/version_history.rs
@@ -1,95 +1,96 @@
-//! The numbers of an item that were confirmed before, below the one that stands: what keeps a second content from being
-//! confirmed under any of them, and a repeat of an order from being refused.
+//! The confirmed versions of an item below its current one. The history keeps a second content from being confirmed under
+//! any of these versions, and lets an operator repeat an order without being refused.
 
 use bitcode::{Decode, Encode};
 
-/// The most numbers that one item remembers. At 7,300 changes a day, all of one item, that is more than a day.
+/// The most versions that one item remembers. At 7,300 changes a day, all of one item, this is more than a day.
 pub const MAX_VERSIONS_PER_ITEM: usize = 8_192;
-/// The most that all items together remember: at 7,300 changes a day nine days, in 1 MiB of the 8 that a message holds.
-/// Three for each item where there are as many items as there may be.
+/// The most versions that all items together remember. At 7,300 changes a day this is nine days, and takes 1 MiB of the
+/// 8 MiB that a message may have. With the most items allowed, each still remembers three.
 pub const MAX_VERSIONS_TOTAL: usize = 65_536;
 const _: () = assert!(MAX_VERSIONS_TOTAL >= 3 * crate::items::MAX_ITEMS);
 
-/// A number that was confirmed.
+/// A version that was confirmed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct ConfirmedVersion {
-    /// The number.
+    /// The version.
     pub version: u64,
     /// The digest of its content.
     pub content_digest: u64,
 }
 
-/// What is known of a number below the one that stands.
+/// What is known of a version below the current one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionStatus {
-    /// It was confirmed, with a content of this digest.
+    /// It was confirmed, with the content of this digest.
     Confirmed(u64),
     /// It was never confirmed.
     Unused,
-    /// It lies beyond the horizon: it may have been confirmed, with whatever content.
+    /// It is too old to be remembered, and may have been confirmed with any content.
     Forgotten,
 }
 
-/// The numbers that an item had, whether they ever came into force or not.
+/// The confirmed versions of an item, whether they ever were the current one or not.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct VersionHistory {
-    /// By number, each once.
+    /// Sorted by version, each version once.
     confirmed: Vec<ConfirmedVersion>,
-    /// Nothing is known of numbers up to this, but of those that stand above.
-    forgotten: Option<u64>,
+    /// Of versions up to this one, only those in `confirmed` are known.
+    forgotten_up_to: Option<u64>,
 }
 
 impl VersionHistory {
-    /// Of an item that was kept without one: all below its version may have been confirmed.
+    /// The history of an item that was stored without one: any version below the current one may have been confirmed.
     pub fn unknown_below(version: u64) -> VersionHistory {
-        VersionHistory { confirmed: Vec::new(), forgotten: version.checked_sub(1) }
+        VersionHistory { confirmed: Vec::new(), forgotten_up_to: version.checked_sub(1) }
     }
 
-    /// How many numbers it remembers.
+    /// The number of versions that are remembered.
     pub fn len(&self) -> usize {
         self.confirmed.len()
     }
 
-    /// It remembers no number.
+    /// Whether no version is remembered.
     pub fn is_empty(&self) -> bool {
         self.confirmed.is_empty()
     }
 
-    /// What is known of a number.
+    /// What is known of a version.
     pub fn status(&self, version: u64) -> VersionStatus {
         match self.confirmed.binary_search_by_key(&version, |known| known.version) {
             Ok(at) => VersionStatus::Confirmed(self.confirmed[at].content_digest),
-            Err(_) if self.forgotten.is_some_and(|last| version <= last) => VersionStatus::Forgotten,
+            Err(_) if self.forgotten_up_to.is_some_and(|last| version <= last) => VersionStatus::Forgotten,
             Err(_) => VersionStatus::Unused,
         }
     }
 
-    /// A number is confirmed. One that was confirmed before keeps its content.
-    pub fn confirm(&mut self, version: u64, content: u64) {
+    /// Adds a confirmed version. One that was confirmed before keeps its content.
+    pub fn confirm(&mut self, version: u64, content_digest: u64) {
         if let Err(at) = self.confirmed.binary_search_by_key(&version, |known| known.version) {
-            self.confirmed.insert(at, ConfirmedVersion { version, content_digest: content });
+            self.confirmed.insert(at, ConfirmedVersion { version, content_digest });
             self.truncate(MAX_VERSIONS_PER_ITEM);
         }
     }
 
-    /// Forgets the lowest numbers, those that are sent again last, until so many are left.
-    pub fn truncate(&mut self, most: usize) {
-        let gone = self.confirmed.len().saturating_sub(most);
-        if let Some(last) = self.confirmed.drain(..gone).next_back() {
-            self.forgotten = self.forgotten.max(Some(last.version));
+    /// Forgets the lowest versions until at most `max` are left. These are the least likely to be sent again.
+    pub fn truncate(&mut self, max: usize) {
+        let excess = self.confirmed.len().saturating_sub(max);
+        if let Some(last) = self.confirmed.drain(..excess).next_back() {
+            self.forgotten_up_to = self.forgotten_up_to.max(Some(last.version));
         }
     }
 }
 
-/// How many numbers each item may keep so that all together keep at most so many: those that have the most give first.
-pub fn per_item_limit(lens: impl Iterator<Item = usize> + Clone, most: usize) -> usize {
-    let sum = |level: usize| lens.clone().map(|len| len.min(level)).sum::<usize>();
+/// How many versions each item may remember so that all items together remember at most `max_total`. Items with the
+/// longest histories are the first to be cut.
+pub fn per_item_limit(lens: impl Iterator<Item = usize> + Clone, max_total: usize) -> usize {
+    let total_with = |limit: usize| lens.clone().map(|len| len.min(limit)).sum::<usize>();
     let (mut low, mut high) = (0, MAX_VERSIONS_PER_ITEM);
     while low < high {
-        let level = (low + high).div_ceil(2);
-        match sum(level) <= most {
-            true => low = level,
-            false => high = level - 1,
+        let limit = (low + high).div_ceil(2);
+        match total_with(limit) <= max_total {
+            true => low = limit,
+            false => high = limit - 1,
         }
     }
     low
