--- a/crates/starlinghill-config-store/src/acceptor.rs
+++ b/crates/starlinghill-config-store/src/acceptor.rs
@@ -1,7 +1,7 @@
 //! The owner of this store's vote: one task, which works through a queue of questions and has all on disk that must be
 //! there before it answers.
 
-use crate::disk::{Disk, Order};
+use crate::disk::{SaveRequest, StorageQueue};
 use crate::wire::Value;
 use starlinghill_consensus::{
     Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Member, Members, RequiredWrite,
@@ -22,7 +22,7 @@
 
 /// What others may know of the voter without asking.
 #[derive(Debug, Clone, PartialEq)]
-pub struct View {
+pub struct AcceptorView {
     /// Its promise.
     pub promised: Ballot,
     /// The ballot of its state, and the highest that it knows to be agreed on.
@@ -37,22 +37,22 @@
 
 /// The way to the owner.
 #[derive(Clone)]
-pub struct Keeper {
+pub struct AcceptorHandle {
     /// Who votes here.
     pub me: Member,
     queue: mpsc::Sender<Command>,
     /// What the voter has.
-    pub view: watch::Receiver<View>,
+    pub view: watch::Receiver<AcceptorView>,
 }
 
-impl Keeper {
+impl AcceptorHandle {
     /// Runs the owner. Without it the process is of no use.
-    pub fn start(voter: Acceptor<Value>, disk: Disk, essentials: &EssentialTasks) -> Keeper {
+    pub fn start(voter: Acceptor<Value>, disk: StorageQueue, essentials: &EssentialTasks) -> AcceptorHandle {
         let (queue, commands) = mpsc::channel(QUEUE);
         let (show, view) = watch::channel(view(&voter));
         let me = voter.me();
         essentials.spawn("vote", own(voter, disk, commands, show));
-        Keeper { me, queue, view }
+        AcceptorHandle { me, queue, view }
     }
 
     /// Asks the voter here.
@@ -71,9 +71,9 @@
 
 async fn own(
     mut voter: Acceptor<Value>,
-    disk: Disk,
+    disk: StorageQueue,
     mut commands: mpsc::Receiver<Command>,
-    show: watch::Sender<View>,
+    show: watch::Sender<AcceptorView>,
 ) {
     // A disk has refused what the voter holds since: it says nothing until that is kept.
     let mut unkept = false;
@@ -122,10 +122,10 @@
 }
 
 /// Has it on disk; nothing is said of what is not. A disk that refuses leaves the voter silent, and the others decide.
-async fn write(voter: &Acceptor<Value>, state: bool, disk: &Disk) -> Written {
+async fn write(voter: &Acceptor<Value>, state: bool, disk: &StorageQueue) -> Written {
     let (done, saved) = oneshot::channel();
     let state = state.then(|| voter.state().clone());
-    if disk.send(Order { kept: voter.kept().clone(), state, done }).is_err() {
+    if disk.send(SaveRequest { acceptor: voter.kept().clone(), state, done }).is_err() {
         return Written::NoWriter;
     }
     match saved.await {
@@ -138,12 +138,12 @@
     }
 }
 
-fn view(voter: &Acceptor<Value>) -> View {
+fn view(voter: &Acceptor<Value>) -> AcceptorView {
     let AcceptorState { promised, accepted, chosen, members, .. } = voter.kept().clone();
-    View { promised, accepted, chosen, members, proposed: voter.state().members.clone() }
+    AcceptorView { promised, accepted, chosen, members, proposed: voter.state().members.clone() }
 }
 
-fn publish(voter: &Acceptor<Value>, show: &watch::Sender<View>) {
+fn publish(voter: &Acceptor<Value>, show: &watch::Sender<AcceptorView>) {
     let new = view(voter);
     show.send_if_modified(|known| {
         let changed = *known != new;
--- a/crates/starlinghill-config-store/src/admission.rs
+++ b/crates/starlinghill-config-store/src/admission.rs
@@ -1,6 +1,6 @@
 //! Who becomes a member: a store that does not vote asks for it, members decide by the rules and agree.
 
-use crate::member_replacement::{decide, Sight};
+use crate::member_replacement::{decide, LastHeard};
 use crate::proposer::Stores;
 use crate::wire::{
     MembershipDelay, MembershipOrder, MembershipOutcome, MembershipStatus, State, StoreRequest, StoreResponse,
@@ -90,7 +90,7 @@
         let ips = members.voters.iter().map(|m| m.ip).filter(|ip| *ip != self.me.ip).collect();
         let answers = self.ask_each(ips, StoreRequest::Join(self.me)).await;
         let admission = |answer| match answer {
-            StoreResponse::Admission(admission) => Some(admission),
+            StoreResponse::Membership(admission) => Some(admission),
             _ => None,
         };
         let all: Vec<MembershipOutcome> =
@@ -127,12 +127,14 @@
         if !members.has(self.me) {
             return Err(MembershipDelay::NoMajority);
         }
-        let mut sights: BTreeMap<Member, Sight> = BTreeMap::from([(self.me, self.sight())]);
+        let mut sights: BTreeMap<Member, LastHeard> = BTreeMap::from([(self.me, self.sight())]);
         // Others are asked only where one is missed here.
         if self.sight().values().any(|ago| *ago >= self.times.gone) {
             let others = members.voters.iter().map(|m| m.ip).filter(|ip| *ip != self.me.ip).collect();
-            for (ip, answer) in self.ask_each(others, StoreRequest::Sight).await {
-                let (StoreResponse::Sight(told), Some(member)) = (answer, members.at(ip)) else { continue };
+            for (ip, answer) in self.ask_each(others, StoreRequest::LastHeard).await {
+                let (StoreResponse::LastHeard(told), Some(member)) = (answer, members.at(ip)) else {
+                    continue;
+                };
                 let sight = told.into_iter().map(|(m, ms)| (m, Duration::from_millis(ms))).collect();
                 sights.insert(member, sight);
             }
@@ -229,8 +231,8 @@
             members: self.members().0,
             fresh: self.is_fresh(),
             chosen: self.known().0,
-            stood_ms: self.stood().as_millis() as u64,
-            heard: sight.into_iter().map(|(member, ago)| (member, ago.as_millis() as u64)).collect(),
+            unchanged_for_ms: self.stood().as_millis() as u64,
+            last_heard_ms: sight.into_iter().map(|(member, ago)| (member, ago.as_millis() as u64)).collect(),
             candidates: self.candidates.borrow().iter().map(|(member, (_, wait))| (*member, *wait)).collect(),
         }
     }
--- a/crates/starlinghill-config-store/src/disk.rs
+++ b/crates/starlinghill-config-store/src/disk.rs
@@ -1,6 +1,6 @@
 //! What is on disk: a thread of its own waits for it, so that a disk that hangs holds up nobody but who needs it.
 
-use crate::disk_latency::Usual;
+use crate::disk_latency::LatencyBaseline;
 use crate::records::{Changes, Records};
 use crate::wire::{State, Value};
 use bitcode::{Decode, Encode};
@@ -16,10 +16,10 @@
 /// Why the disk can't be used.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum ShelfError {
+pub enum StorageError {
     /// The database failed.
     #[snafu(display("{}: {source}", path.display()))]
-    Disk {
+    Database {
         /// Where.
         path: PathBuf,
         /// How.
@@ -35,7 +35,7 @@
     },
     /// A record can't be read.
     #[snafu(display("{}: record {key} can't be read", path.display()))]
-    Spoilt {
+    Corrupt {
         /// Where.
         path: PathBuf,
         /// Which.
@@ -45,9 +45,9 @@
 
 /// What stood on disk.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Found {
+pub struct StoredState {
     /// What the voter has to keep.
-    pub kept: AcceptorState,
+    pub acceptor: AcceptorState,
     /// Its state.
     pub state: State,
 }
@@ -63,14 +63,14 @@
 
 impl KeptBefore {
     /// The voters become the members of the first epoch, their lives incarnations.
-    fn read(self, ips: Vec<IpAddr>, here: IpAddr, value: Value) -> Option<Found> {
+    fn read(self, ips: Vec<IpAddr>, here: IpAddr, value: Value) -> Option<StoredState> {
         let KeptBefore { promised, accepted, chosen, lives } = self;
         let member = |(ip, incarnation)| Member { ip, incarnation };
         let voters: Vec<Member> = ips.into_iter().zip(lives).map(member).collect();
         let me = voters.iter().copied().find(|member| member.ip == here)?;
         let members = Members { epoch: 0, voters, before: Vec::new() };
         let kept = AcceptorState { me, promised, accepted, chosen, members: members.clone() };
-        Some(Found { kept, state: State { members, value } })
+        Some(StoredState { acceptor: kept, state: State { members, value } })
     }
 }
 
@@ -92,7 +92,7 @@
 }
 
 /// The disk of a store.
-pub struct Shelf {
+pub struct Storage {
     records: Records,
 }
 
@@ -106,18 +106,18 @@
 const ITEM: &str = "numbered/";
 const BEFORE: &str = "item/";
 
-impl Shelf {
+impl Storage {
     /// Opens what is there, or begins anew, on the machine of that address.
-    pub fn open(folder: &Path, here: IpAddr) -> Result<(Shelf, Option<Found>), ShelfError> {
+    pub fn open(folder: &Path, here: IpAddr) -> Result<(Storage, Option<StoredState>), StorageError> {
         let mut records = Records::open(folder)?;
         let found = match read(&records, here) {
             Ok(Some((found, is_before))) => {
-                let mut shelf = Shelf { records };
+                let mut storage = Storage { records };
                 if is_before {
                     // As a whole, before anything is said by it: records of both versions would be read as the newer one.
-                    shelf.save(&found.kept, Some(&found.state))?;
+                    storage.save(&found.acceptor, Some(&found.state))?;
                 }
-                return Ok((shelf, Some(found)));
+                return Ok((storage, Some(found)));
             }
             Ok(None) => None,
             Err(key) => {
@@ -125,7 +125,7 @@
                 None
             }
         };
-        Ok((Shelf { records }, found))
+        Ok((Storage { records }, found))
     }
 
     /// What is on disk is not what was written: this store has lost it, though files are there.
@@ -134,7 +134,7 @@
     }
 
     /// Writes and syncs. All of it is on disk when this returns, or none of it counts.
-    pub fn save(&mut self, kept: &AcceptorState, state: Option<&State>) -> Result<(), ShelfError> {
+    pub fn save(&mut self, kept: &AcceptorState, state: Option<&State>) -> Result<(), StorageError> {
         let mut changes: Changes = vec![(VOTER.into(), Some(bitcode::encode(kept)))];
         if let Some(State { members, value }) = state {
             changes.push((MEMBERS.into(), Some(bitcode::encode(members))));
@@ -158,7 +158,7 @@
 }
 
 /// What the records mean, and whether they are of the version before; or the key of one that means nothing.
-fn read(records: &Records, here: IpAddr) -> Result<Option<(Found, bool)>, String> {
+fn read(records: &Records, here: IpAddr) -> Result<Option<(StoredState, bool)>, String> {
     let (mut kept, mut members, mut value) = (None, None, BTreeMap::new());
     let (mut kept_before, mut voters_before) = (None, None);
     for (key, bytes) in records.held() {
@@ -181,24 +181,26 @@
     }
     let value = value.into_values().collect();
     Ok(match (kept, members, kept_before, voters_before) {
-        (Some(kept), Some(members), ..) => Some((Found { kept, state: State { members, value } }, false)),
+        (Some(kept), Some(members), ..) => {
+            Some((StoredState { acceptor: kept, state: State { members, value } }, false))
+        }
         (_, _, Some(kept), Some(ips)) => kept.read(ips, here, value).map(|found| (found, true)),
         _ => None,
     })
 }
 
 /// What has to be written, and who waits for it.
-pub struct Order {
+pub struct SaveRequest {
     /// The voter's own.
-    pub kept: AcceptorState,
+    pub acceptor: AcceptorState,
     /// Its state, where that is new.
     pub state: Option<State>,
     /// Told when it is on disk.
-    pub done: oneshot::Sender<Result<(), ShelfError>>,
+    pub done: oneshot::Sender<Result<(), StorageError>>,
 }
 
 /// The way to whoever writes, in the order of the queue: a thread, or a disk that is played.
-pub type Disk = mpsc::UnboundedSender<Order>;
+pub type StorageQueue = mpsc::UnboundedSender<SaveRequest>;
 
 /// The pauses after a write that failed: each try makes a folder anew, and a disk is refused for seconds.
 const PAUSE: Duration = Duration::from_millis(100);
@@ -207,13 +209,13 @@
 const TOLD_AGAIN: Duration = Duration::from_secs(1);
 
 /// Runs the thread that writes. Where the disk refuses, it tries until all is kept, and nobody is told of anything before.
-pub fn run(mut shelf: Shelf) -> Disk {
-    let (orders, mut queue) = mpsc::unbounded_channel::<Order>();
+pub fn spawn_writer(mut storage: Storage) -> StorageQueue {
+    let (orders, mut queue) = mpsc::unbounded_channel::<SaveRequest>();
     std::thread::spawn(move || {
-        let (mut usual, mut told, mut times) = (Usual::default(), None::<Instant>, 0);
+        let (mut usual, mut told, mut times) = (LatencyBaseline::default(), None::<Instant>, 0);
         while let Some(order) = queue.blocking_recv() {
             let (began, mut pause, mut tries) = (Instant::now(), PAUSE, 1);
-            while let Err(error) = shelf.save(&order.kept, order.state.as_ref()) {
+            while let Err(error) = storage.save(&order.acceptor, order.state.as_ref()) {
                 log::error!("event=disk_failed tries={tries} error=\"{error}\"");
                 std::thread::sleep(pause);
                 (pause, tries) = ((pause * 2).min(LONGEST_PAUSE), tries + 1);
--- a/crates/starlinghill-config-store/src/disk_latency.rs
+++ b/crates/starlinghill-config-store/src/disk_latency.rs
@@ -11,11 +11,11 @@
 
 /// What a disk usually takes for a write with its sync.
 #[derive(Debug, Default)]
-pub struct Usual {
+pub struct LatencyBaseline {
     usual: Option<Duration>,
 }
 
-impl Usual {
+impl LatencyBaseline {
     /// A write took so long: what it usually takes, where this one was slow. Slow ones count for no more than the bound,
     /// so that a disk that is slow for good is usual after some time.
     pub fn is_slow(&mut self, took: Duration) -> Option<Duration> {
--- a/crates/starlinghill-config-store/src/member_replacement.rs
+++ b/crates/starlinghill-config-store/src/member_replacement.rs
@@ -7,31 +7,31 @@
 
 /// The times that the rules go by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Times {
+pub struct MembershipTimes {
     /// A member that a majority did not hear for so long is gone.
     pub gone: Duration,
     /// A change has stood for so long before the next one may come: no registry then still goes by the set before.
     pub stood: Duration,
 }
 
-impl Times {
+impl MembershipTimes {
     /// From the time after which a new machine counts: half of it to notice that another has gone, half to take its place. And
     /// from what registries need to leave a set behind.
-    pub fn of(sync_time: Duration, registries: Duration) -> Times {
-        Times { gone: sync_time / 2, stood: registries }
+    pub fn of(sync_time: Duration, registries: Duration) -> MembershipTimes {
+        MembershipTimes { gone: sync_time / 2, stood: registries }
     }
 }
 
 /// Whom one member heard, and how long ago, as far back as it runs itself.
-pub type Sight = BTreeMap<Member, Duration>;
+pub type LastHeard = BTreeMap<Member, Duration>;
 
 /// Whether a candidate is to vote, and in whose place.
 pub fn decide(
-    times: Times,
+    times: MembershipTimes,
     members: &Members,
     stood: Duration,
     candidate: Member,
-    sights: &BTreeMap<Member, Sight>,
+    sights: &BTreeMap<Member, LastHeard>,
 ) -> Result<Option<MemberChange>, MembershipDelay> {
     if members.has(candidate) {
         return Ok(None);
@@ -48,7 +48,7 @@
         return Err(MembershipDelay::NoMajority);
     }
     let misses = |member: Member| {
-        let by = |sight: &Sight| sight.get(&member).is_some_and(|ago| *ago >= times.gone);
+        let by = |sight: &LastHeard| sight.get(&member).is_some_and(|ago| *ago >= times.gone);
         let missing: BTreeSet<Member> =
             sights.iter().filter(|(who, sight)| **who != member && by(sight)).map(|(who, _)| *who).collect();
         has_majority(&members.voters, &missing)
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -1,8 +1,8 @@
 //! The store as a process.
 
-use crate::acceptor::Keeper;
-use crate::disk::{self, Disk, Found, Order, Shelf, ShelfError};
-use crate::member_replacement::Times;
+use crate::acceptor::AcceptorHandle;
+use crate::disk::{self, SaveRequest, Storage, StorageError, StorageQueue, StoredState};
+use crate::member_replacement::MembershipTimes;
 use crate::proposer::Stores;
 use crate::wire::{StoreRequest, StoreResponse, Value};
 use snafu::{OptionExt, ResultExt, Snafu};
@@ -43,9 +43,9 @@
     Diskless,
     /// Its disk.
     #[snafu(display("{source}"))]
-    Disk {
+    Storage {
         /// What is wrong.
-        source: ShelfError,
+        source: StorageError,
     },
     /// A task that it can't do without has ended.
     #[snafu(display("the task {task} ended"))]
@@ -79,19 +79,19 @@
     std::fs::create_dir_all(&folder).context(SystemSnafu { what: folder.display().to_string() })?;
     let end = signals.end();
     tokio::pin!(end);
-    let (shelf, found) = tokio::select! {
+    let (storage, found) = tokio::select! {
         () = &mut end => return Ok(()),
         opened = open(&folder, node.ip) => opened,
     };
     // A store whose files are spoilt has lost them, also at the first start of all.
-    let node = NodeSettings { first_start: node.first_start && !shelf.is_spoilt(), ..node };
-    store(&node, &net, reread, found, disk::run(shelf), end).await
+    let node = NodeSettings { first_start: node.first_start && !storage.is_spoilt(), ..node };
+    run_store(&node, &net, reread, found, disk::spawn_writer(storage), end).await
 }
 
 /// Waits for a disk that refuses: to end would change nothing.
-async fn open(folder: &Path, here: IpAddr) -> (Shelf, Option<Found>) {
+async fn open(folder: &Path, here: IpAddr) -> (Storage, Option<StoredState>) {
     loop {
-        match Shelf::open(folder, here) {
+        match Storage::open(folder, here) {
             Ok(opened) => return opened,
             Err(error) => log::error!("event=disk_failed at=start error=\"{error}\""),
         }
@@ -100,12 +100,12 @@
 }
 
 /// Runs a store on a network until it is to end, with what stood on its disk.
-pub async fn store(
+pub async fn run_store(
     node: &NodeSettings,
     net: &NetworkHandle,
     reread: Reread,
-    found: Option<Found>,
-    disk: Disk,
+    found: Option<StoredState>,
+    disk: StorageQueue,
     end: impl Future<Output = ()>,
 ) -> Result<(), StartError> {
     tokio::pin!(end);
@@ -114,7 +114,7 @@
     let seeds = |node: &NodeSettings| -> Vec<IpAddr> { node.seeds.iter().map(|seed| seed.ip()).collect() };
     let was_there = found.is_some();
     let voter = match found {
-        Some(found) => Acceptor::again(found.kept, found.state),
+        Some(found) => Acceptor::again(found.acceptor, found.state),
         None => {
             let seeds = seeds(node);
             tokio::select! {
@@ -135,10 +135,10 @@
         node.first_start
     );
     let (essentials, mut first_end) = EssentialTasks::new();
-    let keeper = Keeper::start(voter, disk, &essentials);
+    let keeper = AcceptorHandle::start(voter, disk, &essentials);
     let by = fastrand::u32(1..);
     let chain = StalenessBudget::of(node.bounds.apply);
-    let times = Times::of(node.bounds.sync_time, chain.contact + chain.store_holds + LEASE);
+    let times = MembershipTimes::of(node.bounds.sync_time, chain.contact + chain.store_holds + LEASE);
     let stores = Rc::new(Stores::new(net, keeper, address.port(), by, times, chain));
     essentials.spawn("follow", stores.clone().follow());
     // Seeds of a file that was read again are asked from then on.
@@ -146,7 +146,7 @@
     essentials.spawn("belong", stores.clone().belong(move || latest().unwrap_or_else(|| first.clone())));
     let asked = stores.clone();
     // An order whose caller has left may be refused by another store meanwhile.
-    let order = |question: &StoreRequest| matches!(question, StoreRequest::Change(_));
+    let order = |question: &StoreRequest| matches!(question, StoreRequest::Apply(_));
     let answer = move |question, _| {
         let stores = asked.clone();
         async move { answer(question, &stores, chain).await }
@@ -162,7 +162,11 @@
 }
 
 /// A disk that is empty: a founder's, or the beginning of an incarnation that knows of no members yet.
-async fn begin(node: &NodeSettings, seeds: &[IpAddr], disk: &Disk) -> Result<Acceptor<Value>, StartError> {
+async fn begin(
+    node: &NodeSettings,
+    seeds: &[IpAddr],
+    disk: &StorageQueue,
+) -> Result<Acceptor<Value>, StartError> {
     let founders = Members::first(seeds.iter().copied());
     let founds = node.first_start && founders.at(node.ip).is_some();
     let incarnation = if founds { 0 } else { fastrand::u64(1..u64::MAX) };
@@ -172,25 +176,26 @@
     let (done, saved) = oneshot::channel();
     let (kept, state) = (voter.kept().clone(), Some(voter.state().clone()));
     // A disk that is no more tells it by its silence.
-    let _ = disk.send(Order { kept, state, done });
-    saved.await.ok().context(GoneSnafu)?.context(DiskSnafu)?;
+    let _ = disk.send(SaveRequest { acceptor: kept, state, done });
+    saved.await.ok().context(GoneSnafu)?.context(StorageSnafu)?;
     Ok(voter)
 }
 
 async fn answer(question: StoreRequest, stores: &Rc<Stores>, chain: StalenessBudget) -> StoreResponse {
     match question {
-        StoreRequest::Vote(to, ask) => {
-            stores.vote(to, ask).await.map_or(StoreResponse::NotNow, StoreResponse::Vote)
+        StoreRequest::Acceptor(to, ask) => {
+            stores.vote(to, ask).await.map_or(StoreResponse::Unavailable, StoreResponse::Acceptor)
         }
         StoreRequest::Members => {
             let (members, ballot) = stores.members();
             StoreResponse::Members(members, ballot)
         }
-        StoreRequest::Change(body) => StoreResponse::Changed(stores.change(&body).await),
-        StoreRequest::Read => {
-            stores.read().await.map_or(StoreResponse::NotNow, |items| StoreResponse::Whole(as_news(&items)))
-        }
-        StoreRequest::News(have, was_fresh) => {
+        StoreRequest::Apply(body) => StoreResponse::Applied(stores.change(&body).await),
+        StoreRequest::Read => stores
+            .read()
+            .await
+            .map_or(StoreResponse::Unavailable, |items| StoreResponse::Items(as_news(&items))),
+        StoreRequest::Changes(have, was_fresh) => {
             let asked = Instant::now();
             let (mut chosen, mut fresh) = (stores.chosen(), stores.fresh());
             // Without news it says after a while that there is none.
@@ -202,16 +207,16 @@
             }
             let (ballot, items) = (chosen.borrow().0, stores.news(have).map(|items| as_news(&items)));
             let (members, proposed) = (stores.members().0, stores.proposed());
-            let (contact, votes) = (stores.contact(asked), members.has(stores.me));
-            StoreResponse::News { ballot, contact, members, votes, proposed, items }
+            let (contact, is_voter) = (stores.contact(asked), members.has(stores.me));
+            StoreResponse::Changes { ballot, contact, members, is_voter, proposed, items }
         }
-        StoreRequest::Join(candidate) => StoreResponse::Admission(stores.admit(candidate).await),
-        StoreRequest::Sight => {
+        StoreRequest::Join(candidate) => StoreResponse::Membership(stores.admit(candidate).await),
+        StoreRequest::LastHeard => {
             let ms = |(member, ago): (Member, Duration)| (member, ago.as_millis() as u64);
-            StoreResponse::Sight(stores.sight().into_iter().map(ms).collect())
+            StoreResponse::LastHeard(stores.sight().into_iter().map(ms).collect())
         }
-        StoreRequest::Order(order) => StoreResponse::Admission(stores.order(order).await),
-        StoreRequest::Why => StoreResponse::Why(stores.standing()),
+        StoreRequest::ChangeMembers(order) => StoreResponse::Membership(stores.order(order).await),
+        StoreRequest::Status => StoreResponse::Status(stores.standing()),
     }
 }
 
--- a/crates/starlinghill-config-store/src/proposer.rs
+++ b/crates/starlinghill-config-store/src/proposer.rs
@@ -1,9 +1,9 @@
 //! Rounds over all members: changes, reads, settling what was left half done, and following what others agree on.
 
-use crate::acceptor::Keeper;
+use crate::acceptor::AcceptorHandle;
 use crate::apply_change;
-use crate::member_replacement::{Sight, Times};
-use crate::recent_changes::Recent;
+use crate::member_replacement::{LastHeard, MembershipTimes};
+use crate::recent_changes::RecentChanges;
 use crate::wire::{ChangeOutcome, State, StoreRequest, StoreResponse, Value};
 use starlinghill_config_model::ConfigChange;
 use starlinghill_consensus::{
@@ -27,8 +27,8 @@
 /// All stores, as this one sees them.
 pub struct Stores {
     pub(crate) me: Member,
-    pub(crate) keeper: Keeper,
-    pub(crate) times: Times,
+    pub(crate) keeper: AcceptorHandle,
+    pub(crate) times: MembershipTimes,
     net: NetworkHandle,
     port: u16,
     /// The ways to other stores. Those of members, and of whoever asks to be one.
@@ -44,7 +44,7 @@
     /// The highest ballot known to be agreed on, with its state.
     chosen: watch::Sender<(Ballot, Rc<State>)>,
     /// What changed with the last ones.
-    recent: RefCell<Recent>,
+    recent: RefCell<RecentChanges>,
     pub(crate) chain: StalenessBudget,
     start: Instant,
     /// A majority's word that all which it had agreed on is known here.
@@ -82,10 +82,10 @@
     /// As the voter here knows them. Ballots of this process are its own by that number.
     pub fn new(
         net: &NetworkHandle,
-        keeper: Keeper,
+        keeper: AcceptorHandle,
         port: u16,
         by: u32,
-        times: Times,
+        times: MembershipTimes,
         chain: StalenessBudget,
     ) -> Stores {
         let view = keeper.view.borrow().clone();
@@ -164,7 +164,7 @@
     }
 
     /// How long ago each member was heard, as far back as this store runs.
-    pub fn sight(&self) -> Sight {
+    pub fn sight(&self) -> LastHeard {
         let heard = self.heard.borrow();
         let ago = |member: &Member| heard.get(member).unwrap_or(&self.begun).elapsed();
         let known = self.members.borrow();
@@ -226,8 +226,8 @@
             let asked = self.keeper.ask_as(to, ask);
             return tokio::time::timeout(self.chain.voter, asked).await.ok()?;
         }
-        match self.caller(to.ip).call(&StoreRequest::Vote(to, ask), self.chain.voter).await {
-            Ok(StoreResponse::Vote(tell)) => Some(tell),
+        match self.caller(to.ip).call(&StoreRequest::Acceptor(to, ask), self.chain.voter).await {
+            Ok(StoreResponse::Acceptor(tell)) => Some(tell),
             _ => None,
         }
     }
--- a/crates/starlinghill-config-store/src/recent_changes.rs
+++ b/crates/starlinghill-config-store/src/recent_changes.rs
@@ -16,13 +16,13 @@
 
 /// The last changes of what was agreed on.
 #[derive(Default)]
-pub struct Recent {
+pub struct RecentChanges {
     steps: VecDeque<Step>,
     /// Items in all of them. No more than stand: to tell all costs no more then.
     items: usize,
 }
 
-impl Recent {
+impl RecentChanges {
     /// One value came after another.
     pub fn learn(&mut self, (from, old): (Ballot, &Value), (to, new): (Ballot, &Value)) {
         let name = |item: &Item| (item.kind, item.name.clone());
--- a/crates/starlinghill-config-store/src/records.rs
+++ b/crates/starlinghill-config-store/src/records.rs
@@ -8,7 +8,7 @@
 //! Each batch ends with a seal: its number, and a digest of all records. A journal whose last batch is torn is read
 //! without it, as nobody was told of that. Where more is missing, or the digest differs, the disk counts as lost.
 
-use crate::disk::{DiskSnafu, FolderSnafu, ShelfError};
+use crate::disk::{DatabaseSnafu, FolderSnafu, StorageError};
 use fjall::{Database, Keyspace, KeyspaceCreateOptions, PersistMode};
 use snafu::ResultExt;
 use std::collections::BTreeMap;
@@ -89,7 +89,7 @@
 
 impl Records {
     /// Reads what is there. A folder that never counted is removed: nobody was told of anything in it.
-    pub fn open(folder: &Path) -> Result<Records, ShelfError> {
+    pub fn open(folder: &Path) -> Result<Records, StorageError> {
         let whole = tidy(folder).context(FolderSnafu { path: folder })?;
         let mut records = Records {
             folder: folder.into(),
@@ -108,7 +108,7 @@
                 (records.digest, records.held) = (digest(&held), held);
                 (records.base, records.batches, records.taken) = (base, batches, taken);
             }
-            Err(Bad::Refused(source)) => return Err(source).context(DiskSnafu { path }),
+            Err(Bad::Refused(source)) => return Err(source).context(DatabaseSnafu { path }),
             Err(Bad::Spoilt(why)) => records.spoil(why),
         }
         Ok(records)
@@ -134,7 +134,7 @@
 
     /// Writes and syncs. All of it is on disk when this returns, or none of it counts; after a failure what was to be
     /// written must be written again, with whatever has come since.
-    pub fn save(&mut self, changes: Changes) -> Result<(), ShelfError> {
+    pub fn save(&mut self, changes: Changes) -> Result<(), StorageError> {
         let new = |(key, value): &(Vec<u8>, Option<Vec<u8>>)| self.held.get(key) != value.as_ref();
         let changes: Changes = changes.into_iter().filter(new).collect();
         let Some(base) = &self.base else {
@@ -162,7 +162,7 @@
         if let Err(source) = batch.commit() {
             // Nothing more is taken by it.
             self.base = None;
-            return Err(source).context(DiskSnafu { path: place(&self.folder, self.number) });
+            return Err(source).context(DatabaseSnafu { path: place(&self.folder, self.number) });
         }
         (self.digest, self.batches) = (digest, self.batches + 1);
         self.taken += changes.iter().map(size).sum::<usize>() as u64;
@@ -179,13 +179,13 @@
     }
 
     /// All records to a new folder, which counts from then on; the old one goes.
-    fn renew(&mut self, next: Held) -> Result<(), ShelfError> {
+    fn renew(&mut self, next: Held) -> Result<(), StorageError> {
         let number = self.number + 1;
         let path = place(&self.folder, number);
         let folder = || FolderSnafu { path: path.clone() };
         remove(&path).context(folder())?;
         let digest = digest(&next);
-        let disk = || DiskSnafu { path: path.clone() };
+        let disk = || DatabaseSnafu { path: path.clone() };
         let base = open(&path).context(disk())?;
         let mut batch = base.database.batch().durability(Some(PersistMode::SyncAll));
         for (key, value) in &next {
--- a/crates/starlinghill-config-store/src/wire.rs
+++ b/crates/starlinghill-config-store/src/wire.rs
@@ -1,142 +1,145 @@
-//! What a store is asked by other stores, by the registry beside it, and by a console.
+//! Messages that a store exchanges with other stores, with registries and with the console.
 
 use bitcode::{Decode, Encode};
 use starlinghill_config_model::Item;
 use starlinghill_consensus::{AcceptorReply, AcceptorRequest, Ballot, Member, MemberChange, Members};
 use starlinghill_lease::contact::QuorumContact;
 
-/// The value that stores agree on.
+/// The replicated configuration: all items, removed ones included.
 pub type Value = Vec<Item>;
 
-/// The state that they agree on: the value, and who votes.
+/// The replicated state: the configuration and the set of voting members.
 pub type State = starlinghill_consensus::State<Value>;
 
-/// A question.
+/// A request to a store. The order of the variants is part of the wire format.
 #[derive(Debug, Clone, Encode, Decode)]
 pub enum StoreRequest {
-    /// To the voter of that incarnation here, by another store.
-    Vote(Member, AcceptorRequest<Value>),
-    /// Who votes?
+    /// From another store: a consensus request to the acceptor of this member. An acceptor of another incarnation
+    /// rejects it.
+    Acceptor(Member, AcceptorRequest<Value>),
+    /// Asks for the voting members.
     Members,
-    /// An operator's change, as it was sent.
-    Change(Vec<u8>),
-    /// All that was agreed on until now.
+    /// An operator's configuration change, as the JSON body that was sent.
+    Apply(Vec<u8>),
+    /// Asks for all items, read through a majority.
     Read,
-    /// What was agreed on since that ballot, or a majority's word, where the one who asks last heard of none; the answer may
-    /// take a while.
-    News(Ballot, bool),
-    /// By a store that does not vote: it would.
+    /// Long poll: asks for the items that changed since this ballot. The flag says whether the caller had a valid quorum
+    /// contact; if it had none, the store also answers as soon as it has one itself.
+    Changes(Ballot, bool),
+    /// From a store that is not a voter: asks to become this voting member.
     Join(Member),
-    /// How long ago each member was heard here.
-    Sight,
-    /// By a console: those are to vote.
-    Order(MembershipOrder),
-    /// By a console: how things stand between the members.
-    Why,
+    /// Asks how long ago this store last heard from each member.
+    LastHeard,
+    /// From the console: changes the set of voting members.
+    ChangeMembers(MembershipOrder),
+    /// From the console: asks for the membership as this store sees it.
+    Status,
 }
 
-/// An answer.
+/// The answer to a [`StoreRequest`]. The order of the variants is part of the wire format.
 #[derive(Debug, Clone, Encode, Decode)]
 pub enum StoreResponse {
-    /// The voter's.
-    Vote(AcceptorReply<Value>),
-    /// The members that are known here to be agreed on, and a ballot that is no lower than the one they were agreed on by.
-    /// None where they are not known.
+    /// The acceptor's reply.
+    Acceptor(AcceptorReply<Value>),
+    /// The newest members that this store knows to be chosen, and a ballot at least as high as the one that chose them.
+    /// The members are empty if the store knows none.
     Members(Members, Ballot),
-    /// What came of a change.
-    Changed(ChangeOutcome),
-    /// All items, dropped ones included.
-    Whole(Value),
-    /// What was agreed on: its ballot, and the items where they are news.
-    News {
-        /// The ballot.
+    /// The outcome of a configuration change.
+    Applied(ChangeOutcome),
+    /// All items, removed ones included.
+    Items(Value),
+    /// The answer to a long poll.
+    Changes {
+        /// The highest ballot that this store knows to be chosen.
         ballot: Ballot,
-        /// A majority's word that nothing newer was agreed on; none where the last one is too old to go by.
+        /// A majority's confirmation that nothing newer is chosen. `None` if the last one is too old to be used.
         contact: Option<QuorumContact>,
-        /// The members that are known here to be agreed on.
+        /// The newest members that this store knows to be chosen.
         members: Members,
-        /// This store is one of them.
-        votes: bool,
-        /// Newer ones that the voter here accepted, and that may have been agreed on.
+        /// Whether this store is one of `members`.
+        is_voter: bool,
+        /// Newer members that the local acceptor has accepted. They may or may not be chosen.
         proposed: Option<Members>,
-        /// All items, where the one who asks has an older ballot's.
+        /// Items that the caller lacks; `None` if its ballot is not older than this store's. The list is the changed items
+        /// or all items: the caller merges either.
         items: Option<Value>,
     },
-    /// What came of an order on members, or of one that would be one.
-    Admission(MembershipOutcome),
-    /// How many milliseconds ago each member was heard here, as far back as this store runs.
-    Sight(Vec<(Member, u64)>),
-    /// How things stand between the members.
-    Why(MembershipStatus),
-    /// It can't be told now: there is no majority, or this store knows nothing yet.
-    NotNow,
+    /// The outcome of a join request or of a membership order.
+    Membership(MembershipOutcome),
+    /// Milliseconds since this store last heard from each member. A member never heard from counts from this store's start.
+    LastHeard(Vec<(Member, u64)>),
+    /// The membership as this store sees it.
+    Status(MembershipStatus),
+    /// No answer is possible now: there is no majority, or this store has not yet learned any state.
+    Unavailable,
 }
 
-/// What came of a change.
+/// The outcome of a configuration change.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum ChangeOutcome {
-    /// It is agreed on, and on the disks of a majority.
+    /// The change is chosen and synced to the disks of a majority.
     Taken,
-    /// It makes no sense, whoever is asked.
+    /// The change is malformed or inconsistent. Every store would reject it, at any time.
     Invalid(String),
-    /// One of its versions was confirmed with another content.
+    /// One of its versions was already confirmed with different content.
     Conflict(String),
-    /// No majority could be had in time, or one of its versions lies beyond the horizon: it may be taken or not.
+    /// It is unknown whether the change is chosen: no majority answered in time, or one of its versions is older than the
+    /// version history reaches.
     Unclear,
 }
 
-/// An operator's order on members, by addresses.
+/// An operator's order to change the voting members. Stores are named by their addresses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub enum MembershipOrder {
-    /// The store at that address is to vote too.
+    /// Makes the store at this address a voter.
     Add(std::net::IpAddr),
-    /// The one there is to vote no more.
+    /// Removes the voter at this address.
     Remove(std::net::IpAddr),
-    /// The second in the place of the first.
+    /// Replaces the voter at the first address by the store at the second.
     Replace(std::net::IpAddr, std::net::IpAddr),
 }
 
-/// What came of a wish for other members.
+/// The outcome of a join request or of a membership order. The variant names appear in log lines.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum MembershipOutcome {
-    /// It is agreed on.
+    /// The change is chosen.
     Done(MemberChange),
-    /// It stands so already.
+    /// Nothing to do: the candidate is a voter already.
     Stands,
-    /// Not now, and why.
+    /// The members are not changed now, for this reason.
     Waits(MembershipDelay),
 }
 
-/// Why members are not changed now.
+/// Why the members are not changed now. The variant names appear in log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub enum MembershipDelay {
-    /// The change before has not stood for long enough.
+    /// The previous change of members is too recent, or another change came first.
     TooSoon,
-    /// All members were heard a moment ago, by one of a majority at least.
+    /// No voter has been silent towards a majority for long enough to be replaced.
     NobodyGone,
-    /// Less than a majority could be asked whom it hears.
+    /// No majority of the voters answered, or the store that was asked is no voter itself.
     NoMajority,
-    /// The new one has not taken in all that was agreed on, synced.
+    /// The joining store does not answer, or has not synced the chosen state to its disk.
     NotSynced,
-    /// The set makes no sense: none would be left, or one is there twice, or who is to go is none.
+    /// The resulting set is invalid: it would be empty, have a duplicate, or the member to remove is not in it.
     Refused,
 }
 
-/// How things stand between the members, as one store sees them.
+/// The membership as one store sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct MembershipStatus {
-    /// Who tells.
+    /// The reporting store.
     pub me: Member,
-    /// Who votes.
+    /// The newest members that it knows to be chosen.
     pub members: Members,
-    /// A majority said a moment ago that nothing newer was agreed on.
+    /// Whether a majority recently confirmed that nothing newer is chosen.
     pub fresh: bool,
-    /// The highest ballot known to be agreed on.
+    /// The highest ballot that it knows to be chosen.
     pub chosen: Ballot,
-    /// For how many milliseconds these members are known here.
-    pub stood_ms: u64,
-    /// How many milliseconds ago each was heard.
-    pub heard: Vec<(Member, u64)>,
-    /// Stores that would vote, and why they don't, as of the last time they asked here.
+    /// Milliseconds since it learned of these members.
+    pub unchanged_for_ms: u64,
+    /// Milliseconds since it last heard from each member.
+    pub last_heard_ms: Vec<(Member, u64)>,
+    /// Stores that asked to join, with the reason given for the delay at their last request.
     pub candidates: Vec<(Member, MembershipDelay)>,
 }
--- a/crates/starlinghill-config-store/tests/acceptor.rs
+++ b/crates/starlinghill-config-store/tests/acceptor.rs
@@ -1,7 +1,7 @@
 //! A disk that refuses, or hangs: what was not kept is not told.
 
-use starlinghill_config_store::acceptor::Keeper;
-use starlinghill_config_store::disk::{Order, ShelfError};
+use starlinghill_config_store::acceptor::AcceptorHandle;
+use starlinghill_config_store::disk::{SaveRequest, StorageError};
 use starlinghill_consensus::{Acceptor, AcceptorReply, AcceptorRequest, Ballot, Members, State};
 use starlinghill_runtime::essential_tasks::EssentialTasks;
 use std::net::IpAddr;
@@ -12,12 +12,12 @@
 
 #[tokio::test]
 async fn a_voter_whose_disk_refused_says_nothing_until_all_that_it_holds_is_kept() {
-    let (disk, mut orders) = mpsc::unbounded_channel::<Order>();
+    let (disk, mut orders) = mpsc::unbounded_channel::<SaveRequest>();
     let refuses = Arc::new(AtomicBool::new(true));
     let refusing = refuses.clone();
     std::thread::spawn(move || {
         while let Some(order) = orders.blocking_recv() {
-            let refused = || ShelfError::Spoilt { path: "disk".into(), key: "refused".into() };
+            let refused = || StorageError::Corrupt { path: "disk".into(), key: "refused".into() };
             let kept = !refusing.load(Ordering::SeqCst);
             let _ = order.done.send(kept.then_some(()).ok_or_else(refused));
         }
@@ -25,7 +25,7 @@
     let task = LocalSet::new();
     task.run_until(async {
         let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
-        let keeper = Keeper::start(
+        let keeper = AcceptorHandle::start(
             Acceptor::new(members.voters[0], members.clone()),
             disk,
             &EssentialTasks::default(),
@@ -45,11 +45,11 @@
 
 #[tokio::test]
 async fn while_a_disk_hangs_its_voter_says_nothing_and_then_all_in_turn() {
-    let (disk, mut orders) = mpsc::unbounded_channel::<Order>();
+    let (disk, mut orders) = mpsc::unbounded_channel::<SaveRequest>();
     let task = LocalSet::new();
     task.run_until(async {
         let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
-        let keeper = Keeper::start(
+        let keeper = AcceptorHandle::start(
             Acceptor::new(members.voters[0], members.clone()),
             disk,
             &EssentialTasks::default(),
@@ -70,7 +70,7 @@
         assert!(!accepted.is_finished() && !looked.is_finished());
         let order = orders.try_recv().expect("it is to be written");
         // What is written is the promise and the state, and nothing else was begun behind it.
-        assert!(order.state.is_some() && order.kept.accepted == ballot && orders.try_recv().is_err());
+        assert!(order.state.is_some() && order.acceptor.accepted == ballot && orders.try_recv().is_err());
         order.done.send(Ok(())).expect("somebody waits");
         let (accepted, looked) = (accepted.await.expect("whole"), looked.await.expect("whole"));
         assert!(accepted.is_some(), "{accepted:?}");
@@ -84,11 +84,11 @@
 
 #[tokio::test]
 async fn what_was_given_up_while_a_disk_hung_is_not_done_behind_it() {
-    let (disk, mut orders) = mpsc::unbounded_channel::<Order>();
+    let (disk, mut orders) = mpsc::unbounded_channel::<SaveRequest>();
     let task = LocalSet::new();
     task.run_until(async {
         let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
-        let keeper = Keeper::start(
+        let keeper = AcceptorHandle::start(
             Acceptor::new(members.voters[0], members.clone()),
             disk,
             &EssentialTasks::default(),
@@ -119,13 +119,14 @@
 
 #[tokio::test]
 async fn a_voter_whose_writer_is_no_more_ends_its_process() {
-    let (disk, orders) = mpsc::unbounded_channel::<Order>();
+    let (disk, orders) = mpsc::unbounded_channel::<SaveRequest>();
     drop(orders);
     let task = LocalSet::new();
     task.run_until(async {
         let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
         let (essentials, mut first_end) = EssentialTasks::new();
-        let keeper = Keeper::start(Acceptor::new(members.voters[0], members.clone()), disk, &essentials);
+        let keeper =
+            AcceptorHandle::start(Acceptor::new(members.voters[0], members.clone()), disk, &essentials);
         let state = State { members, value: Vec::new() };
         let accept = AcceptorRequest::Accept { ballot: Ballot { round: 1, by: 1 }, epoch: 0, state };
         assert!(keeper.ask(accept).await.is_none());
--- a/crates/starlinghill-config-store/tests/disk.rs
+++ b/crates/starlinghill-config-store/tests/disk.rs
@@ -1,7 +1,7 @@
 //! What is on disk after writes, kills of the process, and files that were cut short.
 
 use starlinghill_config_model::{Item, ItemKind, VersionHistory};
-use starlinghill_config_store::disk::Shelf;
+use starlinghill_config_store::disk::Storage;
 use starlinghill_config_store::wire::State;
 use starlinghill_consensus::{AcceptorState, Ballot, Member, Members};
 use std::net::IpAddr;
@@ -32,26 +32,26 @@
     State { members: members(), value }
 }
 
-fn open(folder: &Path) -> (Shelf, Option<starlinghill_config_store::disk::Found>) {
-    Shelf::open(folder, members().voters[2].ip).unwrap_or_else(|error| panic!("{error}"))
+fn open(folder: &Path) -> (Storage, Option<starlinghill_config_store::disk::StoredState>) {
+    Storage::open(folder, members().voters[2].ip).unwrap_or_else(|error| panic!("{error}"))
 }
 
 #[test]
 fn what_was_saved_is_found_and_an_empty_folder_says_that_it_is() {
     let folder = tempfile::tempdir().unwrap_or_else(|error| panic!("{error}"));
-    let (mut shelf, found) = open(folder.path());
+    let (mut storage, found) = open(folder.path());
     assert!(found.is_none());
     let first = state(vec![item("r-1", 7), item("r-2", 7)]);
-    assert!(shelf.save(&kept(1), Some(&first)).is_ok());
+    assert!(storage.save(&kept(1), Some(&first)).is_ok());
     // Of the next value one item is new, one is gone, as when a change that nobody took is replaced.
     let next = state(vec![item("r-1", 8)]);
-    assert!(shelf.save(&kept(2), Some(&next)).is_ok());
+    assert!(storage.save(&kept(2), Some(&next)).is_ok());
     // A promise alone leaves the value.
-    assert!(shelf.save(&kept(3), None).is_ok());
-    drop(shelf);
+    assert!(storage.save(&kept(3), None).is_ok());
+    drop(storage);
     let (_, found) = open(folder.path());
     let Some(found) = found else { panic!("nothing is there") };
-    assert_eq!((found.kept, found.state), (kept(3), next));
+    assert_eq!((found.acceptor, found.state), (kept(3), next));
 }
 
 /// What the version before kept of a voter: lives of disks, in the order of the voters' addresses.
@@ -108,20 +108,20 @@
     let state = |value| State { members: members.clone(), value };
     // A promise alone leaves the state as it is.
     for _ in 0..2 {
-        let (mut shelf, found) = open(folder.path());
+        let (mut storage, found) = open(folder.path());
         let Some(found) = found else { panic!("nothing is there") };
-        assert_eq!((found.kept, found.state), (kept(4), state(items.clone())));
-        assert!(shelf.save(&kept(4), None).is_ok());
+        assert_eq!((found.acceptor, found.state), (kept(4), state(items.clone())));
+        assert!(storage.save(&kept(4), None).is_ok());
     }
     // The next value is all that is there then.
-    let (mut shelf, _) = open(folder.path());
+    let (mut storage, _) = open(folder.path());
     let mut next = unknown("r-1", 9);
     next.history.confirm(8, 3);
-    assert!(shelf.save(&kept(5), Some(&state(vec![next.clone()]))).is_ok());
-    drop(shelf);
+    assert!(storage.save(&kept(5), Some(&state(vec![next.clone()]))).is_ok());
+    drop(storage);
     let (_, found) = open(folder.path());
     let Some(found) = found else { panic!("nothing is there") };
-    assert_eq!((found.kept, found.state), (kept(5), state(vec![next])));
+    assert_eq!((found.acceptor, found.state), (kept(5), state(vec![next])));
 }
 
 /// The last save was not synced to its end when power went: what was acknowledged before it stands, whole.
@@ -129,18 +129,18 @@
 fn a_journal_that_was_cut_short_holds_what_was_saved_before() {
     for cut in [1, 9, 40, 200] {
         let folder = tempfile::tempdir().unwrap_or_else(|error| panic!("{error}"));
-        let (mut shelf, _) = open(folder.path());
+        let (mut storage, _) = open(folder.path());
         for round in 1..=5 {
-            assert!(shelf.save(&kept(round), Some(&state(vec![item("r-1", round)]))).is_ok());
+            assert!(storage.save(&kept(round), Some(&state(vec![item("r-1", round)]))).is_ok());
         }
         let before = written(folder.path());
-        assert!(shelf.save(&kept(6), Some(&state(vec![item("r-1", 6)]))).is_ok());
+        assert!(storage.save(&kept(6), Some(&state(vec![item("r-1", 6)]))).is_ok());
         let after = written(folder.path());
-        drop(shelf);
+        drop(storage);
         tear(&before, &after, cut);
         let (_, found) = open(folder.path());
         let Some(found) = found else { panic!("cut by {cut}: nothing is there") };
-        let round = found.kept.promised.round;
+        let round = found.acceptor.promised.round;
         assert!((5..=6).contains(&round), "cut by {cut}: round {round}");
         assert_eq!(
             found.state.value,
--- a/crates/starlinghill-config-store/tests/recent_changes.rs
+++ b/crates/starlinghill-config-store/tests/recent_changes.rs
@@ -1,7 +1,7 @@
 //! Whoever is told only what changed has all that stands.
 
 use starlinghill_config_model::{Item, ItemKind, ItemSet, VersionHistory};
-use starlinghill_config_store::recent_changes::Recent;
+use starlinghill_config_store::recent_changes::RecentChanges;
 use starlinghill_config_store::wire::Value;
 use starlinghill_consensus::Ballot;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
     let (mut sent, mut whole) = (0, 0);
     for seed in 0..40 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let (mut recent, mut now) = (Recent::default(), (Ballot::default(), Value::new()));
+        let (mut recent, mut now) = (RecentChanges::default(), (Ballot::default(), Value::new()));
         let mut items = BTreeMap::new();
         let mut followers: Vec<Follower> = (0..3).map(|_| Follower::default()).collect();
         for round in 1..=600 {
@@ -60,7 +60,7 @@
 #[test]
 fn a_ballot_that_is_not_remembered_gets_no_difference() {
     let ballot = |round| Ballot { round, by: 1 };
-    let mut recent = Recent::default();
+    let mut recent = RecentChanges::default();
     let values: Vec<Value> = (1..5).map(|version| vec![item(1, version), item(2, 1)]).collect();
     for (i, pair) in values.windows(2).enumerate() {
         let round = i as u64 + 1;
--- a/crates/starlinghill-config-store/tests/records.rs
+++ b/crates/starlinghill-config-store/tests/records.rs
@@ -1,7 +1,7 @@
 //! Disks that refuse, tear, rot, and fill: what a store finds on them afterwards is all that was told, or nothing.
 
 use starlinghill_config_model::{Item, ItemKind, VersionHistory};
-use starlinghill_config_store::disk::{self, Found, Order, Shelf};
+use starlinghill_config_store::disk::{self, SaveRequest, Storage, StoredState};
 use starlinghill_config_store::records::REPLACED_AT;
 use starlinghill_config_store::wire::State;
 use starlinghill_consensus::{AcceptorState, Ballot, Members};
@@ -33,12 +33,12 @@
     State { members: members(), value }
 }
 
-fn open(folder: &Path) -> (Shelf, Option<Found>) {
-    Shelf::open(folder, members().voters[0].ip).unwrap_or_else(|error| panic!("{error}"))
+fn open(folder: &Path) -> (Storage, Option<StoredState>) {
+    Storage::open(folder, members().voters[0].ip).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn save(shelf: &mut Shelf, round: u64, items: &[Item]) {
-    let saved = shelf.save(&kept(round), Some(&state(items.to_vec())));
+fn save(storage: &mut Storage, round: u64, items: &[Item]) {
+    let saved = storage.save(&kept(round), Some(&state(items.to_vec())));
     saved.unwrap_or_else(|error| panic!("round {round}: {error}"));
 }
 
@@ -105,29 +105,29 @@
         return;
     }
     let folder = folder();
-    let (mut shelf, _) = open(folder.path());
-    save(&mut shelf, 1, &[item("r-1", 1, 4_000)]);
+    let (mut storage, _) = open(folder.path());
+    save(&mut storage, 1, &[item("r-1", 1, 4_000)]);
     for refusal in 0..3 {
         longest_file("1000");
         let round = 2 + refusal;
         let items = vec![item("r-1", round, 4_000), item("r-2", round, 10)];
         for _ in 0..2 {
-            assert!(shelf.save(&kept(round), Some(&state(items.clone()))).is_err());
+            assert!(storage.save(&kept(round), Some(&state(items.clone()))).is_err());
         }
         longest_file("unlimited");
-        save(&mut shelf, round, &items);
+        save(&mut storage, round, &items);
         // A promise alone, and a value behind it.
-        assert!(shelf.save(&kept(round), None).is_ok());
+        assert!(storage.save(&kept(round), None).is_ok());
     }
-    drop(shelf);
-    let (shelf, found) = open(folder.path());
+    drop(storage);
+    let (storage, found) = open(folder.path());
     let value = vec![item("r-1", 4, 4_000), item("r-2", 4, 10)];
-    assert_eq!(found, Some(Found { kept: kept(4), state: state(value) }));
+    assert_eq!(found, Some(StoredState { acceptor: kept(4), state: state(value) }));
     // Through the thread that writes: silent while the disk refuses, and done when it is back.
-    let disk = disk::run(shelf);
+    let disk = disk::spawn_writer(storage);
     longest_file("1000");
     let (done, mut saved) = oneshot::channel();
-    let order = Order { kept: kept(5), state: Some(state(vec![item("r-1", 5, 4_000)])), done };
+    let order = SaveRequest { acceptor: kept(5), state: Some(state(vec![item("r-1", 5, 4_000)])), done };
     assert!(disk.send(order).is_ok());
     std::thread::sleep(Duration::from_millis(300));
     assert!(saved.try_recv().is_err(), "nothing can be kept yet");
@@ -157,14 +157,14 @@
 #[test]
 fn a_batch_that_is_torn_anywhere_leaves_what_was_told_before() {
     let source = folder();
-    let (mut shelf, _) = open(source.path());
-    save(&mut shelf, 1, &many(1));
-    save(&mut shelf, 2, &many(2));
+    let (mut storage, _) = open(source.path());
+    save(&mut storage, 1, &many(1));
+    save(&mut storage, 2, &many(2));
     let journal = journal(source.path());
     let before = bytes(&journal);
-    save(&mut shelf, 3, &many(3));
+    save(&mut storage, 3, &many(3));
     let after = bytes(&journal);
-    drop(shelf);
+    drop(storage);
     let changed: Vec<usize> = (0..after.len()).filter(|i| before.get(*i) != Some(&after[*i])).collect();
     let (first, last) = (changed[0], changed[changed.len() - 1]);
     // Sectors, and what one write takes.
@@ -173,14 +173,14 @@
             let mut torn = after.clone();
             torn[at.max(first)..(at + lost).min(last + 1)].fill(0);
             let torn = copy(source.path(), &journal, &torn);
-            let (mut shelf, found) = open(torn.path());
+            let (mut storage, found) = open(torn.path());
             let found = found.unwrap_or_else(|| panic!("{lost} bytes lost at {at}: nothing is there"));
-            assert_eq!((found.kept, found.state.value), (kept(2), many(2)), "{lost} bytes lost at {at}");
+            assert_eq!((found.acceptor, found.state.value), (kept(2), many(2)), "{lost} bytes lost at {at}");
             // It goes on from there.
-            save(&mut shelf, 4, &many(4));
-            drop(shelf);
+            save(&mut storage, 4, &many(4));
+            drop(storage);
             let (_, found) = open(torn.path());
-            assert_eq!(found.map(|found| found.kept), Some(kept(4)), "{lost} bytes lost at {at}");
+            assert_eq!(found.map(|found| found.acceptor), Some(kept(4)), "{lost} bytes lost at {at}");
         }
     }
 }
@@ -190,11 +190,11 @@
 #[test]
 fn a_disk_that_rots_counts_as_lost_rather_than_as_it_once_was() {
     let source = folder();
-    let (mut shelf, _) = open(source.path());
+    let (mut storage, _) = open(source.path());
     for round in 1..=6 {
-        save(&mut shelf, round, &many(round));
+        save(&mut storage, round, &many(round));
     }
-    drop(shelf);
+    drop(storage);
     let (mut lost, mut stood) = (0, 0);
     for path in files(source.path()) {
         let written = bytes(&path);
@@ -208,16 +208,16 @@
             let rotten = copy(source.path(), &path, &rotten);
             let name = path.display();
             let opened = std::panic::catch_unwind(|| open(rotten.path()));
-            let (shelf, found) = opened.unwrap_or_else(|_| panic!("{name} at {at}: it does not open"));
+            let (storage, found) = opened.unwrap_or_else(|_| panic!("{name} at {at}: it does not open"));
             match found {
                 Some(found) => {
-                    let round = found.kept.promised.round;
+                    let round = found.acceptor.promised.round;
                     assert!(round >= 5, "{name} at {at}: round {round} stands");
                     assert_eq!(found.state.value, many(round), "{name} at {at}");
                     stood += 1;
                 }
                 None => {
-                    assert!(shelf.is_spoilt(), "{name} at {at}: it counts as new");
+                    assert!(storage.is_spoilt(), "{name} at {at}: it counts as new");
                     lost += 1;
                 }
             }
@@ -234,11 +234,11 @@
         let place = folder.path().join(name);
         assert!(fs::create_dir_all(place.join("keyspaces")).is_ok());
         assert!(fs::write(place.join("lock"), []).is_ok() && fs::write(place.join("0.jnl"), []).is_ok());
-        let (mut shelf, found) = open(folder.path());
-        assert!(found.is_none() && !shelf.is_spoilt());
-        save(&mut shelf, 1, &many(1));
-        drop(shelf);
-        assert_eq!(open(folder.path()).1.map(|found| found.kept), Some(kept(1)));
+        let (mut storage, found) = open(folder.path());
+        assert!(found.is_none() && !storage.is_spoilt());
+        save(&mut storage, 1, &many(1));
+        drop(storage);
+        assert_eq!(open(folder.path()).1.map(|found| found.acceptor), Some(kept(1)));
     }
 }
 
@@ -252,11 +252,11 @@
 #[test]
 fn a_disk_is_bounded_whatever_is_written_to_it() {
     let folder = folder();
-    let (mut shelf, _) = open(folder.path());
+    let (mut storage, _) = open(folder.path());
     let (mut most, mut places) = (0, 0);
     for round in 1..=600 {
         save(
-            &mut shelf,
+            &mut storage,
             round,
             &(0..20).map(|i| item(&format!("r-{i:02}"), round, 4_000)).collect::<Vec<_>>(),
         );
@@ -266,6 +266,6 @@
     // 48 MB were written. One folder up to its bound and a save beyond, and the next one, with keys, heads and tables.
     assert!(most < 2 * REPLACED_AT + (1 << 20), "{most} bytes");
     assert!(places == 1, "{places} folders stay");
-    drop(shelf);
-    assert_eq!(open(folder.path()).1.map(|found| found.kept), Some(kept(600)));
+    drop(storage);
+    assert_eq!(open(folder.path()).1.map(|found| found.acceptor), Some(kept(600)));
 }
--- a/crates/starlinghill-console/src/client.rs
+++ b/crates/starlinghill-console/src/client.rs
@@ -1,4 +1,4 @@
-//! Questions to registries: their own port for how things stand, the outside calls for items.
+//! Client of the registries: their internal RPC port for status and drains, their HTTP API for configuration items.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -18,106 +18,112 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long one process may take.
-pub const PATIENCE: Duration = Duration::from_secs(2);
-/// The longest list of items that is read.
-const LONGEST: usize = 16 << 20;
+/// How long one registry or store may take to answer.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest HTTP response body that is read, in bytes. Guards memory.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Why something can't be had.
+/// Why a request of the console failed.
 #[derive(Debug, Snafu)]
-pub enum AskError {
+pub enum ClientError {
     /// No registry answered.
     #[snafu(display("no registry answered: asked {asked}"))]
     Silent {
-        /// Which.
+        /// The addresses that were tried.
         asked: String,
     },
-    /// A registry refused it.
+    /// A registry answered with an HTTP error.
     #[snafu(display("refused with {status}: {reason}"))]
     Refused {
-        /// The status.
+        /// The HTTP status code.
         status: u16,
-        /// What it said.
+        /// The error text of the response.
         reason: String,
     },
-    /// What came makes no sense.
-    #[snafu(display("{what}"))]
-    Nonsense {
-        /// What.
-        what: String,
+    /// Anything else: wrong arguments, an unreadable file, or an answer that can't be used.
+    #[snafu(display("{problem}"))]
+    Other {
+        /// The message for the operator.
+        problem: String,
     },
 }
 
-/// Where registries are.
+/// The addresses of the registries and of the stores on the same machines.
 #[derive(Debug, Clone)]
-pub struct Places {
-    /// Their own ports.
-    pub racks: Vec<SocketAddr>,
-    /// The stores beside them.
+pub struct RegistryClient {
+    /// The registries' internal RPC addresses.
+    pub registries: Vec<SocketAddr>,
+    /// The RPC addresses of the configuration stores.
     pub stores: Vec<SocketAddr>,
-    /// Where they are called from outside.
-    pub controls: Vec<SocketAddr>,
+    /// The addresses of the registries' HTTP API.
+    pub http_addresses: Vec<SocketAddr>,
 }
 
-impl Places {
-    /// As a machine's settings tell.
-    pub fn of(node: &NodeSettings) -> Places {
-        let racks = node.seeds.iter().map(|seed| node.port(seed.ip(), REGISTRY_PORT_OFFSET)).collect();
-        let stores = node.seeds.iter().map(|seed| node.port(seed.ip(), CONFIG_STORE_PORT_OFFSET)).collect();
-        Places { racks, stores, controls: node.seeds.clone() }
+impl RegistryClient {
+    /// Takes the addresses from the seeds in a machine's settings.
+    pub fn of(node: &NodeSettings) -> RegistryClient {
+        let ports = |offset| node.seeds.iter().map(|seed| node.port(seed.ip(), offset)).collect();
+        RegistryClient {
+            registries: ports(REGISTRY_PORT_OFFSET),
+            stores: ports(CONFIG_STORE_PORT_OFFSET),
+            http_addresses: node.seeds.clone(),
+        }
     }
 
-    /// How things stand at each registry, in their order; `None` where one does not answer.
+    /// The status of each registry, in the order of the settings; `None` for one that does not answer.
     pub async fn statuses(&self) -> Vec<(SocketAddr, Option<RegistryStatus>)> {
         let mut all = Vec::new();
-        for rack in &self.racks {
-            let status =
-                match RpcClient::new(&net::tcp(), *rack).call(&RegistryRequest::Status, PATIENCE).await {
-                    Ok(RegistryResponse::Status(status)) => Some(*status),
-                    _ => None,
-                };
-            all.push((*rack, status));
+        for registry in &self.registries {
+            let client = RpcClient::new(&net::tcp(), *registry);
+            let status = match client.call(&RegistryRequest::Status, REQUEST_TIMEOUT).await {
+                Ok(RegistryResponse::Status(status)) => Some(*status),
+                _ => None,
+            };
+            all.push((*registry, status));
         }
         all
     }
 
-    /// Has a backend take no new work: said once a majority of registries knows. Returns how many do.
-    pub async fn drain(&self, id: &str) -> Result<usize, AskError> {
+    /// Tells all registries that a backend takes no new work. Succeeds once a majority has noted it, and returns how many
+    /// did.
+    pub async fn drain(&self, id: &str) -> Result<usize, ClientError> {
         let (mut noted, mut unknown) = (0, 0);
-        for rack in &self.racks {
-            match RpcClient::new(&net::tcp(), *rack).call(&RegistryRequest::Drain(id.into()), PATIENCE).await
-            {
+        for registry in &self.registries {
+            let client = RpcClient::new(&net::tcp(), *registry);
+            match client.call(&RegistryRequest::Drain(id.into()), REQUEST_TIMEOUT).await {
                 Ok(RegistryResponse::Noted) => noted += 1,
                 Ok(RegistryResponse::Unknown) => unknown += 1,
                 _ => {}
             }
         }
-        if noted > self.racks.len() / 2 {
+        if noted > self.registries.len() / 2 {
             return Ok(noted);
         }
-        let all = self.racks.len();
-        let what =
-            format!("{noted} of {all} registries noted it, {unknown} know no backend {id}: not certain");
-        Err(AskError::Nonsense { what })
+        let all = self.registries.len();
+        let problem = format!(
+            "{noted} of {all} registries noted the drain, {unknown} know no backend {id}: it may not take effect"
+        );
+        Err(ClientError::Other { problem })
     }
 
-    /// All items that stand.
-    pub async fn items(&self) -> Result<OwnedValue, AskError> {
-        let body = self.outside(Method::GET, Bytes::new()).await?;
+    /// The current configuration items.
+    pub async fn items(&self) -> Result<OwnedValue, ClientError> {
+        let body = self.call_http(Method::GET, Bytes::new()).await?;
         simd_json::to_owned_value(&mut body.to_vec())
-            .map_err(|error| AskError::Nonsense { what: format!("the items: {error}") })
+            .map_err(|error| ClientError::Other { problem: format!("the items: {error}") })
     }
 
-    /// Sends a change as it is.
-    pub async fn apply(&self, change: Vec<u8>) -> Result<(), AskError> {
-        self.outside(Method::PATCH, change.into()).await.map(drop)
+    /// Sends a configuration change unaltered.
+    pub async fn apply(&self, change: Vec<u8>) -> Result<(), ClientError> {
+        self.call_http(Method::PATCH, change.into()).await.map(drop)
     }
 
-    /// Calls registries in turn until one answers clearly.
-    async fn outside(&self, method: Method, body: Bytes) -> Result<Bytes, AskError> {
+    /// Calls the registries in turn until one answers with success or with a 4xx status. A 5xx status is returned only if
+    /// no other registry gives a definite answer.
+    async fn call_http(&self, method: Method, body: Bytes) -> Result<Bytes, ClientError> {
         let mut last = None;
-        for control in &self.controls {
-            let called = timeout(PATIENCE, call(*control, method.clone(), body.clone()));
+        for address in &self.http_addresses {
+            let called = timeout(REQUEST_TIMEOUT, call(*address, method.clone(), body.clone()));
             let Ok(Some((status, body))) = called.await else { continue };
             if status.is_success() {
                 return Ok(body);
@@ -125,14 +131,14 @@
             let reason = simd_json::to_owned_value(&mut body.to_vec()).ok();
             let reason = reason.and_then(|v| v.get("error").and_then(|v| v.as_str()).map(str::to_string));
             let reason = reason.unwrap_or_else(|| String::from_utf8_lossy(&body).into_owned());
-            let refused = AskError::Refused { status: status.as_u16(), reason };
+            let refused = ClientError::Refused { status: status.as_u16(), reason };
             if status.is_client_error() {
                 return Err(refused);
             }
             last = Some(refused);
         }
-        let asked = self.controls.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ");
-        Err(last.unwrap_or(AskError::Silent { asked }))
+        let asked = self.http_addresses.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ");
+        Err(last.unwrap_or(ClientError::Silent { asked }))
     }
 }
 
@@ -148,12 +154,12 @@
         .ok()?;
     let answered = async {
         let (head, body) = sender.send_request(request).await.ok()?.into_parts();
-        let body = Limited::new(body, LONGEST).collect().await.ok()?.to_bytes();
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.ok()?.to_bytes();
         Some((head.status, body))
     };
     tokio::select! {
         answer = answered => answer,
-        // It may end right behind its answer.
+        // The connection may close right after the response: never treat that as a failure while the body is being read.
         _ = async { let _ = connection.await; std::future::pending::<()>().await } => None,
     }
 }
--- a/crates/starlinghill-console/src/main.rs
+++ b/crates/starlinghill-console/src/main.rs
@@ -3,7 +3,7 @@
 use ratatui::crossterm::event::{self, Event, KeyCode};
 use simd_json::prelude::*;
 use starlinghill_config_model::{ConfigChange, RoutingTable};
-use starlinghill_console::client::{AskError, Places};
+use starlinghill_console::client::{ClientError, RegistryClient};
 use starlinghill_console::explain::{book, differences, explain, Asked};
 use starlinghill_console::membership;
 use starlinghill_console::screen::{draw, Beside};
@@ -58,7 +58,7 @@
         None => NodeSettings::from_environment(),
     };
     let places = match node {
-        Ok(node) => Places::of(&node),
+        Ok(node) => RegistryClient::of(&node),
         Err(error) => return failed(&error),
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
@@ -73,23 +73,29 @@
             ["diff", file] => diff(&places, file).await,
             ["apply", file] => match std::fs::read(file) {
                 Ok(change) => places.apply(change).await.map(|()| println!("taken")),
-                Err(error) => Err(AskError::Nonsense { what: format!("{file}: {error}") }),
+                Err(error) => Err(ClientError::Other { problem: format!("{file}: {error}") }),
             },
             ["drain", id] => places.drain(id).await.map(|noted| println!("noted by {noted} registries")),
             ["core", "list"] => {
-                membership::list(&places.standings().await).iter().for_each(|line| println!("{line}"));
+                membership::member_lines(&places.membership_statuses().await)
+                    .iter()
+                    .for_each(|line| println!("{line}"));
                 Ok(())
             }
             ["core", "why"] => {
-                membership::why(&places.standings().await).iter().for_each(|line| println!("{line}"));
+                membership::status_lines(&places.membership_statuses().await)
+                    .iter()
+                    .for_each(|line| println!("{line}"));
                 Ok(())
             }
-            ["core", words @ ..] if membership::order(words).is_some() => match membership::order(words) {
-                Some(order) => places.core(order).await.map(|came| println!("{came}")),
-                None => Ok(()),
-            },
+            ["core", words @ ..] if membership::parse_order(words).is_some() => {
+                match membership::parse_order(words) {
+                    Some(order) => places.change_members(order).await.map(|came| println!("{came}")),
+                    None => Ok(()),
+                }
+            }
             ["explain", host, path] => tell_why(&places, host, path, key.as_deref()).await,
-            _ => Err(AskError::Nonsense { what: format!("found {words:?}\n\n{HELP}") }),
+            _ => Err(ClientError::Other { problem: format!("found {words:?}\n\n{HELP}") }),
         }
     });
     match done {
@@ -108,7 +114,7 @@
     ExitCode::FAILURE
 }
 
-async fn status(places: &Places) -> Result<(), AskError> {
+async fn status(places: &RegistryClient) -> Result<(), ClientError> {
     let picture = Picture::of(&places.statuses().await);
     for (at, fresh) in &picture.racks {
         let state = match fresh {
@@ -135,12 +141,12 @@
     let answered = picture.racks.iter().any(|(_, fresh)| fresh.is_some());
     match answered {
         true => Ok(()),
-        false => Err(AskError::Silent { asked: format!("{:?}", places.racks) }),
+        false => Err(ClientError::Silent { asked: format!("{:?}", places.registries) }),
     }
 }
 
-async fn diff(places: &Places, file: &str) -> Result<(), AskError> {
-    let nonsense = |what: String| AskError::Nonsense { what };
+async fn diff(places: &RegistryClient, file: &str) -> Result<(), ClientError> {
+    let nonsense = |what: String| ClientError::Other { problem: what };
     let text = std::fs::read(file).map_err(|error| nonsense(format!("{file}: {error}")))?;
     let change = ConfigChange::read(&text).map_err(|refusal| nonsense(format!("{file}: {refusal}")))?;
     let stand = book(&places.items().await?).map_err(|refusal| nonsense(refusal.to_string()))?;
@@ -149,16 +155,21 @@
     Ok(())
 }
 
-async fn tell_why(places: &Places, host: &str, path: &str, key: Option<&str>) -> Result<(), AskError> {
+async fn tell_why(
+    places: &RegistryClient,
+    host: &str,
+    path: &str,
+    key: Option<&str>,
+) -> Result<(), ClientError> {
     let items = places.items().await?;
     let statuses: Vec<_> = places.statuses().await.into_iter().filter_map(|(_, status)| status).collect();
     let said = explain(&items, &statuses, Asked { host, path, key });
-    let said = said.map_err(|refusal| AskError::Nonsense { what: refusal.to_string() })?;
+    let said = said.map_err(|refusal| ClientError::Other { problem: refusal.to_string() })?;
     said.iter().for_each(|line| println!("{line}"));
     Ok(())
 }
 
-async fn show(places: &Places) -> Result<(), AskError> {
+async fn show(places: &RegistryClient) -> Result<(), ClientError> {
     let mut terminal = ratatui::init();
     let (mut events, mut picture, mut from) = (Events::default(), None::<Picture>, 0usize);
     let mut tenants = HashMap::new();
@@ -204,7 +215,7 @@
         match asked {
             Ok(true) => {}
             Ok(false) => break Ok(()),
-            Err(error) => break Err(AskError::Nonsense { what: format!("the terminal: {error}") }),
+            Err(error) => break Err(ClientError::Other { problem: format!("the terminal: {error}") }),
         }
     };
     ratatui::restore();
--- a/crates/starlinghill-console/src/membership.rs
+++ b/crates/starlinghill-console/src/membership.rs
@@ -1,6 +1,6 @@
-//! Who belongs to the core: what its stores say of each other, and orders to change it.
+//! The `core` commands: shows which stores are voting members, and changes them.
 
-use crate::client::{AskError, Places, PATIENCE};
+use crate::client::{ClientError, RegistryClient, REQUEST_TIMEOUT};
 use starlinghill_config_store::wire::{
     MembershipDelay, MembershipOrder, MembershipOutcome, MembershipStatus, StoreRequest, StoreResponse,
 };
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 
-/// An order, from the words behind `core`.
-pub fn order(words: &[&str]) -> Option<MembershipOrder> {
+/// Parses the arguments after `core` as a membership order.
+pub fn parse_order(words: &[&str]) -> Option<MembershipOrder> {
     match words {
         ["add", ip] => Some(MembershipOrder::Add(ip.parse().ok()?)),
         ["remove", ip] => Some(MembershipOrder::Remove(ip.parse().ok()?)),
@@ -22,79 +22,86 @@
     }
 }
 
-impl Places {
-    /// What each store says that is known of: those of the newest members that anybody tells of, and the seeds.
-    pub async fn standings(&self) -> BTreeMap<IpAddr, Option<MembershipStatus>> {
+impl RegistryClient {
+    /// The membership as each store reports it, `None` for a store that does not answer. Starts with the seeds, and goes on
+    /// to every member and candidate that a store names.
+    pub async fn membership_statuses(&self) -> BTreeMap<IpAddr, Option<MembershipStatus>> {
         let mut all: BTreeMap<IpAddr, Option<MembershipStatus>> = BTreeMap::new();
         let mut open: BTreeSet<IpAddr> = self.stores.iter().map(|store| store.ip()).collect();
         while let Some(ip) = open.pop_first() {
-            let at = SocketAddr::new(ip, self.stores.first().map_or(0, |store| store.port()));
-            let standing = match RpcClient::new(&net::tcp(), at).call(&StoreRequest::Why, PATIENCE).await {
-                Ok(StoreResponse::Why(standing)) => Some(standing),
+            let client = RpcClient::new(&net::tcp(), self.store_at(ip));
+            let status = match client.call(&StoreRequest::Status, REQUEST_TIMEOUT).await {
+                Ok(StoreResponse::Status(status)) => Some(status),
                 _ => None,
             };
-            let told = standing.iter().flat_map(|s| {
+            let named = status.iter().flat_map(|s| {
                 s.members.voters.iter().map(|m| m.ip).chain(s.candidates.iter().map(|(member, _)| member.ip))
             });
-            let new: Vec<IpAddr> = told.filter(|ip| !all.contains_key(ip)).collect();
-            all.insert(ip, standing);
+            let new: Vec<IpAddr> = named.filter(|ip| !all.contains_key(ip)).collect();
+            all.insert(ip, status);
             open.extend(new.into_iter().filter(|ip| !all.contains_key(ip)));
         }
         all
     }
 
-    /// Gives an order to the stores in turn, until one tells clearly what came of it.
-    pub async fn core(&self, order: MembershipOrder) -> Result<String, AskError> {
+    /// Sends a membership order to the voting stores in turn until one reports that it is done or was not needed.
+    pub async fn change_members(&self, order: MembershipOrder) -> Result<String, ClientError> {
         let mut last = None;
-        for (ip, standing) in self.standings().await {
-            if !standing.is_some_and(|s| s.members.has(s.me)) {
+        for (ip, status) in self.membership_statuses().await {
+            if !status.is_some_and(|s| s.members.has(s.me)) {
                 continue;
             }
-            let at = SocketAddr::new(ip, self.stores.first().map_or(0, |store| store.port()));
-            match RpcClient::new(&net::tcp(), at).call(&StoreRequest::Order(order), PATIENCE).await {
-                Ok(StoreResponse::Admission(MembershipOutcome::Done(change))) => {
+            let client = RpcClient::new(&net::tcp(), self.store_at(ip));
+            match client.call(&StoreRequest::ChangeMembers(order), REQUEST_TIMEOUT).await {
+                Ok(StoreResponse::Membership(MembershipOutcome::Done(change))) => {
                     return Ok(format!("agreed on: {change:?}"))
                 }
-                Ok(StoreResponse::Admission(MembershipOutcome::Stands)) => {
-                    return Ok("it stands so already".into())
+                Ok(StoreResponse::Membership(MembershipOutcome::Stands)) => {
+                    return Ok("nothing to change".into())
                 }
-                Ok(StoreResponse::Admission(MembershipOutcome::Waits(wait))) => last = Some(reason(wait)),
+                Ok(StoreResponse::Membership(MembershipOutcome::Waits(delay))) => last = Some(reason(delay)),
                 _ => {}
             }
         }
-        let what = last.unwrap_or("no member answers").to_string();
-        Err(AskError::Nonsense { what })
+        let problem = last.unwrap_or("no member answers").to_string();
+        Err(ClientError::Other { problem })
+    }
+
+    /// The address of the store on a machine. All stores listen on the same port.
+    fn store_at(&self, ip: IpAddr) -> SocketAddr {
+        SocketAddr::new(ip, self.stores.first().map_or(0, |store| store.port()))
     }
 }
 
-/// Why members are not changed.
-fn reason(wait: MembershipDelay) -> &'static str {
-    match wait {
-        MembershipDelay::TooSoon => {
-            "the change before has not stood for long enough, or another one came first"
-        }
-        MembershipDelay::NobodyGone => "no member has been silent for long enough to a majority",
+/// The text for an operator on why the members are not changed.
+fn reason(delay: MembershipDelay) -> &'static str {
+    match delay {
+        MembershipDelay::TooSoon => "the previous change is too recent, or another change came first",
+        MembershipDelay::NobodyGone => "no member has been silent towards a majority for long enough",
         MembershipDelay::NoMajority => "no majority of the members answers",
-        MembershipDelay::NotSynced => "the new one does not answer, or has not got all that was agreed on",
+        MembershipDelay::NotSynced => {
+            "the joining store does not answer, or has not synced all that was agreed on"
+        }
         MembershipDelay::Refused => {
-            "it makes no sense: who goes must be a member, who comes must be none, one must be left"
+            "invalid change: only a member can leave, only a store that is not a member can join, and one must remain"
         }
     }
 }
 
-fn newest(all: &BTreeMap<IpAddr, Option<MembershipStatus>>) -> Members {
-    let told = all.values().flatten().map(|standing| &standing.members);
-    told.max_by_key(|members| members.epoch).cloned().unwrap_or_default()
+/// The members of the highest epoch that any store reports.
+fn newest_members(all: &BTreeMap<IpAddr, Option<MembershipStatus>>) -> Members {
+    let reported = all.values().flatten().map(|status| &status.members);
+    reported.max_by_key(|members| members.epoch).cloned().unwrap_or_default()
 }
 
-/// The members, a line each.
-pub fn list(all: &BTreeMap<IpAddr, Option<MembershipStatus>>) -> Vec<String> {
-    let members = newest(all);
+/// The output of `core list`: one line for each member.
+pub fn member_lines(all: &BTreeMap<IpAddr, Option<MembershipStatus>>) -> Vec<String> {
+    let members = newest_members(all);
     let line = |member: &Member| {
-        let standing = all.get(&member.ip).and_then(Option::as_ref);
-        let state = match standing {
-            Some(standing) if standing.me != *member => "another_incarnation",
-            Some(standing) if standing.fresh => "fresh",
+        let status = all.get(&member.ip).and_then(Option::as_ref);
+        let state = match status {
+            Some(status) if status.me != *member => "another_incarnation",
+            Some(status) if status.fresh => "fresh",
             Some(_) => "stale",
             None => "silent",
         };
@@ -106,11 +113,11 @@
     members.voters.iter().map(line).collect()
 }
 
-/// What is known of each store, and why no change is made.
-pub fn why(all: &BTreeMap<IpAddr, Option<MembershipStatus>>) -> Vec<String> {
+/// The output of `core why`: what each store reports, and why it does not admit its candidates.
+pub fn status_lines(all: &BTreeMap<IpAddr, Option<MembershipStatus>>) -> Vec<String> {
     let mut lines = Vec::new();
-    for (ip, standing) in all {
-        let Some(s) = standing else {
+    for (ip, status) in all {
+        let Some(s) = status else {
             lines.push(format!("store at={ip} silent"));
             continue;
         };
@@ -119,21 +126,23 @@
             s.me.incarnation,
             s.members.has(s.me),
             s.members.epoch,
-            s.stood_ms,
+            s.unchanged_for_ms,
             s.fresh,
             s.chosen.round,
             s.chosen.by
         ));
-        lines.extend(s.heard.iter().map(|(member, ms)| format!("  heard ip={} ago_ms={ms}", member.ip)));
-        let waits = |(member, wait): &(Member, MembershipDelay)| {
+        lines.extend(
+            s.last_heard_ms.iter().map(|(member, ms)| format!("  heard ip={} ago_ms={ms}", member.ip)),
+        );
+        let candidate = |(member, delay): &(Member, MembershipDelay)| {
             format!(
                 "  candidate ip={} incarnation={:x} waits: {}",
                 member.ip,
                 member.incarnation,
-                reason(*wait)
+                reason(*delay)
             )
         };
-        lines.extend(s.candidates.iter().map(waits));
+        lines.extend(s.candidates.iter().map(candidate));
     }
     lines
 }
--- a/crates/starlinghill-registry/src/http.rs
+++ b/crates/starlinghill-registry/src/http.rs
@@ -168,9 +168,9 @@
 
     async fn change(&self, body: Bytes) -> Reply {
         let begun = Instant::now();
-        let asked = ask_store(&self.net, self.stores(), Ask::Change(body.to_vec()), ORDER_RESPONSE_TIMEOUT);
+        let asked = ask_store(&self.net, self.stores(), Ask::Apply(body.to_vec()), ORDER_RESPONSE_TIMEOUT);
         let outcome = match asked.await {
-            Some(StoreResponse::Changed(outcome)) => outcome,
+            Some(StoreResponse::Applied(outcome)) => outcome,
             _ => ChangeOutcome::Unclear,
         };
         let took = begun.elapsed().as_millis();
@@ -188,7 +188,7 @@
 
     async fn read(&self) -> Reply {
         match ask_store(&self.net, self.stores(), Ask::Read, ORDER_RESPONSE_TIMEOUT).await {
-            Some(StoreResponse::Whole(items)) => {
+            Some(StoreResponse::Items(items)) => {
                 reply(StatusCode::OK, ItemSet::of(items).layout().encode().into_bytes())
             }
             _ => problem(StatusCode::SERVICE_UNAVAILABLE, "no majority of stores in time"),
--- a/crates/starlinghill-registry/src/peers.rs
+++ b/crates/starlinghill-registry/src/peers.rs
@@ -233,8 +233,15 @@
         let _ = owner.send(Command::Now(reply)).await;
         let Ok(begun) = now.await else { return };
         let asked = Instant::now();
-        match caller.call(&store::StoreRequest::News(have, was_fresh), chain.given_up).await {
-            Ok(store::StoreResponse::News { ballot, contact, members, votes, proposed, items }) => {
+        match caller.call(&store::StoreRequest::Changes(have, was_fresh), chain.given_up).await {
+            Ok(store::StoreResponse::Changes {
+                ballot,
+                contact,
+                members,
+                is_voter: votes,
+                proposed,
+                items,
+            }) => {
                 (silent, was_fresh) = (false, contact.is_some());
                 // A store that begins anew may know less than it did: nothing of that is news.
                 let items = items.filter(|_| ballot > have);
@@ -304,7 +311,7 @@
                 Ok(answer) => Some(answer),
                 Err(error) => {
                     log::warn!("event=store_failed address={} error=\"{error}\"", caller.address());
-                    (!error.is_not_sent()).then_some(store::StoreResponse::NotNow)
+                    (!error.is_not_sent()).then_some(store::StoreResponse::Unavailable)
                 }
             }
         }
@@ -348,12 +355,12 @@
 
 /// It is refused by how things stand just now.
 fn is_refusal(answer: &store::StoreResponse) -> bool {
-    matches!(answer, store::StoreResponse::Changed(store::ChangeOutcome::Invalid(_)))
+    matches!(answer, store::StoreResponse::Applied(store::ChangeOutcome::Invalid(_)))
 }
 
 fn is_clear(answer: &store::StoreResponse) -> bool {
     !matches!(
         answer,
-        store::StoreResponse::NotNow | store::StoreResponse::Changed(store::ChangeOutcome::Unclear)
+        store::StoreResponse::Unavailable | store::StoreResponse::Applied(store::ChangeOutcome::Unclear)
     )
 }
--- a/crates/starlinghill-registry/tests/orders.rs
+++ b/crates/starlinghill-registry/tests/orders.rs
@@ -33,18 +33,18 @@
     match does {
         Takes(ms) => {
             sleep(Duration::from_millis(ms)).await;
-            Some(StoreResponse::Changed(ChangeOutcome::Taken))
+            Some(StoreResponse::Applied(ChangeOutcome::Taken))
         }
         Finds => {
             sleep(ORDER_COMMIT_TIMEOUT).await;
-            Some(StoreResponse::Changed(ChangeOutcome::Unclear))
+            Some(StoreResponse::Applied(ChangeOutcome::Unclear))
         }
         Nothing => std::future::pending().await,
         Down => None,
-        Breaks => Some(StoreResponse::NotNow),
+        Breaks => Some(StoreResponse::Unavailable),
         Refuses(ms) => {
             sleep(Duration::from_millis(ms)).await;
-            Some(StoreResponse::Changed(invalid()))
+            Some(StoreResponse::Applied(invalid()))
         }
     }
 }
@@ -84,7 +84,7 @@
             one(stores[i])
         });
         let answer = match answer.await {
-            Some(StoreResponse::Changed(outcome)) => Some(outcome),
+            Some(StoreResponse::Applied(outcome)) => Some(outcome),
             _ => None,
         };
         let took = begun.elapsed().as_millis();
--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -15,7 +15,7 @@
 use starlinghill_runtime::{CONFIG_STORE_PORT_OFFSET, PROXY_PORT_OFFSET, REGISTRY_PORT_OFFSET};
 
 use starlinghill_config_model::RoutingTable;
-use starlinghill_config_store::program::store;
+use starlinghill_config_store::program::run_store;
 use starlinghill_proxy::decision_settings::Places;
 use starlinghill_proxy::heartbeat::Ring;
 use starlinghill_proxy::quota_client::Counter;
@@ -205,7 +205,7 @@
         let run = async move {
             // Nobody sends it SIGHUP.
             let (_told, reread) = watch::channel(None);
-            store(&node, &net, reread, found, mount(disk), async move { drop(ends.await) }).await
+            run_store(&node, &net, reread, found, mount(disk), async move { drop(ends.await) }).await
         };
         *core.store.borrow_mut() = self.watched(format!("store {i}"), run);
     }
--- a/crates/starlinghill-simulator/src/faults.rs
+++ b/crates/starlinghill-simulator/src/faults.rs
@@ -273,11 +273,11 @@
     for _ in 0..ORDERED {
         let store = run.world.store(run.any_core());
         let answer = RpcClient::new(&run.world.fabric.at(ip(2, 0)), store)
-            .call::<_, StoreResponse>(&StoreRequest::Order(order), Duration::from_secs(1))
+            .call::<_, StoreResponse>(&StoreRequest::ChangeMembers(order), Duration::from_secs(1))
             .await;
         if matches!(
             answer,
-            Ok(StoreResponse::Admission(MembershipOutcome::Done(_) | MembershipOutcome::Stands))
+            Ok(StoreResponse::Membership(MembershipOutcome::Done(_) | MembershipOutcome::Stands))
         ) {
             run.note(format!("done: {order:?}"));
             return true;
--- a/crates/starlinghill-simulator/src/processes.rs
+++ b/crates/starlinghill-simulator/src/processes.rs
@@ -1,7 +1,7 @@
 //! Processes and disks that are played: a process is one future with all of its tasks inside, so that it can be dropped as
 //! by a kill, or not be looked at as while it is frozen.
 
-use starlinghill_config_store::disk::{Disk, Found, Order};
+use starlinghill_config_store::disk::{SaveRequest, StorageQueue, StoredState};
 use starlinghill_consensus::AcceptorState;
 use std::cell::RefCell;
 use std::future::Future;
@@ -91,9 +91,9 @@
 #[derive(Default)]
 pub struct Platter {
     /// What survives a loss of power.
-    synced: Option<Found>,
+    synced: Option<StoredState>,
     /// What was written behind it.
-    unsynced: Option<Found>,
+    unsynced: Option<StoredState>,
     stalled: Option<Instant>,
     /// It says that it has synced before it has: for the fault that must be found.
     pub lies: bool,
@@ -110,13 +110,13 @@
 
 impl Platter {
     /// What a process finds that starts here.
-    pub fn found(&self) -> Option<Found> {
+    pub fn found(&self) -> Option<StoredState> {
         self.synced.clone()
     }
 
     /// What a voter keeps here, as a process would find it.
     pub fn kept(&self) -> Option<&AcceptorState> {
-        self.synced.as_ref().map(|found| &found.kept)
+        self.synced.as_ref().map(|found| &found.acceptor)
     }
 
     /// Nothing is there any more.
@@ -143,10 +143,10 @@
 }
 
 /// A process begins to write.
-pub fn mount(platter: Rc<RefCell<Platter>>) -> Disk {
-    let (orders, mut queue) = mpsc::unbounded_channel::<Order>();
+pub fn mount(platter: Rc<RefCell<Platter>>) -> StorageQueue {
+    let (orders, mut queue) = mpsc::unbounded_channel::<SaveRequest>();
     spawn_local(async move {
-        while let Some(Order { kept, state, done }) = queue.recv().await {
+        while let Some(SaveRequest { acceptor: kept, state, done }) = queue.recv().await {
             let stalled = platter.borrow().stalled;
             if let Some(until) = stalled.filter(|until| *until > Instant::now()) {
                 sleep_until(until).await;
@@ -160,7 +160,7 @@
                 let before = platter.unsynced.as_ref().or(platter.synced.as_ref());
                 let before = before.map(|found| found.state.clone());
                 let state = state.or(before).unwrap_or_default();
-                platter.unsynced = Some(Found { kept, state });
+                platter.unsynced = Some(StoredState { acceptor: kept, state });
                 platter.lies
             };
             if lies {
--- a/crates/starlinghill-testkit/tests/members.rs
+++ b/crates/starlinghill-testkit/tests/members.rs
@@ -1,8 +1,8 @@
 //! Members of the core as people change them, by real processes and the console's own orders: `docs/operate/system.md`.
 
 use starlinghill_config_store::wire::MembershipOrder;
-use starlinghill_console::client::Places;
-use starlinghill_console::membership::{list, why};
+use starlinghill_console::client::RegistryClient;
+use starlinghill_console::membership::{member_lines, status_lines};
 use starlinghill_runtime::settings::NodeSettings;
 use starlinghill_testkit::system::{change, eventually, first_items, program, rule, System};
 use std::net::IpAddr;
@@ -19,13 +19,13 @@
 }
 
 /// Gives an order as the console does, again where it has to wait.
-async fn order(places: &Places, order: MembershipOrder) {
-    eventually(&format!("{order:?}"), || async { places.core(order).await.is_ok() }).await;
+async fn order(client: &RegistryClient, order: MembershipOrder) {
+    eventually(&format!("{order:?}"), || async { client.change_members(order).await.is_ok() }).await;
 }
 
 /// How the console names the state of each member.
-async fn states(places: &Places) -> Vec<String> {
-    let lines = list(&places.standings().await);
+async fn states(client: &RegistryClient) -> Vec<String> {
+    let lines = member_lines(&client.membership_statuses().await);
     lines.iter().filter_map(|line| Some(line.split_once("state=")?.1.to_string())).collect()
 }
 
@@ -36,20 +36,20 @@
         core.processes[1].wait_for_log("event=start program=patternbook", PATIENCE);
     }
     assert_eq!(system.change(&first_items(0)).await.status, 200);
-    let places = Places::of(&NodeSettings::from_file(&system.cores[2].file()).expect("settings"));
+    let client = RegistryClient::of(&NodeSettings::from_file(&system.cores[2].file()).expect("settings"));
     for core in 3..5 {
         system.add_core(&program());
         // Nobody has gone: it waits, and says why, until people want it.
         eventually("it waits", || async {
-            let lines = why(&places.standings().await);
+            let lines = status_lines(&client.membership_statuses().await);
             let waits = format!("candidate ip={} ", ip(&system, core));
             lines.iter().any(|line| line.contains(&waits) && line.contains("no member has been silent"))
         })
         .await;
-        order(&places, MembershipOrder::Add(ip(&system, core))).await;
+        order(&client, MembershipOrder::Add(ip(&system, core))).await;
         system.cores[core].processes[1].wait_for_log("event=voter_back", PATIENCE);
     }
-    eventually("all five are fresh", || async { states(&places).await == ["fresh"; 5] }).await;
+    eventually("all five are fresh", || async { states(&client).await == ["fresh"; 5] }).await;
     assert_eq!(system.change(&route(8)).await.status, 200);
     // Two of five, with their disks.
     for core in 0..2 {
@@ -57,13 +57,13 @@
         system.cores[core].wipe();
     }
     assert_eq!(system.change(&route(9)).await.status, 200);
-    let mut both = states(&places).await;
+    let mut both = states(&client).await;
     both.sort_unstable();
     assert_eq!(both, ["fresh", "fresh", "fresh", "silent", "silent"]);
     for core in 0..2 {
-        order(&places, MembershipOrder::Remove(ip(&system, core))).await;
+        order(&client, MembershipOrder::Remove(ip(&system, core))).await;
     }
-    eventually("three are left", || async { states(&places).await == ["fresh"; 3] }).await;
+    eventually("three are left", || async { states(&client).await == ["fresh"; 3] }).await;
     // The last founder: what was confirmed is with those that came later.
     system.cores[2].kill();
     system.cores[2].wipe();
