--- a/crates/starlinghill-console/src/explain.rs
+++ b/crates/starlinghill-console/src/explain.rs
@@ -1,4 +1,5 @@
-//! Why a request goes where it goes, or is refused: by the items that stand and how things stand, in words.
+//! Explains in words how a request would be routed, or why it would be refused, from the current items and the registries'
+//! status.
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
@@ -9,107 +10,110 @@
 use starlinghill_registry::wire::RegistryStatus;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The items as they are read back, as a book.
-pub fn book(items: &OwnedValue) -> Result<ItemSet, ChangeError> {
-    let mut call = OwnedValue::object();
-    let _ = call.insert("upsert", items.clone());
-    ItemSet::default().with(&ConfigChange::read(call.encode().as_bytes())?)
+/// Parses the items as the registries' HTTP API returns them.
+pub fn item_set(items: &OwnedValue) -> Result<ItemSet, ChangeError> {
+    let mut change = OwnedValue::object();
+    let _ = change.insert("upsert", items.clone());
+    ItemSet::default().with(&ConfigChange::read(change.encode().as_bytes())?)
 }
 
-/// A request that is asked about.
+/// The request to explain.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked<'a> {
-    /// Its host.
+pub struct RequestQuery<'a> {
+    /// The host that is called.
     pub host: &'a str,
-    /// Its path.
+    /// The path that is called.
     pub path: &'a str,
-    /// Its key, if it has one.
+    /// The API key that is sent, if any.
     pub key: Option<&'a str>,
 }
 
-/// What becomes of it, a line each step.
+/// Explains a request, one line for each step: route, tenant and quota, services.
 pub fn explain(
     items: &OwnedValue,
     statuses: &[RegistryStatus],
-    asked: Asked,
+    request: RequestQuery,
 ) -> Result<Vec<String>, ChangeError> {
-    let table = RoutingTable::of(&book(items)?);
-    let mut said = Vec::new();
-    let Some(route) = table.route(asked.host, asked.path) else {
-        let hosts = table.routes().filter(|route| route.host.eq_ignore_ascii_case(asked.host)).count();
-        said.push(format!(
-            "404: no route of host {} begins {} ({hosts} routes of that host)",
-            asked.host, asked.path
+    let table = RoutingTable::of(&item_set(items)?);
+    let mut lines = Vec::new();
+    let Some(route) = table.route(request.host, request.path) else {
+        let hosts = table.routes().filter(|route| route.host.eq_ignore_ascii_case(request.host)).count();
+        lines.push(format!(
+            "404: no route of host {} matches {} ({hosts} routes of that host)",
+            request.host, request.path
         ));
-        return Ok(said);
+        return Ok(lines);
     };
-    let kind = if route.safe { "may be repeated" } else { "runs once" };
-    said.push(format!(
-        "route {}: prefix {}, {kind}, priority {}, {} tries, held {} ms at the longest",
+    let kind = if route.safe { "may be repeated" } else { "runs at most once" };
+    lines.push(format!(
+        "route {}: prefix {}, {kind}, priority {}, {} tries, times out after {} ms",
         route.name,
         route.prefix,
         route.priority,
         route.tries,
         route.timeout.as_millis()
     ));
-    let tenant = asked.key.and_then(|key| table.tenant(key));
+    let tenant = request.key.and_then(|key| table.tenant(key));
     match (tenant, table.keyed && !route.public) {
         (None, true) => {
-            said.push("401: the route is not public, and nobody holds that key".into());
-            return Ok(said);
+            lines.push("401: the route is not public, and no tenant has that key".into());
+            return Ok(lines);
         }
-        (None, false) => said.push("no tenant: no limit, and no Customer header".into()),
+        (None, false) => lines.push("no tenant: no limit, and no Customer header".into()),
         (Some(tenant), _) => {
-            said.push(format!(
+            lines.push(format!(
                 "tenant {}: {} requests a second, burst {}, over all gateways",
                 tenant.name, tenant.rate, tenant.burst
             ));
             let name = store_name(CustomerId(xxh3_64(tenant.name.as_bytes()))).0;
-            let counts = statuses.iter().filter_map(|status| status.count.as_ref());
-            let store = counts.flat_map(|count| &count.stores).find(|(store, ..)| *store == name);
-            said.push(match store {
+            let counters = statuses.iter().filter_map(|status| status.count.as_ref());
+            let bucket = counters.flat_map(|counter| &counter.stores).find(|(bucket, ..)| *bucket == name);
+            lines.push(match bucket {
                 None if tenant.rate <= 0.0 => "its quota: none".into(),
-                None => "its store: full, nobody drew of late, or the count is kept nowhere now".into(),
-                Some((_, level, rate, asked)) if *level < 1.0 && asked > rate => {
-                    format!("429 for most: its store holds {level:.1}, and {asked:.0} a second are asked for")
+                None => "its token bucket: full, unused of late, or no quota counter is running".into(),
+                Some((_, level, rate, demand)) if *level < 1.0 && demand > rate => {
+                    format!(
+                        "429 for most: its token bucket holds {level:.1}, and {demand:.0} a second are asked for"
+                    )
                 }
-                Some((_, level, _, asked)) => {
-                    format!("its store holds {level:.1}; {asked:.0} a second are asked for")
+                Some((_, level, _, demand)) => {
+                    format!("its token bucket holds {level:.1}; {demand:.0} a second are asked for")
                 }
             });
         }
     }
-    let all: f64 = route.to.iter().map(|(_, weight)| weight).sum();
+    let total_weight: f64 = route.to.iter().map(|(_, weight)| weight).sum();
     for (service, weight) in &route.to {
-        let of = |state| {
+        // Several registries report the same backend.
+        let backends_in = |state| {
             let mut ids: Vec<&str> = statuses
                 .iter()
                 .flat_map(|status| &status.backends)
-                .filter(|(told, _)| told.instance.service == *service && told.instance.state == state)
-                .map(|(told, _)| told.instance.id.as_str())
+                .filter(|(seen, _)| seen.instance.service == *service && seen.instance.state == state)
+                .map(|(seen, _)| seen.instance.id.as_str())
                 .collect();
             ids.sort_unstable();
             ids.dedup();
             ids.len()
         };
-        let (ready, draining) = (of(BackendState::Ready), of(BackendState::Draining));
-        let part = 100.0 * weight / all.max(1e-9);
+        let (ready, draining) = (backends_in(BackendState::Ready), backends_in(BackendState::Draining));
+        let percent = 100.0 * weight / total_weight.max(1e-9);
         let none = if ready == 0 { " - 503: no backend takes work" } else { "" };
-        said.push(format!(
-            "service {service}: {part:.0} in a hundred, {ready} backends ready, {draining} draining{none}"
+        lines.push(format!(
+            "service {service}: {percent:.0} percent, {ready} backends ready, {draining} draining{none}"
         ));
     }
-    Ok(said)
+    Ok(lines)
 }
 
-/// What differs between the items that stand and those of a file: a line each.
-pub fn differences(stand: &ItemSet, file: &ItemSet) -> Vec<String> {
+/// The differences between two item sets, as lines that begin with `-` (only in `current`) or `+` (only in `next`).
+pub fn differences(current: &ItemSet, next: &ItemSet) -> Vec<String> {
     let line = |sign: char, item: &starlinghill_config_model::Item| {
         let dropped = if item.body.is_none() { " dropped" } else { "" };
         format!("{sign} {:?} {} r{}{dropped}", item.kind, item.name, item.version)
     };
-    let mut lines: Vec<String> = stand.beyond(file).iter().map(|item| line('-', item)).collect();
-    lines.extend(file.beyond(stand).iter().map(|item| line('+', item)));
+    let mut lines: Vec<String> = current.beyond(next).iter().map(|item| line('-', item)).collect();
+    lines.extend(next.beyond(current).iter().map(|item| line('+', item)));
     lines.sort_by(|a, b| a[1..].cmp(&b[1..]));
     lines
 }
--- a/crates/starlinghill-console/src/lib.rs
+++ b/crates/starlinghill-console/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' terminal: how things stand over all registries, and orders for scripts.
+//! The operators' console: shows the state of the whole system, and sends orders, also from scripts.
 
 pub mod client;
 pub mod explain;
--- a/crates/starlinghill-console/src/main.rs
+++ b/crates/starlinghill-console/src/main.rs
@@ -1,13 +1,13 @@
-//! The operators' terminal.
+//! The operators' console: parses the command line and runs one command, or the screen.
 
 use ratatui::crossterm::event::{self, Event, KeyCode};
 use simd_json::prelude::*;
 use starlinghill_config_model::{ConfigChange, RoutingTable};
 use starlinghill_console::client::{ClientError, RegistryClient};
-use starlinghill_console::explain::{book, differences, explain, Asked};
+use starlinghill_console::explain::{differences, explain, item_set, RequestQuery};
 use starlinghill_console::membership;
-use starlinghill_console::screen::{draw, Beside};
-use starlinghill_console::status::{Events, Picture};
+use starlinghill_console::screen::{draw, ScreenState};
+use starlinghill_console::status::{EventLog, Overview};
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
 use starlinghill_runtime::settings::NodeSettings;
@@ -17,22 +17,23 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-const HELP: &str = "starlinghill-console: how the system stands, and orders
+const HELP: &str = "starlinghill-console: shows the state of the system, and sends orders
 
-    starlinghill-console [--settings FILE]             the picture, on a terminal
-    starlinghill-console get items|status              as text, for scripts
-    starlinghill-console diff FILE                     what differs between FILE and the items that stand
-    starlinghill-console apply FILE                    sends FILE; says why it is not taken
+    starlinghill-console [--settings FILE]             shows the state on a terminal, and keeps it current
+    starlinghill-console get items|status              prints it as text, for scripts
+    starlinghill-console diff FILE                     shows what FILE would change in the current items
+    starlinghill-console apply FILE                    sends FILE; says why if it is refused
     starlinghill-console drain ID                      has a backend take no new work
-    starlinghill-console core list|why                 who belongs to the core; what is known of each, why nothing changes
-    starlinghill-console core add|remove IP            one member more, or less
-    starlinghill-console core replace IP BY            one in the place of another
-    starlinghill-console explain HOST PATH [--key KEY] which route, tenant, services; why refused
+    starlinghill-console core list|why                 lists the core's members; shows why they are not changed
+    starlinghill-console core add|remove IP            adds or removes a member
+    starlinghill-console core replace IP BY            replaces a member by another store
+    starlinghill-console explain HOST PATH [--key KEY] shows route, tenant and services, or why it is refused
 
-FILE of diff and apply is what PATCH /api/config takes. --settings names any machine's settings file, which tells
-where registries are; without it STARLINGHILL_CONFIG does.
+FILE of diff and apply is what PATCH /api/config takes. --settings names any machine's settings file, which lists
+the registries' addresses; without it, STARLINGHILL_CONFIG names the file.
 ";
-const LOOK: Duration = Duration::from_millis(500);
+/// The time between two updates of the screen.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 fn main() -> ExitCode {
     let mut args = pico_args::Arguments::from_env();
@@ -42,81 +43,79 @@
     }
     let settings = match args.opt_value_from_str::<_, PathBuf>("--settings") {
         Ok(settings) => settings,
-        Err(error) => return wrong(&error.to_string()),
+        Err(error) => return usage_error(&error.to_string()),
     };
     let key = match args.opt_value_from_str::<_, String>("--key") {
         Ok(key) => key,
-        Err(error) => return wrong(&error.to_string()),
+        Err(error) => return usage_error(&error.to_string()),
     };
     let words: Vec<String> = match args.finish().into_iter().map(|word| word.into_string()).collect() {
         Ok(words) => words,
-        Err(_) => return wrong("an argument is no text"),
+        Err(_) => return usage_error("an argument is not valid UTF-8"),
     };
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let node = match settings {
         Some(path) => NodeSettings::from_file(&path),
         None => NodeSettings::from_environment(),
     };
-    let places = match node {
+    let client = match node {
         Ok(node) => RegistryClient::of(&node),
-        Err(error) => return failed(&error),
+        Err(error) => return failure(&error),
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return failed(&error),
+        Err(error) => return failure(&error),
     };
     let done = runtime.block_on(async {
         match words.as_slice() {
-            [] => show(&places).await,
-            ["get", "items"] => places.items().await.map(|items| println!("{}", items.encode_pp())),
-            ["get", "status"] => status(&places).await,
-            ["diff", file] => diff(&places, file).await,
+            [] => run_screen(&client).await,
+            ["get", "items"] => client.items().await.map(|items| println!("{}", items.encode_pp())),
+            ["get", "status"] => print_status(&client).await,
+            ["diff", file] => print_diff(&client, file).await,
             ["apply", file] => match std::fs::read(file) {
-                Ok(change) => places.apply(change).await.map(|()| println!("taken")),
+                Ok(change) => client.apply(change).await.map(|()| println!("taken")),
                 Err(error) => Err(ClientError::Other { problem: format!("{file}: {error}") }),
             },
-            ["drain", id] => places.drain(id).await.map(|noted| println!("noted by {noted} registries")),
+            ["drain", id] => client.drain(id).await.map(|noted| println!("noted by {noted} registries")),
             ["core", "list"] => {
-                membership::member_lines(&places.membership_statuses().await)
-                    .iter()
-                    .for_each(|line| println!("{line}"));
+                let statuses = client.membership_statuses().await;
+                membership::member_lines(&statuses).iter().for_each(|line| println!("{line}"));
                 Ok(())
             }
             ["core", "why"] => {
-                membership::status_lines(&places.membership_statuses().await)
-                    .iter()
-                    .for_each(|line| println!("{line}"));
+                let statuses = client.membership_statuses().await;
+                membership::status_lines(&statuses).iter().for_each(|line| println!("{line}"));
                 Ok(())
             }
             ["core", words @ ..] if membership::parse_order(words).is_some() => {
                 match membership::parse_order(words) {
-                    Some(order) => places.change_members(order).await.map(|came| println!("{came}")),
+                    Some(order) => client.change_members(order).await.map(|result| println!("{result}")),
                     None => Ok(()),
                 }
             }
-            ["explain", host, path] => tell_why(&places, host, path, key.as_deref()).await,
-            _ => Err(ClientError::Other { problem: format!("found {words:?}\n\n{HELP}") }),
+            ["explain", host, path] => print_explanation(&client, host, path, key.as_deref()).await,
+            _ => Err(ClientError::Other { problem: format!("unknown command {words:?}\n\n{HELP}") }),
         }
     });
     match done {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => failed(&error),
+        Err(error) => failure(&error),
     }
 }
 
-fn wrong(problem: &str) -> ExitCode {
+fn usage_error(problem: &str) -> ExitCode {
     eprint!("{problem}\n\n{HELP}");
     ExitCode::from(2)
 }
 
-fn failed(error: &impl std::fmt::Display) -> ExitCode {
+fn failure(error: &impl std::fmt::Display) -> ExitCode {
     eprintln!("{error}");
     ExitCode::FAILURE
 }
 
-async fn status(places: &RegistryClient) -> Result<(), ClientError> {
-    let picture = Picture::of(&places.statuses().await);
-    for (at, fresh) in &picture.racks {
+async fn print_status(client: &RegistryClient) -> Result<(), ClientError> {
+    let overview = Overview::of(&client.statuses().await);
+    for (at, fresh) in &overview.registries {
         let state = match fresh {
             Some(true) => "fresh",
             Some(false) => "stale",
@@ -124,95 +123,95 @@
         };
         println!("registry at={at} state={state}");
     }
-    for (ip, g) in &picture.gateways {
+    for (ip, g) in &overview.gateways {
         println!("gateway node={} zone={} ip={ip} ago_ms={} current={}", g.node, g.zone, g.ago_ms, g.current);
     }
-    for (name, s) in &picture.services {
+    for (name, s) in &overview.services {
         let (ready, draining, silent) = (s.ready.len(), s.draining.len(), s.silent.len());
-        let (out, places, slow, ill) = (s.out, s.places, s.slow.len(), s.ill.len());
+        let (out, places, slow, ill) = (s.outstanding, s.capacity, s.slow.len(), s.failing.len());
         println!(
             "service name={name} ready={ready} draining={draining} silent={silent} out={out} places={places} \
              slow={slow} ill={ill}"
         );
     }
-    if let Some((ip, term, silent)) = picture.holder {
-        println!("count at={ip} term={term} silent={silent} stores={}", picture.stores.len());
+    if let Some((ip, term, silent)) = overview.counter {
+        println!("count at={ip} term={term} silent={silent} stores={}", overview.buckets.len());
     }
-    let answered = picture.racks.iter().any(|(_, fresh)| fresh.is_some());
+    let answered = overview.registries.iter().any(|(_, fresh)| fresh.is_some());
     match answered {
         true => Ok(()),
-        false => Err(ClientError::Silent { asked: format!("{:?}", places.registries) }),
+        false => Err(ClientError::Silent { asked: format!("{:?}", client.registries) }),
     }
 }
 
-async fn diff(places: &RegistryClient, file: &str) -> Result<(), ClientError> {
-    let nonsense = |what: String| ClientError::Other { problem: what };
-    let text = std::fs::read(file).map_err(|error| nonsense(format!("{file}: {error}")))?;
-    let change = ConfigChange::read(&text).map_err(|refusal| nonsense(format!("{file}: {refusal}")))?;
-    let stand = book(&places.items().await?).map_err(|refusal| nonsense(refusal.to_string()))?;
-    let next = stand.with(&change).map_err(|refusal| nonsense(format!("{file}: {refusal}")))?;
-    differences(&stand, &next).iter().for_each(|line| println!("{line}"));
+async fn print_diff(client: &RegistryClient, file: &str) -> Result<(), ClientError> {
+    let failed = |problem: String| ClientError::Other { problem };
+    let text = std::fs::read(file).map_err(|error| failed(format!("{file}: {error}")))?;
+    let change = ConfigChange::read(&text).map_err(|refusal| failed(format!("{file}: {refusal}")))?;
+    let current = item_set(&client.items().await?).map_err(|refusal| failed(refusal.to_string()))?;
+    let next = current.with(&change).map_err(|refusal| failed(format!("{file}: {refusal}")))?;
+    differences(&current, &next).iter().for_each(|line| println!("{line}"));
     Ok(())
 }
 
-async fn tell_why(
-    places: &RegistryClient,
+async fn print_explanation(
+    client: &RegistryClient,
     host: &str,
     path: &str,
     key: Option<&str>,
 ) -> Result<(), ClientError> {
-    let items = places.items().await?;
-    let statuses: Vec<_> = places.statuses().await.into_iter().filter_map(|(_, status)| status).collect();
-    let said = explain(&items, &statuses, Asked { host, path, key });
-    let said = said.map_err(|refusal| ClientError::Other { problem: refusal.to_string() })?;
-    said.iter().for_each(|line| println!("{line}"));
+    let items = client.items().await?;
+    let statuses: Vec<_> = client.statuses().await.into_iter().filter_map(|(_, status)| status).collect();
+    let lines = explain(&items, &statuses, RequestQuery { host, path, key });
+    let lines = lines.map_err(|refusal| ClientError::Other { problem: refusal.to_string() })?;
+    lines.iter().for_each(|line| println!("{line}"));
     Ok(())
 }
 
-async fn show(places: &RegistryClient) -> Result<(), ClientError> {
+async fn run_screen(client: &RegistryClient) -> Result<(), ClientError> {
     let mut terminal = ratatui::init();
-    let (mut events, mut picture, mut from) = (Events::default(), None::<Picture>, 0usize);
+    let (mut events, mut previous, mut scroll) = (EventLog::default(), None::<Overview>, 0usize);
     let mut tenants = HashMap::new();
-    let begun = Instant::now();
+    let started = Instant::now();
     let ended = loop {
-        let now = Picture::of(&places.statuses().await);
-        let moved = picture.as_ref().is_none_or(|before| before.items != now.items);
-        if let Some(before) = &picture {
-            events.add(begun.elapsed().as_secs(), now.changes(before));
+        let overview = Overview::of(&client.statuses().await);
+        let items_changed = previous.as_ref().is_none_or(|before| before.items != overview.items);
+        if let Some(before) = &previous {
+            events.add(started.elapsed().as_secs(), overview.changes(before));
         }
-        // Whose a store is, the items tell.
-        if moved {
-            if let Ok(book) = places.items().await.map_err(drop).and_then(|items| book(&items).map_err(drop))
-            {
-                let name = |name: &str| store_name(CustomerId(xxh3_64(name.as_bytes()))).0;
-                tenants =
-                    RoutingTable::of(&book).tenants.iter().map(|t| (name(&t.name), t.name.clone())).collect();
+        // Token buckets are named by a hash of the tenant's name; the items give the names to hash.
+        if items_changed {
+            let items = client.items().await.map_err(drop).and_then(|items| item_set(&items).map_err(drop));
+            if let Ok(items) = items {
+                let bucket = |name: &str| store_name(CustomerId(xxh3_64(name.as_bytes()))).0;
+                let table = RoutingTable::of(&items);
+                tenants = table.tenants.iter().map(|t| (bucket(&t.name), t.name.clone())).collect();
             }
         }
-        let until = Instant::now() + LOOK;
-        let mut asked = Ok(true);
+        let until = Instant::now() + REFRESH_INTERVAL;
+        let mut goes_on = Ok(true);
         while Instant::now() < until {
-            let beside = Beside { events: &events, tenants: &tenants, from };
-            if let Err(error) = terminal.draw(|frame| draw(frame, &now, &beside)) {
-                asked = Err(error);
+            let state = ScreenState { events: &events, tenants: &tenants, scroll };
+            if let Err(error) = terminal.draw(|frame| draw(frame, &overview, &state)) {
+                goes_on = Err(error);
                 break;
             }
-            match key(until) {
+            match next_key(until) {
                 Ok(Some(KeyCode::Char('q') | KeyCode::Esc)) => {
-                    asked = Ok(false);
+                    goes_on = Ok(false);
                     break;
                 }
-                Ok(Some(KeyCode::Down)) => from += 1,
-                Ok(Some(KeyCode::Up)) => from = from.saturating_sub(1),
+                Ok(Some(KeyCode::Down)) => scroll += 1,
+                Ok(Some(KeyCode::Up)) => scroll = scroll.saturating_sub(1),
                 Ok(_) => {}
                 Err(error) => {
-                    asked = Err(error);
+                    goes_on = Err(error);
                     break;
                 }
             }
         }
-        picture = Some(now);
-        match asked {
+        previous = Some(overview);
+        match goes_on {
             Ok(true) => {}
             Ok(false) => break Ok(()),
             Err(error) => break Err(ClientError::Other { problem: format!("the terminal: {error}") }),
@@ -222,8 +221,8 @@
     ended
 }
 
-/// The next key, until that moment.
-fn key(until: Instant) -> std::io::Result<Option<KeyCode>> {
+/// Waits for a terminal event until `until`, and returns the key if it is a key press.
+fn next_key(until: Instant) -> std::io::Result<Option<KeyCode>> {
     if !event::poll(until.saturating_duration_since(Instant::now()))? {
         return Ok(None);
     }
--- a/crates/starlinghill-console/src/screen.rs
+++ b/crates/starlinghill-console/src/screen.rs
@@ -1,32 +1,37 @@
-//! The picture on a terminal.
+//! Draws the overview on a terminal.
 
-use crate::status::{Events, Picture};
+use crate::status::{EventLog, Overview};
 use ratatui::layout::{Constraint, Layout};
 use ratatui::style::{Color, Style, Stylize};
 use ratatui::text::{Line, Span};
 use ratatui::widgets::{Block, Paragraph};
 use ratatui::Frame;
 use starlinghill_config_model::ItemKind;
-use std::collections::HashMap;
+use std::collections::{BTreeSet, HashMap};
 
-fn panel<'a>(title: String, lines: Vec<Line<'a>>, from: usize) -> Paragraph<'a> {
+/// A gateway that was not heard from for this long, in milliseconds, is drawn in red.
+const GATEWAY_SILENT_MS: u64 = 2_000;
+/// How many backend ids one line lists at most.
+const MAX_LISTED_IDS: usize = 6;
+
+fn panel<'a>(title: String, lines: Vec<Line<'a>>, scroll: usize) -> Paragraph<'a> {
     Paragraph::new(lines)
-        .scroll((from.min(u16::MAX as usize) as u16, 0))
+        .scroll((scroll.min(u16::MAX as usize) as u16, 0))
         .block(Block::bordered().title(title))
 }
 
-/// What is drawn beside the picture.
-pub struct Beside<'a> {
-    /// Events.
-    pub events: &'a Events,
-    /// Tenants by the names of their stores.
+/// What the screen shows besides the overview.
+pub struct ScreenState<'a> {
+    /// The changes seen since the console started.
+    pub events: &'a EventLog,
+    /// Names of the tenants by the names of their token buckets.
     pub tenants: &'a HashMap<u64, String>,
-    /// How far the lists are scrolled.
-    pub from: usize,
+    /// By how many lines the lists are scrolled down.
+    pub scroll: usize,
 }
 
-/// Draws all of it.
-pub fn draw(frame: &mut Frame, picture: &Picture, beside: &Beside) {
+/// Draws the whole screen.
+pub fn draw(frame: &mut Frame, overview: &Overview, state: &ScreenState) {
     let [top, upper, lower, events, foot] = Layout::vertical([
         Constraint::Length(3),
         Constraint::Fill(2),
@@ -37,18 +42,18 @@
     .areas(frame.area());
     let good = Style::new().fg(Color::Green);
     let bad = Style::new().fg(Color::Red);
-    let mut racks = Vec::new();
-    for (at, fresh) in &picture.racks {
-        racks.push(match fresh {
+    let mut registries = Vec::new();
+    for (at, fresh) in &overview.registries {
+        registries.push(match fresh {
             Some(true) => Span::styled(format!("{at} answers"), good),
             Some(false) => Span::styled(format!("{at} hears no majority"), Color::Yellow),
             None => Span::styled(format!("{at} is silent"), bad),
         });
-        racks.push(Span::raw("   "));
+        registries.push(Span::raw("   "));
     }
-    frame.render_widget(panel(" registries ".into(), vec![Line::from(racks)], 0), top);
+    frame.render_widget(panel(" registries ".into(), vec![Line::from(registries)], 0), top);
     let [gateways, services] = Layout::horizontal([Constraint::Fill(1), Constraint::Fill(1)]).areas(upper);
-    let lines = picture.gateways.iter().map(|(ip, gateway)| {
+    let lines = overview.gateways.iter().map(|(ip, gateway)| {
         let line = format!(
             "{:<28} {:<16} {ip:<15} {:>6} ms  {}",
             gateway.node,
@@ -56,41 +61,41 @@
             gateway.ago_ms,
             if gateway.current { "newest items" } else { "older items" }
         );
-        Line::styled(line, if gateway.ago_ms < 2_000 && gateway.current { good } else { bad })
+        let healthy = gateway.ago_ms < GATEWAY_SILENT_MS && gateway.current;
+        Line::styled(line, if healthy { good } else { bad })
     });
-    let title = format!(" gateways: {}, each asks all registries ", picture.gateways.len());
-    frame.render_widget(panel(title, lines.collect(), beside.from), gateways);
+    let title = format!(" gateways: {}, last heard by any registry ", overview.gateways.len());
+    frame.render_widget(panel(title, lines.collect(), state.scroll), gateways);
     let mut lines = Vec::new();
-    for (name, service) in &picture.services {
+    for (name, service) in &overview.services {
         lines.push(Line::from(format!(
-            "{name:<20} {:>4} ready {:>4} draining {:>4} silent   {} out at {} places",
+            "{name:<20} {:>4} ready {:>4} draining {:>4} silent   {} outstanding, capacity {}",
             service.ready.len(),
             service.draining.len(),
             service.silent.len(),
-            service.out,
-            service.places
+            service.outstanding,
+            service.capacity
         )));
-        let some = |ids: &std::collections::BTreeSet<String>| {
-            ids.iter().take(6).cloned().collect::<Vec<_>>().join(" ")
-        };
+        let some =
+            |ids: &BTreeSet<String>| ids.iter().take(MAX_LISTED_IDS).cloned().collect::<Vec<_>>().join(" ");
         if !service.draining.is_empty() {
             lines.push(Line::styled(format!("  draining {}", some(&service.draining)), Color::Yellow));
         }
         if !service.slow.is_empty() {
             lines.push(Line::styled(format!("  slow     {}", some(&service.slow)), Color::Yellow));
         }
-        if !service.ill.is_empty() {
-            lines.push(Line::styled(format!("  ill      {}", some(&service.ill)), bad));
+        if !service.failing.is_empty() {
+            lines.push(Line::styled(format!("  failing  {}", some(&service.failing)), bad));
         }
         if !service.silent.is_empty() {
             lines.push(Line::styled(format!("  silent   {}", some(&service.silent)), bad));
         }
     }
-    frame.render_widget(panel(" backends ".into(), lines, beside.from), services);
-    let [items, count] = Layout::horizontal([Constraint::Fill(1), Constraint::Fill(1)]).areas(lower);
-    let all = picture.gateways.len();
-    let current = picture.gateways.values().filter(|gateway| gateway.current).count();
-    let lines = picture.items.iter().map(|((kind, name), (version, stands))| {
+    frame.render_widget(panel(" backends ".into(), lines, state.scroll), services);
+    let [items, quotas] = Layout::horizontal([Constraint::Fill(1), Constraint::Fill(1)]).areas(lower);
+    let all = overview.gateways.len();
+    let current = overview.gateways.values().filter(|gateway| gateway.current).count();
+    let lines = overview.items.iter().map(|((kind, name), (version, in_force))| {
         let kind = match kind {
             ItemKind::Route => "route",
             ItemKind::Customer => "customer",
@@ -98,27 +103,31 @@
             ItemKind::Limits => "limits",
         };
         let line = format!("{kind:<9} {name:<24} r{version}");
-        if *stands {
+        if *in_force {
             Line::from(line)
         } else {
             Line::styled(format!("{line} dropped"), Color::DarkGray)
         }
     });
-    let title = format!(" items: {}, the newest at {current} of {all} gateways ", picture.items.len());
-    frame.render_widget(panel(title, lines.collect(), beside.from), items);
-    let title = match picture.holder {
-        Some((ip, term, silent)) => format!(" count: at {ip}, term {term}, {silent} gateways silent "),
-        None => " count: kept nowhere ".into(),
+    let title = format!(" items: {}, the newest at {current} of {all} gateways ", overview.items.len());
+    frame.render_widget(panel(title, lines.collect(), state.scroll), items);
+    let title = match overview.counter {
+        Some((ip, term, silent)) => {
+            format!(" quotas: counter at {ip}, term {term}, {silent} gateways silent ")
+        }
+        None => " quotas: no counter ".into(),
     };
-    let mut stores = picture.stores.clone();
-    stores.sort_by(|a, b| b.3.total_cmp(&a.3));
-    let lines = stores.iter().map(|(name, level, rate, asked)| {
-        let who = beside.tenants.get(name).cloned().unwrap_or_else(|| format!("{name:016x}"));
-        let line = format!("{who:<20} asks {asked:>7.1} of {rate:>7.1} a second, holds {level:>7.1}");
-        Line::styled(line, if asked > rate { bad } else { Style::new() })
+    let mut buckets = overview.buckets.clone();
+    // The highest demand first.
+    buckets.sort_by(|a, b| b.3.total_cmp(&a.3));
+    let lines = buckets.iter().map(|(name, level, rate, demand)| {
+        let tenant = state.tenants.get(name).cloned().unwrap_or_else(|| format!("{name:016x}"));
+        let line =
+            format!("{tenant:<20} demand {demand:>7.1} of {rate:>7.1} a second, {level:>7.1} tokens left");
+        Line::styled(line, if demand > rate { bad } else { Style::new() })
     });
-    frame.render_widget(panel(title, lines.collect(), beside.from), count);
-    let lines = beside.events.lines().map(|line| Line::from(line.as_str())).collect();
+    frame.render_widget(panel(title, lines.collect(), state.scroll), quotas);
+    let lines = state.events.lines().map(|line| Line::from(line.as_str())).collect();
     frame.render_widget(panel(" events ".into(), lines, 0), events);
-    frame.render_widget(Line::from(" q ends   up, down scroll").dim(), foot);
+    frame.render_widget(Line::from(" q quits   up, down scroll").dim(), foot);
 }
--- a/crates/starlinghill-console/src/status.rs
+++ b/crates/starlinghill-console/src/status.rs
@@ -1,4 +1,4 @@
-//! How things stand over all registries, as one picture, and what changed since the last one.
+//! Merges the status of all registries into one overview of the system, and describes what changed between two overviews.
 
 use starlinghill_catalog::{BackendState, Instance, Liveness};
 use starlinghill_config_model::ItemKind;
@@ -7,210 +7,212 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 
-/// From here on a backend is called slow, and ill.
-const SLOW: f32 = 2.0;
-const ILL: f32 = 0.25;
-/// Events that are kept.
-const EVENTS: usize = 200;
+/// A backend is shown as slow from this many times its service's usual latency.
+const SLOW_FACTOR: f32 = 2.0;
+/// A backend is shown as failing from this fraction of failed attempts.
+const FAILING_FRACTION: f32 = 0.25;
+/// How many lines the event log keeps.
+const MAX_EVENTS: usize = 200;
 
-/// A gateway.
+/// A gateway, as the registry that heard from it last reports it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Gateway {
-    /// Its name.
+    /// The name of its machine.
     pub node: String,
     /// Its zone.
     pub zone: String,
-    /// When it was last heard of, milliseconds ago.
+    /// Milliseconds since a registry heard from it.
     pub ago_ms: u64,
-    /// The life of its process.
-    pub life: u64,
-    /// The items in force there are the newest.
+    /// Identifies the run of its process: another value means that it has restarted.
+    pub process_id: u64,
+    /// Whether it applies the newest items.
     pub current: bool,
 }
 
-/// The backends of a service.
+/// The backends of one service. Sets hold the backends' ids.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Service {
-    /// Those that take work.
+    /// Backends that take new work.
     pub ready: BTreeSet<String>,
-    /// Those that finish what they have.
+    /// Backends that only finish the work they have.
     pub draining: BTreeSet<String>,
-    /// Those of whom nothing was heard for some beats.
+    /// Backends that have missed some heartbeats, and are not yet considered lost.
     pub silent: BTreeSet<String>,
-    /// What all gateways have out there, and the requests that can be worked on at once.
-    pub out: u32,
-    /// The same.
-    pub places: u32,
-    /// Those that are twice as slow as the rest, and those where a quarter of attempts come to nothing.
+    /// Requests that all gateways have outstanding at these backends.
+    pub outstanding: u32,
+    /// Requests that these backends can work on at once.
+    pub capacity: u32,
+    /// Backends at least [`SLOW_FACTOR`] times as slow as their service.
     pub slow: BTreeSet<String>,
-    /// The same.
-    pub ill: BTreeSet<String>,
+    /// Backends at which at least [`FAILING_FRACTION`] of the recent attempts failed.
+    pub failing: BTreeSet<String>,
 }
 
-/// One picture.
+/// The state of the system, merged from the status of all registries.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Picture {
-    /// Registries, and whether each answers and hears a majority of stores.
-    pub racks: Vec<(SocketAddr, Option<bool>)>,
+pub struct Overview {
+    /// Each registry: `None` if it does not answer, else whether its store recently heard from a majority of stores.
+    pub registries: Vec<(SocketAddr, Option<bool>)>,
     /// Gateways by address.
     pub gateways: BTreeMap<IpAddr, Gateway>,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
-    /// Items by kind and name: version, and whether they stand.
+    /// Items by kind and name: the newest version, and whether the item is in force (`false`: removed).
     pub items: BTreeMap<(ItemKind, String), (u64, bool)>,
-    /// Who keeps the count, its term, gateways that it does not hear.
-    pub holder: Option<(IpAddr, u64, u64)>,
-    /// Stores: what they hold, the rate, what is asked for a second.
-    pub stores: Vec<(u64, f64, f64, f64)>,
+    /// The machine that runs the quota counter, its term, and the number of gateways that it does not hear from.
+    pub counter: Option<(IpAddr, u64, u64)>,
+    /// Token buckets of the quota counter: name, tokens left, rate limit per second, recent demand per second.
+    pub buckets: Vec<(u64, f64, f64, f64)>,
 }
 
-impl Picture {
-    /// Of what registries said.
-    pub fn of(statuses: &[(SocketAddr, Option<RegistryStatus>)]) -> Picture {
-        let mut picture = Picture {
-            racks: statuses.iter().map(|(at, status)| (*at, status.as_ref().map(|s| s.fresh))).collect(),
-            ..Picture::default()
+impl Overview {
+    /// Merges the status of all registries; `None` stands for a registry that did not answer.
+    pub fn of(statuses: &[(SocketAddr, Option<RegistryStatus>)]) -> Overview {
+        let mut overview = Overview {
+            registries: statuses.iter().map(|(at, status)| (*at, status.as_ref().map(|s| s.fresh))).collect(),
+            ..Overview::default()
         };
         let all = || statuses.iter().filter_map(|(_, status)| status.as_ref());
         for status in all() {
-            for (kind, name, version, stands) in &status.items {
-                let newest = picture.items.entry((*kind, name.clone())).or_insert((*version, *stands));
+            for (kind, name, version, in_force) in &status.items {
+                let newest = overview.items.entry((*kind, name.clone())).or_insert((*version, *in_force));
                 if newest.0 < *version {
-                    *newest = (*version, *stands);
+                    *newest = (*version, *in_force);
                 }
             }
             if let Some((term, ip)) = status.holder {
-                if picture.holder.is_none_or(|(_, known, _)| known < term) {
-                    picture.holder = Some((ip, term, 0));
+                if overview.counter.is_none_or(|(_, known, _)| known < term) {
+                    overview.counter = Some((ip, term, 0));
                 }
             }
         }
-        // The most items are with who has the newest of all.
+        // A registry that has the newest version of every item. Its digest tells which gateways are current.
         let newest = all().find(|status| {
-            status.items.len() == picture.items.len()
+            status.items.len() == overview.items.len()
                 && status.items.iter().all(|(kind, name, version, _)| {
-                    picture.items.get(&(*kind, name.clone())).is_some_and(|(known, _)| known == version)
+                    overview.items.get(&(*kind, name.clone())).is_some_and(|(known, _)| known == version)
                 })
         });
         let digest = newest.map(|status| status.digest);
         for status in all() {
-            for (gateway, ago_ms, in_force) in &status.gateways {
-                let known = picture.gateways.get(&gateway.ip);
+            for (gateway, ago_ms, applied_digest) in &status.gateways {
+                let known = overview.gateways.get(&gateway.ip);
                 if known.is_none_or(|known| *ago_ms < known.ago_ms) {
-                    let current = Some(*in_force) == digest;
-                    let (node, zone, life) = (gateway.node.clone(), gateway.zone.clone(), gateway.life);
-                    let seen = Gateway { node, zone, ago_ms: *ago_ms, life, current };
-                    picture.gateways.insert(gateway.ip, seen);
+                    let current = Some(*applied_digest) == digest;
+                    let (node, zone, process_id) = (gateway.node.clone(), gateway.zone.clone(), gateway.life);
+                    let latest = Gateway { node, zone, ago_ms: *ago_ms, process_id, current };
+                    overview.gateways.insert(gateway.ip, latest);
                 }
             }
-            for (told, _) in &status.backends {
-                let service = picture.services.entry(told.instance.service.clone()).or_default();
-                let seen_as = match (told.instance.state, told.liveness) {
+            for (seen, _) in &status.backends {
+                let service = overview.services.entry(seen.instance.service.clone()).or_default();
+                let ids = match (seen.instance.state, seen.liveness) {
                     (BackendState::Gone, _) | (_, Liveness::Lost) => continue,
                     (BackendState::Draining, _) => &mut service.draining,
                     (BackendState::Ready, Liveness::Silent) => &mut service.silent,
                     (BackendState::Ready, Liveness::Alive) => &mut service.ready,
                 };
-                seen_as.insert(told.instance.id.clone());
+                ids.insert(seen.instance.id.clone());
             }
             if let Some(count) = &status.count {
-                let names = status.backends.iter().map(|(told, _)| (told.instance.number(), &told.instance));
-                picture.see(&names.collect(), &count.rooms);
-                picture.stores = count.stores.clone();
-                picture.holder.iter_mut().for_each(|holder| holder.2 = count.silent);
+                let instances =
+                    status.backends.iter().map(|(seen, _)| (seen.instance.number(), &seen.instance));
+                overview.add_loads(&instances.collect(), &count.rooms);
+                overview.buckets = count.stores.clone();
+                overview.counter.iter_mut().for_each(|counter| counter.2 = count.silent);
             }
         }
-        for service in picture.services.values_mut() {
-            // A drain that one knows of holds; silence only where nobody hears.
+        for service in overview.services.values_mut() {
+            // A drain that any registry knows of is in effect. A backend is silent only if no registry hears from it.
             service.ready.retain(|id| !service.draining.contains(id));
             service.silent.retain(|id| !service.ready.contains(id) && !service.draining.contains(id));
         }
-        picture
+        overview
     }
 
-    /// How backends do, as whoever keeps the count sees it.
-    fn see(&mut self, instances: &HashMap<u64, &Instance>, rooms: &[BackendLoad]) {
-        for room in rooms {
-            let Some(instance) = instances.get(&room.backend) else { continue };
+    /// Adds the loads that the quota counter reports. Skips backends that its registry does not know.
+    fn add_loads(&mut self, instances: &HashMap<u64, &Instance>, loads: &[BackendLoad]) {
+        for load in loads {
+            let Some(instance) = instances.get(&load.backend) else { continue };
             let service = self.services.entry(instance.service.clone()).or_default();
-            service.out += room.out;
-            service.places += room.capacity;
-            if room.slow >= SLOW {
+            service.outstanding += load.out;
+            service.capacity += load.capacity;
+            if load.slow >= SLOW_FACTOR {
                 service.slow.insert(instance.id.clone());
             }
-            if room.ill >= ILL {
-                service.ill.insert(instance.id.clone());
+            if load.ill >= FAILING_FRACTION {
+                service.failing.insert(instance.id.clone());
             }
         }
     }
 
-    /// What is other than it was, a line each.
-    pub fn changes(&self, before: &Picture) -> Vec<String> {
-        let mut said = Vec::new();
-        for ((at, now), (_, was)) in self.racks.iter().zip(&before.racks) {
+    /// Describes what changed since an earlier overview, one line for each change.
+    pub fn changes(&self, before: &Overview) -> Vec<String> {
+        let mut lines = Vec::new();
+        for ((at, now), (_, was)) in self.registries.iter().zip(&before.registries) {
             if now.is_some() != was.is_some() {
-                said.push(format!("registry {at} {}", if now.is_some() { "answers" } else { "is silent" }));
+                lines.push(format!("registry {at} {}", if now.is_some() { "answers" } else { "is silent" }));
             }
         }
         for (ip, gateway) in &self.gateways {
             match before.gateways.get(ip) {
-                None => said.push(format!("gateway {} is new", gateway.node)),
-                Some(was) if was.life != gateway.life => {
-                    said.push(format!("gateway {} has started anew", gateway.node));
+                None => lines.push(format!("gateway {} is new", gateway.node)),
+                Some(was) if was.process_id != gateway.process_id => {
+                    lines.push(format!("gateway {} has restarted", gateway.node));
                 }
                 Some(_) => {}
             }
         }
         for (ip, gateway) in &before.gateways {
             if !self.gateways.contains_key(ip) {
-                said.push(format!("gateway {} is gone", gateway.node));
+                lines.push(format!("gateway {} is gone", gateway.node));
             }
         }
         let none = Service::default();
         for (name, service) in &self.services {
             let was = before.services.get(name).unwrap_or(&none);
             let new = service.draining.difference(&was.draining);
-            said.extend(new.map(|id| format!("{name}: {id} drains")));
+            lines.extend(new.map(|id| format!("{name}: {id} drains")));
             let new = service.silent.difference(&was.silent);
-            said.extend(new.map(|id| format!("{name}: {id} is silent")));
-            let new = service.ill.difference(&was.ill);
-            said.extend(new.map(|id| format!("{name}: attempts at {id} come to nothing")));
+            lines.extend(new.map(|id| format!("{name}: {id} is silent")));
+            let new = service.failing.difference(&was.failing);
+            lines.extend(new.map(|id| format!("{name}: attempts at {id} fail")));
             let new = service.slow.difference(&was.slow);
-            said.extend(new.map(|id| format!("{name}: {id} is slow")));
+            lines.extend(new.map(|id| format!("{name}: {id} is slow")));
             let new = service.ready.difference(&was.ready);
-            said.extend(new.map(|id| format!("{name}: {id} takes work")));
+            lines.extend(new.map(|id| format!("{name}: {id} takes work")));
         }
-        for ((kind, name), (version, stands)) in &self.items {
-            if before.items.get(&(*kind, name.clone())) != Some(&(*version, *stands)) {
-                let how = if *stands { "set" } else { "dropped" };
-                said.push(format!("{kind:?} {name} {how} in r{version}"));
+        for ((kind, name), (version, in_force)) in &self.items {
+            if before.items.get(&(*kind, name.clone())) != Some(&(*version, *in_force)) {
+                let verb = if *in_force { "set" } else { "dropped" };
+                lines.push(format!("{kind:?} {name} {verb} in r{version}"));
             }
         }
-        if self.holder.map(|h| (h.0, h.1)) != before.holder.map(|h| (h.0, h.1)) {
-            if let Some((ip, term, _)) = self.holder {
-                said.push(format!("the count is kept at {ip}, term {term}"));
+        if self.counter.map(|c| (c.0, c.1)) != before.counter.map(|c| (c.0, c.1)) {
+            if let Some((ip, term, _)) = self.counter {
+                lines.push(format!("the quota counter runs at {ip}, term {term}"));
             }
         }
-        said
+        lines
     }
 }
 
-/// Events as they came, the newest first.
+/// The latest changes, the newest first.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventLog {
     lines: VecDeque<String>,
 }
 
-impl Events {
-    /// Adds some, with the second at which they were seen.
-    pub fn add(&mut self, at: u64, lines: Vec<String>) {
+impl EventLog {
+    /// Adds lines, with the number of seconds since the console started.
+    pub fn add(&mut self, at_s: u64, lines: Vec<String>) {
         for line in lines {
-            self.lines.push_front(format!("{:>5} s  {line}", at));
+            self.lines.push_front(format!("{at_s:>5} s  {line}"));
         }
-        self.lines.truncate(EVENTS);
+        self.lines.truncate(MAX_EVENTS);
     }
 
-    /// All of them.
+    /// The kept lines, the newest first.
     pub fn lines(&self) -> impl Iterator<Item = &String> {
         self.lines.iter()
     }
--- a/crates/starlinghill-console/tests/words.rs
+++ b/crates/starlinghill-console/tests/status.rs
@@ -1,10 +1,10 @@
-//! What the console says of how things stand.
+//! The overview, the explanations and the differences that the console shows.
 
 use starlinghill_catalog::{BackendState, Gateway, Instance, Liveness, Observation};
 use starlinghill_config_model::items::digest;
 use starlinghill_config_model::{ConfigChange, Item, ItemKind, VersionHistory};
-use starlinghill_console::explain::{book, differences, explain, Asked};
-use starlinghill_console::status::Picture;
+use starlinghill_console::explain::{differences, explain, item_set, RequestQuery};
+use starlinghill_console::status::Overview;
 use starlinghill_decision::api::CustomerId;
 use starlinghill_decision::store_name;
 use starlinghill_quota_counter::BackendLoad;
@@ -28,7 +28,7 @@
     IpAddr::from([10, 0, 0, last])
 }
 
-fn told(id: &str, state: BackendState, liveness: Liveness) -> (Observation, u64) {
+fn seen(id: &str, state: BackendState, liveness: Liveness) -> (Observation, u64) {
     let (version, zone, service) = ("v1".into(), "a".into(), "ledger".into());
     let address = SocketAddr::new(ip(9), 80);
     let instance =
@@ -41,115 +41,115 @@
     Item { kind: ItemKind::Route, name: name.into(), version, host, body, history: VersionHistory::default() }
 }
 
-fn status(rack: u8, items: &[Item]) -> RegistryStatus {
+fn status(registry: u8, items: &[Item]) -> RegistryStatus {
     let gateway = Gateway { ip: ip(20), life: 1, zone: "a".into(), node: "edge-1".into() };
     let list = items.iter().map(|item| (item.kind, item.name.clone(), item.version, true)).collect();
     RegistryStatus {
         members: Default::default(),
-        ip: ip(rack),
+        ip: ip(registry),
         life: 1,
         time: 0,
         fresh: true,
         items: list,
         digest: digest(items.iter()),
-        backends: vec![told("i-1", BackendState::Ready, Liveness::Alive)],
+        backends: vec![seen("i-1", BackendState::Ready, Liveness::Alive)],
         gateways: vec![(gateway, 100, digest([item("r-1", 8)].iter()))],
         holder: Some((3, ip(1))),
         count: None,
     }
 }
 
-fn at(rack: u8) -> SocketAddr {
-    SocketAddr::new(ip(rack), 7560)
+fn at(registry: u8) -> SocketAddr {
+    SocketAddr::new(ip(registry), 7560)
 }
 
 #[test_case("b.example", "/x/1", None, "404"; "no route")]
-#[test_case("a.example", "/x/1", Some("k-9"), "401"; "no such key")]
-#[test_case("a.example", "/x/1", Some("k-1"), "429 for most"; "beyond its quota")]
-#[test_case("a.example", "/x/1", Some("k-1"), "service ledger: 90 in a hundred, 1 backends ready"; "its services")]
-#[test_case("a.example", "/x/1", Some("k-1"), "service lobby: 10 in a hundred, 0 backends ready, 0 draining - 503";
+#[test_case("a.example", "/x/1", Some("k-9"), "401"; "unknown key")]
+#[test_case("a.example", "/x/1", Some("k-1"), "429 for most"; "over its quota")]
+#[test_case("a.example", "/x/1", Some("k-1"), "service ledger: 90 percent, 1 backends ready"; "a service with a backend")]
+#[test_case("a.example", "/x/1", Some("k-1"), "service lobby: 10 percent, 0 backends ready, 0 draining - 503";
     "a service without backends")]
-fn a_request_is_explained(host: &str, path: &str, key: Option<&str>, wanted: &str) {
+fn the_explanation_of_a_request_names_the_cause(host: &str, path: &str, key: Option<&str>, wanted: &str) {
     let mut status = status(1, &[]);
     let store = store_name(CustomerId(xxh3_64(b"studio"))).0;
     status.count =
         Some(CounterStatus { silent: 0, stores: vec![(store, 0.2, 10.0, 55.0)], rooms: Vec::new() });
-    let said = explain(&items(), &[status], Asked { host, path, key }).unwrap_or_default();
-    assert!(said.iter().any(|line| line.contains(wanted)), "{said:#?}");
+    let lines = explain(&items(), &[status], RequestQuery { host, path, key }).unwrap_or_default();
+    assert!(lines.iter().any(|line| line.contains(wanted)), "{lines:#?}");
 }
 
 #[test]
-fn a_gateway_with_older_items_is_told_from_one_with_the_newest() {
+fn a_gateway_is_current_only_if_it_applies_the_newest_items_of_any_registry() {
     let newest = [item("r-1", 8)];
     let old = status(2, &[item("r-1", 7)]);
     let all = [(at(1), Some(status(1, &newest))), (at(2), Some(old.clone())), (at(3), None)];
-    let picture = Picture::of(&all);
-    assert!(picture.gateways[&ip(20)].current && picture.racks[2].1.is_none());
+    let overview = Overview::of(&all);
+    assert!(overview.gateways[&ip(20)].current && overview.registries[2].1.is_none());
     let mut behind = status(1, &newest);
     behind.gateways[0].2 = old.digest;
-    assert!(!Picture::of(&[(at(1), Some(behind))]).gateways[&ip(20)].current);
+    assert!(!Overview::of(&[(at(1), Some(behind))]).gateways[&ip(20)].current);
 }
 
 #[test]
-fn a_drain_that_one_registry_knows_of_holds_and_silence_counts_only_where_nobody_hears() {
+fn a_backend_drains_if_any_registry_says_so_and_is_silent_only_if_all_do() {
     let (mut one, mut two) = (status(1, &[]), status(2, &[]));
     one.backends = vec![
-        told("i-1", BackendState::Draining, Liveness::Alive),
-        told("i-2", BackendState::Ready, Liveness::Silent),
+        seen("i-1", BackendState::Draining, Liveness::Alive),
+        seen("i-2", BackendState::Ready, Liveness::Silent),
     ];
     two.backends = vec![
-        told("i-1", BackendState::Ready, Liveness::Alive),
-        told("i-2", BackendState::Ready, Liveness::Alive),
+        seen("i-1", BackendState::Ready, Liveness::Alive),
+        seen("i-2", BackendState::Ready, Liveness::Alive),
     ];
-    let picture = Picture::of(&[(at(1), Some(one)), (at(2), Some(two))]);
-    let ledger = &picture.services["ledger"];
+    let overview = Overview::of(&[(at(1), Some(one)), (at(2), Some(two))]);
+    let ledger = &overview.services["ledger"];
     assert!(ledger.draining.contains("i-1") && !ledger.ready.contains("i-1"));
     assert!(ledger.ready.contains("i-2") && ledger.silent.is_empty());
 }
 
 #[test]
-fn backends_that_are_slow_or_ill_are_named_as_the_counter_sees_them() {
+fn slow_and_failing_backends_are_listed_as_the_quota_counter_reports_them() {
     let mut status = status(1, &[]);
     status.backends =
-        (1..=3).map(|i| told(&format!("i-{i}"), BackendState::Ready, Liveness::Alive)).collect();
-    let before = Picture::of(&[(at(1), Some(status.clone()))]);
-    let seen = |i: usize, slow: f32, ill: f32| {
+        (1..=3).map(|i| seen(&format!("i-{i}"), BackendState::Ready, Liveness::Alive)).collect();
+    let before = Overview::of(&[(at(1), Some(status.clone()))]);
+    let load = |i: usize, slow: f32, ill: f32| {
         let backend = status.backends[i].0.instance.number();
         BackendLoad { backend, out: 2, capacity: 3, slow, ill }
     };
     let unknown = BackendLoad { backend: 7, out: 9, capacity: 9, slow: 9.0, ill: 1.0 };
-    let rooms = vec![seen(0, 1.0, 0.0), seen(1, 2.5, 0.1), seen(2, 0.8, 0.4), unknown];
+    let rooms = vec![load(0, 1.0, 0.0), load(1, 2.5, 0.1), load(2, 0.8, 0.4), unknown];
     status.count = Some(CounterStatus { silent: 0, stores: Vec::new(), rooms });
-    let after = Picture::of(&[(at(1), Some(status))]);
+    let after = Overview::of(&[(at(1), Some(status))]);
     let ledger = &after.services["ledger"];
-    assert_eq!((ledger.out, ledger.places), (6, 9));
-    assert!(ledger.slow.iter().eq(["i-2"]) && ledger.ill.iter().eq(["i-3"]), "{ledger:?}");
-    let said = after.changes(&before);
-    for wanted in ["i-2 is slow", "attempts at i-3 come to nothing"] {
-        assert!(said.iter().any(|line| line.contains(wanted)), "{wanted}: {said:#?}");
+    assert_eq!((ledger.outstanding, ledger.capacity), (6, 9));
+    assert!(ledger.slow.iter().eq(["i-2"]) && ledger.failing.iter().eq(["i-3"]), "{ledger:?}");
+    let lines = after.changes(&before);
+    for wanted in ["i-2 is slow", "attempts at i-3 fail"] {
+        assert!(lines.iter().any(|line| line.contains(wanted)), "{wanted}: {lines:#?}");
     }
 }
 
 #[test]
-fn what_changed_is_said_once() {
-    let before = Picture::of(&[(at(1), Some(status(1, &[item("r-1", 7)])))]);
+fn each_change_between_two_overviews_gets_a_line_and_no_change_gets_none() {
+    let before = Overview::of(&[(at(1), Some(status(1, &[item("r-1", 7)])))]);
     let mut next = status(1, &[item("r-1", 8)]);
-    next.backends = vec![told("i-1", BackendState::Draining, Liveness::Alive)];
+    next.backends = vec![seen("i-1", BackendState::Draining, Liveness::Alive)];
     next.holder = Some((4, ip(2)));
     next.gateways[0].0.life = 2;
-    let after = Picture::of(&[(at(1), Some(next))]);
-    let said = after.changes(&before);
-    for wanted in ["edge-1 has started anew", "i-1 drains", "r-1 set in r8", "kept at 10.0.0.2, term 4"] {
-        assert!(said.iter().any(|line| line.contains(wanted)), "{wanted}: {said:#?}");
+    let after = Overview::of(&[(at(1), Some(next))]);
+    let lines = after.changes(&before);
+    for wanted in ["edge-1 has restarted", "i-1 drains", "r-1 set in r8", "runs at 10.0.0.2, term 4"] {
+        assert!(lines.iter().any(|line| line.contains(wanted)), "{wanted}: {lines:#?}");
     }
     assert!(after.changes(&after).is_empty());
 }
 
 #[test]
-fn a_file_is_compared_with_what_stands() {
-    let stand = book(&items()).unwrap_or_default();
+fn the_difference_to_a_file_shows_the_old_and_the_new_version() {
+    let current = item_set(&items()).unwrap_or_default();
     let change = r#"{"upsert":{},"remove":{"routes":[{"name":"r-1","version":"r9"}]}}"#;
     let next =
-        ConfigChange::read(change.as_bytes()).and_then(|change| stand.with(&change)).unwrap_or_default();
-    assert_eq!(differences(&stand, &next), ["- Route r-1 r7", "+ Route r-1 r9 dropped"]);
+        ConfigChange::read(change.as_bytes()).and_then(|change| current.with(&change)).unwrap_or_default();
+    assert_eq!(differences(&current, &next), ["- Route r-1 r7", "+ Route r-1 r9 dropped"]);
 }
