--- a/crates/starlinghill-simhost/src/lib.rs
+++ b/crates/starlinghill-simhost/src/lib.rs
@@ -1,4 +1,9 @@
-//! The text protocol of the simulator, to and from the types of `api.rs`. Nothing here decides.
+//! Adapter between the simulator's line-based text protocol and the decision module: parses input lines into events, hands
+//! them to the gateway instance they are addressed to, and prints the resulting actions. It takes no decisions itself.
+//!
+//! Input comes in batches from `TICK` to `FLUSH`. Within a batch, `FOR` selects the instance that the following lines are
+//! for. At `FLUSH`, the reply lists the actions of every instance that has any, and ends with `EOR`. Times are in
+//! microseconds of the simulator's clock.
 
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
@@ -6,7 +11,10 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// How something ended, by its code.
+/// The upper bound of a count that the wire writes as a real number.
+const MAX_COUNT: f64 = 1e6;
+
+/// Reads the outcome of an attempt, a probe or a counter call: the simulator writes it as an HTTP-like status code.
 fn outcome(f: &Fields) -> Result<Outcome> {
     Ok(match f.text("how")? {
         "200" => Outcome::Ok,
@@ -21,7 +29,8 @@
     })
 }
 
-/// The load report that came with an answer, where one did.
+/// Reads the load report of a response, as `name:number` pairs. All values stay `None` if the response had no report;
+/// unknown names are ignored.
 fn report(f: &Fields) -> Result<Report> {
     let mut report = Report::default();
     for pair in f.pairs.get("report").into_iter().flat_map(|r| r.split(',')) {
@@ -43,7 +52,7 @@
     text.as_bytes().chunks(2).map(|pair| Some(digit(pair[0])? << 4 | digit(*pair.get(1)?)?)).collect()
 }
 
-/// One gateway with the names by which the wire knows what it is told of.
+/// A gateway instance, and the mapping between its numeric ids and the names on the wire.
 struct Instance {
     gateway: Gateway,
     site: Site,
@@ -56,7 +65,8 @@
             .map_err(|e| FieldError(format!("{}: settings: {e}", f.place)))?;
         Ok(Instance { gateway, site })
     }
-    fn entry(&mut self, f: &Fields) -> Result<ServerEntry> {
+    /// Reads one entry of a backend list.
+    fn server_entry(&mut self, f: &Fields) -> Result<ServerEntry> {
         Ok(ServerEntry {
             server: self.site.server(f.text("backend")?),
             service: ServiceId::default(),
@@ -72,6 +82,8 @@
             started: Some(f.micros_or("last_start", 0)?).filter(|s| s.0 > 0),
         })
     }
+
+    /// Reads an event; `None` for a message that is unknown here, which is ignored.
     fn event(&mut self, f: &Fields, now: Micros) -> Result<Option<Event>> {
         Ok(Some(match f.message {
             "KNOCK" => {
@@ -88,7 +100,7 @@
                 let Ok(customer) = u64::from_str_radix(f.text("user_key")?, 16) else {
                     return f.fail("user_key", "16 hex digits");
                 };
-                let longest = self.site.settings.classes[class].deadline;
+                let max_deadline = self.site.settings.classes[class].deadline;
                 let units = f.real_or("price_units", 1.0)?;
                 if units < 0.0 {
                     return f.fail("price_units", "a number of 0 or more");
@@ -98,9 +110,9 @@
                     class: ClassId(class),
                     plan: PlanId(plan),
                     customer: CustomerId(customer),
-                    spread: f.real_or("doors", 1.0)?.clamp(1.0, 1e6) as u32,
-                    first: f.real_or("set_from", 0.0)?.clamp(0.0, 1e6) as u32,
-                    deadline: f.read("drop_dead", "a clock time")?.map_or(now + longest, Micros),
+                    spread: f.real_or("doors", 1.0)?.clamp(1.0, MAX_COUNT) as u32,
+                    first: f.real_or("set_from", 0.0)?.clamp(0.0, MAX_COUNT) as u32,
+                    deadline: f.read("drop_dead", "a clock time")?.map_or(now + max_deadline, Micros),
                     units,
                     resent: f.flag_or("resent", false)?,
                     ..Arrival::default()
@@ -130,6 +142,8 @@
             _ => return Ok(None),
         }))
     }
+
+    /// Prints an action as a line of the reply.
     fn write(&self, action: &Action, out: &mut String) {
         let name = |s: &ServerId| self.site.servers.get(s).map_or("", String::as_str);
         // Writing to a String cannot fail.
@@ -145,7 +159,7 @@
             Action::Count(n, amount, life) => {
                 writeln!(out, "ADD_AND_GET book={} amount={amount} lifetime={}", n.0, life.0)
             }
-            // No counter of the simulator's keeps stores.
+            // The simulator has no token buckets.
             Action::Draw(..) | Action::Charge(..) => Ok(()),
             Action::Tell(peer, message) => {
                 let hex: String = message.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -158,34 +172,41 @@
     }
 }
 
-/// A list event whose entry lines are still coming.
-struct OpenList {
+/// A backend list of which not all `ITEM` lines have been read.
+struct PartialList {
     scope: ListScope,
     entries: Vec<ServerEntry>,
-    left: u64,
+    /// The number of `ITEM` lines still to come.
+    missing: u64,
 }
 
-/// The gateways of one process, by number, and the batch being read.
+/// The gateway instances of this process, and the state of the batch that is being read.
 #[derive(Default)]
 pub struct Host {
+    /// Instances by their number on the wire.
     instances: BTreeMap<u32, Instance>,
-    current: Option<u32>,
+    /// The instance that the last `FOR` line of this batch selected.
+    selected: Option<u32>,
+    /// The simulator's clock, from the last `TICK`.
     now: Micros,
-    line: u64,
+    /// The number of lines read, for error messages.
+    line_number: u64,
     in_batch: bool,
-    list: Option<OpenList>,
+    list: Option<PartialList>,
+    /// The reply lines of this batch, by instance.
     replies: BTreeMap<u32, String>,
+    /// Reused for the actions of each event, to save allocations.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Takes one line of input; at the end of a batch, returns the reply.
-    pub fn line(&mut self, text: &str) -> Result<Option<String>> {
-        self.line += 1;
+    /// Handles one line of input. At the end of a batch, returns the reply; an error names the line and the field.
+    pub fn handle_line(&mut self, text: &str) -> Result<Option<String>> {
+        self.line_number += 1;
         if text.is_empty() {
             return Ok(None);
         }
-        let f = Fields::parse(self.line, text)?;
+        let f = Fields::parse(self.line_number, text)?;
         if f.message != "TICK" && !self.in_batch {
             return Err(FieldError(format!("{}: expected TICK to begin a batch", f.place)));
         }
@@ -198,15 +219,15 @@
                 if self.in_batch || now < self.now {
                     return f.fail("now", "a batch's end first, and a clock that moves forward");
                 }
-                (self.now, self.in_batch, self.current) = (now, true, None);
+                (self.now, self.in_batch, self.selected) = (now, true, None);
             }
-            "FOR" => self.current = Some(f.small("who")?),
+            "FOR" => self.selected = Some(f.small("who")?),
             "START" => {
-                let Some(who) = self.current else { return self.nobody(&f) };
+                let Some(who) = self.selected else { return self.missing_for(&f) };
                 self.instances.insert(who, Instance::start(&f)?);
             }
             "DOWN" => {
-                let Some(who) = self.current else { return self.nobody(&f) };
+                let Some(who) = self.selected else { return self.missing_for(&f) };
                 self.instances.remove(&who);
                 self.replies.remove(&who);
             }
@@ -228,44 +249,50 @@
                     "lost" => ListScope::Lost,
                     _ => return f.fail("scope", "incr, total, warm_copy or lost"),
                 };
-                let left = f.whole_or("items", 0)?;
-                if self.current.is_none() {
-                    return self.nobody(&f);
+                let missing = f.whole_or("items", 0)?;
+                if self.selected.is_none() {
+                    return self.missing_for(&f);
                 }
-                self.list = Some(OpenList { scope, entries: Vec::new(), left });
-                self.close_list();
+                self.list = Some(PartialList { scope, entries: Vec::new(), missing });
+                self.deliver_complete_list();
             }
             "ITEM" => {
                 let Some(list) = self.list.as_mut() else {
                     return Err(FieldError(format!("{}: expected only inside a FLEET list", f.place)));
                 };
-                let instance = self.current.and_then(|who| self.instances.get_mut(&who));
+                let instance = self.selected.and_then(|who| self.instances.get_mut(&who));
                 if let Some(instance) = instance {
-                    list.entries.push(instance.entry(&f)?);
+                    list.entries.push(instance.server_entry(&f)?);
                 }
-                list.left -= 1;
-                self.close_list();
+                list.missing -= 1;
+                self.deliver_complete_list();
             }
             _ => {
-                let Some(who) = self.current else { return self.nobody(&f) };
+                let Some(who) = self.selected else { return self.missing_for(&f) };
                 if let Some(instance) = self.instances.get_mut(&who) {
                     if let Some(event) = instance.event(&f, self.now)? {
-                        self.tell(who, event);
+                        self.deliver(who, event);
                     }
                 }
             }
         }
         Ok(None)
     }
-    fn nobody(&self, f: &Fields) -> Result<Option<String>> {
+
+    /// The error for a line that needs a `FOR` line before it.
+    fn missing_for(&self, f: &Fields) -> Result<Option<String>> {
         Err(FieldError(format!("{}: expected a FOR line before it", f.place)))
     }
-    fn close_list(&mut self) {
-        if let (Some(list), Some(who)) = (self.list.take_if(|l| l.left == 0), self.current) {
-            self.tell(who, Event::Servers(list.scope, list.entries));
+
+    /// Delivers the backend list to the selected instance if all its entries have been read.
+    fn deliver_complete_list(&mut self) {
+        if let (Some(list), Some(who)) = (self.list.take_if(|list| list.missing == 0), self.selected) {
+            self.deliver(who, Event::Servers(list.scope, list.entries));
         }
     }
-    fn tell(&mut self, who: u32, event: Event) {
+
+    /// Hands an event to an instance, and appends its actions to the reply. Ignored if the instance is not running.
+    fn deliver(&mut self, who: u32, event: Event) {
         if let Some(instance) = self.instances.get_mut(&who) {
             self.actions.clear();
             instance.gateway.handle(self.now, event, &mut self.actions);
@@ -275,10 +302,14 @@
             }
         }
     }
-    /// What is wrong when the input ends now.
+
+    /// Checks that the input may end here: an error if a batch is incomplete.
     pub fn finish(&self) -> Result<()> {
         if self.in_batch {
-            return Err(FieldError(format!("line {}: expected FLUSH before the input's end", self.line)));
+            return Err(FieldError(format!(
+                "line {}: expected FLUSH before the input's end",
+                self.line_number
+            )));
         }
         Ok(())
     }
--- a/crates/starlinghill-simhost/src/main.rs
+++ b/crates/starlinghill-simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! The decisions on the simulator's wire: batches on standard input, replies on standard output.
+//! Serves the simulator's text protocol: reads batches from standard input, and writes replies to standard output. Stops
+//! with exit code 1 and one line on standard error at the first invalid line.
 
 use starlinghill_simhost::Host;
 use std::io::{self, BufRead, BufWriter, Write};
@@ -14,7 +15,7 @@
         if input.read_line(&mut line)? == 0 {
             return Ok(host.finish()?);
         }
-        if let Some(reply) = host.line(line.trim_end_matches(['\n', '\r']))? {
+        if let Some(reply) = host.handle_line(line.trim_end_matches(['\n', '\r']))? {
             output.write_all(reply.as_bytes())?;
             output.flush()?;
         }
--- a/crates/starlinghill-simhost/tests/wire.rs
+++ b/crates/starlinghill-simhost/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The adapter on good and bad text.
+//! The adapter's replies to valid input, and its errors on invalid input.
+
 use starlinghill_simhost::Host;
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -10,18 +11,20 @@
 const LIST: &str = "FLEET gen=1 scope=warm_copy items=1\n\
     ITEM backend=10.0.0.1:80 rack_zone=a model=m pod=0 status=in_service heft=1";
 
-fn talk(text: &str) -> Result<Vec<String>, String> {
+/// Feeds lines to a new host, and returns the replies of all batches.
+fn replies_to(text: &str) -> Result<Vec<String>, String> {
     let mut host = Host::default();
     let mut replies = Vec::new();
     for line in text.lines() {
-        replies.extend(host.line(line).map_err(|e| e.0)?);
+        replies.extend(host.handle_line(line).map_err(|e| e.0)?);
     }
     host.finish().map_err(|e| e.0)?;
     Ok(replies)
 }
 
-fn started(rest: &str) -> Result<Vec<String>, String> {
-    talk(&format!("TICK now=1000000\nFOR who=3\n{START}\n{LIST}\n{rest}"))
+/// The same for lines that follow the start of instance 3 and its backend list, in the same batch.
+fn replies_after_start(rest: &str) -> Result<Vec<String>, String> {
+    replies_to(&format!("TICK now=1000000\nFOR who=3\n{START}\n{LIST}\n{rest}"))
 }
 
 const KNOCK: &str =
@@ -29,31 +32,34 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    assert_eq!(talk("TICK now=5\nFLUSH").unwrap(), ["EOR\n"]);
+    assert_eq!(replies_to("TICK now=5\nFLUSH").unwrap(), ["EOR\n"]);
 }
 
 #[test]
-fn a_request_is_counted_then_routed() {
-    let replies = started(&format!("{KNOCK}\nFLUSH")).unwrap();
-    let add =
-        replies[0].lines().find(|l| l.starts_with("ADD_AND_GET") && l.contains("amount=2")).expect("an add");
+fn a_request_is_routed_after_the_counter_has_confirmed_its_units() {
+    let replies = replies_after_start(&format!("{KNOCK}\nFLUSH")).unwrap();
+    let add = replies[0]
+        .lines()
+        .find(|l| l.starts_with("ADD_AND_GET") && l.contains("amount=2"))
+        .expect("an ADD_AND_GET line");
     assert!(replies[0].starts_with("AS who=3\n") && replies[0].ends_with("EOR\n"));
     let book = add.split(' ').find(|p| p.starts_with("book=")).unwrap();
     let answer = format!("COUNT_RESULT {book} how=200 result_value=2 took=900");
-    let replies =
-        started(&format!("{KNOCK}\nFLUSH\nTICK now=1002000\nFOR who=3\nSOMETHING_NEW a=1\n{answer}\nFLUSH"))
-            .unwrap();
+    let replies = replies_after_start(&format!(
+        "{KNOCK}\nFLUSH\nTICK now=1002000\nFOR who=3\nSOMETHING_NEW a=1\n{answer}\nFLUSH"
+    ))
+    .unwrap();
     assert!(replies[1].contains("ROUTE ref=9 backend=10.0.0.1:80 abandon_at="), "{}", replies[1]);
 }
 
 #[test]
-fn after_down_nothing_is_said_for_the_instance() {
-    let replies = started(&format!("{KNOCK}\nDOWN\n{KNOCK}\nFLUSH")).unwrap();
+fn the_reply_has_no_actions_of_an_instance_that_went_down() {
+    let replies = replies_after_start(&format!("{KNOCK}\nDOWN\n{KNOCK}\nFLUSH")).unwrap();
     assert_eq!(replies, ["EOR\n"]);
 }
 
 #[test]
-fn bad_lines_are_named() {
+fn an_invalid_line_gives_a_one_line_error_that_names_line_and_field() {
     let cases = [
         ("KNOCK ref=x", "kind"),
         ("KNOCK ref=9 kind=view plan=p user_key=zz price_units=2", "user_key"),
@@ -68,20 +74,23 @@
         ("ITEM backend=b status=in_service", "FLEET"),
     ];
     for (line, field) in cases {
-        let error = started(&format!("{line}\nFLUSH")).expect_err(line);
+        let error = replies_after_start(&format!("{line}\nFLUSH")).expect_err(line);
         assert!(error.starts_with("line ") && error.contains(field), "{line}: {error}");
         assert_eq!(error.lines().count(), 1);
     }
-    assert!(talk("RING ref=1").is_err(), "outside a batch");
-    assert!(talk("TICK now=5\nFLUSH\nTICK now=4\nFLUSH").is_err(), "a clock that goes back");
-    assert!(talk("TICK now=5").is_err(), "a batch without an end");
-    assert!(talk("TICK now=5\nRING ref=1\nFLUSH").is_err(), "an event for nobody");
-    let senseless = START.replace("balancers=2", "balancers=0");
-    assert!(talk(&format!("TICK now=1\nFOR who=1\n{senseless}\nFLUSH")).is_err());
+    assert!(replies_to("RING ref=1").is_err(), "a line outside a batch is an error");
+    assert!(
+        replies_to("TICK now=5\nFLUSH\nTICK now=4\nFLUSH").is_err(),
+        "a clock that goes back is an error"
+    );
+    assert!(replies_to("TICK now=5").is_err(), "a batch without FLUSH is an error");
+    assert!(replies_to("TICK now=5\nRING ref=1\nFLUSH").is_err(), "an event without FOR is an error");
+    let invalid = START.replace("balancers=2", "balancers=0");
+    assert!(replies_to(&format!("TICK now=1\nFOR who=1\n{invalid}\nFLUSH")).is_err());
 }
 
 #[test]
-fn the_program_exits_with_one_plain_line() {
+fn on_an_invalid_line_the_program_fails_with_one_line_on_standard_error() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_starlinghill-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
