--- a/crates/starlinghill-config-store/src/acceptor.rs
+++ b/crates/starlinghill-config-store/src/acceptor.rs
@@ -1,5 +1,5 @@
-//! The owner of this store's vote: one task, which works through a queue of questions and has all on disk that must be
-//! there before it answers.
+//! The task that owns this store's consensus acceptor. It handles requests one at a time, and answers each only after the
+//! state that the answer relies on is synced to disk.
 
 use crate::disk::{SaveRequest, StorageQueue};
 use crate::wire::Value;
@@ -12,140 +12,144 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
 
-/// How many questions may wait; whoever has one more waits with it.
-const QUEUE: usize = 64;
-/// Nobody waits so long for a voter. Questions are given up then, or they would pile up behind a disk that hangs.
-const GIVEN_UP: Duration = Duration::from_secs(1);
+/// How many requests the queue holds. Callers wait for room in a full queue.
+const QUEUE_CAPACITY: usize = 64;
+/// How long a caller waits for the reply. A request whose caller has given up is dropped unhandled: otherwise requests
+/// would pile up behind a disk that hangs.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A question to the voter, from here or from another store, and who is meant.
+/// The member that a request is for, the request, and where its reply goes.
 type Command = (Member, Box<AcceptorRequest<Value>>, oneshot::Sender<AcceptorReply<Value>>);
 
-/// What others may know of the voter without asking.
+/// A copy of the acceptor's state for reading without a request. The configuration items are left out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AcceptorView {
-    /// Its promise.
+    /// The highest ballot that it has promised.
     pub promised: Ballot,
-    /// The ballot of its state, and the highest that it knows to be agreed on.
+    /// The ballot of the state that it has accepted last.
     pub accepted: Ballot,
-    /// The same.
+    /// The highest ballot that it knows to be chosen.
     pub chosen: Ballot,
-    /// The newest members that it knows to be agreed on.
+    /// The newest members that it knows to be chosen.
     pub members: Members,
-    /// Those of its state, agreed on or not.
+    /// The members in the state that it has accepted last, chosen or not.
     pub proposed: Members,
 }
 
-/// The way to the owner.
+/// Sends requests to the acceptor's task.
 #[derive(Clone)]
 pub struct AcceptorHandle {
-    /// Who votes here.
+    /// The member that the acceptor is.
     pub me: Member,
     queue: mpsc::Sender<Command>,
-    /// What the voter has.
+    /// The acceptor's latest state.
     pub view: watch::Receiver<AcceptorView>,
 }
 
 impl AcceptorHandle {
-    /// Runs the owner. Without it the process is of no use.
-    pub fn start(voter: Acceptor<Value>, disk: StorageQueue, essentials: &EssentialTasks) -> AcceptorHandle {
-        let (queue, commands) = mpsc::channel(QUEUE);
-        let (show, view) = watch::channel(view(&voter));
-        let me = voter.me();
-        essentials.spawn("vote", own(voter, disk, commands, show));
+    /// Starts the acceptor's task. The process ends when the task does.
+    pub fn start(
+        acceptor: Acceptor<Value>,
+        storage: StorageQueue,
+        essentials: &EssentialTasks,
+    ) -> AcceptorHandle {
+        let (queue, commands) = mpsc::channel(QUEUE_CAPACITY);
+        let (publisher, view) = watch::channel(view(&acceptor));
+        let me = acceptor.me();
+        essentials.spawn("vote", run(acceptor, storage, commands, publisher));
         AcceptorHandle { me, queue, view }
     }
 
-    /// Asks the voter here.
-    pub async fn ask(&self, ask: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
-        self.ask_as(self.me, ask).await
+    /// Sends a request to this store's own acceptor. `None` if no reply came in time.
+    pub async fn call(&self, request: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
+        self.call_as(self.me, request).await
     }
 
-    /// Asks the voter here, which may be another one than is meant.
-    pub async fn ask_as(&self, to: Member, ask: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
-        let (reply, answer) = oneshot::channel();
-        // The owner lives as long as the process.
-        let _ = self.queue.send((to, Box::new(ask), reply)).await;
-        timeout(GIVEN_UP, answer).await.ok()?.ok()
+    /// Sends a request that is meant for `to`. The acceptor rejects it if `to` is another incarnation than its own.
+    pub async fn call_as(&self, to: Member, request: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
+        let (reply, response) = oneshot::channel();
+        // A failure to send shows below: the reply's sender is dropped.
+        let _ = self.queue.send((to, Box::new(request), reply)).await;
+        timeout(REPLY_TIMEOUT, response).await.ok()?.ok()
     }
 }
 
-async fn own(
-    mut voter: Acceptor<Value>,
-    disk: StorageQueue,
+async fn run(
+    mut acceptor: Acceptor<Value>,
+    storage: StorageQueue,
     mut commands: mpsc::Receiver<Command>,
-    show: watch::Sender<AcceptorView>,
+    publisher: watch::Sender<AcceptorView>,
 ) {
-    // A disk has refused what the voter holds since: it says nothing until that is kept.
-    let mut unkept = false;
-    let mut fill = QueueGauge::new("votes", QUEUE);
-    while let Some((to, ask, reply)) = commands.recv().await {
-        fill.log(commands.len() + 1);
+    // A write has failed, so the state in memory is ahead of the disk. Nothing is answered from it until it is written:
+    // a loss of power would take back what was answered.
+    let mut unsaved = false;
+    let mut gauge = QueueGauge::new("votes", QUEUE_CAPACITY);
+    while let Some((to, request, reply)) = commands.recv().await {
+        gauge.log(commands.len() + 1);
         if reply.is_closed() {
-            // Given up by who asked, as behind a disk that hung: it is as though it had been lost on its way.
+            // The caller has given up. To it, this is the same as a request lost on the network.
             continue;
         }
-        if unkept {
-            match write(&voter, true, &disk).await {
-                Written::Kept => {}
-                Written::Refused => continue,
-                Written::NoWriter => return,
+        if unsaved {
+            match write(&acceptor, true, &storage).await {
+                WriteResult::Synced => {}
+                WriteResult::Failed => continue,
+                WriteResult::WriterGone => return,
             }
         }
-        let (tell, save) = voter.handle(to, *ask);
-        let written = match save {
-            RequiredWrite::Nothing => Written::Kept,
-            RequiredWrite::Kept => write(&voter, false, &disk).await,
-            RequiredWrite::State => write(&voter, true, &disk).await,
+        let (response, required) = acceptor.handle(to, *request);
+        let result = match required {
+            RequiredWrite::Nothing => WriteResult::Synced,
+            RequiredWrite::Kept => write(&acceptor, false, &storage).await,
+            RequiredWrite::State => write(&acceptor, true, &storage).await,
         };
-        if written == Written::NoWriter {
+        if result == WriteResult::WriterGone {
             return;
         }
-        let saved = written == Written::Kept;
-        unkept = !saved;
-        publish(&voter, &show);
-        if saved {
-            // Whoever asked may have stopped waiting.
-            let _ = reply.send(tell);
+        let synced = result == WriteResult::Synced;
+        unsaved = !synced;
+        publish(&acceptor, &publisher);
+        if synced {
+            // The caller may have stopped waiting.
+            let _ = reply.send(response);
         }
     }
 }
 
-/// What became of a write.
+/// The result of a write to disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Written {
-    /// It is on disk.
-    Kept,
-    /// The disk refuses.
-    Refused,
-    /// Whoever writes is no more: nothing is ever kept again by this process.
-    NoWriter,
+enum WriteResult {
+    Synced,
+    Failed,
+    /// The writer thread has ended: this process can never write again.
+    WriterGone,
 }
 
-/// Has it on disk; nothing is said of what is not. A disk that refuses leaves the voter silent, and the others decide.
-async fn write(voter: &Acceptor<Value>, state: bool, disk: &StorageQueue) -> Written {
-    let (done, saved) = oneshot::channel();
-    let state = state.then(|| voter.state().clone());
-    if disk.send(SaveRequest { acceptor: voter.kept().clone(), state, done }).is_err() {
-        return Written::NoWriter;
+/// Waits until the acceptor's own state, and with `whole_state` also the replicated state, is synced to disk.
+async fn write(acceptor: &Acceptor<Value>, whole_state: bool, storage: &StorageQueue) -> WriteResult {
+    let (done, synced) = oneshot::channel();
+    let state = whole_state.then(|| acceptor.state().clone());
+    if storage.send(SaveRequest { acceptor: acceptor.kept().clone(), state, done }).is_err() {
+        return WriteResult::WriterGone;
     }
-    match saved.await {
-        Ok(Ok(())) => Written::Kept,
+    match synced.await {
+        Ok(Ok(())) => WriteResult::Synced,
         Ok(Err(error)) => {
             log::error!("event=disk_failed error=\"{error}\"");
-            Written::Refused
+            WriteResult::Failed
         }
-        Err(_) => Written::NoWriter,
+        Err(_) => WriteResult::WriterGone,
     }
 }
 
-fn view(voter: &Acceptor<Value>) -> AcceptorView {
-    let AcceptorState { promised, accepted, chosen, members, .. } = voter.kept().clone();
-    AcceptorView { promised, accepted, chosen, members, proposed: voter.state().members.clone() }
+fn view(acceptor: &Acceptor<Value>) -> AcceptorView {
+    let AcceptorState { promised, accepted, chosen, members, .. } = acceptor.kept().clone();
+    AcceptorView { promised, accepted, chosen, members, proposed: acceptor.state().members.clone() }
 }
 
-fn publish(voter: &Acceptor<Value>, show: &watch::Sender<AcceptorView>) {
-    let new = view(voter);
-    show.send_if_modified(|known| {
+fn publish(acceptor: &Acceptor<Value>, publisher: &watch::Sender<AcceptorView>) {
+    let new = view(acceptor);
+    publisher.send_if_modified(|known| {
         let changed = *known != new;
         *known = new;
         changed
--- a/crates/starlinghill-config-store/src/admission.rs
+++ b/crates/starlinghill-config-store/src/admission.rs
@@ -1,7 +1,8 @@
-//! Who becomes a member: a store that does not vote asks for it, members decide by the rules and agree.
+//! Changes of the voting members: a store that is not a voter asks to join, an operator orders a change, or a store that
+//! shuts down hands its place over. The voters decide, and agree on the change by consensus.
 
 use crate::member_replacement::{decide, LastHeard};
-use crate::proposer::Stores;
+use crate::proposer::StoreNode;
 use crate::wire::{
     MembershipDelay, MembershipOrder, MembershipOutcome, MembershipStatus, State, StoreRequest, StoreResponse,
 };
@@ -15,37 +16,39 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// The most stores that wait to be members. Guards memory: anybody may ask.
-const MOST_CANDIDATES: usize = 16;
-/// A candidate is one no more when it has not asked for so long: some of the times that stores look at each other.
-const WAITING: Duration = Duration::from_millis(1_500);
-/// One that hears no majority for so long asks all whom it knows who votes now.
-const LOST: Duration = Duration::from_millis(500);
+/// How many candidates are remembered at most. Guards memory: any machine may ask to join.
+const MAX_CANDIDATES: usize = 16;
+/// A candidate is forgotten if it has not asked again for this long. Candidates ask once every poll interval, which is
+/// several times shorter.
+const CANDIDATE_TTL: Duration = Duration::from_millis(1_500);
+/// A store that has had no majority for this long asks every store it knows of for the current members.
+const ISOLATED_AFTER: Duration = Duration::from_millis(500);
 
-impl Stores {
-    /// Keeps finding out who votes, where that is not known or they don't answer, and asks to be one of them where it is none.
-    pub async fn belong(self: Rc<Self>, seeds: impl Fn() -> Vec<IpAddr> + 'static) {
-        let (mut alone_since, mut said) = (Instant::now(), None);
+impl StoreNode {
+    /// Runs for the life of the process: finds out the members if they are unknown or unreachable, and asks to join while
+    /// this store is not a voter.
+    pub async fn maintain_membership(self: Rc<Self>, seeds: impl Fn() -> Vec<IpAddr> + 'static) {
+        let (mut last_majority, mut logged) = (Instant::now(), None);
         loop {
             if self.is_fresh() {
-                alone_since = Instant::now();
+                last_majority = Instant::now();
             }
-            if self.members().0.voters.is_empty() || alone_since.elapsed() > LOST {
+            if self.members().0.voters.is_empty() || last_majority.elapsed() > ISOLATED_AFTER {
                 self.look_for_members(&seeds()).await;
             }
             let members = self.members().0;
             if !members.voters.is_empty() && !members.has(self.me) {
                 let answer = self.ask_to_join(&members).await;
-                if said.as_ref() != Some(&answer) {
+                if logged.as_ref() != Some(&answer) {
                     log::info!("event=join incarnation={:x} answer=\"{answer:?}\"", self.me.incarnation);
-                    said = Some(answer);
+                    logged = Some(answer);
                 }
             }
-            sleep(self.chain.look).await;
+            sleep(self.budget.look).await;
         }
     }
 
-    /// Asks all whom it knows of, the seeds too: those are a beginning only.
+    /// Asks all known members and the seeds for the current members. The seeds alone may be out of date.
     async fn look_for_members(self: &Rc<Self>, seeds: &[IpAddr]) {
         let (known, _) = self.members();
         let ips: BTreeSet<IpAddr> = known
@@ -55,7 +58,7 @@
             .chain(seeds.iter().copied())
             .filter(|ip| *ip != self.me.ip)
             .collect();
-        for (_, answer) in self.ask_each(ips, StoreRequest::Members).await {
+        for (_, answer) in self.call_all(ips, StoreRequest::Members).await {
             if let StoreResponse::Members(members, ballot) = answer {
                 if !members.voters.is_empty() {
                     self.follow_members(members, ballot);
@@ -64,59 +67,61 @@
         }
     }
 
-    /// Asks each of these at once, and waits for all.
-    async fn ask_each(&self, ips: BTreeSet<IpAddr>, question: StoreRequest) -> Vec<(IpAddr, StoreResponse)> {
-        let (tell, mut told) = mpsc::unbounded_channel();
+    /// Sends a request to several stores at once, and waits until each has answered or timed out.
+    async fn call_all(&self, ips: BTreeSet<IpAddr>, request: StoreRequest) -> Vec<(IpAddr, StoreResponse)> {
+        let (sender, mut answers) = mpsc::unbounded_channel();
         for ip in ips {
-            let (caller, question, tell) = (self.caller(ip), question.clone(), tell.clone());
-            let patience = self.chain.voter;
+            let (client, request, sender) = (self.client(ip), request.clone(), sender.clone());
+            let timeout = self.budget.voter;
             spawn_local(async move {
-                if let Ok(answer) = caller.call::<_, StoreResponse>(&question, patience).await {
-                    // It is waited for.
-                    let _ = tell.send((ip, answer));
+                if let Ok(answer) = client.call::<_, StoreResponse>(&request, timeout).await {
+                    // The receiver may be gone if this call was abandoned.
+                    let _ = sender.send((ip, answer));
                 }
             });
         }
-        drop(tell);
+        drop(sender);
         let mut all = Vec::new();
-        while let Some(answer) = told.recv().await {
+        while let Some(answer) = answers.recv().await {
             all.push(answer);
         }
         all
     }
 
-    /// All members hear of it, so that one which leaves knows to whom.
+    /// Asks all members to admit this store, so that each knows of a candidate that could replace it when it shuts down.
+    /// Returns a successful outcome if any member reports one.
     async fn ask_to_join(&self, members: &Members) -> Option<MembershipOutcome> {
         let ips = members.voters.iter().map(|m| m.ip).filter(|ip| *ip != self.me.ip).collect();
-        let answers = self.ask_each(ips, StoreRequest::Join(self.me)).await;
-        let admission = |answer| match answer {
-            StoreResponse::Membership(admission) => Some(admission),
+        let answers = self.call_all(ips, StoreRequest::Join(self.me)).await;
+        let outcome = |answer| match answer {
+            StoreResponse::Membership(outcome) => Some(outcome),
             _ => None,
         };
         let all: Vec<MembershipOutcome> =
-            answers.into_iter().filter_map(|(_, answer)| admission(answer)).collect();
+            answers.into_iter().filter_map(|(_, answer)| outcome(answer)).collect();
         let done =
             |a: &MembershipOutcome| matches!(a, MembershipOutcome::Done(_) | MembershipOutcome::Stands);
         all.iter().find(|a| done(a)).or(all.first()).cloned()
     }
 
-    /// A store would vote: decides by the rules, and has it agreed on.
+    /// Handles a join request: decides whether the candidate becomes a voter, and if so has the change chosen. Otherwise
+    /// remembers the candidate and the reason.
     pub async fn admit(self: &Rc<Self>, candidate: Member) -> MembershipOutcome {
         let (members, _) = self.members();
-        let verdict = match self.decide(&members, candidate).await {
+        let outcome = match self.decide(&members, candidate).await {
             Ok(None) => return MembershipOutcome::Stands,
             Ok(Some(change)) => self.change_members(members.epoch, change).await,
-            Err(wait) => MembershipOutcome::Waits(wait),
+            Err(delay) => MembershipOutcome::Waits(delay),
         };
         let mut candidates = self.candidates.borrow_mut();
-        candidates.retain(|_, (at, _)| at.elapsed() < WAITING);
-        match verdict {
-            MembershipOutcome::Waits(wait) if candidates.len() < MOST_CANDIDATES => {
-                candidates.insert(candidate, (Instant::now(), wait));
+        candidates.retain(|_, (at, _)| at.elapsed() < CANDIDATE_TTL);
+        match outcome {
+            MembershipOutcome::Waits(delay) if candidates.len() < MAX_CANDIDATES => {
+                candidates.insert(candidate, (Instant::now(), delay));
             }
             _ => drop(candidates.remove(&candidate)),
         }
-        verdict
+        outcome
     }
 
     async fn decide(
@@ -127,33 +132,35 @@
         if !members.has(self.me) {
             return Err(MembershipDelay::NoMajority);
         }
-        let mut sights: BTreeMap<Member, LastHeard> = BTreeMap::from([(self.me, self.sight())]);
-        // Others are asked only where one is missed here.
-        if self.sight().values().any(|ago| *ago >= self.times.gone) {
+        let mut reports: BTreeMap<Member, LastHeard> = BTreeMap::from([(self.me, self.last_heard())]);
+        // The other members are asked only if this store itself misses a member: candidates ask often, and usually all
+        // members are there.
+        if self.last_heard().values().any(|ago| *ago >= self.times.absent_after) {
             let others = members.voters.iter().map(|m| m.ip).filter(|ip| *ip != self.me.ip).collect();
-            for (ip, answer) in self.ask_each(others, StoreRequest::LastHeard).await {
-                let (StoreResponse::LastHeard(told), Some(member)) = (answer, members.at(ip)) else {
+            for (ip, answer) in self.call_all(others, StoreRequest::LastHeard).await {
+                let (StoreResponse::LastHeard(report), Some(member)) = (answer, members.at(ip)) else {
                     continue;
                 };
-                let sight = told.into_iter().map(|(m, ms)| (m, Duration::from_millis(ms))).collect();
-                sights.insert(member, sight);
+                let report = report.into_iter().map(|(m, ms)| (m, Duration::from_millis(ms))).collect();
+                reports.insert(member, report);
             }
         } else if members.at(candidate.ip).is_none() && !members.has(candidate) {
-            return Err(if self.stood() < self.times.stood {
+            return Err(if self.unchanged_for() < self.times.min_between_changes {
                 MembershipDelay::TooSoon
             } else {
                 MembershipDelay::NobodyGone
             });
         }
-        decide(self.times, members, self.stood(), candidate, &sights)
+        decide(self.times, members, self.unchanged_for(), candidate, &reports)
     }
 
-    /// Has other members agreed on, if they are still those of that epoch. Whoever comes has all that was agreed on first.
+    /// Has a change of members chosen, if the members are still those of `epoch`. A joining store first syncs the chosen
+    /// state: without it, it would count towards a majority that does not hold the state.
     pub async fn change_members(self: &Rc<Self>, epoch: u64, change: MemberChange) -> MembershipOutcome {
-        let (ballot, state) = self.known();
+        let (ballot, state) = self.chosen_state();
         if let MemberChange::Add(joins) | MemberChange::Replace { joins, .. } = change {
             let learn = AcceptorRequest::Learn { ballot, state: state.as_ref().clone() };
-            let synced = match self.put(joins, learn).await {
+            let synced = match self.call_acceptor(joins, learn).await {
                 Some(AcceptorReply::Has { accepted, .. }) => accepted >= ballot,
                 _ => false,
             };
@@ -161,7 +168,7 @@
                 return MembershipOutcome::Waits(MembershipDelay::NotSynced);
             }
         }
-        let agreed = self.agree(Instant::now() + ORDER_COMMIT_TIMEOUT, |base| {
+        let agreed = self.propose(Instant::now() + ORDER_COMMIT_TIMEOUT, |base| {
             if base.members.epoch != epoch {
                 return (None, MembershipOutcome::Waits(MembershipDelay::TooSoon));
             }
@@ -172,68 +179,78 @@
                 Err(_) => (None, MembershipOutcome::Waits(MembershipDelay::Refused)),
             }
         });
-        let came = agreed.await.unwrap_or(MembershipOutcome::Waits(MembershipDelay::NoMajority));
-        log::info!("event=change_members epoch={epoch} change=\"{change:?}\" came=\"{came:?}\"");
-        came
+        let outcome = agreed.await.unwrap_or(MembershipOutcome::Waits(MembershipDelay::NoMajority));
+        log::info!("event=change_members epoch={epoch} change=\"{change:?}\" came=\"{outcome:?}\"");
+        outcome
     }
 
-    /// People want other members. Their word counts at once, but for the time that a change must have stood.
+    /// Carries out an operator's order. No member need be absent for it, but the time between two changes is kept.
     pub async fn order(self: &Rc<Self>, order: MembershipOrder) -> MembershipOutcome {
         let (members, _) = self.members();
-        if self.stood() < self.times.stood {
+        if self.unchanged_for() < self.times.min_between_changes {
             return MembershipOutcome::Waits(MembershipDelay::TooSoon);
         }
         let change = match order {
-            MembershipOrder::Add(ip) => self.at(ip).await.map(MemberChange::Add),
+            MembershipOrder::Add(ip) => self.member_at(ip).await.map(MemberChange::Add),
             MembershipOrder::Remove(ip) => {
                 members.at(ip).map(MemberChange::Remove).ok_or(MembershipDelay::Refused)
             }
-            MembershipOrder::Replace(leaves, joins) => match (members.at(leaves), self.at(joins).await) {
-                (Some(leaves), Ok(joins)) => Ok(MemberChange::Replace { leaves, joins }),
-                (None, _) => Err(MembershipDelay::Refused),
-                (_, Err(wait)) => Err(wait),
-            },
+            MembershipOrder::Replace(leaves, joins) => {
+                match (members.at(leaves), self.member_at(joins).await) {
+                    (Some(leaves), Ok(joins)) => Ok(MemberChange::Replace { leaves, joins }),
+                    (None, _) => Err(MembershipDelay::Refused),
+                    (_, Err(delay)) => Err(delay),
+                }
+            }
         };
         match change {
             Ok(change) => self.change_members(members.epoch, change).await,
-            Err(wait) => MembershipOutcome::Waits(wait),
+            Err(delay) => MembershipOutcome::Waits(delay),
         }
     }
 
-    /// Who is at an address.
-    async fn at(&self, ip: IpAddr) -> Result<Member, MembershipDelay> {
-        // Nobody has that incarnation by chance: the answer says who is there.
-        match self.put(Member { ip, incarnation: u64::MAX }, AcceptorRequest::Look(Default::default())).await
-        {
+    /// Asks the store at an address for its incarnation.
+    async fn member_at(&self, ip: IpAddr) -> Result<Member, MembershipDelay> {
+        // No store has this incarnation, so the store there rejects the request and names its own.
+        let nobody = Member { ip, incarnation: u64::MAX };
+        match self.call_acceptor(nobody, AcceptorRequest::Look(Default::default())).await {
             Some(AcceptorReply::Another(member)) => Ok(member),
             _ => Err(MembershipDelay::NotSynced),
         }
     }
 
-    /// This store ends. Where another one waits to be a member, it gets the place: nobody can know whether this one comes back,
-    /// and until somebody noticed that it does not, one loss more would leave no majority.
-    pub async fn leave(self: &Rc<Self>) {
+    /// Hands this voter's place to a waiting candidate before the process ends, if there is one. The others can't know
+    /// whether this store will come back. Until they notice that it does not, one further loss could cost the majority.
+    pub async fn hand_over(self: &Rc<Self>) {
         let (members, _) = self.members();
-        let waits = |(_, (at, _)): &(&Member, &(Instant, MembershipDelay))| at.elapsed() < WAITING;
+        let waits = |(_, (at, _)): &(&Member, &(Instant, MembershipDelay))| at.elapsed() < CANDIDATE_TTL;
         let joins = self.candidates.borrow().iter().filter(waits).map(|(member, _)| *member).next();
         let Some(joins) = joins.filter(|_| members.has(self.me)) else { return };
-        if self.stood() >= self.times.stood {
+        if self.unchanged_for() >= self.times.min_between_changes {
             let change = MemberChange::Replace { leaves: self.me, joins };
             self.change_members(members.epoch, change).await;
         }
     }
 
-    /// How things stand between the members.
-    pub fn standing(&self) -> MembershipStatus {
-        let sight = self.sight();
+    /// The membership as this store sees it, for the console.
+    pub fn membership_status(&self) -> MembershipStatus {
+        let last_heard = self.last_heard();
         MembershipStatus {
             me: self.me,
             members: self.members().0,
             fresh: self.is_fresh(),
-            chosen: self.known().0,
-            unchanged_for_ms: self.stood().as_millis() as u64,
-            last_heard_ms: sight.into_iter().map(|(member, ago)| (member, ago.as_millis() as u64)).collect(),
-            candidates: self.candidates.borrow().iter().map(|(member, (_, wait))| (*member, *wait)).collect(),
+            chosen: self.chosen_state().0,
+            unchanged_for_ms: self.unchanged_for().as_millis() as u64,
+            last_heard_ms: last_heard
+                .into_iter()
+                .map(|(member, ago)| (member, ago.as_millis() as u64))
+                .collect(),
+            candidates: self
+                .candidates
+                .borrow()
+                .iter()
+                .map(|(member, (_, delay))| (*member, *delay))
+                .collect(),
         }
     }
 }
--- a/crates/starlinghill-config-store/src/apply_change.rs
+++ b/crates/starlinghill-config-store/src/apply_change.rs
@@ -1,24 +1,25 @@
-//! What becomes of an operator's order on top of what was agreed on.
+//! Applies an operator's configuration change to the current items.
 
 use crate::wire::{ChangeOutcome, Value};
 use starlinghill_config_model::{ChangeError, ConfigChange, ItemSet};
 
-/// The next value, where the order makes a new one, and what the operator is told once the value that this was decided on,
-/// or the next, is known to be agreed on.
-pub fn take(base: &Value, change: &ConfigChange) -> (Option<Value>, ChangeOutcome) {
-    let book = ItemSet::of(base.iter().cloned());
-    match book.with(change) {
+/// Applies a change to `base`. Returns the new value, or `None` if nothing changes, and the outcome to report. The outcome
+/// may be reported only once the new value, or without one `base` itself, is known to be chosen.
+pub fn apply(base: &Value, change: &ConfigChange) -> (Option<Value>, ChangeOutcome) {
+    let current = ItemSet::of(base.iter().cloned());
+    match current.with(change) {
         Err(refusal) => (None, refused(refusal)),
         Ok(next) => {
-            let new = !next.beyond(&book).is_empty();
+            let changed = !next.beyond(&current).is_empty();
             let items = || next.items().map(|held| held.item.clone()).collect();
-            (new.then(items), ChangeOutcome::Taken)
+            (changed.then(items), ChangeOutcome::Taken)
         }
     }
 }
 
-/// What the operator is told of an order that was not taken. A 4xx is for what is refused whoever looks, and whenever: of
-/// a number beyond the horizon that can't be said.
+/// The outcome to report for a refused change. `Invalid` and `Conflict` become a 4xx status, so they stand only for changes
+/// that every store refuses at any time. That can't be said of a version older than the version history reaches: it may
+/// have been confirmed.
 pub fn refused(refusal: ChangeError) -> ChangeOutcome {
     match &refusal {
         ChangeError::Invalid { problem } => ChangeOutcome::Invalid(problem.clone()),
--- a/crates/starlinghill-config-store/src/disk_latency.rs
+++ b/crates/starlinghill-config-store/src/disk_latency.rs
@@ -1,27 +1,28 @@
-//! What a disk usually takes, and when it is slow.
+//! Tracks the usual latency of a disk's writes, and detects slow ones.
 
 use std::time::Duration;
 
-/// Slow is what takes so many times as long as usual: a disk that merely has other work to do takes a few times as long.
-const SLOW: u32 = 10;
-/// And no less than that, a tenth of what others wait for a voter: nobody notices it.
-const NOTICED: Duration = Duration::from_millis(35);
-/// The usual follows what was taken in steps of this part.
-const STEP: u32 = 16;
+/// A write is slow if it takes this many times the usual latency. Merely having other work to do slows a disk down by a
+/// smaller factor.
+const SLOW_FACTOR: u32 = 10;
+/// A write below this is never slow: it is a tenth of what other stores wait for an acceptor, so nobody notices it.
+const MIN_SLOW: Duration = Duration::from_millis(35);
+/// The usual latency is a moving average in which a new write has the weight of one part in this many.
+const AVERAGE_WEIGHT: u32 = 16;
 
-/// What a disk usually takes for a write with its sync.
+/// The moving average of the time that a write takes, its sync included.
 #[derive(Debug, Default)]
 pub struct LatencyBaseline {
     usual: Option<Duration>,
 }
 
 impl LatencyBaseline {
-    /// A write took so long: what it usually takes, where this one was slow. Slow ones count for no more than the bound,
-    /// so that a disk that is slow for good is usual after some time.
-    pub fn is_slow(&mut self, took: Duration) -> Option<Duration> {
-        let usual = *self.usual.get_or_insert(took.min(NOTICED));
-        let bound = (usual * SLOW).max(NOTICED);
-        self.usual = Some((usual * (STEP - 1) + took.min(bound)) / STEP);
+    /// Records how long a write took. Returns the usual latency if the write was slow. A slow write counts in the average
+    /// only up to the bound, so a disk that stays slow becomes the usual case after some time.
+    pub fn record(&mut self, took: Duration) -> Option<Duration> {
+        let usual = *self.usual.get_or_insert(took.min(MIN_SLOW));
+        let bound = (usual * SLOW_FACTOR).max(MIN_SLOW);
+        self.usual = Some((usual * (AVERAGE_WEIGHT - 1) + took.min(bound)) / AVERAGE_WEIGHT);
         (took > bound).then_some(usual)
     }
 }
--- a/crates/starlinghill-config-store/src/lib.rs
+++ b/crates/starlinghill-config-store/src/lib.rs
@@ -1,5 +1,5 @@
-//! Foundry: the pattern book holds the patterns that all castings are made from. Here it is the store of configuration:
-//! each core machine keeps all items on its disk, and a majority has a change synced before anybody says that it is taken.
+//! The configuration store. Each core machine runs one, with all configuration items on its disk. The stores replicate the
+//! items by consensus: a change is confirmed only after a majority of them has synced it.
 
 pub mod acceptor;
 pub mod admission;
--- a/crates/starlinghill-config-store/src/main.rs
+++ b/crates/starlinghill-config-store/src/main.rs
@@ -1,4 +1,4 @@
-//! The store of configuration.
+//! The program of the configuration store.
 
 use std::process::ExitCode;
 
--- a/crates/starlinghill-config-store/src/member_replacement.rs
+++ b/crates/starlinghill-config-store/src/member_replacement.rs
@@ -1,61 +1,70 @@
-//! When a store that does not vote may take a member's place, without people. Pure: what was heard is an argument.
+//! The rules by which a store takes a voter's place without an operator. A pure function of its arguments.
 
 use crate::wire::MembershipDelay;
 use starlinghill_consensus::{has_majority, Member, MemberChange, Members};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The times that the rules go by.
+/// The delays that limit changes of members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipTimes {
-    /// A member that a majority did not hear for so long is gone.
-    pub gone: Duration,
-    /// A change has stood for so long before the next one may come: no registry then still goes by the set before.
-    pub stood: Duration,
+    /// A voter may be replaced once a majority has not heard from it for this long.
+    pub absent_after: Duration,
+    /// The least time between two changes. It is long enough for every registry to stop relying on the set of members
+    /// before the last change.
+    pub min_between_changes: Duration,
 }
 
 impl MembershipTimes {
-    /// From the time after which a new machine counts: half of it to notice that another has gone, half to take its place. And
-    /// from what registries need to leave a set behind.
-    pub fn of(sync_time: Duration, registries: Duration) -> MembershipTimes {
-        MembershipTimes { gone: sync_time / 2, stood: registries }
+    /// `sync_time` is how long a new machine may take until it counts. Half of it goes to noticing that a voter is absent,
+    /// the other half to taking its place. `registry_delay` is how long registries may rely on an old set of members.
+    pub fn of(sync_time: Duration, registry_delay: Duration) -> MembershipTimes {
+        MembershipTimes { absent_after: sync_time / 2, min_between_changes: registry_delay }
     }
 }
 
-/// Whom one member heard, and how long ago, as far back as it runs itself.
+/// One voter's report: how long ago it last heard from each member. The time is at most that since its own start.
 pub type LastHeard = BTreeMap<Member, Duration>;
 
-/// Whether a candidate is to vote, and in whose place.
+/// Decides whether a candidate becomes a voter, and whom it replaces. `Ok(None)`: it is a voter already. `unchanged_for` is
+/// the time since the last change of members; `reports` come from the voters that could be asked.
 pub fn decide(
     times: MembershipTimes,
     members: &Members,
-    stood: Duration,
+    unchanged_for: Duration,
     candidate: Member,
-    sights: &BTreeMap<Member, LastHeard>,
+    reports: &BTreeMap<Member, LastHeard>,
 ) -> Result<Option<MemberChange>, MembershipDelay> {
     if members.has(candidate) {
         return Ok(None);
     }
     if let Some(leaves) = members.at(candidate.ip) {
-        // The disk there is another one now: what that member promised is lost, and the addresses stay as they are.
+        // A new incarnation at a voter's address means that the voter has lost its disk, and with it its promises. It is
+        // replaced at once, and the set of addresses stays the same.
         return Ok(Some(MemberChange::Replace { leaves, joins: candidate }));
     }
-    if stood < times.stood {
+    if unchanged_for < times.min_between_changes {
         return Err(MembershipDelay::TooSoon);
     }
-    let told: BTreeSet<Member> = sights.keys().copied().collect();
-    if !members.majority(&told) {
+    let reporting: BTreeSet<Member> = reports.keys().copied().collect();
+    if !members.majority(&reporting) {
         return Err(MembershipDelay::NoMajority);
     }
-    let misses = |member: Member| {
-        let by = |sight: &LastHeard| sight.get(&member).is_some_and(|ago| *ago >= times.gone);
-        let missing: BTreeSet<Member> =
-            sights.iter().filter(|(who, sight)| **who != member && by(sight)).map(|(who, _)| *who).collect();
+    let is_absent = |member: Member| {
+        let missed_by =
+            |report: &LastHeard| report.get(&member).is_some_and(|ago| *ago >= times.absent_after);
+        let missing: BTreeSet<Member> = reports
+            .iter()
+            .filter(|(reporter, report)| **reporter != member && missed_by(report))
+            .map(|(reporter, _)| *reporter)
+            .collect();
         has_majority(&members.voters, &missing)
     };
-    let longest = |member: &Member| sights.values().filter_map(|sight| sight.get(member)).min().copied();
-    let gone = members.voters.iter().copied().filter(|member| misses(*member));
-    match gone.max_by_key(longest) {
+    // Of several absent voters, the one that was silent towards everybody for the longest time goes first.
+    let silent_for =
+        |member: &Member| reports.values().filter_map(|report| report.get(member)).min().copied();
+    let absent = members.voters.iter().copied().filter(|member| is_absent(*member));
+    match absent.max_by_key(silent_for) {
         Some(leaves) => Ok(Some(MemberChange::Replace { leaves, joins: candidate })),
         None => Err(MembershipDelay::NobodyGone),
     }
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -1,9 +1,9 @@
-//! The store as a process.
+//! The store as a process: opens the disk, starts the tasks, and answers requests.
 
 use crate::acceptor::AcceptorHandle;
 use crate::disk::{self, SaveRequest, Storage, StorageError, StorageQueue, StoredState};
 use crate::member_replacement::MembershipTimes;
-use crate::proposer::Stores;
+use crate::proposer::StoreNode;
 use crate::wire::{StoreRequest, StoreResponse, Value};
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_config_model::Item;
@@ -23,107 +23,109 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, Instant};
 
-/// The pause before a disk that refused is opened again.
-const OPEN_AGAIN: Duration = Duration::from_millis(400);
-/// Registries leave a set of members behind within the time that a store's word counts and that a question waits for it,
-/// and this: a lease of 0.56 s.
-const LEASE: Duration = Duration::from_millis(600);
+/// The pause before a disk that could not be opened is tried again.
+const OPEN_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Part of the least time between two changes of members. A registry may use a set of members for as long as its store's
+/// quorum contact is valid, a long poll lasts, and a lease runs. This covers the lease, which is 0.56 s.
+const REGISTRY_LEASE: Duration = Duration::from_millis(600);
 
-/// Why a store can't start.
+/// Why a store can't start, or had to end.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// Its settings.
+    /// The settings are invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// What is wrong.
+        /// The error in the settings.
         source: SettingsError,
     },
-    /// No disk was given.
+    /// The settings name no data directory.
     #[snafu(display("self.data_dir: found nothing, allowed: a folder on a disk"))]
-    Diskless,
-    /// Its disk.
+    NoDataDir,
+    /// The first write to the disk failed.
     #[snafu(display("{source}"))]
     Storage {
-        /// What is wrong.
+        /// The disk's error.
         source: StorageError,
     },
-    /// A task that it can't do without has ended.
+    /// An essential task has ended.
     #[snafu(display("the task {task} ended"))]
     Task {
-        /// Which one.
+        /// The name of the task.
         task: &'static str,
     },
-    /// Whoever writes to the disk is no more.
-    #[snafu(display("nobody writes to the disk"))]
-    Gone,
-    /// It can't listen, or there is no runtime.
-    #[snafu(display("{what}: {source}"))]
+    /// The disk's writer thread has ended.
+    #[snafu(display("the thread that writes to the disk has ended"))]
+    WriterGone,
+    /// A call to the operating system failed.
+    #[snafu(display("{action}: {source}"))]
     System {
-        /// What failed.
-        what: String,
-        /// How.
+        /// What was attempted, and on what.
+        action: String,
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Runs until SIGTERM. It ends soon then: all that it said is on disk.
+/// Runs until SIGTERM. The process may then end at once, since all that it answered from is on disk.
 pub async fn run(signals: Signals) -> Result<(), StartError> {
     run_on(net::tcp(), signals).await
 }
 
-/// The same, on a network of the caller's.
+/// Like [`run`], on a given network.
 pub async fn run_on(net: NetworkHandle, mut signals: Signals) -> Result<(), StartError> {
     let reread = signals.reread();
     let node = NodeSettings::from_environment().context(SettingsSnafu)?;
-    let folder = node.data_dir.clone().ok_or(StartError::Diskless)?;
-    std::fs::create_dir_all(&folder).context(SystemSnafu { what: folder.display().to_string() })?;
+    let folder = node.data_dir.clone().ok_or(StartError::NoDataDir)?;
+    std::fs::create_dir_all(&folder).context(SystemSnafu { action: folder.display().to_string() })?;
     let end = signals.end();
     tokio::pin!(end);
-    let (storage, found) = tokio::select! {
+    let (storage, stored) = tokio::select! {
         () = &mut end => return Ok(()),
         opened = open(&folder, node.ip) => opened,
     };
-    // A store whose files are spoilt has lost them, also at the first start of all.
-    let node = NodeSettings { first_start: node.first_start && !storage.is_spoilt(), ..node };
-    run_store(&node, &net, reread, found, disk::spawn_writer(storage), end).await
+    // Corrupt files mean a lost disk, even at the system's first start: this store must not start as a founder, which would
+    // forget its promises.
+    let node = NodeSettings { first_start: node.first_start && !storage.is_lost(), ..node };
+    run_store(&node, &net, reread, stored, disk::spawn_writer(storage), end).await
 }
 
-/// Waits for a disk that refuses: to end would change nothing.
-async fn open(folder: &Path, here: IpAddr) -> (Storage, Option<StoredState>) {
+/// Opens the disk, and retries while it fails: ending the process would not help.
+async fn open(folder: &Path, own_ip: IpAddr) -> (Storage, Option<StoredState>) {
     loop {
-        match Storage::open(folder, here) {
+        match Storage::open(folder, own_ip) {
             Ok(opened) => return opened,
             Err(error) => log::error!("event=disk_failed at=start error=\"{error}\""),
         }
-        sleep(OPEN_AGAIN).await;
+        sleep(OPEN_RETRY_DELAY).await;
     }
 }
 
-/// Runs a store on a network until it is to end, with what stood on its disk.
+/// Runs a store until `end`. `stored` is the state from its disk, `storage` takes the writes.
 pub async fn run_store(
     node: &NodeSettings,
     net: &NetworkHandle,
     reread: Reread,
-    found: Option<StoredState>,
-    disk: StorageQueue,
+    stored: Option<StoredState>,
+    storage: StorageQueue,
     end: impl Future<Output = ()>,
 ) -> Result<(), StartError> {
     tokio::pin!(end);
     let address = node.port(node.ip, CONFIG_STORE_PORT_OFFSET);
-    let listener = net.listen(address).await.context(SystemSnafu { what: format!("listen on {address}") })?;
+    let listener =
+        net.listen(address).await.context(SystemSnafu { action: format!("listen on {address}") })?;
     let seeds = |node: &NodeSettings| -> Vec<IpAddr> { node.seeds.iter().map(|seed| seed.ip()).collect() };
-    let was_there = found.is_some();
-    let voter = match found {
-        Some(found) => Acceptor::again(found.acceptor, found.state),
+    let had_state = stored.is_some();
+    let acceptor = match stored {
+        Some(stored) => Acceptor::again(stored.acceptor, stored.state),
         None => {
             let seeds = seeds(node);
             tokio::select! {
                 () = &mut end => return Ok(()),
-                begun = begin(node, &seeds, &disk) => begun?,
+                new = initialize(node, &seeds, &storage) => new?,
             }
         }
     };
-    let (me, members) = (voter.me(), &voter.kept().members);
+    let (me, members) = (acceptor.me(), &acceptor.kept().members);
     log::info!(
         "event=start program=patternbook node={} incarnation={:x} epoch={} voters={} votes={} was_empty={} first={}",
         node.name,
@@ -131,96 +133,101 @@
         members.epoch,
         members.voters.len(),
         members.has(me),
-        !was_there,
+        !had_state,
         node.first_start
     );
     let (essentials, mut first_end) = EssentialTasks::new();
-    let keeper = AcceptorHandle::start(voter, disk, &essentials);
-    let by = fastrand::u32(1..);
-    let chain = StalenessBudget::of(node.bounds.apply);
-    let times = MembershipTimes::of(node.bounds.sync_time, chain.contact + chain.store_holds + LEASE);
-    let stores = Rc::new(Stores::new(net, keeper, address.port(), by, times, chain));
-    essentials.spawn("follow", stores.clone().follow());
-    // Seeds of a file that was read again are asked from then on.
-    let (first, latest) = (seeds(node), move || reread.borrow().as_deref().map(seeds));
-    essentials.spawn("belong", stores.clone().belong(move || latest().unwrap_or_else(|| first.clone())));
-    let asked = stores.clone();
-    // An order whose caller has left may be refused by another store meanwhile.
-    let order = |question: &StoreRequest| matches!(question, StoreRequest::Apply(_));
-    let answer = move |question, _| {
-        let stores = asked.clone();
-        async move { answer(question, &stores, chain).await }
+    let acceptor = AcceptorHandle::start(acceptor, storage, &essentials);
+    let proposer_id = fastrand::u32(1..);
+    let budget = StalenessBudget::of(node.bounds.apply);
+    let registry_delay = budget.contact + budget.store_holds + REGISTRY_LEASE;
+    let times = MembershipTimes::of(node.bounds.sync_time, registry_delay);
+    let store = Rc::new(StoreNode::new(net, acceptor, address.port(), proposer_id, times, budget));
+    essentials.spawn("follow", store.clone().follow());
+    // The seeds of a reloaded settings file replace the first ones.
+    let (first_seeds, latest_seeds) = (seeds(node), move || reread.borrow().as_deref().map(seeds));
+    let current_seeds = move || latest_seeds().unwrap_or_else(|| first_seeds.clone());
+    essentials.spawn("belong", store.clone().maintain_membership(current_seeds));
+    let server = store.clone();
+    // Changes are dropped if their caller has gone: the caller may have been refused by another store in the meantime.
+    let is_change = |request: &StoreRequest| matches!(request, StoreRequest::Apply(_));
+    let handler = move |request, _| {
+        let store = server.clone();
+        async move { answer(request, &store, budget).await }
     };
-    essentials.spawn("calls", serve(listener, node.most_peers(), order, answer));
+    essentials.spawn("calls", serve(listener, node.most_peers(), is_change, handler));
     tokio::select! {
         biased;
         () = &mut end => {}
         task = first_end.name() => return TaskSnafu { task }.fail(),
     }
-    stores.leave().await;
+    store.hand_over().await;
     Ok(())
 }
 
-/// A disk that is empty: a founder's, or the beginning of an incarnation that knows of no members yet.
-async fn begin(
+/// Creates the acceptor for an empty disk. At the system's first start the seeds are the founding members, with incarnation
+/// 0. Otherwise this is a new incarnation that knows of no members yet.
+async fn initialize(
     node: &NodeSettings,
     seeds: &[IpAddr],
-    disk: &StorageQueue,
+    storage: &StorageQueue,
 ) -> Result<Acceptor<Value>, StartError> {
     let founders = Members::first(seeds.iter().copied());
-    let founds = node.first_start && founders.at(node.ip).is_some();
-    let incarnation = if founds { 0 } else { fastrand::u64(1..u64::MAX) };
+    let is_founder = node.first_start && founders.at(node.ip).is_some();
+    let incarnation = if is_founder { 0 } else { fastrand::u64(1..u64::MAX) };
     let members = if node.first_start { founders } else { Members::default() };
-    let voter = Acceptor::new(Member { ip: node.ip, incarnation }, members);
-    // Before it says anything: an incarnation remembers all that it said.
-    let (done, saved) = oneshot::channel();
-    let (kept, state) = (voter.kept().clone(), Some(voter.state().clone()));
-    // A disk that is no more tells it by its silence.
-    let _ = disk.send(SaveRequest { acceptor: kept, state, done });
-    saved.await.ok().context(GoneSnafu)?.context(StorageSnafu)?;
-    Ok(voter)
+    let acceptor = Acceptor::new(Member { ip: node.ip, incarnation }, members);
+    // Saved before the first answer: an incarnation must remember everything that it has promised.
+    let (done, synced) = oneshot::channel();
+    let (own_state, state) = (acceptor.kept().clone(), Some(acceptor.state().clone()));
+    // If the writer thread has ended, `done` is dropped, and the next line reports it.
+    let _ = storage.send(SaveRequest { acceptor: own_state, state, done });
+    synced.await.ok().context(WriterGoneSnafu)?.context(StorageSnafu)?;
+    Ok(acceptor)
 }
 
-async fn answer(question: StoreRequest, stores: &Rc<Stores>, chain: StalenessBudget) -> StoreResponse {
-    match question {
-        StoreRequest::Acceptor(to, ask) => {
-            stores.vote(to, ask).await.map_or(StoreResponse::Unavailable, StoreResponse::Acceptor)
+async fn answer(request: StoreRequest, store: &Rc<StoreNode>, budget: StalenessBudget) -> StoreResponse {
+    match request {
+        StoreRequest::Acceptor(to, request) => {
+            let reply = store.call_own_acceptor(to, request).await;
+            reply.map_or(StoreResponse::Unavailable, StoreResponse::Acceptor)
         }
         StoreRequest::Members => {
-            let (members, ballot) = stores.members();
+            let (members, ballot) = store.members();
             StoreResponse::Members(members, ballot)
         }
-        StoreRequest::Apply(body) => StoreResponse::Applied(stores.change(&body).await),
-        StoreRequest::Read => stores
-            .read()
-            .await
-            .map_or(StoreResponse::Unavailable, |items| StoreResponse::Items(as_news(&items))),
+        StoreRequest::Apply(body) => StoreResponse::Applied(store.change(&body).await),
+        StoreRequest::Read => {
+            let items = store.read().await;
+            items.map_or(StoreResponse::Unavailable, |items| StoreResponse::Items(without_histories(&items)))
+        }
         StoreRequest::Changes(have, was_fresh) => {
             let asked = Instant::now();
-            let (mut chosen, mut fresh) = (stores.chosen(), stores.fresh());
-            // Without news it says after a while that there is none.
+            let (mut chosen, mut fresh) = (store.chosen(), store.fresh());
+            // Answers when there is something new, or at the end of the long poll with what is known then.
             tokio::select! {
                 biased;
                 _ = chosen.wait_for(|known| known.0 != have) => {}
                 _ = fresh.wait_for(|fresh| *fresh && !was_fresh) => {}
-                () = sleep(chain.store_holds) => {}
+                () = sleep(budget.store_holds) => {}
             }
-            let (ballot, items) = (chosen.borrow().0, stores.news(have).map(|items| as_news(&items)));
-            let (members, proposed) = (stores.members().0, stores.proposed());
-            let (contact, is_voter) = (stores.contact(asked), members.has(stores.me));
+            let ballot = chosen.borrow().0;
+            let items = store.changes_since(have).map(|items| without_histories(&items));
+            let (members, proposed) = (store.members().0, store.proposed_members());
+            let (contact, is_voter) = (store.contact(asked), members.has(store.me));
             StoreResponse::Changes { ballot, contact, members, is_voter, proposed, items }
         }
-        StoreRequest::Join(candidate) => StoreResponse::Membership(stores.admit(candidate).await),
+        StoreRequest::Join(candidate) => StoreResponse::Membership(store.admit(candidate).await),
         StoreRequest::LastHeard => {
             let ms = |(member, ago): (Member, Duration)| (member, ago.as_millis() as u64);
-            StoreResponse::LastHeard(stores.sight().into_iter().map(ms).collect())
+            StoreResponse::LastHeard(store.last_heard().into_iter().map(ms).collect())
         }
-        StoreRequest::ChangeMembers(order) => StoreResponse::Membership(stores.order(order).await),
-        StoreRequest::Status => StoreResponse::Status(stores.standing()),
+        StoreRequest::ChangeMembers(order) => StoreResponse::Membership(store.order(order).await),
+        StoreRequest::Status => StoreResponse::Status(store.membership_status()),
     }
 }
 
-/// Without the histories, which are for stores.
-fn as_news(items: &Value) -> Value {
+/// Leaves out the version histories, which only stores need.
+fn without_histories(items: &Value) -> Value {
     items.iter().map(Item::as_news).collect()
 }
--- a/crates/starlinghill-config-store/src/proposer.rs
+++ b/crates/starlinghill-config-store/src/proposer.rs
@@ -1,4 +1,5 @@
-//! Rounds over all members: changes, reads, settling what was left half done, and following what others agree on.
+//! This store's view of the replicated state, and the consensus rounds that it runs: changes, reads, completing rounds that
+//! another store left unfinished, and following what the others have chosen.
 
 use crate::acceptor::AcceptorHandle;
 use crate::apply_change;
@@ -21,123 +22,129 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// The pause before a round is tried again, times the tries so far.
-const BACK_OFF_MS: u64 = 12;
+/// The random pause before a failed round is repeated is below this number of milliseconds, times the attempts so far.
+const BACKOFF_STEP_MS: u64 = 12;
 
-/// All stores, as this one sees them.
-pub struct Stores {
+/// One store: its acceptor, its clients for the other stores, and what it knows of the replicated state.
+pub struct StoreNode {
     pub(crate) me: Member,
-    pub(crate) keeper: AcceptorHandle,
+    pub(crate) acceptor: AcceptorHandle,
     pub(crate) times: MembershipTimes,
     net: NetworkHandle,
+    /// The port that all stores listen on.
     port: u16,
-    /// The ways to other stores. Those of members, and of whoever asks to be one.
-    callers: RefCell<BTreeMap<IpAddr, Rc<RpcClient>>>,
-    /// The newest members that are known to be agreed on, and since when.
+    /// RPC clients for members and candidates, by address.
+    clients: RefCell<BTreeMap<IpAddr, Rc<RpcClient>>>,
+    /// The newest members that are known to be chosen.
     members: watch::Sender<Members>,
-    stands_since: Cell<Instant>,
-    by: u32,
-    /// Rounds of one store go one after the other: they would only be in each other's way.
-    turn: Mutex<()>,
-    /// The highest ballot that was heard of. No lower than the one by which the members were agreed on.
-    seen: Cell<Ballot>,
-    /// The highest ballot known to be agreed on, with its state.
+    /// When this store learned of these members.
+    members_since: Cell<Instant>,
+    /// Distinguishes this process's ballots from those of others with the same round.
+    proposer_id: u32,
+    /// Held during a round: two rounds of the same store at once would only outbid each other.
+    round_lock: Mutex<()>,
+    /// The highest ballot that was seen. At least as high as the one that chose the members.
+    highest_ballot: Cell<Ballot>,
+    /// The highest ballot that is known to be chosen, with its state.
     chosen: watch::Sender<(Ballot, Rc<State>)>,
-    /// What changed with the last ones.
+    /// The items that changed with the last chosen ballots.
     recent: RefCell<RecentChanges>,
-    pub(crate) chain: StalenessBudget,
-    start: Instant,
-    /// A majority's word that all which it had agreed on is known here.
+    pub(crate) budget: StalenessBudget,
+    /// The zero of the clock of `contact`.
+    clock_start: Instant,
+    /// The last confirmation by a majority that `chosen` is up to date.
     contact: Cell<Option<LastQuorumContact>>,
+    /// Whether that confirmation was valid when the other stores were last polled.
     fresh: watch::Sender<bool>,
-    /// When each member was heard last.
-    heard: RefCell<BTreeMap<Member, Instant>>,
-    begun: Instant,
-    /// Stores that would vote: when they asked last, and why they don't.
+    /// When each other member was last heard from.
+    heard_at: RefCell<BTreeMap<Member, Instant>>,
+    started: Instant,
+    /// Stores that want to become voters: when each last asked, and why it had to wait.
     pub(crate) candidates: RefCell<BTreeMap<Member, (Instant, crate::wire::MembershipDelay)>>,
 }
 
-/// Questions on their way, and the answers that came.
-struct Asking {
-    tell: mpsc::UnboundedSender<(Member, Option<AcceptorReply<Value>>)>,
-    told: mpsc::UnboundedReceiver<(Member, Option<AcceptorReply<Value>>)>,
-    out: usize,
+/// Acceptor requests under way, and their replies. `None` is a request that failed or timed out.
+struct PendingCalls {
+    sender: mpsc::UnboundedSender<(Member, Option<AcceptorReply<Value>>)>,
+    replies: mpsc::UnboundedReceiver<(Member, Option<AcceptorReply<Value>>)>,
+    outstanding: usize,
 }
 
-impl Asking {
-    /// The next answer; `None` when all have answered or failed, or it is late.
+impl PendingCalls {
+    /// The next reply; `None` once all calls have ended, or at `until`.
     async fn next(&mut self, until: Instant) -> Option<(Member, AcceptorReply<Value>)> {
-        while self.out > 0 {
-            let (from, tell) = timeout_at(until, self.told.recv()).await.ok()??;
-            self.out -= 1;
-            if let Some(tell) = tell {
-                return Some((from, tell));
+        while self.outstanding > 0 {
+            let (from, reply) = timeout_at(until, self.replies.recv()).await.ok()??;
+            self.outstanding -= 1;
+            if let Some(reply) = reply {
+                return Some((from, reply));
             }
         }
         None
     }
 }
 
-impl Stores {
-    /// As the voter here knows them. Ballots of this process are its own by that number.
+impl StoreNode {
+    /// Starts with what the local acceptor has on disk. `proposer_id` must be unique to this process.
     pub fn new(
         net: &NetworkHandle,
-        keeper: AcceptorHandle,
+        acceptor: AcceptorHandle,
         port: u16,
-        by: u32,
+        proposer_id: u32,
         times: MembershipTimes,
-        chain: StalenessBudget,
-    ) -> Stores {
-        let view = keeper.view.borrow().clone();
-        Stores {
-            me: keeper.me,
-            keeper,
+        budget: StalenessBudget,
+    ) -> StoreNode {
+        let view = acceptor.view.borrow().clone();
+        StoreNode {
+            me: acceptor.me,
+            acceptor,
             times,
             net: net.clone(),
             port,
-            callers: RefCell::default(),
+            clients: RefCell::default(),
             members: watch::channel(view.members).0,
-            stands_since: Cell::new(Instant::now()),
-            by,
-            turn: Mutex::new(()),
-            seen: Cell::new(view.promised),
+            members_since: Cell::new(Instant::now()),
+            proposer_id,
+            round_lock: Mutex::new(()),
+            highest_ballot: Cell::new(view.promised),
             chosen: watch::channel(Default::default()).0,
             recent: RefCell::default(),
-            chain,
-            start: Instant::now(),
+            budget,
+            clock_start: Instant::now(),
             contact: Cell::new(None),
             fresh: watch::channel(false).0,
-            heard: RefCell::default(),
-            begun: Instant::now(),
+            heard_at: RefCell::default(),
+            started: Instant::now(),
             candidates: RefCell::default(),
         }
     }
 
-    /// What was agreed on, as it becomes known.
+    /// Follows the highest ballot that is known to be chosen, with its state.
     pub fn chosen(&self) -> watch::Receiver<(Ballot, Rc<State>)> {
         self.chosen.subscribe()
     }
 
-    /// Whether that is known to be all, as it was last looked at.
+    /// Follows whether the chosen state was confirmed as up to date when the other stores were last polled.
     pub fn fresh(&self) -> watch::Receiver<bool> {
         self.fresh.subscribe()
     }
 
-    /// A majority's word that nothing newer was agreed on, in answer to a question of that moment.
+    /// The last confirmation by a majority that nothing newer is chosen, if it is recent enough to be used. It goes to a
+    /// caller whose request arrived at `asked`.
     pub fn contact(&self, asked: Instant) -> Option<QuorumContact> {
-        let (now, asked) = (self.start.elapsed(), asked.saturating_duration_since(self.start));
-        let contact = self.contact.get().filter(|contact| self.chain.may_vouch(Some(contact.age(now))));
+        let (now, asked) = (self.clock_start.elapsed(), asked.saturating_duration_since(self.clock_start));
+        let contact = self.contact.get().filter(|contact| self.budget.may_vouch(Some(contact.age(now))));
         contact.map(|contact| contact.pass_on(now, asked))
     }
 
-    /// Those members have said, asked at that moment, that they know of nothing above that ballot. What is newer and not had
-    /// here, or not known to be agreed on, guards against telling of the old. Where newer members were just heard of, others
-    /// than these may have agreed on more.
-    fn hear(&self, asked: Instant, members: &Members, heard: &BTreeSet<Member>, newest: Ballot) {
+    /// Records a quorum contact if the members `heard`, polled at `asked`, are a majority and `newest`, the highest ballot
+    /// that any of them has accepted, is chosen and known here. Otherwise an outdated state could be passed off as current.
+    /// The members must also still be the current ones: a newer set may have chosen more without any of these.
+    fn record_contact(&self, asked: Instant, members: &Members, heard: &BTreeSet<Member>, newest: Ballot) {
         let same_members = self.members.borrow().epoch == members.epoch;
         if members.majority(heard) && same_members && newest <= self.chosen.borrow().0 {
-            self.contact
-                .set(Some(LastQuorumContact::from_majority(asked.saturating_duration_since(self.start))));
+            let asked = asked.saturating_duration_since(self.clock_start);
+            self.contact.set(Some(LastQuorumContact::from_majority(asked)));
         }
     }
 
@@ -145,47 +152,47 @@
         self.contact(Instant::now()).is_some()
     }
 
-    /// What is news to one who has the value of that ballot.
-    pub fn news(&self, have: Ballot) -> Option<Value> {
+    /// The items to send to a caller that has the value of ballot `have`: the changed items if they are known, else all.
+    /// `None` if the caller's value is not older than this store's.
+    pub fn changes_since(&self, have: Ballot) -> Option<Value> {
         let known = self.chosen.borrow();
-        // One that has more than this store knows hears of nothing that is new to it.
-        let news = || self.recent.borrow().between(have, known.0).unwrap_or_else(|| known.1.value.clone());
-        (known.0 > have).then(news)
+        let items = || self.recent.borrow().between(have, known.0).unwrap_or_else(|| known.1.value.clone());
+        (known.0 > have).then(items)
     }
 
-    /// The newest members that are known here to be agreed on, with a ballot that is no lower than theirs.
+    /// The newest members that are known to be chosen, and a ballot at least as high as the one that chose them.
     pub fn members(&self) -> (Members, Ballot) {
-        (self.members.borrow().clone(), self.seen.get())
+        (self.members.borrow().clone(), self.highest_ballot.get())
     }
 
-    /// For how long these have been known.
-    pub fn stood(&self) -> Duration {
-        self.stands_since.get().elapsed()
+    /// For how long this store has known the current members.
+    pub fn unchanged_for(&self) -> Duration {
+        self.members_since.get().elapsed()
     }
 
-    /// How long ago each member was heard, as far back as this store runs.
-    pub fn sight(&self) -> LastHeard {
-        let heard = self.heard.borrow();
-        let ago = |member: &Member| heard.get(member).unwrap_or(&self.begun).elapsed();
+    /// How long ago each member was last heard from. A member never heard from counts from this store's start.
+    pub fn last_heard(&self) -> LastHeard {
+        let heard_at = self.heard_at.borrow();
+        let ago = |member: &Member| heard_at.get(member).unwrap_or(&self.started).elapsed();
         let known = self.members.borrow();
         let all = known.voters.iter();
         all.map(|m| (*m, if *m == self.me { Duration::ZERO } else { ago(m) })).collect()
     }
 
-    /// Those members were agreed on, under no higher ballot than that.
+    /// Takes over members that were chosen under `ballot` or a lower one, if they are newer than those known here.
     pub fn follow_members(&self, members: Members, ballot: Ballot) {
-        self.seen.set(self.seen.get().max(ballot));
+        self.highest_ballot.set(self.highest_ballot.get().max(ballot));
         let newer = self.members.send_if_modified(|known| {
             let newer = members.epoch > known.epoch || known.voters.is_empty();
-            let fuller = members.epoch == known.epoch && known.before.is_empty();
-            if newer || fuller {
+            let more_complete = members.epoch == known.epoch && known.before.is_empty();
+            if newer || more_complete {
                 *known = members.clone();
             }
             newer
         });
         if newer {
-            self.stands_since.set(Instant::now());
-            self.heard.borrow_mut().retain(|member, _| members.has(*member));
+            self.members_since.set(Instant::now());
+            self.heard_at.borrow_mut().retain(|member, _| members.has(*member));
             let names = |set: &[Member]| {
                 set.iter().map(|m| format!("{}/{:x}", m.ip, m.incarnation)).collect::<Vec<_>>().join(",")
             };
@@ -201,6 +208,7 @@
         }
     }
 
+    /// Takes over a chosen state, if it is newer than the one known here.
     fn learn(&self, ballot: Ballot, state: Rc<State>) {
         self.follow_members(state.members.clone(), ballot);
         self.chosen.send_if_modified(|known| {
@@ -213,112 +221,122 @@
         });
     }
 
-    /// The way to the store at an address.
-    pub(crate) fn caller(&self, ip: IpAddr) -> Rc<RpcClient> {
-        let mut callers = self.callers.borrow_mut();
+    /// The RPC client for the store at an address.
+    pub(crate) fn client(&self, ip: IpAddr) -> Rc<RpcClient> {
+        let mut clients = self.clients.borrow_mut();
         let new = || Rc::new(RpcClient::new(&self.net, SocketAddr::new(ip, self.port)));
-        callers.entry(ip).or_insert_with(new).clone()
+        clients.entry(ip).or_insert_with(new).clone()
     }
 
-    /// Asks one voter.
-    pub(crate) async fn put(&self, to: Member, ask: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
+    /// Sends a request to one acceptor, the local one included. `None` if no reply came in time.
+    pub(crate) async fn call_acceptor(
+        &self,
+        to: Member,
+        request: AcceptorRequest<Value>,
+    ) -> Option<AcceptorReply<Value>> {
         if to.ip == self.me.ip {
-            let asked = self.keeper.ask_as(to, ask);
-            return tokio::time::timeout(self.chain.voter, asked).await.ok()?;
+            let reply = self.acceptor.call_as(to, request);
+            return tokio::time::timeout(self.budget.voter, reply).await.ok()?;
         }
-        match self.caller(to.ip).call(&StoreRequest::Acceptor(to, ask), self.chain.voter).await {
-            Ok(StoreResponse::Acceptor(tell)) => Some(tell),
+        match self.client(to.ip).call(&StoreRequest::Acceptor(to, request), self.budget.voter).await {
+            Ok(StoreResponse::Acceptor(reply)) => Some(reply),
             _ => None,
         }
     }
 
-    /// Asks these at once; answers come as they come.
-    fn ask(self: &Rc<Self>, to: impl IntoIterator<Item = Member>, ask: &AcceptorRequest<Value>) -> Asking {
-        let (tell, told) = mpsc::unbounded_channel();
-        let mut asking = Asking { tell, told, out: 0 };
-        self.ask_more(&mut asking, to, ask);
-        asking
+    /// Sends a request to several acceptors at once.
+    fn call_acceptors(
+        self: &Rc<Self>,
+        to: impl IntoIterator<Item = Member>,
+        request: &AcceptorRequest<Value>,
+    ) -> PendingCalls {
+        let (sender, replies) = mpsc::unbounded_channel();
+        let mut calls = PendingCalls { sender, replies, outstanding: 0 };
+        self.add_calls(&mut calls, to, request);
+        calls
     }
 
-    fn ask_more(
+    fn add_calls(
         self: &Rc<Self>,
-        on: &mut Asking,
+        calls: &mut PendingCalls,
         to: impl IntoIterator<Item = Member>,
-        ask: &AcceptorRequest<Value>,
+        request: &AcceptorRequest<Value>,
     ) {
         for member in to {
-            on.out += 1;
-            let (stores, ask, tell) = (self.clone(), ask.clone(), on.tell.clone());
+            calls.outstanding += 1;
+            let (store, request, sender) = (self.clone(), request.clone(), calls.sender.clone());
             spawn_local(async move {
-                let answer = stores.put(member, ask).await;
-                if matches!(answer, Some(AcceptorReply::Has { .. } | AcceptorReply::Accepted)) {
-                    stores.heard.borrow_mut().insert(member, Instant::now());
+                let reply = store.call_acceptor(member, request).await;
+                if matches!(reply, Some(AcceptorReply::Has { .. } | AcceptorReply::Accepted)) {
+                    store.heard_at.borrow_mut().insert(member, Instant::now());
                 }
-                // The round may be over.
-                let _ = tell.send((member, answer));
+                // The round may have ended.
+                let _ = sender.send((member, reply));
             });
         }
     }
 
-    /// Makes a new state from what was agreed on, and has that agreed on. `None`: no majority in time.
-    pub(crate) async fn agree<T>(
+    /// Runs rounds until one is chosen, at most until `deadline`. `make` gets the latest state, and returns the new state
+    /// (`None`: leave it unchanged) and the result of the call. Returns `None` if no round was completed: whether the new
+    /// state is chosen is then unknown. `make` runs once for each round.
+    pub(crate) async fn propose<T>(
         self: &Rc<Self>,
-        by: Instant,
+        deadline: Instant,
         mut make: impl FnMut(&State) -> (Option<State>, T),
     ) -> Option<T> {
-        let _turn = timeout_at(by, self.turn.lock()).await.ok()?;
+        let _guard = timeout_at(deadline, self.round_lock.lock()).await.ok()?;
         let mut tries = 0;
-        while Instant::now() < by {
-            let ballot = Ballot { round: self.seen.get().round + 1, by: self.by };
-            self.seen.set(ballot);
+        while Instant::now() < deadline {
+            let ballot = Ballot { round: self.highest_ballot.get().round + 1, by: self.proposer_id };
+            self.highest_ballot.set(ballot);
             let members = self.members.borrow().clone();
             let have = {
                 let known = self.chosen.borrow();
                 (known.0, known.1.as_ref().clone())
             };
             let mut round = ProposerRound::new(ballot, members, have);
-            let mut asking = self.ask(round.asked(), &round.ask());
-            let until = by.min(Instant::now() + self.chain.voter * 2);
-            let mut made = None;
-            while let Some((from, tell)) = asking.next(until).await {
-                match round.told(from, tell) {
+            let mut calls = self.call_acceptors(round.asked(), &round.ask());
+            let until = deadline.min(Instant::now() + self.budget.voter * 2);
+            let mut proposed = None;
+            while let Some((from, reply)) = calls.next(until).await {
+                match round.told(from, reply) {
                     ProposerStep::Wait => {}
-                    ProposerStep::Extend(more) => self.ask_more(&mut asking, more, &round.ask()),
-                    ProposerStep::Base(base, known) => {
-                        let (next, came) = make(&base);
-                        // What is known to be agreed on needs no second word.
-                        if next.is_none() && known {
-                            return Some(came);
+                    ProposerStep::Extend(more) => self.add_calls(&mut calls, more, &round.ask()),
+                    ProposerStep::Base(base, is_chosen) => {
+                        let (next, result) = make(&base);
+                        // Nothing new, and the base is known to be chosen: no second phase is needed.
+                        if next.is_none() && is_chosen {
+                            return Some(result);
                         }
                         let next = next.unwrap_or_else(|| base.clone());
-                        if let Some(ask) = round.propose(next.clone()) {
-                            made = Some((next, Some(came)));
-                            asking = self.ask(round.asked(), &ask);
-                        } else if let Some(ask) = round.propose(base.clone()) {
-                            // The change of members before has to be settled first.
-                            made = Some((base, None));
-                            asking = self.ask(round.asked(), &ask);
+                        if let Some(request) = round.propose(next.clone()) {
+                            proposed = Some((next, Some(result)));
+                            calls = self.call_acceptors(round.asked(), &request);
+                        } else if let Some(request) = round.propose(base.clone()) {
+                            // The previous change of members must be chosen first; then a new round makes this one.
+                            proposed = Some((base, None));
+                            calls = self.call_acceptors(round.asked(), &request);
                         }
                     }
                     ProposerStep::Chosen => {
-                        let (next, came) = made.take()?;
-                        let newer = (next.members.epoch > round.epoch()).then(|| next.members.clone());
+                        let (next, result) = proposed.take()?;
+                        let new_members = (next.members.epoch > round.epoch()).then(|| next.members.clone());
                         self.learn(ballot, Rc::new(next));
-                        let told = self.ask(round.asked(), &AcceptorRequest::Chosen(ballot));
-                        // Nothing is said of newer members before a majority of them has on disk that they count: the set
-                        // before may lose its own in the next moment.
-                        if let Some(members) = newer {
-                            if !is_known(&members, ballot, told, by).await {
+                        let calls = self.call_acceptors(round.asked(), &AcceptorRequest::Chosen(ballot));
+                        // New members are reported only once a majority of them has on disk that they are chosen. Before,
+                        // the loss of a majority of the previous members would make it impossible to find that out.
+                        if let Some(members) = new_members {
+                            if !majority_knows_chosen(&members, ballot, calls, deadline).await {
                                 return None;
                             }
                         }
-                        match came {
-                            Some(came) => return Some(came),
+                        match result {
+                            Some(result) => return Some(result),
                             None => break,
                         }
                     }
                     ProposerStep::Lost(higher) => {
-                        self.seen.set(self.seen.get().max(higher));
+                        self.highest_ballot.set(self.highest_ballot.get().max(higher));
                         break;
                     }
                     ProposerStep::Newer(members, ballot) => {
@@ -328,121 +346,134 @@
                 }
             }
             tries += 1;
-            sleep(Duration::from_millis(fastrand::u64(0..BACK_OFF_MS * tries) + 1)).await;
+            sleep(Duration::from_millis(fastrand::u64(0..BACKOFF_STEP_MS * tries) + 1)).await;
         }
         None
     }
 
-    /// Takes an operator's change, or says why not.
+    /// Applies an operator's configuration change, given as JSON.
     pub async fn change(self: &Rc<Self>, body: &[u8]) -> ChangeOutcome {
         let change = match ConfigChange::read(body) {
             Ok(change) => change,
             Err(refusal) => return apply_change::refused(refusal),
         };
-        let by = Instant::now() + ORDER_COMMIT_TIMEOUT;
-        let made = self.agree(by, |base| {
-            let (value, outcome) = apply_change::take(&base.value, &change);
+        let deadline = Instant::now() + ORDER_COMMIT_TIMEOUT;
+        let result = self.propose(deadline, |base| {
+            let (value, outcome) = apply_change::apply(&base.value, &change);
             (value.map(|value| State { members: base.members.clone(), value }), outcome)
         });
-        made.await.unwrap_or(ChangeOutcome::Unclear)
+        result.await.unwrap_or(ChangeOutcome::Unclear)
     }
 
-    /// All that was agreed on before this was asked.
+    /// A linearizable read: all items, including every change that was confirmed before this call.
     pub async fn read(self: &Rc<Self>) -> Option<Value> {
-        self.agree(Instant::now() + ORDER_COMMIT_TIMEOUT, |base| (None, base.value.clone())).await
+        self.propose(Instant::now() + ORDER_COMMIT_TIMEOUT, |base| (None, base.value.clone())).await
     }
 
-    /// Looks at the other stores again and again: learns what was agreed on, and ends what was left half done.
+    /// Polls the other acceptors for the life of the process: learns what is chosen, renews the quorum contact, and
+    /// completes rounds that another store has left unfinished.
     pub async fn follow(self: Rc<Self>) {
-        let mut half_done = false;
+        // Whether the previous poll already found an accepted state that is not known to be chosen. Only then is it completed
+        // here: its proposer usually does so in the meantime.
+        let mut was_unsettled = false;
         loop {
             let asked = Instant::now();
             let have = self.chosen.borrow().0;
             let members = self.members.borrow().clone();
-            let mut asking = self.ask(members.voters.iter().copied(), &AcceptorRequest::Look(have));
+            let mut calls = self.call_acceptors(members.voters.iter().copied(), &AcceptorRequest::Look(have));
             let (mut heard, mut newest) = (BTreeSet::new(), Ballot::default());
+            // For each accepted ballot: who has accepted it, whether any of them knows it to be chosen, and its state.
             let mut accepted_by: BTreeMap<Ballot, (BTreeSet<Member>, bool, Option<State>)> = BTreeMap::new();
-            while let Some((from, tell)) = asking.next(asked + self.chain.voter).await {
-                let AcceptorReply::Has { promised, accepted, chosen, state, .. } = tell else { continue };
+            while let Some((from, reply)) = calls.next(asked + self.budget.voter).await {
+                let AcceptorReply::Has { promised, accepted, chosen, state, .. } = reply else { continue };
                 heard.insert(from);
-                self.seen.set(self.seen.get().max(promised));
+                self.highest_ballot.set(self.highest_ballot.get().max(promised));
                 newest = newest.max(chosen).max(accepted);
-                // Here already: one that is silent would add to the word's age.
-                self.hear(asked, &members, &heard, newest);
-                let (by, told, held) = accepted_by.entry(accepted).or_default();
+                // Recorded as soon as a majority has replied: waiting for a silent member would age the contact.
+                self.record_contact(asked, &members, &heard, newest);
+                let (by, is_chosen, known_state) = accepted_by.entry(accepted).or_default();
                 by.insert(from);
-                *told |= accepted == chosen;
-                *held = state.or(held.take());
-                // Before it is fresh a majority will do; others are heard the next time.
+                *is_chosen |= accepted == chosen;
+                *known_state = state.or(known_state.take());
+                // While not fresh, a majority's replies are enough, to get fresh sooner. The next poll hears the others.
                 if members.majority(&heard) && !*self.fresh.borrow() {
                     break;
                 }
             }
             let majority = members.majority(&heard);
-            // What one calls agreed on is; so is what a majority holds, though all have forgotten that it was told. Where it
-            // brings newer members, their word is needed too: that is a round of its own.
-            let agreed = accepted_by.iter_mut().rev().find(|(_, (by, told, state))| {
+            // A ballot is chosen if any acceptor knows so, or if a majority has accepted it, even if none knows. The latter
+            // does not hold for a state with newer members, which also needs a majority of those: that takes a round.
+            let agreed = accepted_by.iter_mut().rev().find(|(_, (by, is_chosen, state))| {
                 let same_members = state.as_ref().is_none_or(|state| state.members.epoch <= members.epoch);
-                *told || same_members && members.majority(by)
+                *is_chosen || same_members && members.majority(by)
             });
             if let Some((ballot, (_, _, Some(state)))) = agreed {
                 self.learn(*ballot, Rc::new(std::mem::take(state)));
             }
             let unsettled = accepted_by.keys().next_back().is_some_and(|last| *last > self.chosen.borrow().0);
-            self.hear(asked, &members, &heard, newest);
+            self.record_contact(asked, &members, &heard, newest);
             let fresh = self.is_fresh();
             self.fresh.send_if_modified(|known| std::mem::replace(known, fresh) != fresh);
-            if majority && unsettled && std::mem::replace(&mut half_done, true) {
-                let settled = self.agree(Instant::now() + ORDER_COMMIT_TIMEOUT, |_| (None, ())).await;
+            if majority && unsettled && std::mem::replace(&mut was_unsettled, true) {
+                let settled = self.propose(Instant::now() + ORDER_COMMIT_TIMEOUT, |_| (None, ())).await;
                 log::info!("event=settled_half_done_change ok={}", settled.is_some());
-                half_done = false;
+                was_unsettled = false;
             } else if !unsettled {
-                half_done = false;
+                was_unsettled = false;
             }
-            self.lend().await;
-            sleep(if fresh { self.chain.look } else { self.chain.look_again }).await;
+            self.update_own_acceptor().await;
+            sleep(if fresh { self.budget.look } else { self.budget.look_again }).await;
         }
     }
 
-    /// The own voter learns what was agreed on while it was away.
-    async fn lend(&self) {
+    /// Brings the local acceptor up to date with what was chosen without it.
+    async fn update_own_acceptor(&self) {
         let (ballot, state) = {
             let known = self.chosen.borrow();
             (known.0, known.1.clone())
         };
         let (accepted, chosen) = {
-            let view = self.keeper.view.borrow();
+            let view = self.acceptor.view.borrow();
             (view.accepted, view.chosen)
         };
         if ballot > accepted {
-            self.keeper.ask(AcceptorRequest::Learn { ballot, state: state.as_ref().clone() }).await;
+            self.acceptor.call(AcceptorRequest::Learn { ballot, state: state.as_ref().clone() }).await;
         } else if ballot == accepted && ballot > chosen {
-            self.keeper.ask(AcceptorRequest::Chosen(ballot)).await;
+            self.acceptor.call(AcceptorRequest::Chosen(ballot)).await;
         }
     }
 
-    /// The voter here is asked something.
-    pub async fn vote(&self, to: Member, ask: AcceptorRequest<Value>) -> Option<AcceptorReply<Value>> {
-        self.keeper.ask_as(to, ask).await
+    /// Passes a request from another store on to the local acceptor.
+    pub async fn call_own_acceptor(
+        &self,
+        to: Member,
+        request: AcceptorRequest<Value>,
+    ) -> Option<AcceptorReply<Value>> {
+        self.acceptor.call_as(to, request).await
     }
 
-    /// Members that the voter here accepted and that are newer than all that are known to be agreed on.
-    pub fn proposed(&self) -> Option<Members> {
-        let proposed = self.keeper.view.borrow().proposed.clone();
+    /// Members that the local acceptor has accepted, if they are newer than all that are known to be chosen.
+    pub fn proposed_members(&self) -> Option<Members> {
+        let proposed = self.acceptor.view.borrow().proposed.clone();
         (proposed.epoch > self.members.borrow().epoch).then_some(proposed)
     }
 
-    /// The newest state that is known to be agreed on.
-    pub(crate) fn known(&self) -> (Ballot, Rc<State>) {
+    /// The highest ballot that is known to be chosen, with its state.
+    pub(crate) fn chosen_state(&self) -> (Ballot, Rc<State>) {
         self.chosen.borrow().clone()
     }
 }
 
-/// A majority of the members says, by then, that it knows of that ballot that it was agreed on.
-async fn is_known(members: &Members, ballot: Ballot, mut told: Asking, by: Instant) -> bool {
+/// Waits until a majority of the members has replied that it knows the ballot to be chosen. `false` if it did not by then.
+async fn majority_knows_chosen(
+    members: &Members,
+    ballot: Ballot,
+    mut calls: PendingCalls,
+    deadline: Instant,
+) -> bool {
     let mut know = BTreeSet::new();
-    while let Some((from, tell)) = told.next(by).await {
-        if matches!(tell, AcceptorReply::Has { chosen, .. } if chosen >= ballot) {
+    while let Some((from, reply)) = calls.next(deadline).await {
+        if matches!(reply, AcceptorReply::Has { chosen, .. } if chosen >= ballot) {
             know.insert(from);
         }
         if members.majority(&know) {
--- a/crates/starlinghill-config-store/src/recent_changes.rs
+++ b/crates/starlinghill-config-store/src/recent_changes.rs
@@ -1,43 +1,47 @@
-//! What changed with the last ballots, so that whoever has the value of one of them is told only that.
+//! The items that changed with the last ballots. A registry that has the value of one of these ballots gets only what
+//! changed since, instead of all items.
 
 use crate::wire::Value;
 use starlinghill_config_model::Item;
 use starlinghill_consensus::Ballot;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most ballots that are remembered: a registry asks again at once, and one that missed so many is told all.
-const MOST: usize = 256;
+/// How many ballots are kept at most. Registries poll without a pause, so one that has missed this many is rare, and gets
+/// all items.
+const MAX_BALLOTS: usize = 256;
 
+/// The items that differ between two successive chosen values.
 struct Step {
     from: Ballot,
     to: Ballot,
     items: Vec<Item>,
 }
 
-/// The last changes of what was agreed on.
+/// The latest changes of the chosen value, the oldest first.
 #[derive(Default)]
 pub struct RecentChanges {
     steps: VecDeque<Step>,
-    /// Items in all of them. No more than stand: to tell all costs no more then.
+    /// The number of items in all steps. It is kept below the number of items in the value: beyond that, sending all items
+    /// costs no more.
     items: usize,
 }
 
 impl RecentChanges {
-    /// One value came after another.
+    /// Records that a new value was learned after an old one.
     pub fn learn(&mut self, (from, old): (Ballot, &Value), (to, new): (Ballot, &Value)) {
-        let name = |item: &Item| (item.kind, item.name.clone());
-        let known: BTreeMap<_, &Item> = old.iter().map(|item| (name(item), item)).collect();
-        let changed = new.iter().filter(|item| known.get(&name(item)) != Some(item));
+        let key = |item: &Item| (item.kind, item.name.clone());
+        let known: BTreeMap<_, &Item> = old.iter().map(|item| (key(item), item)).collect();
+        let changed = new.iter().filter(|item| known.get(&key(item)) != Some(item));
         let items: Vec<Item> = changed.cloned().collect();
         self.items += items.len();
         self.steps.push_back(Step { from, to, items });
-        while self.items > new.len() || self.steps.len() > MOST {
+        while self.items > new.len() || self.steps.len() > MAX_BALLOTS {
             let Some(oldest) = self.steps.pop_front() else { break };
             self.items -= oldest.items.len();
         }
     }
 
-    /// What changed from one ballot to another; `None` where that is not remembered.
+    /// The items that changed from one ballot's value to another's; `None` if the steps between them are not kept.
     pub fn between(&self, have: Ballot, now: Ballot) -> Option<Value> {
         let first = self.steps.iter().position(|step| step.from == have)?;
         let (mut items, mut reached) = (BTreeMap::new(), have);
@@ -48,8 +52,8 @@
         (reached == now).then(|| items.into_values().cloned().collect())
     }
 
-    /// Items that are held here.
-    pub fn held(&self) -> usize {
+    /// The number of items that are kept.
+    pub fn item_count(&self) -> usize {
         self.items
     }
 }
--- a/crates/starlinghill-config-store/tests/acceptor.rs
+++ b/crates/starlinghill-config-store/tests/acceptor.rs
@@ -1,4 +1,4 @@
-//! A disk that refuses, or hangs: what was not kept is not told.
+//! The acceptor's task on a disk that fails or hangs: it answers nothing that is not synced.
 
 use starlinghill_config_store::acceptor::AcceptorHandle;
 use starlinghill_config_store::disk::{SaveRequest, StorageError};
@@ -11,68 +11,73 @@
 use tokio::task::LocalSet;
 
 #[tokio::test]
-async fn a_voter_whose_disk_refused_says_nothing_until_all_that_it_holds_is_kept() {
-    let (disk, mut orders) = mpsc::unbounded_channel::<SaveRequest>();
-    let refuses = Arc::new(AtomicBool::new(true));
-    let refusing = refuses.clone();
+async fn after_a_failed_write_the_acceptor_answers_nothing_until_its_state_is_synced() {
+    let (storage, mut requests) = mpsc::unbounded_channel::<SaveRequest>();
+    let fails = Arc::new(AtomicBool::new(true));
+    let failing = fails.clone();
     std::thread::spawn(move || {
-        while let Some(order) = orders.blocking_recv() {
-            let refused = || StorageError::Corrupt { path: "disk".into(), key: "refused".into() };
-            let kept = !refusing.load(Ordering::SeqCst);
-            let _ = order.done.send(kept.then_some(()).ok_or_else(refused));
+        while let Some(request) = requests.blocking_recv() {
+            let error = || StorageError::Corrupt { path: "disk".into(), key: "failed".into() };
+            let synced = !failing.load(Ordering::SeqCst);
+            let _ = request.done.send(synced.then_some(()).ok_or_else(error));
         }
     });
     let task = LocalSet::new();
     task.run_until(async {
         let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
-        let keeper = AcceptorHandle::start(
+        let acceptor = AcceptorHandle::start(
             Acceptor::new(members.voters[0], members.clone()),
-            disk,
+            storage,
             &EssentialTasks::default(),
         );
         let ballot = Ballot { round: 1, by: 1 };
         let state = State { members, value: Vec::new() };
         let accept = AcceptorRequest::Accept { ballot, epoch: 0, state };
-        assert!(keeper.ask(accept).await.is_none());
-        // Whoever counted on what it holds would count on what a loss of power takes.
-        assert!(keeper.ask(AcceptorRequest::Look(Ballot::default())).await.is_none());
-        refuses.store(false, Ordering::SeqCst);
-        let told = keeper.ask(AcceptorRequest::Look(Ballot::default())).await;
-        assert!(matches!(told, Some(AcceptorReply::Has { accepted, .. }) if accepted == ballot), "{told:?}");
+        assert!(acceptor.call(accept).await.is_none());
+        // The accepted state is in memory only: a loss of power would take it back after it was answered.
+        assert!(acceptor.call(AcceptorRequest::Look(Ballot::default())).await.is_none());
+        fails.store(false, Ordering::SeqCst);
+        let reply = acceptor.call(AcceptorRequest::Look(Ballot::default())).await;
+        assert!(
+            matches!(reply, Some(AcceptorReply::Has { accepted, .. }) if accepted == ballot),
+            "{reply:?}"
+        );
     })
     .await;
 }
 
 #[tokio::test]
-async fn while_a_disk_hangs_its_voter_says_nothing_and_then_all_in_turn() {
-    let (disk, mut orders) = mpsc::unbounded_channel::<SaveRequest>();
+async fn while_the_disk_hangs_requests_wait_and_are_then_answered_in_order() {
+    let (storage, mut requests) = mpsc::unbounded_channel::<SaveRequest>();
     let task = LocalSet::new();
     task.run_until(async {
         let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
-        let keeper = AcceptorHandle::start(
+        let acceptor = AcceptorHandle::start(
             Acceptor::new(members.voters[0], members.clone()),
-            disk,
+            storage,
             &EssentialTasks::default(),
         );
         let ballot = Ballot { round: 1, by: 1 };
         let state = State { members, value: Vec::new() };
         let accept = AcceptorRequest::Accept { ballot, epoch: 0, state };
-        let (first, second) = (keeper.clone(), keeper.clone());
-        let accepted = tokio::task::spawn_local(async move { first.ask(accept).await });
+        let (first, second) = (acceptor.clone(), acceptor.clone());
+        let accepted = tokio::task::spawn_local(async move { first.call(accept).await });
         let looked =
             tokio::task::spawn_local(
-                async move { second.ask(AcceptorRequest::Look(Ballot::default())).await },
+                async move { second.call(AcceptorRequest::Look(Ballot::default())).await },
             );
-        // All that can happen does, but for the sync.
+        // Lets all tasks run as far as they can without the sync.
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
         assert!(!accepted.is_finished() && !looked.is_finished());
-        let order = orders.try_recv().expect("it is to be written");
-        // What is written is the promise and the state, and nothing else was begun behind it.
-        assert!(order.state.is_some() && order.acceptor.accepted == ballot && orders.try_recv().is_err());
-        order.done.send(Ok(())).expect("somebody waits");
-        let (accepted, looked) = (accepted.await.expect("whole"), looked.await.expect("whole"));
+        let request = requests.try_recv().expect("a save request");
+        // The request holds the acceptor's state and the replicated state. No other write starts before it is synced.
+        assert!(
+            request.state.is_some() && request.acceptor.accepted == ballot && requests.try_recv().is_err()
+        );
+        request.done.send(Ok(())).expect("the task waits for it");
+        let (accepted, looked) = (accepted.await.expect("no panic"), looked.await.expect("no panic"));
         assert!(accepted.is_some(), "{accepted:?}");
         assert!(
             matches!(looked, Some(AcceptorReply::Has { accepted, .. }) if accepted == ballot),
@@ -83,53 +88,53 @@
 }
 
 #[tokio::test]
-async fn what_was_given_up_while_a_disk_hung_is_not_done_behind_it() {
-    let (disk, mut orders) = mpsc::unbounded_channel::<SaveRequest>();
+async fn a_request_given_up_while_the_disk_hung_is_not_carried_out_later() {
+    let (storage, mut requests) = mpsc::unbounded_channel::<SaveRequest>();
     let task = LocalSet::new();
     task.run_until(async {
         let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
-        let keeper = AcceptorHandle::start(
+        let acceptor = AcceptorHandle::start(
             Acceptor::new(members.voters[0], members.clone()),
-            disk,
+            storage,
             &EssentialTasks::default(),
         );
         let accept = |round| {
-            let (keeper, ballot) = (keeper.clone(), Ballot { round, by: 1 });
+            let (acceptor, ballot) = (acceptor.clone(), Ballot { round, by: 1 });
             let state = State { members: members.clone(), value: Vec::new() };
             let accept = AcceptorRequest::Accept { ballot, epoch: 0, state };
-            tokio::task::spawn_local(async move { keeper.ask(accept).await })
+            tokio::task::spawn_local(async move { acceptor.call(accept).await })
         };
-        let under_way = accept(1);
+        let in_progress = accept(1);
         tokio::task::yield_now().await;
         let given_up: Vec<_> = (2..20).map(accept).collect();
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
-        given_up.iter().for_each(|asked| asked.abort());
-        let order = orders.try_recv().expect("it is to be written");
-        order.done.send(Ok(())).expect("somebody waits");
-        assert!(under_way.await.expect("whole").is_some());
-        let told = keeper.ask(AcceptorRequest::Look(Ballot::default())).await;
+        given_up.iter().for_each(|call| call.abort());
+        let request = requests.try_recv().expect("a save request");
+        request.done.send(Ok(())).expect("the task waits for it");
+        assert!(in_progress.await.expect("no panic").is_some());
+        let reply = acceptor.call(AcceptorRequest::Look(Ballot::default())).await;
         let first = Ballot { round: 1, by: 1 };
-        assert!(matches!(told, Some(AcceptorReply::Has { accepted, .. }) if accepted == first), "{told:?}");
-        assert!(orders.try_recv().is_err(), "nobody waits for more");
+        assert!(matches!(reply, Some(AcceptorReply::Has { accepted, .. }) if accepted == first), "{reply:?}");
+        assert!(requests.try_recv().is_err(), "a request that was given up was written");
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_voter_whose_writer_is_no_more_ends_its_process() {
-    let (disk, orders) = mpsc::unbounded_channel::<SaveRequest>();
-    drop(orders);
+async fn the_acceptor_task_ends_if_the_writer_thread_has_ended() {
+    let (storage, requests) = mpsc::unbounded_channel::<SaveRequest>();
+    drop(requests);
     let task = LocalSet::new();
     task.run_until(async {
         let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
         let (essentials, mut first_end) = EssentialTasks::new();
-        let keeper =
-            AcceptorHandle::start(Acceptor::new(members.voters[0], members.clone()), disk, &essentials);
+        let acceptor =
+            AcceptorHandle::start(Acceptor::new(members.voters[0], members.clone()), storage, &essentials);
         let state = State { members, value: Vec::new() };
         let accept = AcceptorRequest::Accept { ballot: Ballot { round: 1, by: 1 }, epoch: 0, state };
-        assert!(keeper.ask(accept).await.is_none());
+        assert!(acceptor.call(accept).await.is_none());
         assert_eq!(first_end.name().await, "vote");
     })
     .await;
--- a/crates/starlinghill-config-store/tests/recent_changes.rs
+++ b/crates/starlinghill-config-store/tests/recent_changes.rs
@@ -1,4 +1,4 @@
-//! Whoever is told only what changed has all that stands.
+//! A registry that gets only the changed items ends up with all current items.
 
 use starlinghill_config_model::{Item, ItemKind, ItemSet, VersionHistory};
 use starlinghill_config_store::recent_changes::RecentChanges;
@@ -11,23 +11,23 @@
     Item { kind, name, version, host, body: None, history: VersionHistory::default() }
 }
 
-/// A registry: the ballot that it has, and its items.
+/// A registry: the ballot of the value that it has, and its items.
 #[derive(Default)]
 struct Follower {
     have: Ballot,
-    book: ItemSet,
+    items: ItemSet,
 }
 
 #[test]
-fn followers_that_are_told_differences_have_all_that_stands() {
-    let (mut sent, mut whole) = (0, 0);
+fn followers_that_merge_only_the_changes_have_all_current_items() {
+    let (mut sent, mut full) = (0, 0);
     for seed in 0..40 {
         let mut random = fastrand::Rng::with_seed(seed);
         let (mut recent, mut now) = (RecentChanges::default(), (Ballot::default(), Value::new()));
         let mut items = BTreeMap::new();
         let mut followers: Vec<Follower> = (0..3).map(|_| Follower::default()).collect();
         for round in 1..=600 {
-            // A ballot brings a change of some items, or nothing, as when what was half done is settled.
+            // A ballot changes some items, or none, as when it completes an unfinished round.
             for _ in 0..random.usize(0..4) {
                 let name = random.u64(0..30);
                 items.insert(name, item(name, round));
@@ -36,29 +36,33 @@
             let next = (ballot, items.values().cloned().collect::<Value>());
             recent.learn((now.0, &now.1), (next.0, &next.1));
             now = next;
-            assert!(recent.held() <= now.1.len(), "seed {seed}: {} items are held", recent.held());
+            assert!(
+                recent.item_count() <= now.1.len(),
+                "seed {seed}: {} items are kept",
+                recent.item_count()
+            );
             for (i, follower) in followers.iter_mut().enumerate() {
-                // One is nearly always there, one now and then, one begins anew at times.
+                // Follower 0 polls every second time, follower 1 rarely; follower 2 always, but sometimes restarts.
                 if !random.bool() && i == 0 || i == 1 && random.u8(0..40) > 0 {
                     continue;
                 }
                 if i == 2 && random.u8(0..50) == 0 {
                     *follower = Follower::default();
                 }
-                let news = recent.between(follower.have, now.0).unwrap_or_else(|| now.1.clone());
-                (sent, whole) = (sent + news.len(), whole + now.1.len());
-                follower.book.merge(news);
+                let changes = recent.between(follower.have, now.0).unwrap_or_else(|| now.1.clone());
+                (sent, full) = (sent + changes.len(), full + now.1.len());
+                follower.items.merge(changes);
                 follower.have = now.0;
-                let has: Value = follower.book.items().map(|held| held.item.clone()).collect();
+                let has: Value = follower.items.items().map(|held| held.item.clone()).collect();
                 assert_eq!(has, now.1, "seed {seed}, round {round}, follower {i}");
             }
         }
     }
-    assert!(sent * 4 < whole, "{sent} items of {whole} were told");
+    assert!(sent * 4 < full, "{sent} items were sent, {full} without differences");
 }
 
 #[test]
-fn a_ballot_that_is_not_remembered_gets_no_difference() {
+fn there_are_no_changes_since_a_ballot_that_is_not_kept() {
     let ballot = |round| Ballot { round, by: 1 };
     let mut recent = RecentChanges::default();
     let values: Vec<Value> = (1..5).map(|version| vec![item(1, version), item(2, 1)]).collect();
@@ -67,7 +71,7 @@
         recent.learn((ballot(round), &pair[0]), (ballot(round + 1), &pair[1]));
     }
     assert_eq!(recent.between(ballot(3), ballot(4)), Some(vec![item(1, 4)]));
-    // Forgotten; never known; newer than what is asked for.
+    // In turn: no longer kept, never known, and newer than the ballot asked for.
     assert_eq!(recent.between(ballot(1), ballot(4)), None);
     assert_eq!(recent.between(Ballot { round: 3, by: 2 }, ballot(4)), None);
     assert_eq!(recent.between(ballot(4), ballot(3)), None);
