--- a/crates/starlinghill-console/src/explain.rs
+++ b/crates/starlinghill-console/src/explain.rs
@@ -5,7 +5,7 @@
 use starlinghill_catalog::BackendState;
 use starlinghill_config_model::{ChangeError, ConfigChange, ItemSet, RoutingTable};
 use starlinghill_decision::api::CustomerId;
-use starlinghill_decision::store_name;
+use starlinghill_decision::bucket_name;
 use starlinghill_registry::wire::RegistryStatus;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -64,7 +64,7 @@
                 "tenant {}: {} requests a second, burst {}, over all gateways",
                 tenant.name, tenant.rate, tenant.burst
             ));
-            let name = store_name(CustomerId(xxh3_64(tenant.name.as_bytes()))).0;
+            let name = bucket_name(CustomerId(xxh3_64(tenant.name.as_bytes()))).0;
             let counts = statuses.iter().filter_map(|status| status.count.as_ref());
             let store = counts.flat_map(|count| &count.stores).find(|(store, ..)| *store == name);
             said.push(match store {
--- a/crates/starlinghill-console/src/main.rs
+++ b/crates/starlinghill-console/src/main.rs
@@ -9,7 +9,7 @@
 use starlinghill_console::screen::{draw, Beside};
 use starlinghill_console::status::{Events, Picture};
 use starlinghill_decision::api::CustomerId;
-use starlinghill_decision::store_name;
+use starlinghill_decision::bucket_name;
 use starlinghill_runtime::settings::NodeSettings;
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -173,7 +173,7 @@
         if moved {
             if let Ok(book) = places.items().await.map_err(drop).and_then(|items| book(&items).map_err(drop))
             {
-                let name = |name: &str| store_name(CustomerId(xxh3_64(name.as_bytes()))).0;
+                let name = |name: &str| bucket_name(CustomerId(xxh3_64(name.as_bytes()))).0;
                 tenants =
                     RoutingTable::of(&book).tenants.iter().map(|t| (name(&t.name), t.name.clone())).collect();
             }
--- a/crates/starlinghill-console/tests/words.rs
+++ b/crates/starlinghill-console/tests/words.rs
@@ -6,7 +6,7 @@
 use starlinghill_console::explain::{book, differences, explain, Asked};
 use starlinghill_console::status::Picture;
 use starlinghill_decision::api::CustomerId;
-use starlinghill_decision::store_name;
+use starlinghill_decision::bucket_name;
 use starlinghill_quota_counter::BackendLoad;
 use starlinghill_registry::wire::{CounterStatus, RegistryStatus};
 use std::net::{IpAddr, SocketAddr};
@@ -71,7 +71,7 @@
     "a service without backends")]
 fn a_request_is_explained(host: &str, path: &str, key: Option<&str>, wanted: &str) {
     let mut status = status(1, &[]);
-    let store = store_name(CustomerId(xxh3_64(b"studio"))).0;
+    let store = bucket_name(CustomerId(xxh3_64(b"studio"))).0;
     status.count =
         Some(CounterStatus { silent: 0, stores: vec![(store, 0.2, 10.0, 55.0)], rooms: Vec::new() });
     let said = explain(&items(), &[status], Asked { host, path, key }).unwrap_or_default();
--- a/crates/starlinghill-control-state/src/fleet.rs
+++ b/crates/starlinghill-control-state/src/fleet.rs
@@ -4,7 +4,7 @@
 use starlinghill_decision::api::*;
 use starlinghill_decision::{FleetView, Health};
 use starlinghill_settings::members::{Member, MemberList, Phase};
-use starlinghill_settings::Site;
+use starlinghill_settings::NamedSettings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::SocketAddr;
@@ -108,21 +108,21 @@
 
 /// The fleet, from the list and from what proxies report.
 pub struct Fleet {
-    site: Site,
+    site: NamedSettings,
     judged: FleetView,
     /// The members by id, as the list has them; `None` until one came whole.
     members: Option<BTreeMap<String, Member>>,
     /// Whose a report is, by address.
     at: BTreeMap<SocketAddr, ServerId>,
     /// The parts of their work that zones get by order; those not named have their whole part.
-    zones: BTreeMap<String, ZonePart>,
+    zones: BTreeMap<String, ZoneShare>,
     /// The regions of zones.
     places: BTreeMap<String, EndpointLocation>,
 }
 
 impl Fleet {
     /// A fleet of which nothing is known.
-    pub fn new(seed: u64, site: Site) -> Result<Fleet, SettingsError> {
+    pub fn new(seed: u64, site: NamedSettings) -> Result<Fleet, SettingsError> {
         let judged = FleetView::new(seed, site.settings.clone())?;
         Ok(Fleet {
             site,
@@ -145,8 +145,8 @@
     }
 
     /// New parts of zones hold from now on.
-    pub fn zones(&mut self, parts: Vec<(String, ZonePart)>) {
-        let sound = |(_, part): &(String, ZonePart)| part.weight.is_finite() && part.weight < 1.0;
+    pub fn zones(&mut self, parts: Vec<(String, ZoneShare)>) {
+        let sound = |(_, part): &(String, ZoneShare)| part.weight.is_finite() && part.weight < 1.0;
         self.zones = parts.into_iter().filter(sound).collect();
     }
 
@@ -181,8 +181,8 @@
                 started: Some(Micros(m.up_since_ms.saturating_mul(1000))).filter(|at| at.0 > 0),
             })
             .collect();
-        let scope = if list.complete { ListScope::Whole } else { ListScope::Changes };
-        self.judged.list(now, scope, told);
+        let scope = if list.complete { ListScope::Complete } else { ListScope::Changes };
+        self.judged.update_list(now, scope, told);
         for member in entries {
             match member.phase {
                 Phase::Gone => drop(members.remove(&member.id)),
@@ -210,7 +210,7 @@
             let outcome = if due > failed { Outcome::Error } else { Outcome::Ok };
             failed = due;
             // Times are not reported: an answer counts as neither early nor late.
-            self.judged.ended(now, server, outcome, Micros(0), Micros(u64::MAX / 4));
+            self.judged.attempt_ended(now, server, outcome, Micros(0), Micros(u64::MAX / 4));
         }
         judged > 0
     }
@@ -221,7 +221,7 @@
         let cold = self.site.settings.cold;
         let members = self.members.as_ref()?;
         let facts: BTreeMap<ServerId, _> =
-            self.judged.facts(now).into_iter().map(|f| (f.server, f)).collect();
+            self.judged.statuses(now).into_iter().map(|f| (f.server, f)).collect();
         let (mut warm, mut part_of_cold, mut all) = (0.0, 0.0, 0.0);
         let mut endpoints = Vec::with_capacity(members.len());
         // Those whose zone is out by order, and whether that yields where no other one can serve.
@@ -235,7 +235,7 @@
                 None => usage = EndpointUse::Draining,
                 Some(fact) => {
                     match fact.health {
-                        Health::Sound => {}
+                        Health::Healthy => {}
                         Health::OnTrial => part = TRIAL_PART,
                         Health::Ejected(_) => usage = EndpointUse::Ejected,
                     }
@@ -289,7 +289,7 @@
         let cold = self.site.settings.cold;
         let width = (cold.0 / WARM_STEPS).max(1);
         let mut next: Option<u64> = None;
-        for fact in self.judged.facts(now) {
+        for fact in self.judged.statuses(now) {
             let step = fact.cold_since.map(|since| match now.0.checked_sub(since.0) {
                 Some(age) => since.0 + (age / width + 1) * width,
                 None => since.0 + width, // It started, by its clock, in what is the future here.
--- a/crates/starlinghill-control-state/src/routes.rs
+++ b/crates/starlinghill-control-state/src/routes.rs
@@ -1,8 +1,8 @@
 //! Routes by class: what a proxy is to do with a request so that the rules hold there as they do here.
 
 use starlinghill_decision::api::*;
-use starlinghill_decision::BOUNDS;
-use starlinghill_settings::Site;
+use starlinghill_decision::POLICY_CONSTANTS;
+use starlinghill_settings::NamedSettings;
 
 /// The least time between the last moment at which a repeat may go out and the end of its key's window.
 const WINDOW_MARGIN: Micros = Micros(100_000);
@@ -36,7 +36,7 @@
 }
 
 /// The routes of all classes, by name.
-pub fn routes(site: &Site) -> Vec<ClassRoute> {
+pub fn routes(site: &NamedSettings) -> Vec<ClassRoute> {
     let set = &site.settings;
     let further = set.max_attempts.clamp(1, MOST_ATTEMPTS) as u32 - 1;
     let mut routes: Vec<ClassRoute> = site
@@ -57,7 +57,7 @@
                 (Effect::Keyed, RetryOn::Failed) => class.deadline.min(class.window - WINDOW_MARGIN),
                 _ => class.deadline,
             };
-            let early = class.aim.times(1.0 - BOUNDS.spare_part);
+            let early = class.target.times(1.0 - POLICY_CONSTANTS.retry_reserve);
             let per_try =
                 (on == RetryOn::Failed && further > 0 && !class.stream).then_some(early.min(timeout));
             let method = if class.effect == Effect::Safe { "GET" } else { "POST" };
--- a/crates/starlinghill-control-state/tests/fleet.rs
+++ b/crates/starlinghill-control-state/tests/fleet.rs
@@ -4,13 +4,13 @@
 use starlinghill_control_state::routes::{routes, RetryOn};
 use starlinghill_decision::api::*;
 use starlinghill_settings::members::{Member, MemberList, Phase};
-use starlinghill_settings::Site;
+use starlinghill_settings::NamedSettings;
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
 const NOW: u64 = 1_000_000 * S;
 
-fn site() -> Site {
+fn site() -> NamedSettings {
     let settings: serde_json::Value = serde_json::from_str(
         r#"{"zone":"a","zones":["a","b"],"bounds":{"max_attempts":5},
         "classes":[
@@ -23,7 +23,7 @@
         "rules":{"cold":16000000,"cold_from":0.25,"fall_multiple":4.0,"tip_after":2000000}}"#,
     )
     .expect("JSON");
-    Site::from_json(&settings).expect("sound settings")
+    NamedSettings::from_json(&settings).expect("sound settings")
 }
 
 fn fleet() -> Fleet {
@@ -259,7 +259,7 @@
     let members = [there("s-1", 1, "a"), there("s-2", 2, "b")];
     fleet.list(Micros(NOW), list(true, &members)).expect("taken");
     let order =
-        |fleet: &mut Fleet, weight, yields| fleet.zones(vec![("b".into(), ZonePart { weight, yields })]);
+        |fleet: &mut Fleet, weight, yields| fleet.zones(vec![("b".into(), ZoneShare { weight, yields })]);
     order(&mut fleet, 0.25, false);
     assert_eq!(usage(&mut fleet, NOW, "s-2"), Some((EndpointUse::Healthy, 250)));
     order(&mut fleet, 0.0, false);
@@ -288,7 +288,7 @@
         [place("a", "east", 0), place("b", "east", 0), place("c", "north", 1), place("d", "west", 2)];
     fleet.places(places.into_iter().collect());
     let order = |fleet: &mut Fleet, zones: &[&str], yields| {
-        let part = ZonePart { weight: 0.0, yields };
+        let part = ZoneShare { weight: 0.0, yields };
         fleet.zones(zones.iter().map(|zone| (zone.to_string(), part)).collect());
         let picture = fleet.picture(Micros(NOW)).expect("known");
         let told = picture.endpoints.into_iter();
@@ -333,7 +333,7 @@
     ];
     fleet.list(Micros(NOW), list(true, &members)).expect("taken");
     assert!(fleet.picture(Micros(NOW)).expect("known").drop > 0, "one warm of five");
-    fleet.zones(vec![("b".into(), ZonePart { weight: 0.0, yields: false })]);
+    fleet.zones(vec![("b".into(), ZoneShare { weight: 0.0, yields: false })]);
     assert_eq!(
         fleet.picture(Micros(NOW)).expect("known").drop,
         0,
--- a/crates/starlinghill-control/src/group_follower.rs
+++ b/crates/starlinghill-control/src/group_follower.rs
@@ -1,7 +1,7 @@
 //! What follows the group inside this program: gateways, and the control service for other proxies. Both are told the
 //! parts of their work that zones get.
 
-use starlinghill_decision::api::ZonePart;
+use starlinghill_decision::api::ZoneShare;
 use starlinghill_failover::follower::View;
 use starlinghill_failover::topology::{is_name, TopologyProblem};
 use starlinghill_failover::FULL_WEIGHT;
@@ -15,7 +15,7 @@
 fn parts(view: &View) -> ZoneParts {
     let less = view.zones.iter().filter(|(_, z)| z.weight < FULL_WEIGHT);
     less.map(|(name, z)| {
-        (name.clone(), ZonePart { weight: f64::from(z.weight) / f64::from(FULL_WEIGHT), yields: z.yields })
+        (name.clone(), ZoneShare { weight: f64::from(z.weight) / f64::from(FULL_WEIGHT), yields: z.yields })
     })
     .collect()
 }
--- a/crates/starlinghill-control/src/lib.rs
+++ b/crates/starlinghill-control/src/lib.rs
@@ -11,7 +11,7 @@
 use starlinghill_gateway::config::{Config, Upstreams};
 use starlinghill_gateway::discovery::{self, Follower, Source};
 use starlinghill_operator_config::{Control, Group, Problem, Quotas};
-use starlinghill_settings::Site;
+use starlinghill_settings::NamedSettings;
 use starlinghill_xds::hub::{self, Hub, News};
 use starlinghill_xds::resources::{QuotaWiring, Wiring};
 use starlinghill_xds::server::{Limits, Service};
@@ -65,7 +65,7 @@
     /// The operators' section.
     pub control: Control,
     /// The platform's settings with their names.
-    pub site: Site,
+    pub site: NamedSettings,
     /// Discovery.
     pub upstreams: Upstreams,
     seed: u64,
@@ -109,7 +109,7 @@
     Ok(Prepared { control, site, upstreams, seed, plans, tls, group: operators.group })
 }
 
-fn platform(path: &Path) -> Result<(Site, Upstreams, u64), String> {
+fn platform(path: &Path) -> Result<(NamedSettings, Upstreams, u64), String> {
     let name = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
     // The address for clients is a gateway's; this service has its own.
--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -42,11 +42,11 @@
         Outcome::Ok if attempted.late => AttemptResult::Late,
         Outcome::Ok => AttemptResult::Answered,
         Outcome::Error | Outcome::Reset => AttemptResult::Failed,
-        Outcome::Full => AttemptResult::TurnedAway,
+        Outcome::Rejected => AttemptResult::TurnedAway,
         Outcome::Timeout => AttemptResult::Silent,
         Outcome::ConnectFailed if attempted.refused => AttemptResult::Refused,
         Outcome::ConnectFailed => AttemptResult::Unreached,
-        Outcome::Cancelled | Outcome::Moot => return None,
+        Outcome::Cancelled | Outcome::NotSent => return None,
     })
 }
 
--- a/crates/starlinghill-decision/src/admission.rs
+++ b/crates/starlinghill-decision/src/admission.rs
@@ -7,7 +7,7 @@
 use crate::context::{Context, SMOOTH};
 use crate::customer::{quota_of, span, Customer};
 use crate::repeated_requests::{Refusal, Repeats};
-use starlinghill_estimate::counter_sampling::Asking;
+use starlinghill_estimate::counter_sampling::CounterSampling;
 use starlinghill_rate_limit::shares::Exchange;
 use starlinghill_rate_limit::unknown_customers::Usual;
 use std::collections::{BTreeMap, VecDeque};
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     pub(crate) breaker: Breaker,
-    pub(crate) asking: Asking,
+    pub(crate) asking: CounterSampling,
     pub(crate) last_failed: Option<CustomerId>,
     pub(crate) calls: BTreeMap<CountName, VecDeque<Call>>,
     pub(crate) customers: BTreeMap<CustomerId, Customer>,
@@ -81,7 +81,7 @@
     /// capacity: while calls fail only a part asks, what is worth much first, repeats last, as they were
     /// refused a moment ago.
     fn asks(&self, cx: &mut Context, power: f64) -> bool {
-        self.breaker.opened.is_some() || self.asking.asks(cx.rng.f64(), power)
+        self.breaker.opened.is_some() || self.asking.should_call(cx.rng.f64(), power)
     }
 
     pub(crate) fn may_call(&mut self, cx: &Context, customer: CustomerId) -> bool {
--- a/crates/starlinghill-decision/src/api.rs
+++ b/crates/starlinghill-decision/src/api.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub target: Micros,
     /// How long a client waits, all tries together.
     pub deadline: Micros,
     /// What a request is worth.
@@ -146,22 +146,22 @@
     /// The shortest gap between two calls of the module.
     pub tick: Micros,
     /// The budget of further attempts, by service; `None`: the module's own.
-    pub retries: Option<Retries>,
+    pub retries: Option<RetryBudget>,
     /// The counter keeps the quotas' stores itself: a request is drawn, and what its store has left is heard.
-    pub levels: bool,
+    pub counter_buckets: bool,
     /// The same: what the rules let tenants have beyond their quotas.
     pub allowance: Allowance,
     /// How long the breaker over the counter stays open before one request probes; `None`: the module's own.
     pub cooldown: Option<Micros>,
     /// An attempt is given up no sooner than its request.
-    pub patient: bool,
+    pub wait_to_deadline: bool,
     /// What is added to the module's time for the windows of counts, so that all gateways have the same.
-    pub skew: Micros,
+    pub clock_offset: Micros,
 }
 
 /// A budget of further attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Retries {
+pub struct RetryBudget {
     /// What each request earns.
     pub share: f64,
     /// The most that is saved up.
@@ -204,9 +204,9 @@
     /// Only entries that changed.
     Changes,
     /// The complete list.
-    Whole,
+    Complete,
     /// A call for the list or the subscription failed; the earlier list stays.
-    Lost,
+    Failed,
 }
 
 /// How an attempt, a probe or a count call ended.
@@ -217,7 +217,7 @@
     /// Answered with an error; may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; may have run.
     Timeout,
     /// No connection was made.
@@ -227,13 +227,13 @@
     /// Called off; may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// The outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
@@ -258,7 +258,7 @@
     /// Its service.
     pub service: ServiceId,
     /// The most attempts, where it has a bound of its own below that of the settings; 0: it has none.
-    pub tries: usize,
+    pub max_attempts: usize,
     /// Its customer's plan.
     pub plan: PlanId,
     /// Its customer.
@@ -293,14 +293,14 @@
     /// The request has had its final answer.
     pub ended: bool,
     /// The true units, where they are settled afterwards.
-    pub settled: Option<f64>,
+    pub actual_units: Option<f64>,
     /// The server's load report.
     pub report: Report,
 }
 
 /// The part of its work that a zone gets, by an order that holds for all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ZonePart {
+pub struct ZoneShare {
     /// From 0 (nothing new) to 1 (its whole part).
     pub weight: f64,
     /// It gets more all the same where no other zone can serve: the order can't be called off for this gateway.
@@ -329,30 +329,30 @@
     Share(CountName, f64),
     /// With an answer that is told next, the same call's: the servers of the request's service that answer soonest, and in
     /// what time, as is known where all gateways ask.
-    Rooms(CountName, usize, Vec<(ServerId, Micros)>),
+    FastestServers(CountName, usize, Vec<(ServerId, Micros)>),
     /// Whether this gateway hears nobody: others may use its shares meanwhile.
-    Alone(bool),
+    Isolated(bool),
     /// A message from another gateway, by its number.
     Peer(u32, Vec<u8>),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// The last byte came of a request whose body is passed on.
-    Whole(RequestId),
+    BodyComplete(RequestId),
     /// An answer that was being passed on, whose attempt had ended well, broke off at this server.
-    Broke(ServerId),
+    ResponseBroken(ServerId),
     /// New rules for what comes from now on.
     Rules(Rules),
     /// The parts that zones get from now on, by order; those not named have their whole part.
-    Zones(Vec<(ZoneId, ZonePart)>),
+    ZoneShares(Vec<(ZoneId, ZoneShare)>),
     /// What an earlier process of this gateway knew.
-    Learned(Learned),
+    Learned(LearnedState),
     /// This gateway is to end: all that is open must have its answer by then.
-    Closing(Micros),
+    ShutDown(Micros),
 }
 
 /// What a gateway has learned of the servers, for the process that takes over from it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learned {
+pub struct LearnedState {
     /// When this was so, Unix time.
     pub at: Micros,
     /// Units a second that a warm server gets from this gateway, for its weight.
@@ -369,12 +369,12 @@
     /// The most attempts for one request.
     pub max_attempts: usize,
     /// What all gateways have in common, where that may change.
-    pub common: Option<Common>,
+    pub common: Option<SharedSettings>,
 }
 
 /// What all gateways have in common.
 #[derive(Clone, Debug)]
-pub struct Common {
+pub struct SharedSettings {
     /// The plans; each keeps its place.
     pub plans: Vec<Plan>,
     /// Number of gateways.
@@ -382,9 +382,9 @@
     /// This gateway's number among them.
     pub me: u32,
     /// The budget of further attempts.
-    pub retries: Option<Retries>,
-    /// See [`Settings::skew`].
-    pub skew: Micros,
+    pub retries: Option<RetryBudget>,
+    /// See [`Settings::clock_offset`].
+    pub clock_offset: Micros,
 }
 
 /// What a gateway does.
--- a/crates/starlinghill-decision/src/attempts.rs
+++ b/crates/starlinghill-decision/src/attempts.rs
@@ -46,24 +46,24 @@
             Event::ClientGone(id) => self.finish(id, None),
             Event::Probed(..) => {}
             Event::Counted(name, nth, outcome, total) => self.on_counted(name, nth, outcome, total),
-            Event::Rooms(name, nth, rooms) => {
+            Event::FastestServers(name, nth, rooms) => {
                 let id = self.admission.asked_for(name, nth);
                 let r = id.and_then(|id| self.requests.get_mut(&id));
                 r.into_iter().for_each(|r| (r.rooms, r.rooms_at) = (rooms.clone(), self.cx.now));
             }
-            Event::Alone(alone) => self.cx.alone = alone,
+            Event::Isolated(alone) => self.cx.alone = alone,
             Event::Share(name, share) => self.admission.told_share(name, share),
             Event::Peer(from, message) => self.admission.on_peer(&mut self.cx, from, &message),
             Event::AttemptEnded(end) => self.on_attempt(end),
-            Event::Whole(id) => self.came_whole(id),
-            Event::Broke(server) => self.fleet.with(server).broke(&self.cx, server),
+            Event::BodyComplete(id) => self.came_whole(id),
+            Event::ResponseBroken(server) => self.fleet.with(server).broke(&self.cx, server),
             Event::Rules(rules) => self.on_rules(rules),
-            Event::Zones(parts) => {
+            Event::ZoneShares(parts) => {
                 self.fleet.all().for_each(|fleet| fleet.zones.follow(parts.clone()));
                 self.serve_held();
             }
             Event::Learned(learned) => self.on_learned(learned),
-            Event::Closing(by) => self.on_closing(by),
+            Event::ShutDown(by) => self.on_closing(by),
         }
         self.admission.tell(&mut self.cx);
         out.append(&mut self.cx.out);
@@ -100,7 +100,7 @@
         // Before the deadline by two ticks: a timer may come one late, and the answer takes one.
         self.cx.timer(Timer::Deadline(id), a.deadline - now - self.cx.set.tick - self.cx.set.tick);
         let resent = self.admission.note(&self.cx, &a);
-        let own = if a.tries > 0 { a.tries } else { usize::MAX };
+        let own = if a.max_attempts > 0 { a.max_attempts } else { usize::MAX };
         let most = if a.once { 1 } else { self.cx.set.max_attempts.min(own) };
         let a = Arrival { resent, ..a };
         self.requests.insert(id, Request { a, arrived: now, most, ..Request::default() });
@@ -119,7 +119,7 @@
         }
         let power = self.admission.weigh(self.cx.worth(&r.a));
         let fleet = self.fleet.of(r.a.service);
-        let pass = if fleet.sparse(&self.cx) { fleet.throttle.pass() } else { 1.0 };
+        let pass = if fleet.sparse(&self.cx) { fleet.throttle.pass_share() } else { 1.0 };
         pass < 1.0 && self.cx.rng.f64() > pass.powf(power)
     }
 
@@ -234,14 +234,14 @@
         let class = &self.cx.set.classes[r.a.class.0];
         // An attempt is given up while another could still meet the aim. Guards against servers that fall
         // silent. Not while attempts fail or are late everywhere: giving up wastes work in overload.
-        let again = !self.cx.set.patient
+        let again = !self.cx.set.wait_to_deadline
             && class.effect != Effect::Unsafe
             && !class.stream
             && r.attempts.len() + 1 < r.most
             && (class.effect == Effect::Safe || class.group == Group::All)
             && self.fleet.of(r.a.service).fail_share < CALM_SHARE;
-        let early = r.arrived + class.aim.times(1.0 - SPARE_PART);
-        let until = if again && early > now + class.aim.times(SPARE_PART) { early } else { r.a.deadline };
+        let early = r.arrived + class.target.times(1.0 - SPARE_PART);
+        let until = if again && early > now + class.target.times(SPARE_PART) { early } else { r.a.deadline };
         r.attempts.push(Attempt { server, sent: now, out: true, may_have_run: false });
         r.held_since = None;
         r.counted = None;
@@ -260,7 +260,7 @@
             .sort_by_key(|id| (std::cmp::Reverse((self.cx.worth(&self.requests[id].a) * 1e6) as u64), *id));
         for id in waiting {
             let r = &self.requests[&id];
-            let longest = self.cx.set.classes[r.a.class.0].aim.times(HOLD_PART);
+            let longest = self.cx.set.classes[r.a.class.0].target.times(HOLD_PART);
             let overdue = r.held_since.is_some_and(|at| now >= at + longest);
             if let Some(server) = self.pick(id) {
                 self.send(id, server);
@@ -317,14 +317,14 @@
         let Some(a) = named.filter(|a| a.out && a.server == end.server) else { return };
         a.out = false;
         a.may_have_run = !outcome.never_ran();
-        let (aim, was_done) = (self.cx.set.classes[r.a.class.0].aim, r.done);
+        let (target, was_done) = (self.cx.set.classes[r.a.class.0].target, r.done);
         r.done |= end.ended || outcome == Outcome::Ok;
-        let (answered, in_time) = (r.done, self.cx.now < r.arrived + aim);
-        if let (Some(true_units), Outcome::Ok, false) = (end.settled, outcome, was_done) {
+        let (answered, in_time) = (r.done, self.cx.now < r.arrived + target);
+        if let (Some(true_units), Outcome::Ok, false) = (end.actual_units, outcome, was_done) {
             self.admission.settled(&mut self.cx, r.a.customer, true_units - r.a.units);
         }
         let service = r.a.service;
-        self.fleet.with(end.server).judge(&mut self.cx, end.server, outcome, end.took, aim);
+        self.fleet.with(end.server).judge(&mut self.cx, end.server, outcome, end.took, target);
         if answered {
             self.let_go(id);
         } else if in_time && self.may_repeat(id) && self.fleet.spend(&self.cx, service, outcome) {
--- a/crates/starlinghill-decision/src/choice.rs
+++ b/crates/starlinghill-decision/src/choice.rs
@@ -19,7 +19,7 @@
         self.warm_up(cx);
         let salt = cx.rng.u64(..);
         let (reach, scale) = (self.reach(cx), self.scale(cx));
-        // Bounds may fall below one (many gateways): what is out in all stays within their sum.
+        // PolicyConstants may fall below one (many gateways): what is out in all stays within their sum.
         let fit =
             self.own_part_first(cx).take(reach).map(|sid| &self.servers[&sid]).filter(|s| self.takes(cx, s));
         let most: f64 = fit.map(|s| s.limit * scale).sum();
--- a/crates/starlinghill-decision/src/counter.rs
+++ b/crates/starlinghill-decision/src/counter.rs
@@ -6,7 +6,7 @@
 use crate::bucket::mix;
 use crate::calls::{fate, Call, Purpose};
 use crate::context::Context;
-use crate::customer::{demand_span, quota_of, span, split, store_name, window, EPOCH, WINDOW};
+use crate::customer::{bucket_name, demand_span, quota_of, span, split, window, EPOCH, WINDOW};
 use starlinghill_rate_limit::account::Total;
 
 /// A gateway that heard nothing of a customer for this long is one of those that let it through unasked.
@@ -15,7 +15,7 @@
 impl Admission {
     /// The units of a request turned out to be others.
     pub(crate) fn settled(&mut self, cx: &mut Context, customer: CustomerId, more: f64) {
-        if cx.set.levels {
+        if cx.set.counter_buckets {
             return self.charge(cx, customer, more);
         }
         let Some(c) = self.customers.get_mut(&customer) else { return };
@@ -24,7 +24,7 @@
 
     /// A request goes on without a word of the counter's.
     pub(crate) fn used_unheard(&mut self, cx: &mut Context, customer: CustomerId, units: f64) {
-        if cx.set.levels {
+        if cx.set.counter_buckets {
             return self.charge(cx, customer, units);
         }
         let Some(c) = self.customers.get_mut(&customer) else { return };
@@ -35,7 +35,7 @@
     fn charge(&mut self, cx: &mut Context, customer: CustomerId, units: f64) {
         let Some(c) = self.customers.get_mut(&customer) else { return };
         c.account.store.take(quota_of(cx, c.plan), cx.now, units);
-        cx.out.push(Action::Charge(store_name(customer), units));
+        cx.out.push(Action::Charge(bucket_name(customer), units));
     }
 
     /// Brings a customer's counts to the present window and epoch.
@@ -68,8 +68,8 @@
         let probe = request.is_some() && (self.breaker.probing || c.breaker.probing);
         let length = if places { EPOCH } else { WINDOW };
         let tag = post.span << 1 | u64::from(places);
-        let name = match cx.set.levels {
-            true => store_name(id),
+        let name = match cx.set.counter_buckets {
+            true => bucket_name(id),
             false => CountName(mix(mix(id.0) ^ mix(tag)) >> 1),
         };
         let call = Call { at: cx.now, purpose, customer: id, request, units, post, probe };
@@ -91,7 +91,7 @@
         within: (ServiceId, Micros),
         call: Call,
     ) {
-        cx.out.push(match cx.set.levels {
+        cx.out.push(match cx.set.counter_buckets {
             true => Action::Draw(name, call.post.amount, within),
             false => Action::Count(name, call.post.amount, life),
         });
@@ -100,7 +100,7 @@
 
     fn call_succeeded(&mut self, cx: &Context, call: &Call) {
         self.customers.get_mut(&call.customer).into_iter().for_each(|c| c.breaker.success(call.probe));
-        self.asking.answered(cx.now - call.at, cx.set.count_timeout, call.probe);
+        self.asking.call_answered(cx.now - call.at, cx.set.count_timeout, call.probe);
         (self.heard, self.last_failed) = (true, None);
         self.breaker.success(call.probe);
     }
@@ -119,8 +119,8 @@
     ) {
         let now = cx.now;
         // What comes back spoilt or broken says nothing of the counter's load.
-        if matches!(outcome, Outcome::Timeout | Outcome::Full) {
-            self.asking.jammed(made, now);
+        if matches!(outcome, Outcome::Timeout | Outcome::Rejected) {
+            self.asking.call_overloaded(made, now);
         }
         if self.last_failed != Some(customer) || probe {
             self.breaker.failure(now, probe, cx.set.cooldown);
@@ -167,7 +167,7 @@
         let (span, rest) = window(cx, call.customer);
         let c = self.customers.get_mut(&call.customer)?;
         let quota = quota_of(cx, c.plan);
-        if cx.set.levels && outcome == Outcome::Ok {
+        if cx.set.counter_buckets && outcome == Outcome::Ok {
             c.account.drawn(&call.post, cx.now, total);
             c.bucket = None;
             self.call_succeeded(cx, call);
@@ -204,7 +204,7 @@
         // Guards against counting a request twice, or for good though it was refused: a counter that is late
         // still adds. May hurt where it fell silent, for the calls made until the breaker opens. One that keeps the
         // stores adds only what these hold: what became of a late call is settled where its answer comes in.
-        let may_hold = !cx.set.levels && !outcome.never_ran();
+        let may_hold = !cx.set.counter_buckets && !outcome.never_ran();
         let held = may_hold && (heard.is_some() || !self.silent(cx, call.customer));
         Some((heard, held))
     }
@@ -219,7 +219,7 @@
 
     pub(crate) fn take_back(&mut self, cx: &mut Context, customer: CustomerId, span: u64, units: f64) {
         self.roll(cx, customer);
-        if cx.set.levels {
+        if cx.set.counter_buckets {
             return self.charge(cx, customer, -units);
         }
         let Some(c) = self.customers.get_mut(&customer) else { return };
@@ -227,7 +227,7 @@
             return;
         }
         // Others see it as taken until it is back, but a counter that can't bear all must not bear more.
-        if self.breaker.opened.is_none() && self.asking.spare() {
+        if self.breaker.opened.is_none() && self.asking.has_spare_capacity() {
             self.call(cx, Purpose::Window, customer, None, 0.0);
         }
     }
--- a/crates/starlinghill-decision/src/customer.rs
+++ b/crates/starlinghill-decision/src/customer.rs
@@ -6,7 +6,7 @@
 use crate::bucket::{mix, TokenBucket};
 use crate::context::Context;
 use crate::repeated_requests::Refusal;
-use starlinghill_estimate::counter_sampling::Asking;
+use starlinghill_estimate::counter_sampling::CounterSampling;
 use starlinghill_rate_limit::account::Account;
 use starlinghill_rate_limit::allowance::UNTOLD_SHARE;
 use starlinghill_rate_limit::ceiling::{Split, Turns};
@@ -91,26 +91,26 @@
 /// The current window (or epoch) of a customer; the customer's hash shifts its edges, so that not all
 /// windows end at once.
 pub(crate) fn span(cx: &Context, customer: CustomerId, length: Micros) -> (u64, Micros) {
-    let shifted = cx.now.0 + cx.set.skew.0 + mix(customer.0) % length.0;
+    let shifted = cx.now.0 + cx.set.clock_offset.0 + mix(customer.0) % length.0;
     (shifted / length.0, Micros(length.0 - shifted % length.0))
 }
 
 /// The current window of a customer. Where the counter keeps the stores there is but one.
 pub(crate) fn window(cx: &Context, customer: CustomerId) -> (u64, Micros) {
-    match cx.set.levels {
+    match cx.set.counter_buckets {
         true => (0, WINDOW),
         false => span(cx, customer, WINDOW),
     }
 }
 
 /// The name of a customer's store, where the counter keeps it.
-pub fn store_name(customer: CustomerId) -> CountName {
+pub fn bucket_name(customer: CustomerId) -> CountName {
     name_of(customer, STORE_NAME, 0)
 }
 
 /// The current span of a customer's demand, and how much of it has passed.
 pub(crate) fn demand_span(cx: &Context, customer: CustomerId) -> (u64, Micros) {
-    let shifted = cx.now.0 + cx.set.skew.0 + mix(customer.0) % SPAN.0;
+    let shifted = cx.now.0 + cx.set.clock_offset.0 + mix(customer.0) % SPAN.0;
     (shifted / SPAN.0, Micros(shifted % SPAN.0))
 }
 
@@ -158,11 +158,11 @@
 
 impl Admission {
     pub(crate) fn new(gateways: u32) -> Admission {
-        Admission { asking: Asking::of(gateways), ..Admission::default() }
+        Admission { asking: CounterSampling::of(gateways), ..Admission::default() }
     }
 
     /// How many things are kept in mind.
-    pub(crate) fn kept(&self) -> usize {
+    pub(crate) fn tracked_items(&self) -> usize {
         self.customers.len() + self.calls.len()
     }
 
--- a/crates/starlinghill-decision/src/fleet_view.rs
+++ b/crates/starlinghill-decision/src/fleet_view.rs
@@ -12,13 +12,13 @@
 
 /// The module's own bounds, for who must write them into another program's configuration.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct PolicyConstants {
     /// Further attempts earned by each request.
     pub retry_share: f64,
     /// Part of a class's aim left for a further attempt when the first is given up early.
-    pub spare_part: f64,
+    pub retry_reserve: f64,
     /// Attempts out at one server, over all gateways, where learning starts.
-    pub fleet_start: f64,
+    pub initial_fleet_limit: f64,
     /// Share of failures that ejects a server.
     pub eject_share: f64,
     /// The first ejection's time.
@@ -28,10 +28,10 @@
 }
 
 /// The module's bounds.
-pub const BOUNDS: Bounds = Bounds {
+pub const POLICY_CONSTANTS: PolicyConstants = PolicyConstants {
     retry_share: RETRY_SHARE,
-    spare_part: SPARE_PART,
-    fleet_start: FLEET_START,
+    retry_reserve: SPARE_PART,
+    initial_fleet_limit: FLEET_START,
     eject_share: EJECT_SHARE,
     eject_first: EJECT_FIRST,
     eject_doublings: EJECT_DOUBLINGS,
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
     /// Nothing is held against it.
-    Sound,
+    Healthy,
     /// It was ejected, that time is over, and it is to be tried with a little.
     OnTrial,
     /// It gets nothing until then.
@@ -50,7 +50,7 @@
 
 /// One listed server.
 #[derive(Debug, Clone, Copy)]
-pub struct ServerFacts {
+pub struct ServerStatus {
     /// The server.
     pub server: ServerId,
     /// Its size against the others.
@@ -74,22 +74,29 @@
         Ok(FleetView { cx: Context::new(seed, set), fleet: Fleet::default() })
     }
 
-    /// News of the list; [`ListScope::Lost`] changes nothing.
-    pub fn list(&mut self, now: Micros, scope: ListScope, entries: Vec<ServerEntry>) {
+    /// News of the list; [`ListScope::Failed`] changes nothing.
+    pub fn update_list(&mut self, now: Micros, scope: ListScope, entries: Vec<ServerEntry>) {
         self.at(now);
-        if scope != ListScope::Lost {
+        if scope != ListScope::Failed {
             self.fleet.update(&mut self.cx, scope, entries);
         }
     }
 
     /// An attempt ended somewhere; it is judged as if a gateway had made it.
-    pub fn ended(&mut self, now: Micros, server: ServerId, outcome: Outcome, took: Micros, aim: Micros) {
+    pub fn attempt_ended(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        outcome: Outcome,
+        took: Micros,
+        target: Micros,
+    ) {
         self.at(now);
-        self.fleet.judge(&mut self.cx, server, outcome, took, aim);
+        self.fleet.judge(&mut self.cx, server, outcome, took, target);
     }
 
     /// The listed servers, in the order of their numbers.
-    pub fn facts(&mut self, now: Micros) -> Vec<ServerFacts> {
+    pub fn statuses(&mut self, now: Micros) -> Vec<ServerStatus> {
         self.at(now);
         self.fleet.warm_up(&self.cx);
         let listed = self.fleet.servers.iter().filter(|(_, s)| s.listed);
@@ -97,9 +104,9 @@
             let health = match s.ejected_until {
                 until if until > self.cx.now => Health::Ejected(until),
                 _ if s.trial => Health::OnTrial,
-                _ => Health::Sound,
+                _ => Health::Healthy,
             };
-            ServerFacts { server, weight: s.weight, health, cold_since: s.cold_since }
+            ServerStatus { server, weight: s.weight, health, cold_since: s.cold_since }
         });
         facts.collect()
     }
--- a/crates/starlinghill-decision/src/guards.rs
+++ b/crates/starlinghill-decision/src/guards.rs
@@ -18,7 +18,7 @@
     pub(crate) fn within(&self, a: &Arrival) -> Micros {
         let class = &self.set.classes[a.class.0];
         let came_back = a.deadline - self.now < class.deadline.times(WHOLE_PART);
-        class.aim.times(if came_back { BACK_PART } else { SOON_PART })
+        class.target.times(if came_back { BACK_PART } else { SOON_PART })
     }
 }
 
--- a/crates/starlinghill-decision/src/health.rs
+++ b/crates/starlinghill-decision/src/health.rs
@@ -6,7 +6,7 @@
 use crate::roster::Fleet;
 use crate::server::{warm_part, Server};
 
-/// Bounds on attempts out at one server: the least, what a late answer leaves of it, what an early one adds.
+/// PolicyConstants on attempts out at one server: the least, what a late answer leaves of it, what an early one adds.
 /// All but the cut are scaled to the gateway's part (`scale`).
 const LIMIT_LEAST: f64 = 0.1;
 const LIMIT_CUT: f64 = 0.7;
@@ -35,7 +35,7 @@
         server: ServerId,
         outcome: Outcome,
         took: Micros,
-        aim: Micros,
+        target: Micros,
     ) {
         let now = cx.now;
         let (jitter, scale) = (0.75 + 0.5 * cx.rng.f64(), self.scale(cx));
@@ -45,24 +45,24 @@
         // Guards against servers that hold too much and work worse for it, by overload or by a trouble of
         // their own: the bound gives way fast and comes back slowly. May hurt just after short stalls.
         let held = took + Micros(2 * s.latency as u64);
-        let late = matches!(outcome, Outcome::Ok | Outcome::Cancelled) && held > aim.times(LATE_PART);
-        let jammed = late || matches!(outcome, Outcome::Full | Outcome::Timeout);
+        let late = matches!(outcome, Outcome::Ok | Outcome::Cancelled) && held > target.times(LATE_PART);
+        let jammed = late || matches!(outcome, Outcome::Rejected | Outcome::Timeout);
         // Only what tells of load counts: a server that can't be reached, breaks off or answers with an error
         // does so whatever the others bear, and what was called off was no server's fault.
         match outcome {
-            Outcome::Ok => self.throttle.note(now, took <= aim),
-            Outcome::Full | Outcome::Timeout => self.throttle.note(now, false),
+            Outcome::Ok => self.throttle.record(now, took <= target),
+            Outcome::Rejected | Outcome::Timeout => self.throttle.record(now, false),
             _ => {}
         }
         if jammed {
             s.limit = (s.limit * LIMIT_CUT).max(LIMIT_LEAST);
         } else if outcome == Outcome::Ok
             && s.out + 1.0 >= (s.limit * scale).floor()
-            && took < aim.times(GROW_PART)
+            && took < target.times(GROW_PART)
         {
             s.limit += LIMIT_GROW;
         }
-        let bad = !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::Moot) || took > aim;
+        let bad = !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::NotSent) || took > target;
         self.fail_share += SMOOTH / 3.0 * (f64::from(u8::from(bad)) - self.fail_share);
         if outcome == Outcome::Ok {
             let sample = took.0 as f64;
@@ -83,10 +83,10 @@
                 s.cold_room = TokenBucket { level: 0.0, depth: 1.0, rate: 0.0, at: now };
             }
         }
-        if matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::Moot) {
+        if matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::NotSent) {
             return;
         }
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             s.ejected_until = s.ejected_until.max(now + REST);
             return;
         }
--- a/crates/starlinghill-decision/src/learned.rs
+++ b/crates/starlinghill-decision/src/learned.rs
@@ -2,7 +2,7 @@
 
 use crate::api::*;
 use crate::attempts::Gateway;
-use starlinghill_estimate::server_capacity::Borne;
+use starlinghill_estimate::server_capacity::ServerCapacity;
 
 /// What is older counts for nothing; what is younger loses weight evenly.
 const OLDEST: Micros = Micros(10_000_000);
@@ -13,16 +13,16 @@
 
 impl Gateway {
     /// What is known of the servers now.
-    pub fn learned(&self) -> Learned {
+    pub fn learned_state(&self) -> LearnedState {
         let fleet = self.fleet.of(ServiceId::default());
         let known = fleet.servers.iter().filter(|(_, s)| s.listed && s.latency > 0.0);
         let servers = known.map(|(&id, s)| (id, s.limit, s.latency)).collect();
-        Learned { at: self.cx.now, per_weight: fleet.borne.rate(), servers }
+        LearnedState { at: self.cx.now, per_weight: fleet.borne.rate(), servers }
     }
 
     /// Takes over what an earlier process knew, by its age. Servers that are cold now, or that this process knows better, are left
     /// as they are.
-    pub(crate) fn on_learned(&mut self, learned: Learned) {
+    pub(crate) fn on_learned(&mut self, learned: LearnedState) {
         let age = self.cx.now - learned.at;
         if age >= OLDEST || learned.at > self.cx.now + OLDEST {
             return;
@@ -33,7 +33,7 @@
             self.fleet
                 .all()
                 .take(1)
-                .for_each(|fleet| fleet.borne = Borne::recalled(learned.per_weight * trust));
+                .for_each(|fleet| fleet.borne = ServerCapacity::from_previous(learned.per_weight * trust));
         }
         for (id, limit, latency) in learned.servers {
             let server = self.fleet.with(id).servers.get_mut(&id);
--- a/crates/starlinghill-decision/src/lib.rs
+++ b/crates/starlinghill-decision/src/lib.rs
@@ -37,5 +37,5 @@
 mod zones;
 
 pub use attempts::Gateway;
-pub use customer::store_name;
-pub use fleet_view::{Bounds, FleetView, Health, ServerFacts, BOUNDS};
+pub use customer::bucket_name;
+pub use fleet_view::{FleetView, Health, PolicyConstants, ServerStatus, POLICY_CONSTANTS};
--- a/crates/starlinghill-decision/src/lifecycle.rs
+++ b/crates/starlinghill-decision/src/lifecycle.rs
@@ -39,8 +39,8 @@
     }
 
     /// How many things it keeps in mind. Comes back down when traffic does.
-    pub fn kept(&self) -> usize {
-        let told = self.fleet.kept() + self.requests.len() + self.admission.kept();
+    pub fn tracked_items(&self) -> usize {
+        let told = self.fleet.tracked_items() + self.requests.len() + self.admission.tracked_items();
         told + self.cx.timers.len() + self.held.len()
     }
 
@@ -50,8 +50,8 @@
         let mut set =
             Settings { classes: rules.classes, max_attempts: rules.max_attempts, ..self.cx.set.clone() };
         if let Some(common) = rules.common {
-            let Common { plans, gateways, me, retries, skew } = common;
-            set = Settings { plans, gateways, me, retries, skew, ..set };
+            let SharedSettings { plans, gateways, me, retries, clock_offset } = common;
+            set = Settings { plans, gateways, me, retries, clock_offset, ..set };
         }
         let open = self.requests.values().map(|r| r.a.class.0);
         let kept = open.max().map_or(0, |highest| highest + 1).min(self.cx.set.classes.len());
--- a/crates/starlinghill-decision/src/roster.rs
+++ b/crates/starlinghill-decision/src/roster.rs
@@ -7,7 +7,7 @@
 use crate::fleet::LIMIT_START;
 use crate::server::Server;
 use crate::zones::Zones;
-use starlinghill_estimate::server_capacity::Borne;
+use starlinghill_estimate::server_capacity::ServerCapacity;
 use starlinghill_estimate::throttle::Throttle;
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
     pub(crate) latency: f64,
     pub(crate) fail_share: f64,
     pub(crate) throttle: Throttle,
-    pub(crate) borne: Borne,
+    pub(crate) borne: ServerCapacity,
     pub(crate) zones: Zones,
     /// What is left of the budget of further attempts; `None` before the first request.
     pub(crate) retries: Option<f64>,
@@ -35,11 +35,11 @@
 
 impl Fleet {
     pub(crate) fn update(&mut self, cx: &mut Context, scope: ListScope, entries: Vec<ServerEntry>) {
-        if scope == ListScope::Lost {
+        if scope == ListScope::Failed {
             let wait = Micros(500_000 + cx.rng.u64(0..500_000));
             return cx.timer(Timer::Resubscribe, wait);
         }
-        if scope == ListScope::Whole {
+        if scope == ListScope::Complete {
             self.servers.values_mut().for_each(|s| s.listed = false);
         }
         let (now, cold, units) = (cx.now, cx.set.cold, cx.set.most_units);
--- a/crates/starlinghill-decision/src/scattered.rs
+++ b/crates/starlinghill-decision/src/scattered.rs
@@ -13,7 +13,7 @@
 use crate::calls::{Asked, Call, Purpose};
 use crate::context::Context;
 use crate::customer::{demand_span, name_of, quota_of, split};
-use starlinghill_estimate::LEAST_PART;
+use starlinghill_estimate::MIN_SHARE;
 use starlinghill_rate_limit::ceiling::Split;
 use starlinghill_rate_limit::demand::SPAN;
 use starlinghill_rate_limit::unknown_customers::Usual;
@@ -41,7 +41,7 @@
         match cx.set.gateways {
             _ if cx.set.plans[a.plan.0].rate <= 0.0 => Purpose::Open,
             // A counter that keeps the stores answers many draws with one word.
-            MANY.. if !cx.set.levels => Purpose::Demand,
+            MANY.. if !cx.set.counter_buckets => Purpose::Demand,
             _ => Purpose::Window,
         }
     }
@@ -64,8 +64,11 @@
         }
         // Whatever it is worth: of what is cheap nearly all comes where nothing is known of its customer.
         let power = if a.resent { REPEAT_POWER } else { 1.0 };
-        let chance =
-            if self.breaker.opened.is_some() { 1.0 } else { self.asking.chance(power).max(LEAST_PART) };
+        let chance = if self.breaker.opened.is_some() {
+            1.0
+        } else {
+            self.asking.call_probability(power).max(MIN_SHARE)
+        };
         if cx.rng.f64() >= chance || !self.may_call(cx, a.customer) {
             return Asked::Silent;
         }
--- a/crates/starlinghill-decision/src/services.rs
+++ b/crates/starlinghill-decision/src/services.rs
@@ -45,7 +45,7 @@
     }
 
     /// How many servers are kept in mind.
-    pub(crate) fn kept(&self) -> usize {
+    pub(crate) fn tracked_items(&self) -> usize {
         self.by.values().map(|fleet| fleet.servers.len()).sum()
     }
 
@@ -58,11 +58,11 @@
         }
         match scope {
             // One call failed, whatever it was to tell of.
-            ListScope::Lost => self.of_mut(ServiceId::default()).update(cx, scope, Vec::new()),
+            ListScope::Failed => self.of_mut(ServiceId::default()).update(cx, scope, Vec::new()),
             ListScope::Changes => {
                 parts.into_iter().for_each(|(service, part)| self.of_mut(service).update(cx, scope, part));
             }
-            ListScope::Whole => {
+            ListScope::Complete => {
                 for service in parts.keys() {
                     self.of_mut(*service);
                 }
@@ -94,7 +94,7 @@
     /// Takes a further attempt from the budget, if that holds one. One that reached no server costs nothing where the
     /// budget is told: what counts there is what arrives.
     pub(crate) fn spend(&mut self, cx: &Context, service: ServiceId, outcome: Outcome) -> bool {
-        if cx.set.retries.is_some() && matches!(outcome, Outcome::ConnectFailed | Outcome::Moot) {
+        if cx.set.retries.is_some() && matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent) {
             return true;
         }
         let left = self.of_mut(service).retries.get_or_insert_default();
--- a/crates/starlinghill-decision/src/sharing.rs
+++ b/crates/starlinghill-decision/src/sharing.rs
@@ -28,16 +28,16 @@
         let (left, silent, heard) = (self.room(cx, customer), self.silent(cx, customer), self.heard);
         let c = self.customers.get_mut(&customer)?;
         let p = &cx.set.plans[c.plan];
-        let left = left.unwrap_or(if cx.set.levels { 0.0 } else { p.burst }).max(0.0);
+        let left = left.unwrap_or(if cx.set.counter_buckets { 0.0 } else { p.burst }).max(0.0);
         // Of one that comes through many gateways no store is followed, but its demand was heard of.
         let flows = c.account.store.flows().or_else(|| c.scattered.flows(c.asked.now(now)));
         let base = by_flows(flows, p.rate, c.spread, if silent { 1.0 } else { USE_UNKNOWN }, NEED_SPARE);
-        let base = if cx.set.levels { c.own_share(cx, heard) } else { base };
+        let base = if cx.set.counter_buckets { c.own_share(cx, heard) } else { base };
         let share = (base + c.shares.moved(c.spread as u32)).clamp(0.0, 1.0);
         // Guards against shares of less than one request, which would refuse everything: at least that much,
         // as far as it is left; where the counter keeps the stores, while half a burst is, else by chance.
         let begins = left.min(cx.set.allowance.unheard(quota_of(cx, c.plan))) * share + cx.chance(customer);
-        let level = match cx.set.levels {
+        let level = match cx.set.counter_buckets {
             true => begins.max(if left < p.burst * PLENTY { 0.0 } else { most_units }),
             false => (left * share).max(most_units.min(left)),
         };
--- a/crates/starlinghill-decision/src/zones.rs
+++ b/crates/starlinghill-decision/src/zones.rs
@@ -14,14 +14,14 @@
 /// The parts, and which zones the present request is kept from.
 #[derive(Debug, Default)]
 pub(crate) struct Zones {
-    parts: BTreeMap<ZoneId, ZonePart>,
+    parts: BTreeMap<ZoneId, ZoneShare>,
     shut: BTreeSet<ZoneId>,
 }
 
 impl Zones {
     /// New parts hold from now on. Zones that are not named have their whole part.
-    pub(crate) fn follow(&mut self, parts: Vec<(ZoneId, ZonePart)>) {
-        let sound = |(_, part): &(ZoneId, ZonePart)| part.weight.is_finite() && part.weight < 1.0;
+    pub(crate) fn follow(&mut self, parts: Vec<(ZoneId, ZoneShare)>) {
+        let sound = |(_, part): &(ZoneId, ZoneShare)| part.weight.is_finite() && part.weight < 1.0;
         self.parts = parts.into_iter().filter(sound).collect();
         self.shut.clear();
     }
--- a/crates/starlinghill-decision/tests/breaker.rs
+++ b/crates/starlinghill-decision/tests/breaker.rs
@@ -8,7 +8,7 @@
     let (_, out) = rig.request(0, 0, customer, 1.0);
     let made = counts(&out);
     for (name, _) in &made {
-        rig.tell(Event::Counted(*name, 0, Outcome::Full, 0.0));
+        rig.tell(Event::Counted(*name, 0, Outcome::Rejected, 0.0));
     }
     !made.is_empty()
 }
@@ -152,7 +152,7 @@
         for (name, amount) in counts(&out) {
             // Two failures, one answer, and again: three in a row never come.
             calls += u32::from(amount != 0.0);
-            let outcome = if amount == 0.0 || calls % 3 == 0 { Outcome::Ok } else { Outcome::Full };
+            let outcome = if amount == 0.0 || calls % 3 == 0 { Outcome::Ok } else { Outcome::Rejected };
             rig.tell(Event::Counted(name, 0, outcome, amount));
         }
     }
@@ -170,7 +170,7 @@
     let (_, out) = rig.request(0, 0, 1, 1.0);
     let probe = adds(&out);
     assert_eq!(probe.len(), 1);
-    rig.tell(Event::Counted(probe[0].0, 0, Outcome::Full, 0.0));
+    rig.tell(Event::Counted(probe[0].0, 0, Outcome::Rejected, 0.0));
     rig.pass(S);
     assert!(failing(&mut rig, 9), "the probe was given back");
 }
--- a/crates/starlinghill-decision/tests/common/mod.rs
+++ b/crates/starlinghill-decision/tests/common/mod.rs
@@ -9,7 +9,7 @@
 
 pub fn class(effect: Effect, group: Group) -> Class {
     Class {
-        aim: Micros(800 * MS),
+        target: Micros(800 * MS),
         deadline: Micros(3 * S),
         worth: 1.0,
         late_worth: 0.0,
@@ -80,7 +80,7 @@
         let gateway = Gateway::new(seed, settings).expect("sound settings");
         let mut rig = Rig { gateway, now: 1_000 * S, done: Vec::new(), next: 1, timers: Vec::new() };
         let entries = (0..servers).map(|i| entry(i, Listed::InService, None)).collect();
-        rig.tell(Event::Servers(ListScope::Whole, entries));
+        rig.tell(Event::Servers(ListScope::Complete, entries));
         rig
     }
     /// Tells one event and returns what it led to.
@@ -146,7 +146,7 @@
     ) -> Vec<Action> {
         let (took, ended) = (Micros(50 * MS), outcome == Outcome::Ok);
         let report = Report::default();
-        let end = AttemptEnd { id, attempt, server, outcome, took, ended, settled: None, report };
+        let end = AttemptEnd { id, attempt, server, outcome, took, ended, actual_units: None, report };
         self.tell(Event::AttemptEnded(end))
     }
 }
--- a/crates/starlinghill-decision/tests/fleet_view.rs
+++ b/crates/starlinghill-decision/tests/fleet_view.rs
@@ -7,49 +7,53 @@
 fn view(servers: u32) -> FleetView {
     let mut view = FleetView::new(7, settings()).expect("sound settings");
     let entries = (0..servers).map(|i| entry(i, Listed::InService, None)).collect();
-    view.list(Micros(1_000 * S), ListScope::Whole, entries);
+    view.update_list(Micros(1_000 * S), ListScope::Complete, entries);
     view
 }
 
 fn health(view: &mut FleetView, now: u64, server: u64) -> Health {
-    let facts = view.facts(Micros(now));
+    let facts = view.statuses(Micros(now));
     facts.iter().find(|f| f.server == ServerId(server)).expect("listed").health
 }
 
 #[test]
 fn failures_eject_a_server_by_the_rule_of_the_gateways_and_a_success_takes_it_back() {
     let (mut view, mut now) = (view(3), 1_000 * S);
-    let aim = Micros(800 * MS);
+    let target = Micros(800 * MS);
     for _ in 0..4 {
         now += 10 * MS;
-        view.ended(Micros(now), ServerId(1), Outcome::Error, Micros(MS), aim);
-        (0..8).for_each(|_| view.ended(Micros(now), ServerId(2), Outcome::Ok, Micros(MS), aim));
+        view.attempt_ended(Micros(now), ServerId(1), Outcome::Error, Micros(MS), target);
+        (0..8).for_each(|_| view.attempt_ended(Micros(now), ServerId(2), Outcome::Ok, Micros(MS), target));
     }
     let Health::Ejected(until) = health(&mut view, now, 1) else { panic!("four failures in a row eject") };
     assert!(until.0 > now && until.0 < now + 2 * S, "about a second at first");
     assert_eq!(health(&mut view, until.0, 1), Health::OnTrial);
-    view.ended(until, ServerId(1), Outcome::Ok, Micros(MS), aim);
-    assert_eq!(health(&mut view, until.0, 1), Health::Sound);
-    assert_eq!(health(&mut view, now, 2), Health::Sound);
+    view.attempt_ended(until, ServerId(1), Outcome::Ok, Micros(MS), target);
+    assert_eq!(health(&mut view, until.0, 1), Health::Healthy);
+    assert_eq!(health(&mut view, now, 2), Health::Healthy);
 }
 
 #[test]
 fn a_lost_list_changes_nothing_and_a_whole_one_may_be_empty() {
     let mut view = view(3);
-    view.list(Micros(1_001 * S), ListScope::Lost, Vec::new());
-    assert_eq!(view.facts(Micros(1_001 * S)).len(), 3);
-    view.list(Micros(1_002 * S), ListScope::Changes, vec![entry(1, Listed::Draining, None)]);
-    assert_eq!(view.facts(Micros(1_002 * S)).len(), 2);
-    view.list(Micros(1_003 * S), ListScope::Whole, Vec::new());
-    assert!(view.facts(Micros(1_003 * S)).is_empty());
+    view.update_list(Micros(1_001 * S), ListScope::Failed, Vec::new());
+    assert_eq!(view.statuses(Micros(1_001 * S)).len(), 3);
+    view.update_list(Micros(1_002 * S), ListScope::Changes, vec![entry(1, Listed::Draining, None)]);
+    assert_eq!(view.statuses(Micros(1_002 * S)).len(), 2);
+    view.update_list(Micros(1_003 * S), ListScope::Complete, Vec::new());
+    assert!(view.statuses(Micros(1_003 * S)).is_empty());
 }
 
 #[test]
 fn a_cold_server_warms_up_by_the_settings() {
     let mut view = view(1);
-    view.list(Micros(1_000 * S), ListScope::Changes, vec![entry(5, Listed::InService, Some(1_000 * S))]);
+    view.update_list(
+        Micros(1_000 * S),
+        ListScope::Changes,
+        vec![entry(5, Listed::InService, Some(1_000 * S))],
+    );
     let cold = |view: &mut FleetView, now| {
-        view.facts(Micros(now)).iter().find(|f| f.server == ServerId(5)).expect("listed").cold_since
+        view.statuses(Micros(now)).iter().find(|f| f.server == ServerId(5)).expect("listed").cold_since
     };
     assert_eq!(cold(&mut view, 1_001 * S), Some(Micros(1_000 * S)));
     assert_eq!(cold(&mut view, 1_011 * S), None, "warm after ten seconds");
--- a/crates/starlinghill-decision/tests/lifecycle.rs
+++ b/crates/starlinghill-decision/tests/lifecycle.rs
@@ -54,9 +54,9 @@
     let mut rig = Rig::new(settings(), 4);
     let (before, _) = rig.sent(0);
     rig.pass(100 * MS);
-    rig.tell(Event::Closing(Micros(rig.now + S)));
+    rig.tell(Event::ShutDown(Micros(rig.now + S)));
     // A second word of it changes nothing.
-    rig.tell(Event::Closing(Micros(rig.now + 60 * S)));
+    rig.tell(Event::ShutDown(Micros(rig.now + 60 * S)));
     rig.pass(500 * MS);
     let (after, _) = rig.sent(2);
     assert_eq!(finals(&rig.done, before) + finals(&rig.done, after), 0, "neither is given up early");
@@ -89,7 +89,7 @@
 fn restart(rig: &mut Rig, servers: u32, but: u32) {
     let started = Some(rig.now);
     let entries = (0..servers).map(|i| entry(i, Listed::InService, started.filter(|_| i >= but))).collect();
-    rig.tell(Event::Servers(ListScope::Whole, entries));
+    rig.tell(Event::Servers(ListScope::Complete, entries));
 }
 
 #[test]
@@ -113,10 +113,10 @@
 fn a_process_that_takes_over_knows_what_servers_bear() {
     let mut old = Rig::new(Settings { fall_multiple: 4.0, ..settings() }, 12);
     steady(&mut old, 20_000, |_| false);
-    let learned = old.gateway.learned();
+    let learned = old.gateway.learned_state();
     assert!(learned.per_weight > 5.0 && learned.servers.len() == 12, "{learned:?}");
     let is_cold = |_| true;
-    let fresh = |learned: Option<Learned>| {
+    let fresh = |learned: Option<LearnedState>| {
         let mut new = Rig::new(Settings { fall_multiple: 4.0, ..settings() }, 12);
         new.now = old.now;
         restart(&mut new, 12, 0);
@@ -127,10 +127,10 @@
     assert!(with > 2 * without, "{with} against {without}");
     assert!(without > 0, "with nothing known, little goes out, but something");
     // What is old, or false, counts for nothing.
-    let old_news = Learned { at: learned.at - Micros(10 * S), ..learned.clone() };
-    let from_tomorrow = Learned { at: learned.at + Micros(100 * S), ..learned.clone() };
-    let absurd = Learned { per_weight: 1e9, ..learned.clone() };
-    let no_number = Learned { per_weight: f64::NAN, ..learned.clone() };
+    let old_news = LearnedState { at: learned.at - Micros(10 * S), ..learned.clone() };
+    let from_tomorrow = LearnedState { at: learned.at + Micros(100 * S), ..learned.clone() };
+    let absurd = LearnedState { per_weight: 1e9, ..learned.clone() };
+    let no_number = LearnedState { per_weight: f64::NAN, ..learned.clone() };
     for bad in [old_news, from_tomorrow, absurd, no_number] {
         assert_eq!(fresh(Some(bad.clone())), without, "{bad:?}");
     }
@@ -181,9 +181,9 @@
     let (id, server) = rig.sent(0);
     rig.ended(id, 0, server, Outcome::Ok);
     // All are whole: now they are work, and the next one waits.
-    coming.iter().for_each(|id| drop(rig.tell(Event::Whole(*id))));
+    coming.iter().for_each(|id| drop(rig.tell(Event::BodyComplete(*id))));
     // Told twice is told once.
-    coming.iter().for_each(|id| drop(rig.tell(Event::Whole(*id))));
+    coming.iter().for_each(|id| drop(rig.tell(Event::BodyComplete(*id))));
     assert!(sends(&rig.request(0, 3, 1, 1.0).1).is_empty());
     // Places come back, each once, also of one that ends before it is whole.
     coming.iter().for_each(|id| drop(rig.ended(*id, 0, server, Outcome::Ok)));
@@ -198,7 +198,7 @@
 fn a_server_whose_answers_break_off_later_is_left_alone_for_a_while() {
     let mut rig = Rig::new(settings(), 4);
     for _ in 0..8 {
-        rig.tell(Event::Broke(ServerId(2)));
+        rig.tell(Event::ResponseBroken(ServerId(2)));
     }
     for _ in 0..40 {
         let (id, server) = rig.sent(0);
@@ -207,7 +207,7 @@
         rig.pass(5 * MS);
     }
     // Of a server that nobody knows it says nothing.
-    rig.tell(Event::Broke(ServerId(99)));
+    rig.tell(Event::ResponseBroken(ServerId(99)));
 }
 
 /// How many of the last hundred of requests ask the counter, where it takes so long for its answers.
--- a/crates/starlinghill-decision/tests/rules.rs
+++ b/crates/starlinghill-decision/tests/rules.rs
@@ -91,7 +91,7 @@
             assert_eq!(server, ServerId(1));
             rig.ended(RequestId(rig.next - 1), 0, server, Outcome::Ok);
         }
-        rig.tell(Event::Servers(ListScope::Whole, vec![entry(0, Listed::InService, None)]));
+        rig.tell(Event::Servers(ListScope::Complete, vec![entry(0, Listed::InService, None)]));
         for _ in 0..2 {
             assert_eq!(rig.sent(0).1, ServerId(0), "a server missing from a whole list is gone");
         }
@@ -184,7 +184,7 @@
                 let mut next = Vec::new();
                 for (name, amount) in counts(&pending) {
                     call += 1;
-                    let (mut outcome, mut heard) = (Outcome::Full, 0.0);
+                    let (mut outcome, mut heard) = (Outcome::Rejected, 0.0);
                     if let Some(kept) = answer(call, amount) {
                         totals.values_mut().for_each(|t| *t *= kept);
                         let total = totals.entry(name).or_insert(0.0);
--- a/crates/starlinghill-decision/tests/scale.rs
+++ b/crates/starlinghill-decision/tests/scale.rs
@@ -85,15 +85,23 @@
             for (_, server) in sends(&out) {
                 rig.pass(took);
                 let (outcome, report, took) = (Outcome::Ok, Report::default(), Micros(took));
-                let end =
-                    AttemptEnd { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
+                let end = AttemptEnd {
+                    id,
+                    attempt: 0,
+                    server,
+                    outcome,
+                    took,
+                    ended: true,
+                    actual_units: None,
+                    report,
+                };
                 rig.tell(Event::AttemptEnded(end));
             }
         }
         refusals
     };
     assert_eq!(refusals(50 * MS), 0);
-    assert_eq!(refusals(700 * MS), 0, "slow, but within the aim");
+    assert_eq!(refusals(700 * MS), 0, "slow, but within the target");
     assert!(refusals(900 * MS) > 100, "one at a time, never two out, and still it sheds");
 }
 
@@ -107,7 +115,7 @@
         let (id, mut out) = wide(&mut rig, resent);
         // Every fifth call is turned away, so the breaker stays closed.
         for (name, amount) in counts(&out) {
-            let outcome = if i % 5 == 0 { Outcome::Full } else { Outcome::Ok };
+            let outcome = if i % 5 == 0 { Outcome::Rejected } else { Outcome::Ok };
             total += if outcome == Outcome::Ok { amount } else { 0.0 };
             out.extend(rig.tell(Event::Counted(name, 0, outcome, total)));
         }
@@ -130,7 +138,7 @@
         let called = counts(&out);
         asked[called.len()] += 1;
         for (name, _) in called {
-            out = rig.tell(Event::Counted(name, 0, Outcome::Full, 0.0));
+            out = rig.tell(Event::Counted(name, 0, Outcome::Rejected, 0.0));
         }
         assert_eq!(sends(&out).first().map(|s| s.0), Some(id), "gateway {gateway}");
     }
@@ -153,7 +161,7 @@
             let a = Arrival { id, plan, customer, spread: 200, deadline, units: 1.0, ..Arrival::default() };
             let mut out = rig.tell(Event::Request(a));
             for (name, _) in counts(&out) {
-                out.extend(rig.tell(Event::Counted(name, 0, Outcome::Full, 0.0)));
+                out.extend(rig.tell(Event::Counted(name, 0, Outcome::Rejected, 0.0)));
             }
             level -= sends(&out).len() as f64;
             lowest = lowest.min(level);
--- a/crates/starlinghill-decision/tests/servers.rs
+++ b/crates/starlinghill-decision/tests/servers.rs
@@ -83,7 +83,7 @@
     rig.sent(0);
     let (id, out) = rig.request(0, 3, 1, 1.0);
     assert!(sends(&out).is_empty() && !refused(&out, id), "it waits");
-    assert!(refused(&rig.pass(400 * MS), id), "not past what the aim allows");
+    assert!(refused(&rig.pass(400 * MS), id), "not past what the target allows");
 }
 
 #[test]
@@ -106,7 +106,7 @@
     set.must_subscribe = true;
     let mut rig = Rig::new(set, 1);
     assert!(rig.done.contains(&Action::Subscribe));
-    rig.tell(Event::Servers(ListScope::Lost, Vec::new()));
+    rig.tell(Event::Servers(ListScope::Failed, Vec::new()));
     assert!(rig.pass(S).contains(&Action::Subscribe));
 }
 
@@ -151,7 +151,7 @@
             let took = Micros(600 * MS);
             let (outcome, report) = (Outcome::Ok, Report::default());
             let end =
-                AttemptEnd { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
+                AttemptEnd { id, attempt: 0, server, outcome, took, ended: true, actual_units: None, report };
             rig.tell(Event::AttemptEnded(end));
         }
         rig.pass(300 * MS);
@@ -163,7 +163,7 @@
 #[test]
 fn what_came_once_is_forgotten() {
     let mut rig = Rig::new(settings(), 2);
-    let start = rig.gateway.kept();
+    let start = rig.gateway.tracked_items();
     for i in 0..3_000u64 {
         let (old, new) = (1_000 + i as u32, 1_001 + i as u32);
         let news = vec![entry(old, Listed::Gone, None), entry(new, Listed::InService, None)];
@@ -176,8 +176,8 @@
         rig.ended(id, 0, server, Outcome::Ok);
         rig.pass(10 * MS);
     }
-    assert!(rig.gateway.kept() > start + 3_000, "the last ones are known");
+    assert!(rig.gateway.tracked_items() > start + 3_000, "the last ones are known");
     rig.pass(70 * S);
-    let end = rig.gateway.kept();
+    let end = rig.gateway.tracked_items();
     assert!(end <= start + 1, "{start} at the start, {end} at the end");
 }
--- a/crates/starlinghill-decision/tests/sharing.rs
+++ b/crates/starlinghill-decision/tests/sharing.rs
@@ -260,7 +260,7 @@
         let calls = counts(&out);
         let mut done = out;
         for (name, _) in &calls {
-            done.extend(rig.tell(Event::Counted(*name, 0, Outcome::Full, 0.0)));
+            done.extend(rig.tell(Event::Counted(*name, 0, Outcome::Rejected, 0.0)));
         }
         // What goes on by its local bucket is served, or servers would be full of it.
         sends(&done).iter().for_each(|(id, server)| drop(rig.ended(*id, 0, *server, Outcome::Ok)));
@@ -342,11 +342,11 @@
 #[test]
 fn nonsense_and_strangers_change_nothing() {
     let mut rig = rig(0, 2, true, 20.0, 1_000 * S, 1);
-    let before = rig.gateway.kept();
+    let before = rig.gateway.tracked_items();
     let mut rng = fastrand::Rng::with_seed(8);
     for _ in 0..2_000 {
         let noise: Vec<u8> = (0..rng.usize(0..=256)).map(|_| rng.u8(..)).collect();
         assert!(rig.tell(Event::Peer(rng.u32(0..4), noise)).is_empty());
     }
-    assert_eq!(rig.gateway.kept(), before);
+    assert_eq!(rig.gateway.tracked_items(), before);
 }
--- a/crates/starlinghill-decision/tests/system.rs
+++ b/crates/starlinghill-decision/tests/system.rs
@@ -5,7 +5,7 @@
 
 use common::{entry, settings, Rig, MS, S};
 use starlinghill_decision::api::*;
-use starlinghill_decision::store_name;
+use starlinghill_decision::bucket_name;
 use test_case::test_case;
 
 const RATED: usize = 0;
@@ -13,11 +13,11 @@
 
 /// As a proxy of the system sets it.
 fn system(gateways: u32) -> Settings {
-    let retries = Some(Retries { share: 0.2, saved: 2.0 });
+    let retries = Some(RetryBudget { share: 0.2, saved: 2.0 });
     Settings {
         gateways,
-        levels: true,
-        patient: true,
+        counter_buckets: true,
+        wait_to_deadline: true,
         most_units: 1.0,
         cooldown: Some(Micros(250 * MS)),
         retries,
@@ -59,7 +59,7 @@
 
 /// The counter answers the oldest draw: what the store holds, and this gateway's share.
 fn answer(rig: &mut Rig, outcome: Outcome, level: f64, share: f64) -> Vec<Action> {
-    let name = store_name(CustomerId(5));
+    let name = bucket_name(CustomerId(5));
     rig.tell(Event::Share(name, share));
     rig.tell(Event::Counted(name, 0, outcome, level))
 }
@@ -85,7 +85,7 @@
     let mut rig = Rig::new(system(10), 4);
     let (_, led) = ask(&mut rig, RATED, 0, 0);
     assert!(
-        led.iter().any(|a| matches!(a, Action::Draw(name, 1.0, _) if *name == store_name(CustomerId(5))))
+        led.iter().any(|a| matches!(a, Action::Draw(name, 1.0, _) if *name == bucket_name(CustomerId(5))))
             && sent(&led).is_none()
     );
     assert!(sent(&answer(&mut rig, Outcome::Ok, 3.0, 0.1)).is_some());
@@ -100,7 +100,7 @@
 /// What the counter is to be told beside draws.
 fn charged(actions: &[Action]) -> f64 {
     let units = |action: &Action| match action {
-        Action::Charge(name, units) if *name == store_name(CustomerId(5)) => *units,
+        Action::Charge(name, units) if *name == bucket_name(CustomerId(5)) => *units,
         _ => 0.0,
     };
     actions.iter().map(units).sum()
@@ -108,7 +108,7 @@
 
 #[test]
 fn a_draw_that_was_not_answered_in_time_is_charged_if_the_request_goes_on_and_never_given_back() {
-    for outcome in [Outcome::Timeout, Outcome::Reset, Outcome::Full, Outcome::ConnectFailed] {
+    for outcome in [Outcome::Timeout, Outcome::Reset, Outcome::Rejected, Outcome::ConnectFailed] {
         for (left, goes_on) in [(15.0, true), (-1.0, false)] {
             let allowance = Allowance { window_s: 5.0, excess: 1.0, extra: 20.0 };
             let mut rig = Rig::new(Settings { allowance, ..system(10) }, 4);
@@ -166,8 +166,8 @@
     let (id, _) = ask(&mut rig, RATED, 0, 0);
     let server = sent(&answer(&mut rig, Outcome::Ok, 3.0, 0.1)).expect("it goes on");
     let (took, report) = (Micros(50 * MS), Report::default());
-    let (outcome, settled) = (Outcome::Ok, Some(3.0));
-    let end = AttemptEnd { id, attempt: 0, server, outcome, took, ended: true, settled, report };
+    let (outcome, actual_units) = (Outcome::Ok, Some(3.0));
+    let end = AttemptEnd { id, attempt: 0, server, outcome, took, ended: true, actual_units, report };
     assert_eq!(charged(&rig.tell(Event::AttemptEnded(end))), 2.0);
 }
 
@@ -177,7 +177,7 @@
         let mut rig = Rig::new(system(10), 8);
         ask(&mut rig, RATED, 0, 0);
         answer(&mut rig, Outcome::Ok, 0.0, share);
-        rig.tell(Event::Alone(alone));
+        rig.tell(Event::Isolated(alone));
         let (mut went, began) = (0.0, rig.now);
         while rig.now < began + 20 * S {
             rig.pass(25 * MS);
@@ -200,9 +200,9 @@
 
 /// The counter answers the oldest draw, and names servers with the ms in which they answer.
 fn name_rooms(rig: &mut Rig, rooms: &[(u64, u64)]) -> Vec<Action> {
-    let name = store_name(CustomerId(5));
+    let name = bucket_name(CustomerId(5));
     let rooms = rooms.iter().map(|(server, ms)| (ServerId(*server), Micros(ms * MS))).collect();
-    rig.tell(Event::Rooms(name, 0, rooms));
+    rig.tell(Event::FastestServers(name, 0, rooms));
     answer(rig, Outcome::Ok, 3.0, 0.1)
 }
 
@@ -271,7 +271,7 @@
     // A new process has none: one request earns a fifth.
     let (id, led) = ask(&mut rig, FREE, 1, 0);
     let Some(server) = sent(&led) else { panic!("{led:?}") };
-    assert!(sent(&rig.ended(id, 0, server, Outcome::Full)).is_none());
+    assert!(sent(&rig.ended(id, 0, server, Outcome::Rejected)).is_none());
     let (id, led) = ask(&mut rig, FREE, 1, 0);
     let Some(server) = sent(&led) else { panic!("{led:?}") };
     assert!(sent(&rig.ended(id, 0, server, Outcome::ConnectFailed)).is_some());
@@ -284,5 +284,5 @@
     }
     let (id, led) = ask(&mut rig, FREE, 1, 0);
     let Some(server) = sent(&led) else { panic!("{led:?}") };
-    assert!(sent(&rig.ended(id, 0, server, Outcome::Full)).is_none());
+    assert!(sent(&rig.ended(id, 0, server, Outcome::Rejected)).is_none());
 }
--- a/crates/starlinghill-decision/tests/window.rs
+++ b/crates/starlinghill-decision/tests/window.rs
@@ -159,7 +159,7 @@
     let mut rig = Rig::new(settings(), 4);
     let (_, out) = rig.request(0, 0, 1, 2.0);
     // Turned away: nothing was added, the local bucket lets it go on.
-    let out = rig.tell(Event::Counted(adds(&out)[0].0, 0, Outcome::Full, 0.0));
+    let out = rig.tell(Event::Counted(adds(&out)[0].0, 0, Outcome::Rejected, 0.0));
     assert_eq!(sends(&out).len(), 1);
     let next = (0..50).find_map(|_| adds(&rig.request(0, 0, 1, 1.0).1).first().map(|a| a.1));
     assert!(next.expect("somebody asks") >= 3.0, "its own unit and what went on unheard");
@@ -228,7 +228,7 @@
             rig.pass(100 * MS);
             let (id, mut out) = rig.request(0, 0, 1, 1.0);
             for (name, _) in counts(&out.clone()) {
-                out.extend(rig.tell(Event::Counted(name, 0, Outcome::Full, 0.0)));
+                out.extend(rig.tell(Event::Counted(name, 0, Outcome::Rejected, 0.0)));
             }
             passed += sends(&out).len();
             sends(&out).iter().for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
--- a/crates/starlinghill-decision/tests/zones.rs
+++ b/crates/starlinghill-decision/tests/zones.rs
@@ -11,12 +11,12 @@
 
 fn rig(seed: u64, gateways: u32, servers: u32) -> Rig {
     let mut rig = Rig::seeded(seed, Settings { gateways, ..settings() }, servers);
-    rig.tell(Event::Servers(ListScope::Whole, entries(servers)));
+    rig.tell(Event::Servers(ListScope::Complete, entries(servers)));
     rig
 }
 
 fn order(rig: &mut Rig, zone: u32, weight: f64, yields: bool) -> Vec<Action> {
-    rig.tell(Event::Zones(vec![(ZoneId(zone), ZonePart { weight, yields })]))
+    rig.tell(Event::ZoneShares(vec![(ZoneId(zone), ZoneShare { weight, yields })]))
 }
 
 /// The part of so many requests that went to zone 1.
@@ -45,7 +45,7 @@
         }
         order(&mut rig, 1, 0.0, false);
         assert_eq!(part(&mut rig, 500), 0.0);
-        rig.tell(Event::Zones(Vec::new()));
+        rig.tell(Event::ZoneShares(Vec::new()));
         let again = part(&mut rig, 2_000);
         assert!((again - whole).abs() < 0.06, "{gateways} gateways: {whole}, and again {again}");
     }
@@ -98,7 +98,7 @@
         for seed in 0..100 {
             // The zone that is ordered about is this gateway's own, where its first attempts go.
             let mut rig = Rig::seeded(seed, Settings { zone: ZoneId(1), ..settings() }, 8);
-            rig.tell(Event::Servers(ListScope::Whole, entries(8).into_iter().map(zoned).collect()));
+            rig.tell(Event::Servers(ListScope::Complete, entries(8).into_iter().map(zoned).collect()));
             rig.pass(100 * MS);
             let (id, server) = rig.sent(1);
             if server.0 % 2 == 0 {
--- a/crates/starlinghill-estimate/src/counter_sampling.rs
+++ b/crates/starlinghill-estimate/src/counter_sampling.rs
@@ -1,10 +1,10 @@
 //! How many requests ask the shared counter: all where it bears that, a part where calls fail or queue.
 
-use crate::LEAST_PART;
+use crate::MIN_SHARE;
 use starlinghill_rate_limit::Micros;
 
 /// The share is cut by a failed call and a little by an answer that queued for more than half of the time there is, raised by each
-/// other answer, and never below `LEAST_PART`. Raised by as much whatever it is, so that gateways come to equal shares of a
+/// other answer, and never below `MIN_SHARE`. Raised by as much whatever it is, so that gateways come to equal shares of a
 /// counter that can't bear all.
 const CUT: f64 = 0.8;
 const QUEUED: f64 = 0.97;
@@ -30,7 +30,7 @@
 
 /// The share of requests that ask.
 #[derive(Debug, Clone, Copy)]
-pub struct Asking {
+pub struct CounterSampling {
     share: f64,
     many: bool,
     /// No answer has queued or failed yet.
@@ -40,54 +40,54 @@
     unqueued: Option<f64>,
 }
 
-impl Default for Asking {
-    fn default() -> Asking {
-        Asking { share: 1.0, many: false, starting: false, last_cut: Micros(0), unqueued: None }
+impl Default for CounterSampling {
+    fn default() -> CounterSampling {
+        CounterSampling { share: 1.0, many: false, starting: false, last_cut: Micros(0), unqueued: None }
     }
 }
 
-impl Asking {
+impl CounterSampling {
     /// At the start of one of so many gateways. Guards against a counter that all of them fill before the first cut.
-    pub fn of(gateways: u32) -> Asking {
+    pub fn of(gateways: u32) -> CounterSampling {
         let share = (START / f64::from(gateways.max(1))).min(1.0);
-        Asking { share, many: share < 1.0, starting: share < 1.0, ..Asking::default() }
+        CounterSampling { share, many: share < 1.0, starting: share < 1.0, ..CounterSampling::default() }
     }
 
     /// Whether one asks by this draw (from 0 to 1): what is worth much first, repeats last.
-    pub fn asks(&self, draw: f64, power: f64) -> bool {
-        draw < self.chance(power)
+    pub fn should_call(&self, draw: f64, power: f64) -> bool {
+        draw < self.call_probability(power)
     }
 
     /// The part that asks of what has this power.
-    pub fn chance(&self, power: f64) -> f64 {
+    pub fn call_probability(&self, power: f64) -> f64 {
         self.share.powf(power)
     }
 
     /// The counter has calls to spare.
-    pub fn spare(&self) -> bool {
+    pub fn has_spare_capacity(&self) -> bool {
         self.share >= SPARE
     }
 
     /// A call that was made then came back by now as one that the counter did not bear. One cut answers for all calls that were out
     /// when it was made: guards against asking next to nothing for a moment's jam.
-    pub fn jammed(&mut self, made: Micros, now: Micros) {
+    pub fn call_overloaded(&mut self, made: Micros, now: Micros) {
         if made >= self.last_cut {
             let cut = if self.many { MANY_CUT } else { CUT };
-            (self.share, self.last_cut) = ((self.share * cut).max(LEAST_PART), now);
+            (self.share, self.last_cut) = ((self.share * cut).max(MIN_SHARE), now);
             self.starting = false;
         }
     }
 
     /// A call was answered after so long, of the time there is. Guards against taking a counter that is slow by itself for one
     /// that our calls drown: only what it takes beyond its best says that calls queue.
-    pub fn answered(&mut self, took: Micros, limit: Micros, probe: bool) {
+    pub fn call_answered(&mut self, took: Micros, limit: Micros, probe: bool) {
         let took = took.secs();
         let best =
             self.unqueued.map_or(took, |best| if took < best { took } else { best + (took - best) * FORGET });
         self.unqueued = Some(best);
         let part = (took - best) / limit.secs().max(1e-9);
         let share = if self.many { self.steered(part) } else { self.raised(part) };
-        self.share = share.min(1.0).max(if probe { AGAIN } else { LEAST_PART });
+        self.share = share.min(1.0).max(if probe { AGAIN } else { MIN_SHARE });
     }
 
     fn raised(&self, queued: f64) -> f64 {
--- a/crates/starlinghill-estimate/src/lib.rs
+++ b/crates/starlinghill-estimate/src/lib.rs
@@ -10,4 +10,4 @@
 pub mod throttle;
 
 /// Parts that adapt never fall below this: what is never tried is never seen to work again.
-pub const LEAST_PART: f64 = 0.05;
+pub const MIN_SHARE: f64 = 0.05;
--- a/crates/starlinghill-estimate/src/server_capacity.rs
+++ b/crates/starlinghill-estimate/src/server_capacity.rs
@@ -9,15 +9,15 @@
 
 /// Units a second for each weight of a warm server, over the last moments in which enough of them were warm.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Borne {
+pub struct ServerCapacity {
     rate: f64,
     at: Option<Micros>,
 }
 
-impl Borne {
+impl ServerCapacity {
     /// What an earlier process of this gateway saw.
-    pub fn recalled(rate: f64) -> Borne {
-        Borne { rate, at: None }
+    pub fn from_previous(rate: f64) -> ServerCapacity {
+        ServerCapacity { rate, at: None }
     }
 
     /// The rate that another process of this gateway could go by.
--- a/crates/starlinghill-estimate/src/throttle.rs
+++ b/crates/starlinghill-estimate/src/throttle.rs
@@ -1,7 +1,7 @@
 //! Adaptive throttling towards the servers (Beyer et al., "Site Reliability Engineering", chapter 21): of what is asked for, a
 //! little more goes on than came back in time of late.
 
-use crate::LEAST_PART;
+use crate::MIN_SHARE;
 use starlinghill_rate_limit::Micros;
 
 /// Time over which requests are counted, in seconds. Shorter forgets overload between two of its answers.
@@ -23,15 +23,15 @@
 impl Throttle {
     /// One that went on came back, in time or not. It stands for as many of usual worth as were asked for. Guards against a trap: with what is worth little all
     /// shed, counting what was shed would say for good that much is asked for and does not come back.
-    pub fn note(&mut self, now: Micros, in_time: bool) {
+    pub fn record(&mut self, now: Micros, in_time: bool) {
         let in_time = f64::from(u8::from(in_time));
-        let (kept, stands_for) = ((-(now - self.at).secs() / SPAN).exp(), 1.0 / self.pass());
+        let (kept, stands_for) = ((-(now - self.at).secs() / SPAN).exp(), 1.0 / self.pass_share());
         (self.asked, self.in_time) = (self.asked * kept + stands_for, self.in_time * kept + in_time);
         self.at = now.max(self.at);
     }
 
     /// The part of the requests of usual worth that goes on.
-    pub fn pass(&self) -> f64 {
-        ((SLACK * self.in_time + GRANTED) / (self.asked + GRANTED)).clamp(LEAST_PART, 1.0)
+    pub fn pass_share(&self) -> f64 {
+        ((SLACK * self.in_time + GRANTED) / (self.asked + GRANTED)).clamp(MIN_SHARE, 1.0)
     }
 }
--- a/crates/starlinghill-estimate/tests/estimates.rs
+++ b/crates/starlinghill-estimate/tests/estimates.rs
@@ -1,9 +1,9 @@
 //! Estimates against simple worlds: a counter with a capacity, servers in and out of overload.
 
-use starlinghill_estimate::counter_sampling::Asking;
-use starlinghill_estimate::server_capacity::Borne;
+use starlinghill_estimate::counter_sampling::CounterSampling;
+use starlinghill_estimate::server_capacity::ServerCapacity;
 use starlinghill_estimate::throttle::Throttle;
-use starlinghill_estimate::LEAST_PART;
+use starlinghill_estimate::MIN_SHARE;
 use starlinghill_rate_limit::Micros;
 
 fn ms(n: u64) -> Micros {
@@ -17,13 +17,13 @@
 /// the end, and the share of calls that failed in the last second.
 fn settled(gateways: u32, per_gateway: u32, capacity: f64, seconds: u64, seed: u64) -> (f64, f64) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut all: Vec<Asking> = (0..gateways).map(|_| Asking::of(gateways)).collect();
+    let mut all: Vec<CounterSampling> = (0..gateways).map(|_| CounterSampling::of(gateways)).collect();
     let (mut queue, mut last) = (0.0_f64, (0, 0));
     for tick in 0..seconds * 100 {
         let now = ms(tick * 10);
         queue = (queue - capacity * 0.01).max(0.0);
         for asking in &mut all {
-            let asks = rng.f64() < f64::from(per_gateway) / 100.0 && rng.f64() < asking.chance(1.0);
+            let asks = rng.f64() < f64::from(per_gateway) / 100.0 && rng.f64() < asking.call_probability(1.0);
             if !asks {
                 continue;
             }
@@ -31,15 +31,15 @@
             let took = Micros(2_000 + (queue / capacity * 1e6) as u64);
             let fails = took > LIMIT;
             match fails {
-                true => asking.jammed(now, now + LIMIT),
-                false => asking.answered(took, LIMIT, false),
+                true => asking.call_overloaded(now, now + LIMIT),
+                false => asking.call_answered(took, LIMIT, false),
             }
             if tick + 100 > seconds * 100 {
                 last = (last.0 + 1, last.1 + u32::from(fails));
             }
         }
     }
-    let share = all.iter().map(|a| a.chance(1.0)).sum::<f64>() / f64::from(gateways);
+    let share = all.iter().map(|a| a.call_probability(1.0)).sum::<f64>() / f64::from(gateways);
     (share, f64::from(last.1) / f64::from(last.0.max(1)))
 }
 
@@ -59,35 +59,35 @@
 
 #[test]
 fn one_cut_answers_for_all_calls_that_were_out_and_nothing_falls_below_the_least() {
-    let mut asking = Asking::default();
+    let mut asking = CounterSampling::default();
     for _ in 0..50 {
-        asking.jammed(ms(0), ms(80));
+        asking.call_overloaded(ms(0), ms(80));
     }
     // The first cut's moment comes after all of them were made.
-    let once = asking.chance(1.0);
+    let once = asking.call_probability(1.0);
     assert!((0.7..0.9).contains(&once), "{once}");
     for i in 1..200 {
-        asking.jammed(ms(100 * i), ms(100 * i + 80));
+        asking.call_overloaded(ms(100 * i), ms(100 * i + 80));
     }
-    assert!((asking.chance(1.0) - LEAST_PART).abs() < 1e-9);
-    assert!(!asking.spare());
-    asking.answered(ms(2), LIMIT, true);
-    assert!(asking.chance(1.0) >= 0.5, "a probe that was answered begins anew");
+    assert!((asking.call_probability(1.0) - MIN_SHARE).abs() < 1e-9);
+    assert!(!asking.has_spare_capacity());
+    asking.call_answered(ms(2), LIMIT, true);
+    assert!(asking.call_probability(1.0) >= 0.5, "a probe that was answered begins anew");
 }
 
 #[test]
 fn a_counter_that_is_slow_by_itself_is_asked_as_ever() {
-    let mut asking = Asking::default();
+    let mut asking = CounterSampling::default();
     for _ in 0..500 {
-        asking.answered(ms(60), LIMIT, false);
+        asking.call_answered(ms(60), LIMIT, false);
     }
-    assert!(asking.spare());
+    assert!(asking.has_spare_capacity());
     // The same time where the best is far below it: calls queue.
-    let mut queued = Asking::default();
+    let mut queued = CounterSampling::default();
     for i in 0..500 {
-        queued.answered(ms(if i % 10 == 0 { 2 } else { 60 }), LIMIT, false);
+        queued.call_answered(ms(if i % 10 == 0 { 2 } else { 60 }), LIMIT, false);
     }
-    assert!(!queued.spare(), "{}", queued.chance(1.0));
+    assert!(!queued.has_spare_capacity(), "{}", queued.call_probability(1.0));
 }
 
 /// What passes of 1,000 requests a second before servers that bring so many of them back in time.
@@ -95,10 +95,10 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut went = 0;
     for i in 0..seconds * 1_000 {
-        let load = 1_000.0 * throttle.pass();
-        if rng.f64() < throttle.pass() {
+        let load = 1_000.0 * throttle.pass_share();
+        if rng.f64() < throttle.pass_share() {
             went += 1;
-            throttle.note(ms(from * 1_000 + i), load <= bears || rng.f64() < bears / load);
+            throttle.record(ms(from * 1_000 + i), load <= bears || rng.f64() < bears / load);
         }
     }
     f64::from(went) / (seconds * 1_000) as f64
@@ -117,13 +117,17 @@
         assert!(after > 0.99, "seed {seed}: {after}");
         // With nothing at all coming back a trickle goes on, or nobody would see the end of it.
         passing(&mut throttle, 65, 60, 0.0, seed);
-        assert!(throttle.pass() >= LEAST_PART && throttle.pass() < 0.1, "seed {seed}: {}", throttle.pass());
+        assert!(
+            throttle.pass_share() >= MIN_SHARE && throttle.pass_share() < 0.1,
+            "seed {seed}: {}",
+            throttle.pass_share()
+        );
     }
 }
 
 #[test]
 fn what_was_borne_is_remembered_while_nearly_all_are_cold_and_is_never_nothing() {
-    let mut borne = Borne::default();
+    let mut borne = ServerCapacity::default();
     for i in 0..100 {
         borne.per_weight(ms(500 * i), 120.0, (12.0, 12.0), 0.1);
     }
@@ -131,6 +135,6 @@
     // All but one cold: what goes out now falls, and says nothing of what they bear.
     let cold = borne.per_weight(ms(60_000), 12.0, (1.0, 12.0), 0.1);
     assert!(cold > 9.0, "{cold}");
-    assert_eq!(Borne::recalled(7.0).per_weight(ms(0), 0.0, (0.0, 12.0), 0.1), 7.0);
-    assert_eq!(Borne::default().per_weight(ms(0), 0.0, (0.0, 12.0), 0.1), 0.1);
+    assert_eq!(ServerCapacity::from_previous(7.0).per_weight(ms(0), 0.0, (0.0, 12.0), 0.1), 7.0);
+    assert_eq!(ServerCapacity::default().per_weight(ms(0), 0.0, (0.0, 12.0), 0.1), 0.1);
 }
--- a/crates/starlinghill-gateway/src/backend.rs
+++ b/crates/starlinghill-gateway/src/backend.rs
@@ -261,7 +261,7 @@
         called_off: oneshot::Receiver<()>,
     ) -> Ended {
         // Guards the limit on descriptors: an attempt without a place was never sent.
-        let Ok(place) = self.places.clone().try_acquire_owned() else { return Outcome::Moot.into() };
+        let Ok(place) = self.places.clone().try_acquire_owned() else { return Outcome::NotSent.into() };
         while self.held() > self.places.available_permits() {
             self.evict();
         }
@@ -307,10 +307,10 @@
             };
             // Guards against sending to a backend that began to drain while the connection came up.
             if !backend.open.get() {
-                return Outcome::Moot.into();
+                return Outcome::NotSent.into();
             }
             let Some(message) = request.request(until, &*self.dialect, backend) else {
-                return Outcome::Moot.into();
+                return Outcome::NotSent.into();
             };
             // From here on the attempt may have run, for all that a caller who stops waiting can know.
             wrote.set(true);
--- a/crates/starlinghill-gateway/src/backend_protocol.rs
+++ b/crates/starlinghill-gateway/src/backend_protocol.rs
@@ -46,7 +46,7 @@
         let rejected = head.headers.get(REJECTED).is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match head.status {
             StatusCode::OK => Outcome::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Rejected,
             _ => Outcome::Error,
         };
         ResponseVerdict { outcome, pass: outcome == Outcome::Ok, head: false, own: true }
--- a/crates/starlinghill-gateway/src/config.rs
+++ b/crates/starlinghill-gateway/src/config.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use starlinghill_discovery::{Follower, Source};
 use starlinghill_settings::members::MemberList;
-use starlinghill_settings::{flatten, Fields, Site};
+use starlinghill_settings::{flatten, Fields, NamedSettings};
 use std::collections::{BTreeMap, BTreeSet};
 use std::env;
 use std::fmt;
@@ -128,7 +128,7 @@
     /// The services.
     pub upstreams: Upstreams,
     /// The settings, of which classes and attempts are followed.
-    pub site: Site,
+    pub site: NamedSettings,
 }
 
 impl Reloaded {
@@ -172,7 +172,7 @@
     pub(crate) peers: Option<Peers>,
     pub(crate) seed: u64,
     pub(crate) known: MemberList,
-    pub(crate) site: Site,
+    pub(crate) site: NamedSettings,
     pub(crate) shape: Shape,
     /// The operators' door.
     pub(crate) ops: Option<SocketAddr>,
@@ -247,7 +247,7 @@
     }
 
     /// The settings and their names.
-    pub fn site(&self) -> &Site {
+    pub fn site(&self) -> &NamedSettings {
         &self.site
     }
 
@@ -286,7 +286,7 @@
         let pairs = names.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
         let fields = Fields { place: "settings".into(), message: "settings", pairs };
         let plain = |e: starlinghill_settings::FieldError| ConfigError(e.0);
-        let mut site = Site::read(&fields).map_err(plain)?;
+        let mut site = NamedSettings::from_fields(&fields).map_err(plain)?;
         site.settings.check()?;
         let span = |name, default| {
             fields.micros_or(name, default).map(|m| std::time::Duration::from_micros(m.0)).map_err(plain)
--- a/crates/starlinghill-gateway/src/counter.rs
+++ b/crates/starlinghill-gateway/src/counter.rs
@@ -29,7 +29,7 @@
     fn count(self: Rc<Self>, name: CountName, amount: f64, life: Micros) -> CounterCall;
     /// Draws from a store that the counter keeps; it ends by itself. The platform's counter keeps none.
     fn draw(self: Rc<Self>, _: CountName, _units: f64, _: (ServiceId, Micros)) -> CounterCall {
-        Box::pin(async { Outcome::Moot.into() })
+        Box::pin(async { Outcome::NotSent.into() })
     }
     /// Units of such a store were used without a word of the counter's; fewer than none where drawn ones were not used.
     fn charge(&self, _: CountName, _units: f64) {}
@@ -84,7 +84,7 @@
         wrote: &Cell<bool>,
     ) -> CounterResult {
         // The semaphore is never closed.
-        let Ok(_line) = self.lines.acquire().await else { return Outcome::Moot.into() };
+        let Ok(_line) = self.lines.acquire().await else { return Outcome::NotSent.into() };
         loop {
             let (mut connection, reused) = match self.take() {
                 Some(connection) => (connection, true),
@@ -148,9 +148,9 @@
                 }
             }
         }
-        StatusCode::SERVICE_UNAVAILABLE => Outcome::Full.into(),
+        StatusCode::SERVICE_UNAVAILABLE => Outcome::Rejected.into(),
         // No such call: nothing was added.
-        StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Outcome::Moot.into(),
+        StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Outcome::NotSent.into(),
         status => {
             warn!(%status, "the counter answered what it should not");
             Outcome::Error.into()
--- a/crates/starlinghill-gateway/src/driver.rs
+++ b/crates/starlinghill-gateway/src/driver.rs
@@ -14,7 +14,7 @@
 use starlinghill_decision::Gateway;
 use starlinghill_maintenance::{Book, Roster};
 use starlinghill_settings::members::{MemberList, Phase};
-use starlinghill_settings::Site;
+use starlinghill_settings::NamedSettings;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -68,7 +68,7 @@
 /// The driver.
 pub struct Driver {
     gateway: Gateway,
-    site: Site,
+    site: NamedSettings,
     clock: Clock,
     tick: Duration,
     inbox: Inbox,
@@ -175,7 +175,7 @@
             gateway,
             clock,
             tick: duration(settings.tick).max(Duration::from_millis(1)),
-            site: Site::of(settings),
+            site: NamedSettings::unnamed(settings),
             inbox,
             inputs,
             pool: Rc::new(pool),
@@ -300,14 +300,14 @@
             }
             Input::Post(post) => self.post = Some(post),
             Input::Rules(rules) => self.batch.push(Event::Rules(rules)),
-            Input::Alone(alone) => self.batch.push(Event::Alone(alone)),
+            Input::Alone(alone) => self.batch.push(Event::Isolated(alone)),
             Input::Zones(parts) => {
                 let parts = parts.into_iter().map(|(zone, part)| (self.site.zone(&zone), part)).collect();
-                self.batch.push(Event::Zones(parts));
+                self.batch.push(Event::ZoneShares(parts));
             }
             Input::Closing(by) => {
                 self.closing = true;
-                self.batch.push(Event::Closing(by));
+                self.batch.push(Event::ShutDown(by));
             }
             Input::Order { id, out, reply } => drop(reply.send(self.order(&id, out))),
             Input::Peer(from, message) => self.batch.push(Event::Peer(from, message)),
@@ -315,7 +315,7 @@
                 let nth = self.calls.answered(name, serial);
                 self.batch.extend(counted.share.map(|share| Event::Share(name, share)));
                 if let Some(nth) = nth.filter(|_| !counted.rooms.is_empty()) {
-                    self.batch.push(Event::Rooms(name, nth, counted.rooms));
+                    self.batch.push(Event::FastestServers(name, nth, counted.rooms));
                 }
                 self.batch.extend(nth.map(|nth| Event::Counted(name, nth, counted.outcome, counted.total)));
             }
@@ -331,8 +331,8 @@
                 let ended = Ended { body: Some(Served::Passing(download)), head, ..Outcome::Ok.into() };
                 self.take(Input::Ended(id, attempt, server, ended, took));
             }
-            Input::Whole(id) => self.batch.push(Event::Whole(id)),
-            Input::Broke(server) => self.batch.push(Event::Broke(server)),
+            Input::Whole(id) => self.batch.push(Event::BodyComplete(id)),
+            Input::Broke(server) => self.batch.push(Event::ResponseBroken(server)),
             Input::Ended(id, attempt, server, ended, took) => {
                 let Some(open) = self.requests.get_mut(&id) else { return };
                 let was_out =
@@ -342,7 +342,12 @@
                 }
                 if let Some(watched) = &self.watched {
                     let class = self.site.settings.classes.get(open.class.0);
-                    watched.ended(server, ended.outcome, ended.refused, class.is_some_and(|c| took > c.aim));
+                    watched.ended(
+                        server,
+                        ended.outcome,
+                        ended.refused,
+                        class.is_some_and(|c| took > c.target),
+                    );
                 }
                 // The first success is the client's at once and ends the request; the module hears of it. Another whole
                 // answer is kept in case that nothing better comes.
@@ -363,8 +368,8 @@
     /// Tells the module of an attempt's end with the next batch.
     fn ended(&mut self, id: RequestId, attempt: usize, server: ServerId, outcome: Outcome, took: Micros) {
         let ended = self.requests.get(&id).is_none_or(|open| open.reply.is_none());
-        let (settled, report) = (None, Report::default());
-        let end = AttemptEnd { id, attempt, server, outcome, took, ended, settled, report };
+        let (actual_units, report) = (None, Report::default());
+        let end = AttemptEnd { id, attempt, server, outcome, took, ended, actual_units, report };
         self.batch.push(Event::AttemptEnded(end));
     }
 
@@ -408,7 +413,7 @@
 
     /// Leaves what was learned to the process that takes over.
     fn leave(&mut self) {
-        let (Some(handover), learned) = (&self.handover, self.gateway.learned()) else { return };
+        let (Some(handover), learned) = (&self.handover, self.gateway.learned_state()) else { return };
         // One that has learned nothing yet must not put that in the place of what is there.
         if learned.per_weight > 0.0 && !self.closing {
             if let Err(problem) = handover.write(&learned) {
@@ -428,7 +433,7 @@
     }
 
     fn members(&mut self, list: MemberList) {
-        let scope = if list.complete { ListScope::Whole } else { ListScope::Changes };
+        let scope = if list.complete { ListScope::Complete } else { ListScope::Changes };
         debug!(revision = list.revision, complete = list.complete, entries = list.members.len(), "members");
         let mut entries = Vec::with_capacity(list.members.len());
         for member in list.members {
@@ -547,7 +552,7 @@
         let Some(backend) = backend else {
             // The client went, or the list changed, after the module was told last.
             open.attempts.push(Attempt { out: false, call_off: None });
-            return self.ended(id, attempt, server, Outcome::Moot, Micros(0));
+            return self.ended(id, attempt, server, Outcome::NotSent, Micros(0));
         };
         let (call_off, called_off) = oneshot::channel();
         open.attempts.push(Attempt { out: true, call_off: Some(call_off) });
--- a/crates/starlinghill-gateway/src/handover.rs
+++ b/crates/starlinghill-gateway/src/handover.rs
@@ -1,7 +1,7 @@
 //! What the processes of one gateway leave to each other in the folder that they share: what was learned of the servers.
 
 use serde::{Deserialize, Serialize};
-use starlinghill_decision::api::{Learned, Micros, ServerId};
+use starlinghill_decision::api::{LearnedState, Micros, ServerId};
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -37,19 +37,19 @@
     }
 
     /// What an earlier process left; nothing where there is none or it can't be read, as it only spares time.
-    pub fn read(&self) -> Option<Learned> {
+    pub fn read(&self) -> Option<LearnedState> {
         if fs::metadata(&self.path).ok()?.len() > LONGEST {
             return None;
         }
         let written: Written = serde_json::from_str(&fs::read_to_string(&self.path).ok()?).ok()?;
         let servers = written.servers.into_iter().take(MOST_SERVERS);
         let servers = servers.map(|(id, limit, latency)| (ServerId(id), limit, latency)).collect();
-        Some(Learned { at: Micros(written.at_us), per_weight: written.per_weight, servers })
+        Some(LearnedState { at: Micros(written.at_us), per_weight: written.per_weight, servers })
             .filter(|_| written.version == 1)
     }
 
     /// Leaves this, whole or not at all.
-    pub fn write(&self, learned: &Learned) -> io::Result<()> {
+    pub fn write(&self, learned: &LearnedState) -> io::Result<()> {
         let servers = learned.servers.iter().take(MOST_SERVERS);
         let servers = servers.map(|&(id, limit, latency)| (id.0, limit, latency)).collect();
         let written = Written { version: 1, at_us: learned.at.0, per_weight: learned.per_weight, servers };
--- a/crates/starlinghill-gateway/src/inbox.rs
+++ b/crates/starlinghill-gateway/src/inbox.rs
@@ -56,7 +56,7 @@
     /// Whether this gateway hears nobody, so that others may use its shares.
     Alone(bool),
     /// The parts that zones get from now on, by name.
-    Zones(Vec<(String, ZonePart)>),
+    Zones(Vec<(String, ZoneShare)>),
     /// All that is open must have its answer by then.
     Closing(Micros),
     /// Staff take a backend out, or call it back.
--- a/crates/starlinghill-gateway/src/lib.rs
+++ b/crates/starlinghill-gateway/src/lib.rs
@@ -34,9 +34,9 @@
 use ops::Door;
 use peers::{Peers, Socket};
 use server::{Front, RequestIntake};
-use starlinghill_decision::api::{Micros, PlanId, ZonePart};
+use starlinghill_decision::api::{Micros, PlanId, ZoneShare};
 use starlinghill_settings::classes::Classes;
-use starlinghill_settings::Site;
+use starlinghill_settings::NamedSettings;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -86,7 +86,7 @@
     /// The services, when they move.
     pub upstreams: watch::Receiver<Upstreams>,
     /// The settings, when they change.
-    pub site: watch::Receiver<Option<Rc<Site>>>,
+    pub site: watch::Receiver<Option<Rc<NamedSettings>>>,
     /// The parts of their work that zones get by order, where there is a group that orders.
     pub zones: Option<watch::Receiver<ZoneParts>>,
     /// Hears of each attempt that ends, where somebody wants to know.
@@ -96,7 +96,7 @@
 }
 
 /// The parts of zones, by name.
-pub type ZoneParts = Vec<(String, ZonePart)>;
+pub type ZoneParts = Vec<(String, ZoneShare)>;
 
 /// Runs a gateway until it is to end and all that it took is answered.
 pub async fn run(config: Config, control: Control) -> Result<(), RunError> {
@@ -201,13 +201,13 @@
 
 /// Hands on classes and attempts that change. The module is told before a request can come under the new ones.
 async fn follow_settings(
-    mut site: watch::Receiver<Option<Rc<Site>>>,
+    mut site: watch::Receiver<Option<Rc<NamedSettings>>>,
     mut classes: Classes,
     front: Rc<Front>,
 ) {
     while site.changed().await.is_ok() {
         let Some(new) = site.borrow_and_update().clone() else { continue };
-        match classes.follow(&new) {
+        match classes.update(&new) {
             Ok(rules) => {
                 if front.intake.inbox.send(Input::Rules(rules)).await.is_err() {
                     return;
--- a/crates/starlinghill-gateway/tests/backend.rs
+++ b/crates/starlinghill-gateway/tests/backend.rs
@@ -49,7 +49,7 @@
     let backend = backend(&pool, &stub);
     backend.open.set(false);
     let ended = on_runtime(attempt(&pool, &backend, LONG));
-    assert_eq!(ended.outcome, Outcome::Moot);
+    assert_eq!(ended.outcome, Outcome::NotSent);
     stub.wait_for("the connection's end", |log| log.opened == 1 && log.closed == 1);
     assert_eq!(stub.requests().len(), 0, "nothing was written");
 }
@@ -128,7 +128,7 @@
             attempt(&pool, &to_busy, Duration::from_millis(50)),
             attempt(&pool, &to_other, LONG)
         );
-        assert_eq!((first.outcome, second.outcome), (Outcome::Timeout, Outcome::Moot));
+        assert_eq!((first.outcome, second.outcome), (Outcome::Timeout, Outcome::NotSent));
     });
     other.wait_for("the idle connection's end", |log| log.closed == 1);
     assert_eq!(other.requests().len(), 1);
--- a/crates/starlinghill-gateway/tests/counter.rs
+++ b/crates/starlinghill-gateway/tests/counter.rs
@@ -28,8 +28,8 @@
     let refused = Counter::new(gone, Duration::from_secs(5), 2);
     assert_eq!(on_runtime(add(&refused, 1)).outcome, Outcome::ConnectFailed);
     let cases: [(fn() -> Reply, Outcome); 5] = [
-        (|| http("503 Full", ""), Outcome::Full),
-        (|| http("404 Nothing", ""), Outcome::Moot),
+        (|| http("503 Full", ""), Outcome::Rejected),
+        (|| http("404 Nothing", ""), Outcome::NotSent),
         (|| http("200 OK", "NaN"), Outcome::Error),
         (|| Reply::RawThenClose(String::new()), Outcome::Reset),
         (|| Reply::Silence, Outcome::Timeout),
--- a/crates/starlinghill-proxy/src/backend_protocol.rs
+++ b/crates/starlinghill-proxy/src/backend_protocol.rs
@@ -39,7 +39,7 @@
         if refused {
             // Another one has the address: this backend is not there any more.
             let elsewhere = head.status == StatusCode::MISDIRECTED_REQUEST;
-            let outcome = if elsewhere { Outcome::ConnectFailed } else { Outcome::Full };
+            let outcome = if elsewhere { Outcome::ConnectFailed } else { Outcome::Rejected };
             return ResponseVerdict { outcome, pass: false, head: false, own };
         }
         // A success without its stamp, or encoded, is not what the backend made.
--- a/crates/starlinghill-proxy/src/decision_settings.rs
+++ b/crates/starlinghill-proxy/src/decision_settings.rs
@@ -87,7 +87,7 @@
                 // Ranks are told, and no worth: each is worth less than the one above it.
                 let worth = 3.0 / (1.0 + shape.priority as f64);
                 self.classes.push(Class {
-                    aim: micros(shape.aim),
+                    target: micros(shape.aim),
                     deadline: micros(shape.timeout),
                     worth,
                     late_worth: worth * LATE_WORTH,
@@ -124,12 +124,12 @@
     pub fn rules(&self, fleet: &Fleet, bounds: &Bounds) -> Rules {
         let (gateways, me) = (fleet.gateways.max(1), fleet.me);
         let retries = Some(retries(bounds, gateways));
-        let common = Common {
+        let common = SharedSettings {
             plans: self.plans.clone(),
             gateways,
             me: me.min(gateways - 1),
             retries,
-            skew: fleet.skew,
+            clock_offset: fleet.skew,
         };
         Rules { classes: self.classes.clone(), max_attempts: MOST_ATTEMPTS, common: Some(common) }
     }
@@ -148,9 +148,9 @@
 
 /// A gateway's part of the budget of further tries. Summed over all gateways it stays within the budget: each adds its part
 /// of the ratio for its own requests, and saves up no more than its part of what may come on top.
-pub fn retries(bounds: &Bounds, gateways: u32) -> Retries {
+pub fn retries(bounds: &Bounds, gateways: u32) -> RetryBudget {
     let saved = bounds.retry_extra * EXTRA_USED / f64::from(gateways.max(1));
-    Retries { share: bounds.retry_ratio * RATIO_USED, saved }
+    RetryBudget { share: bounds.retry_ratio * RATIO_USED, saved }
 }
 
 /// The count of the system is back within a second or so, elsewhere; a probe costs one call.
@@ -182,11 +182,11 @@
         tip_after: Micros(1_000_000),
         tick: Micros(1_000),
         retries: Some(retries(bounds, 16)),
-        levels: true,
+        counter_buckets: true,
         allowance: bounds.allowance(),
         cooldown: Some(COOLDOWN),
         // A backend that is at work and is broken off has worked for nothing, and costs.
-        patient: true,
-        skew: Micros(0),
+        wait_to_deadline: true,
+        clock_offset: Micros(0),
     }
 }
--- a/crates/starlinghill-proxy/src/quota_client.rs
+++ b/crates/starlinghill-proxy/src/quota_client.rs
@@ -245,7 +245,7 @@
                         (Some(Sent::Draws(calls, told)), RegistryResponse::NotMine(known)) => {
                             // It took in none of them.
                             self.changed.borrow_mut().extend(told);
-                            calls.into_iter().for_each(|call| self.failed(call, Outcome::Full));
+                            calls.into_iter().for_each(|call| self.failed(call, Outcome::Rejected));
                             if known > term {
                                 break "another_term";
                             }
@@ -451,7 +451,7 @@
 impl CounterTransport for Counter {
     /// All counts are stores here.
     fn count(self: Rc<Self>, _: CountName, _: f64, _: Micros) -> CounterCall {
-        Box::pin(async { Outcome::Moot.into() })
+        Box::pin(async { Outcome::NotSent.into() })
     }
 
     fn charge(&self, name: CountName, units: f64) {
@@ -474,7 +474,7 @@
                     word.took_ms = word.took_ms.saturating_add((took.0 / 1_000) as u32);
                 }
                 // It says nothing of the backend.
-                Outcome::Cancelled | Outcome::Moot => {}
+                Outcome::Cancelled | Outcome::NotSent => {}
                 _ => word.ill = word.ill.saturating_add(1),
             }
         });
@@ -490,7 +490,7 @@
             return Box::pin(async { Outcome::ConnectFailed.into() });
         }
         let Some((rate, burst)) = self.quotas.borrow().get(&name.0).copied() else {
-            return Box::pin(async { Outcome::Moot.into() });
+            return Box::pin(async { Outcome::NotSent.into() });
         };
         let within_ms = (within.0 / 1_000).min(u64::from(u16::MAX)) as u16;
         let draw = Draw { name: name.0, owed: 0.0, units, rate, burst, service: service.0, within_ms };
--- a/crates/starlinghill-proxy/src/registry_client.rs
+++ b/crates/starlinghill-proxy/src/registry_client.rs
@@ -10,7 +10,7 @@
 use starlinghill_config_model::{ItemSet, RoutingTable};
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::*;
-use starlinghill_decision::store_name;
+use starlinghill_decision::bucket_name;
 use starlinghill_gateway::inbox::{Clock, Inbox, Input, Listing};
 use starlinghill_lease::contact::{LastQuorumContact, StalenessBudget};
 use starlinghill_registry::wire::{KnownState, RegistryRequest, RegistryResponse, RegistryUpdate};
@@ -346,7 +346,7 @@
         let table = RoutingTable::of(&self.book);
         self.shared.view.borrow_mut().places.follow(&table);
         let quota = |tenant: &Rc<Tenant>| {
-            let name = store_name(CustomerId(number(&tenant.name)));
+            let name = bucket_name(CustomerId(number(&tenant.name)));
             (name.0, (tenant.rate, tenant.burst.max(1.0)))
         };
         *self.counter.quotas.borrow_mut() = table.tenants.iter().map(quota).collect();
--- a/crates/starlinghill-proxy/src/request_handler.rs
+++ b/crates/starlinghill-proxy/src/request_handler.rs
@@ -105,7 +105,7 @@
         let arrival = Arrival {
             class,
             service: service(self.choose(route)),
-            tries: route.tries as usize,
+            max_attempts: route.tries as usize,
             plan: plan.unwrap_or(NOBODY),
             customer,
             spread: view.gateways,
--- a/crates/starlinghill-proxy/tests/quota_client.rs
+++ b/crates/starlinghill-proxy/tests/quota_client.rs
@@ -102,7 +102,7 @@
         _ => levels(draws, 5.0),
     };
     let (ends, connections) = drawn(forgets, Duration::from_millis(700));
-    assert_eq!((ends.first(), ends.last()), (Some(&Outcome::Full), Some(&Outcome::Ok)), "{ends:?}");
+    assert_eq!((ends.first(), ends.last()), (Some(&Outcome::Rejected), Some(&Outcome::Ok)), "{ends:?}");
     assert_eq!(connections, 1);
 }
 
--- a/crates/starlinghill-settings/src/classes.rs
+++ b/crates/starlinghill-settings/src/classes.rs
@@ -1,6 +1,6 @@
 //! The classes of requests as they change while a gateway runs: each keeps its place for good.
 
-use crate::Site;
+use crate::NamedSettings;
 use starlinghill_decision::api::{Class, ClassId, Rules, SettingsError};
 use std::collections::BTreeMap;
 
@@ -16,14 +16,14 @@
 
 impl Classes {
     /// Those of the settings at the start.
-    pub fn new(site: &Site) -> Classes {
+    pub fn new(site: &NamedSettings) -> Classes {
         let names = site.classes.iter().map(|(name, &at)| (name.clone(), ClassId(at))).collect();
         Classes { places: site.settings.classes.clone(), names }
     }
 
     /// Takes over the classes of new settings, and returns what the decision module is to be told. A class that is as one
     /// was before gets its place; any other gets a new one. After an error all is as it was.
-    pub fn follow(&mut self, new: &Site) -> Result<Rules, SettingsError> {
+    pub fn update(&mut self, new: &NamedSettings) -> Result<Rules, SettingsError> {
         new.settings.check()?;
         let mut places = self.places.clone();
         let mut names = BTreeMap::new();
--- a/crates/starlinghill-settings/src/lib.rs
+++ b/crates/starlinghill-settings/src/lib.rs
@@ -54,37 +54,38 @@
         Err(FieldError(format!("{}: {name}: expected {wanted}, found {found}", self.place)))
     }
     /// A value, if it is there.
-    pub fn read<T: FromStr>(&self, name: &str, wanted: &str) -> Result<Option<T>> {
+    pub fn optional<T: FromStr>(&self, name: &str, wanted: &str) -> Result<Option<T>> {
         match self.pairs.get(name) {
             None => Ok(None),
             Some(text) => text.parse().map(Some).or_else(|_| self.fail(name, wanted)),
         }
     }
     /// A whole number, which must be there.
-    pub fn whole(&self, name: &str) -> Result<u64> {
-        self.read(name, "a whole number")?.map_or_else(|| self.fail(name, "a whole number"), Ok)
+    pub fn required_u64(&self, name: &str) -> Result<u64> {
+        self.optional(name, "a whole number")?.map_or_else(|| self.fail(name, "a whole number"), Ok)
     }
     /// A whole number.
-    pub fn whole_or(&self, name: &str, default: u64) -> Result<u64> {
-        Ok(self.read(name, "a whole number")?.unwrap_or(default))
+    pub fn u64_or(&self, name: &str, default: u64) -> Result<u64> {
+        Ok(self.optional(name, "a whole number")?.unwrap_or(default))
     }
     /// A small whole number, which must be there.
-    pub fn small(&self, name: &str) -> Result<u32> {
-        self.read(name, "a small whole number")?.map_or_else(|| self.fail(name, "a small whole number"), Ok)
+    pub fn required_u32(&self, name: &str) -> Result<u32> {
+        self.optional(name, "a small whole number")?
+            .map_or_else(|| self.fail(name, "a small whole number"), Ok)
     }
     /// A finite number.
-    pub fn real_or(&self, name: &str, default: f64) -> Result<f64> {
-        match self.read::<f64>(name, "a number")? {
+    pub fn f64_or(&self, name: &str, default: f64) -> Result<f64> {
+        match self.optional::<f64>(name, "a number")? {
             Some(v) if !v.is_finite() => self.fail(name, "a finite number"),
             v => Ok(v.unwrap_or(default)),
         }
     }
     /// A time in microseconds.
     pub fn micros_or(&self, name: &str, default: u64) -> Result<Micros> {
-        self.whole_or(name, default).map(Micros)
+        self.u64_or(name, default).map(Micros)
     }
     /// A yes or no.
-    pub fn flag_or(&self, name: &str, default: bool) -> Result<bool> {
+    pub fn bool_or(&self, name: &str, default: bool) -> Result<bool> {
         match self.pairs.get(name) {
             None => Ok(default),
             Some(&"1") | Some(&"true") => Ok(true),
@@ -93,14 +94,14 @@
         }
     }
     /// A text, which must be there.
-    pub fn text(&self, name: &str) -> Result<&'a str> {
+    pub fn required_text(&self, name: &str) -> Result<&'a str> {
         self.pairs.get(name).copied().map_or_else(|| self.fail(name, "a text"), Ok)
     }
 }
 
 #[derive(Clone)]
 /// The settings with the names by which the outside knows classes, plans, zones and servers.
-pub struct Site {
+pub struct NamedSettings {
     /// The settings.
     pub settings: Settings,
     /// Classes by name.
@@ -112,23 +113,23 @@
     pub servers: HashMap<ServerId, String>,
 }
 
-impl Site {
+impl NamedSettings {
     /// Settings without names: the one who uses them numbers things by itself.
-    pub fn of(settings: Settings) -> Site {
+    pub fn unnamed(settings: Settings) -> NamedSettings {
         let (classes, plans, zones, servers) = Default::default();
-        Site { settings, classes, plans, zones, servers }
+        NamedSettings { settings, classes, plans, zones, servers }
     }
     /// Reads settings as nested JSON.
-    pub fn from_json(settings: &serde_json::Value) -> Result<Site> {
+    pub fn from_json(settings: &serde_json::Value) -> Result<NamedSettings> {
         let mut names = BTreeMap::new();
         flatten("", settings, &mut names);
         let pairs = names.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
-        Site::read(&Fields { place: "settings".into(), message: "settings", pairs })
+        NamedSettings::from_fields(&Fields { place: "settings".into(), message: "settings", pairs })
     }
     /// Reads named values.
-    pub fn read(f: &Fields) -> Result<Site> {
+    pub fn from_fields(f: &Fields) -> Result<NamedSettings> {
         let list = |prefix: &str| -> Result<usize> {
-            let count = f.whole_or(&format!("{prefix}.count"), 0)?;
+            let count = f.u64_or(&format!("{prefix}.count"), 0)?;
             if count > 10_000 {
                 return f.fail(&format!("{prefix}.count"), "at most 10000");
             }
@@ -137,13 +138,13 @@
         let (mut classes, mut class_list) = (HashMap::new(), Vec::new());
         for i in 0..list("classes")? {
             let key = |k: &str| format!("classes.{i}.{k}");
-            classes.insert(f.text(&key("name"))?.to_string(), i);
-            let deadline = Micros(f.whole(&key("deadline"))?);
+            classes.insert(f.required_text(&key("name"))?.to_string(), i);
+            let deadline = Micros(f.required_u64(&key("deadline"))?);
             class_list.push(Class {
-                aim: f.micros_or(&key("on_time"), deadline.0)?,
+                target: f.micros_or(&key("on_time"), deadline.0)?,
                 deadline,
-                worth: f.real_or(&key("credit"), 1.0)?,
-                late_worth: f.real_or(&key("late_share"), 0.0)?,
+                worth: f.f64_or(&key("credit"), 1.0)?,
+                late_worth: f.f64_or(&key("late_share"), 0.0)?,
                 effect: match f.pairs.get(key("effect").as_str()) {
                     Some(&"pure") => Effect::Safe,
                     Some(&"token") => Effect::Keyed,
@@ -157,14 +158,14 @@
                     Some(_) => return f.fail(&key("key_scope"), "all, zone or cell"),
                 },
                 window: f.micros_or(&key("window"), 0)?,
-                stream: f.flag_or(&key("streaming"), false)?,
+                stream: f.bool_or(&key("streaming"), false)?,
             });
         }
         let (mut plans, mut plan_list) = (HashMap::new(), Vec::new());
         for i in 0..list("plans")? {
             let key = |k: &str| format!("plans.{i}.{k}");
-            let real = |k: &str, default| f.real_or(&key(k), default);
-            plans.insert(f.text(&key("name"))?.to_string(), i);
+            let real = |k: &str, default| f.f64_or(&key(k), default);
+            plans.insert(f.required_text(&key("name"))?.to_string(), i);
             plan_list.push(Plan {
                 rate: real("per_second", 0.0)?,
                 burst: real("peak_units", 0.0)?,
@@ -184,39 +185,39 @@
         }
         let zone = zone_id(&mut zones, f.pairs.get("zone").copied().unwrap_or(""));
         let settings = Settings {
-            gateways: f.whole_or("balancers", 1)?.min(u32::MAX.into()) as u32,
-            me: f.whole_or("my_number", 0)?.min(u32::MAX.into()) as u32,
+            gateways: f.u64_or("balancers", 1)?.min(u32::MAX.into()) as u32,
+            me: f.u64_or("my_number", 0)?.min(u32::MAX.into()) as u32,
             zone,
             classes: class_list,
             plans: plan_list,
-            max_attempts: f.whole_or("bounds.max_attempts", 1)? as usize,
-            second_copies: f.flag_or("bounds.second_copies", false)?,
-            may_cancel: f.flag_or("bounds.may_cancel", false)?,
-            probes: f.flag_or("bounds.probing", false)?,
-            retry_after: f.flag_or("bounds.retry_after", false)?,
+            max_attempts: f.u64_or("bounds.max_attempts", 1)? as usize,
+            second_copies: f.bool_or("bounds.second_copies", false)?,
+            may_cancel: f.bool_or("bounds.may_cancel", false)?,
+            probes: f.bool_or("bounds.probing", false)?,
+            retry_after: f.bool_or("bounds.retry_after", false)?,
             max_retry_after: f.micros_or("bounds.max_retry_after", 0)?,
-            counter: f.flag_or("specifics.counter", false)?,
+            counter: f.bool_or("specifics.counter", false)?,
             count_timeout: f.micros_or("specifics.count_limit", 0)?,
-            peers_per_s: match f.flag_or("bounds.peer_messages", false)? {
-                true => f.real_or("specifics.peer_in_per_s", 0.0)?,
+            peers_per_s: match f.bool_or("bounds.peer_messages", false)? {
+                true => f.f64_or("specifics.peer_in_per_s", 0.0)?,
                 false => 0.0,
             },
-            most_units: f.real_or("specifics.units_top", 1.0)?,
+            most_units: f.f64_or("specifics.units_top", 1.0)?,
             must_subscribe: f.pairs.get("membership_mode") == Some(&"subscribe"),
             answer_slack: f.micros_or("rules.answer_slack", 0)?,
-            cold_from: f.real_or("rules.cold_from", 1.0)?,
+            cold_from: f.f64_or("rules.cold_from", 1.0)?,
             cold: f.micros_or("rules.cold", 0)?,
-            fall_multiple: f.real_or("rules.fall_multiple", 1.0)?,
+            fall_multiple: f.f64_or("rules.fall_multiple", 1.0)?,
             tip_after: f.micros_or("rules.tip_after", 0)?,
             retries: None,
-            patient: false,
-            levels: false,
+            wait_to_deadline: false,
+            counter_buckets: false,
             allowance: Allowance::default(),
             cooldown: None,
-            skew: Micros(0),
+            clock_offset: Micros(0),
             tick: f.micros_or("tick", 0)?,
         };
-        Ok(Site { settings, classes, plans, zones, servers: HashMap::new() })
+        Ok(NamedSettings { settings, classes, plans, zones, servers: HashMap::new() })
     }
     /// The number of a server's name.
     pub fn server(&mut self, name: &str) -> ServerId {
--- a/crates/starlinghill-simhost/src/lib.rs
+++ b/crates/starlinghill-simhost/src/lib.rs
@@ -2,21 +2,21 @@
 
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
-use starlinghill_settings::{FieldError, Fields, Result, Site};
+use starlinghill_settings::{FieldError, Fields, NamedSettings, Result};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 /// How something ended, by its code.
 fn outcome(f: &Fields) -> Result<Outcome> {
-    Ok(match f.text("how")? {
+    Ok(match f.required_text("how")? {
         "200" => Outcome::Ok,
         "500" => Outcome::Error,
-        "503" => Outcome::Full,
+        "503" => Outcome::Rejected,
         "504" => Outcome::Timeout,
         "502" => Outcome::ConnectFailed,
         "598" => Outcome::Reset,
         "499" => Outcome::Cancelled,
-        "410" => Outcome::Moot,
+        "410" => Outcome::NotSent,
         _ => return f.fail("how", "one of 200 410 499 500 502 503 504 598"),
     })
 }
@@ -46,29 +46,29 @@
 /// One gateway with the names by which the wire knows what it is told of.
 struct Instance {
     gateway: Gateway,
-    site: Site,
+    site: NamedSettings,
 }
 
 impl Instance {
     fn start(f: &Fields) -> Result<Instance> {
-        let (seed, site) = (f.whole("rng_seed")?, Site::read(f)?);
+        let (seed, site) = (f.required_u64("rng_seed")?, NamedSettings::from_fields(f)?);
         let gateway = Gateway::new(seed, site.settings.clone())
             .map_err(|e| FieldError(format!("{}: settings: {e}", f.place)))?;
         Ok(Instance { gateway, site })
     }
     fn entry(&mut self, f: &Fields) -> Result<ServerEntry> {
         Ok(ServerEntry {
-            server: self.site.server(f.text("backend")?),
+            server: self.site.server(f.required_text("backend")?),
             service: ServiceId::default(),
             zone: self.site.zone(f.pairs.get("rack_zone").copied().unwrap_or("")),
-            cell: CellId(f.whole_or("pod", 0)?),
-            listed: match f.text("status")? {
+            cell: CellId(f.u64_or("pod", 0)?),
+            listed: match f.required_text("status")? {
                 "in_service" => Listed::InService,
                 "terminating" => Listed::Draining,
                 "terminated" => Listed::Gone,
                 _ => return f.fail("status", "in_service, terminating or terminated"),
             },
-            weight: f.real_or("heft", 1.0)?,
+            weight: f.f64_or("heft", 1.0)?,
             started: Some(f.micros_or("last_start", 0)?).filter(|s| s.0 > 0),
         })
     }
@@ -78,53 +78,58 @@
                 let class = *self
                     .site
                     .classes
-                    .get(f.text("kind")?)
+                    .get(f.required_text("kind")?)
                     .map_or_else(|| f.fail("kind", "a known class"), Ok)?;
                 let plan = *self
                     .site
                     .plans
-                    .get(f.text("plan")?)
+                    .get(f.required_text("plan")?)
                     .map_or_else(|| f.fail("plan", "a known plan"), Ok)?;
-                let Ok(customer) = u64::from_str_radix(f.text("user_key")?, 16) else {
+                let Ok(customer) = u64::from_str_radix(f.required_text("user_key")?, 16) else {
                     return f.fail("user_key", "16 hex digits");
                 };
                 let longest = self.site.settings.classes[class].deadline;
-                let units = f.real_or("price_units", 1.0)?;
+                let units = f.f64_or("price_units", 1.0)?;
                 if units < 0.0 {
                     return f.fail("price_units", "a number of 0 or more");
                 }
                 Event::Request(Arrival {
-                    id: RequestId(f.whole("ref")?),
+                    id: RequestId(f.required_u64("ref")?),
                     class: ClassId(class),
                     plan: PlanId(plan),
                     customer: CustomerId(customer),
-                    spread: f.real_or("doors", 1.0)?.clamp(1.0, 1e6) as u32,
-                    first: f.real_or("set_from", 0.0)?.clamp(0.0, 1e6) as u32,
-                    deadline: f.read("drop_dead", "a clock time")?.map_or(now + longest, Micros),
+                    spread: f.f64_or("doors", 1.0)?.clamp(1.0, 1e6) as u32,
+                    first: f.f64_or("set_from", 0.0)?.clamp(0.0, 1e6) as u32,
+                    deadline: f.optional("drop_dead", "a clock time")?.map_or(now + longest, Micros),
                     units,
-                    resent: f.flag_or("resent", false)?,
+                    resent: f.bool_or("resent", false)?,
                     ..Arrival::default()
                 })
             }
-            "RING" => Event::Timer(TimerId(f.whole("ref")?)),
-            "FIRST_BYTE" => Event::StreamStarted(RequestId(f.whole("ref")?)),
-            "TIMED_OUT_CLIENT" => Event::ClientGone(RequestId(f.whole("ref")?)),
+            "RING" => Event::Timer(TimerId(f.required_u64("ref")?)),
+            "FIRST_BYTE" => Event::StreamStarted(RequestId(f.required_u64("ref")?)),
+            "TIMED_OUT_CLIENT" => Event::ClientGone(RequestId(f.required_u64("ref")?)),
             "MEMO" => {
-                let Some(message) = from_hex(f.text("blob")?) else { return f.fail("blob", "bytes in hex") };
-                Event::Peer(f.small("neighbour")?, message)
-            }
-            "PONG" => Event::Probed(self.site.server(f.text("backend")?), outcome(f)?, report(f)?),
-            "COUNT_RESULT" => {
-                Event::Counted(CountName(f.whole("book")?), 0, outcome(f)?, f.real_or("result_value", 0.0)?)
+                let Some(message) = from_hex(f.required_text("blob")?) else {
+                    return f.fail("blob", "bytes in hex");
+                };
+                Event::Peer(f.required_u32("neighbour")?, message)
             }
+            "PONG" => Event::Probed(self.site.server(f.required_text("backend")?), outcome(f)?, report(f)?),
+            "COUNT_RESULT" => Event::Counted(
+                CountName(f.required_u64("book")?),
+                0,
+                outcome(f)?,
+                f.f64_or("result_value", 0.0)?,
+            ),
             "OUTCOME" => Event::AttemptEnded(AttemptEnd {
-                id: RequestId(f.whole("ref")?),
-                attempt: f.whole_or("trial", 0)? as usize,
-                server: self.site.server(f.text("backend")?),
+                id: RequestId(f.required_u64("ref")?),
+                attempt: f.u64_or("trial", 0)? as usize,
+                server: self.site.server(f.required_text("backend")?),
                 outcome: outcome(f)?,
                 took: f.micros_or("took", 0)?,
-                ended: f.flag_or("ended", false)?,
-                settled: Some(f.real_or("settled", 0.0)?).filter(|s| *s > 0.0),
+                ended: f.bool_or("ended", false)?,
+                actual_units: Some(f.f64_or("settled", 0.0)?).filter(|s| *s > 0.0),
                 report: report(f)?,
             }),
             _ => return Ok(None),
@@ -194,13 +199,13 @@
         }
         match f.message {
             "TICK" => {
-                let now = Micros(f.whole("now")?);
+                let now = Micros(f.required_u64("now")?);
                 if self.in_batch || now < self.now {
                     return f.fail("now", "a batch's end first, and a clock that moves forward");
                 }
                 (self.now, self.in_batch, self.current) = (now, true, None);
             }
-            "FOR" => self.current = Some(f.small("who")?),
+            "FOR" => self.current = Some(f.required_u32("who")?),
             "START" => {
                 let Some(who) = self.current else { return self.nobody(&f) };
                 self.instances.insert(who, Instance::start(&f)?);
@@ -222,13 +227,13 @@
                 return Ok(Some(reply));
             }
             "FLEET" => {
-                let scope = match f.text("scope")? {
+                let scope = match f.required_text("scope")? {
                     "incr" => ListScope::Changes,
-                    "total" | "warm_copy" => ListScope::Whole,
-                    "lost" => ListScope::Lost,
+                    "total" | "warm_copy" => ListScope::Complete,
+                    "lost" => ListScope::Failed,
                     _ => return f.fail("scope", "incr, total, warm_copy or lost"),
                 };
-                let left = f.whole_or("items", 0)?;
+                let left = f.u64_or("items", 0)?;
                 if self.current.is_none() {
                     return self.nobody(&f);
                 }
--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -6,7 +6,7 @@
 use crate::processes::{mount, Platter, Process};
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::{CustomerId, Listed, Micros, Outcome, ServiceId};
-use starlinghill_decision::store_name;
+use starlinghill_decision::bucket_name;
 use starlinghill_gateway::counter::CounterTransport;
 use starlinghill_gateway::inbox::{Clock, Input, Listing};
 use starlinghill_runtime::essential_tasks::EssentialTasks;
@@ -412,7 +412,7 @@
 
 /// Draws from the tenant with a quota as often as clients who want far more, one draw after the other.
 async fn draw(counter: Rc<Counter>, granted: Rc<RefCell<Vec<Duration>>>, begun: Instant) {
-    let name = store_name(CustomerId(xxh3_64(RATIONED.as_bytes())));
+    let name = bucket_name(CustomerId(xxh3_64(RATIONED.as_bytes())));
     loop {
         sleep(Duration::from_millis(fastrand::u64(1..=DRAWS_MS))).await;
         let counted = counter.clone().draw(name, 1.0, (ServiceId(0), Micros(1_000_000))).await;
--- a/crates/starlinghill-simulator/src/fleet.rs
+++ b/crates/starlinghill-simulator/src/fleet.rs
@@ -128,7 +128,7 @@
 
 fn module(seed: u64, me: u32, gateways: u32) -> Gateway {
     let class = Class {
-        aim: Micros(400_000),
+        target: Micros(400_000),
         deadline: Micros(2_000_000),
         worth: 1.0,
         late_worth: 0.5,
@@ -157,7 +157,7 @@
         started: None,
     };
     let servers = (1..=SERVERS).map(server).collect();
-    module.handle(Micros(BEGINNING), Event::Servers(ListScope::Whole, servers), &mut Vec::new());
+    module.handle(Micros(BEGINNING), Event::Servers(ListScope::Complete, servers), &mut Vec::new());
     module
 }
 
@@ -400,7 +400,8 @@
                 self.granted.push(self.now);
                 let (took, report) = (Micros(0), Report::default());
                 let (outcome, ended) = (Outcome::Ok, true);
-                let end = AttemptEnd { id, attempt: 0, server, outcome, took, ended, settled: None, report };
+                let end =
+                    AttemptEnd { id, attempt: 0, server, outcome, took, ended, actual_units: None, report };
                 self.tell(at, Event::AttemptEnded(end));
             }
             Action::Refuse(..) | Action::Fail(_) => self.refused += 1,
@@ -434,7 +435,7 @@
         let proxy = &mut self.proxies[at];
         let hears = proxy.cut_until <= self.now;
         let reached = (hears || proxy.cut_one_way) && !(proxy.broken && hears);
-        let name = starlinghill_decision::store_name(CUSTOMER).0;
+        let name = starlinghill_decision::bucket_name(CUSTOMER).0;
         let nothing =
             Draw { name, owed: 0.0, units: 0.0, rate: RATE, burst: BURST, service: 0, within_ms: 0 };
         let mut draws = Vec::from_iter(draw);
@@ -465,7 +466,7 @@
             // The counter took nothing in. It is told again what was heard, as it may have forgotten this gateway.
             self.recall(at);
             self.proxies[at].client.failed(&draw);
-            return waits.into_iter().for_each(|call| self.counted(at, call, Outcome::Full, 0.0, None));
+            return waits.into_iter().for_each(|call| self.counted(at, call, Outcome::Rejected, 0.0, None));
         };
         let client = &mut self.proxies[at].client;
         client.hears(now, term);
@@ -481,7 +482,7 @@
     }
 
     fn counted(&mut self, at: usize, call: u64, outcome: Outcome, total: f64, share: Option<f64>) {
-        let name = starlinghill_decision::store_name(CUSTOMER);
+        let name = starlinghill_decision::bucket_name(CUSTOMER);
         let calls = &mut self.proxies[at].calls;
         let Some(nth) = calls.iter().position(|known| *known == call) else { return };
         calls.remove(nth);
--- a/crates/starlinghill-xds/src/hub.rs
+++ b/crates/starlinghill-xds/src/hub.rs
@@ -5,9 +5,9 @@
 use starlinghill_control_state::fleet::{EndpointLocation, Fleet, FleetSnapshot, Observed};
 use starlinghill_control_state::ledger::{LedgerSettings, QuotaLedger};
 use starlinghill_control_state::routes::routes;
-use starlinghill_decision::api::{Micros, PlanId, SettingsError, ZonePart};
+use starlinghill_decision::api::{Micros, PlanId, SettingsError, ZoneShare};
 use starlinghill_settings::members::MemberList;
-use starlinghill_settings::Site;
+use starlinghill_settings::NamedSettings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -68,7 +68,7 @@
     /// What proxies saw of servers.
     Observed(Vec<Observed>),
     /// The parts of their work that zones get from now on, by order of the group.
-    Zones(Vec<(String, ZonePart)>),
+    Zones(Vec<(String, ZoneShare)>),
     /// The operators changed their minds.
     Plan(Plan),
 }
@@ -100,7 +100,7 @@
     /// The clock.
     pub clock: Clock,
     /// Names of plans and classes.
-    pub site: Arc<Site>,
+    pub site: Arc<NamedSettings>,
     /// The life and the way of assignments.
     pub lease: LedgerSettings,
     /// The plans of which proxies get slices; of others they let nothing through.
@@ -141,7 +141,7 @@
 /// A hub that knows nothing yet of the fleet.
 pub fn new(
     seed: u64,
-    site: Site,
+    site: NamedSettings,
     plan: Plan,
     lease: LedgerSettings,
     plans: BTreeSet<PlanId>,
--- a/crates/starlinghill-xds/src/resources.rs
+++ b/crates/starlinghill-xds/src/resources.rs
@@ -17,7 +17,7 @@
 use starlinghill_control_state::fleet::{Endpoint, EndpointUse, FleetSnapshot};
 use starlinghill_control_state::routes::{ClassRoute, RetryOn};
 use starlinghill_decision::api::Micros;
-use starlinghill_decision::BOUNDS;
+use starlinghill_decision::POLICY_CONSTANTS;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 use std::net::SocketAddr;
@@ -253,12 +253,14 @@
 pub fn clusters(wiring: &Wiring, endpoints: usize, proxies: usize) -> TypeSet {
     // By powers of two: each change is a message to every proxy.
     let endpoints = (endpoints as u32).max(1).next_power_of_two();
-    let out = match wiring.attempts_out {
-        Some(each) => each.saturating_mul(endpoints),
-        None => (BOUNDS.fleet_start * f64::from(endpoints) / (proxies.max(1) as f64)).ceil() as u32,
-    };
+    let out =
+        match wiring.attempts_out {
+            Some(each) => each.saturating_mul(endpoints),
+            None => (POLICY_CONSTANTS.initial_fleet_limit * f64::from(endpoints) / (proxies.max(1) as f64))
+                .ceil() as u32,
+        };
     let budget = cluster::circuit_breakers::thresholds::RetryBudget {
-        budget_percent: Some(envoy_type::Percent { value: 100.0 * BOUNDS.retry_share }),
+        budget_percent: Some(envoy_type::Percent { value: 100.0 * POLICY_CONSTANTS.retry_share }),
         min_retry_concurrency: number(3),
         ..Default::default()
     };
@@ -270,14 +272,14 @@
         retry_budget: Some(budget),
         ..Default::default()
     };
-    let doubled = Micros(BOUNDS.eject_first.0 << BOUNDS.eject_doublings);
+    let doubled = Micros(POLICY_CONSTANTS.eject_first.0 << POLICY_CONSTANTS.eject_doublings);
     let outliers = cluster::OutlierDetection {
         // As many failures in a row as push the module's smoothed share over its bound.
         consecutive_5xx: number(4),
         consecutive_gateway_failure: number(4),
         enforcing_consecutive_gateway_failure: number(100),
         interval: span(Micros(500_000)),
-        base_ejection_time: span(BOUNDS.eject_first),
+        base_ejection_time: span(POLICY_CONSTANTS.eject_first),
         max_ejection_time: span(doubled),
         max_ejection_percent: number(50),
         // Shares over the whole fleet are judged here, from all proxies' reports.
