--- a/crates/starlinghill-decision/src/admission.rs
+++ b/crates/starlinghill-decision/src/admission.rs
@@ -1,10 +1,10 @@
-//! Admission: each request is checked against its customer's quota, by the shared count where the counter
-//! answers, by a local bucket where it does not.
+//! Admission: checks each request against its customer's quota, by the counter while that answers and by a
+//! local token bucket while it does not. Terms such as total and silent are explained in `lib.rs`.
 
 use crate::api::*;
 use crate::breaker::Breaker;
-use crate::calls::{Asked, Call, Purpose};
-use crate::context::{Context, SMOOTH};
+use crate::calls::{Call, CallDecision, Purpose};
+use crate::context::{Context, SMOOTHING};
 use crate::customer::{quota_of, span, Customer};
 use crate::repeated_requests::{Refusal, Repeats};
 use starlinghill_estimate::counter_sampling::CounterSampling;
@@ -12,166 +12,167 @@
 use starlinghill_rate_limit::unknown_customers::Usual;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The share of repeats that ask is the share of first tries to this power.
+/// A repeat calls the counter with the probability for first tries to this power.
 pub(crate) const REPEAT_POWER: f64 = 3.0;
-/// The customers' quotas as this gateway knows them.
+/// Customers' quotas as this gateway knows them, and its calls to the counter.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     pub(crate) breaker: Breaker,
-    pub(crate) asking: CounterSampling,
+    pub(crate) sampling: CounterSampling,
     pub(crate) last_failed: Option<CustomerId>,
     pub(crate) calls: BTreeMap<CountName, VecDeque<Call>>,
     pub(crate) customers: BTreeMap<CustomerId, Customer>,
     pub(crate) exchange: Exchange,
-    /// A total was heard in this life.
-    pub(crate) heard: bool,
-    /// When the counter was last seen to have lost what it held.
-    pub(crate) lost_at: Micros,
-    /// Until when this gateway promised to go by no total.
-    pub(crate) quiet_until: Micros,
+    /// The counter has answered since this process started.
+    pub(crate) counter_answered: bool,
+    /// When the counter was last seen to have lost its counts.
+    pub(crate) counter_reset_at: Micros,
+    /// Until when this gateway promised the others not to decide by totals.
+    pub(crate) no_totals_until: Micros,
     pub(crate) repeats: Repeats,
-    /// What part of the requests the quotas bear, by plan.
-    pub(crate) usual: Vec<Usual>,
-    /// The usual worth of a request.
-    pub(crate) usual_worth: f64,
+    /// By plan: what fraction of the requests of unknown customers their quotas allow.
+    pub(crate) plan_history: Vec<Usual>,
+    /// Moving average of the worth of a request.
+    pub(crate) mean_worth: f64,
 }
 
 impl Admission {
-    /// Notes a request's worth; returns the power of its chance to pass: above one for little worth.
-    pub(crate) fn weigh(&mut self, worth: f64) -> f64 {
-        self.usual_worth += SMOOTH / 3.0 * (worth - self.usual_worth);
+    /// Records a request's worth. Returns the exponent for its chance to pass `shed`: above 1 for low worth.
+    pub(crate) fn shed_power(&mut self, worth: f64) -> f64 {
+        self.mean_worth += SMOOTHING / 3.0 * (worth - self.mean_worth);
         if worth > 0.0 {
-            (self.usual_worth / worth).powi(2)
+            (self.mean_worth / worth).powi(2)
         } else {
             f64::MAX
         }
     }
 
-    /// Notes a refusal or failure; returns when to come back, where that is told.
-    pub(crate) fn refused(&mut self, cx: &Context, a: &Arrival) -> Option<Micros> {
+    /// Records a refusal or failure. Returns the retry-after, where clients receive one.
+    pub(crate) fn record_refusal(&mut self, cx: &Context, a: &Arrival) -> Option<Micros> {
         if let Some(c) = self.customers.get_mut(&a.customer) {
-            c.refused = Some(Refusal::of(a, cx.now));
+            c.last_refusal = Some(Refusal::of(a, cx.now));
         }
-        (cx.set.retry_after && cx.set.plans[a.plan.0].rate > 0.0).then(|| {
-            let p = &cx.set.plans[a.plan.0];
+        (cx.settings.retry_after && cx.settings.plans[a.plan.0].rate > 0.0).then(|| {
+            let p = &cx.settings.plans[a.plan.0];
             let window = Micros(((p.burst / p.rate) * 1e6).max(1.0) as u64);
-            span(cx, a.customer, window).1.min(cx.set.max_retry_after)
+            span(cx, a.customer, window).1.min(cx.settings.max_retry_after)
         })
     }
 
-    /// What a customer's quota has room for, as far as is known here.
-    pub(crate) fn room(&self, cx: &Context, customer: CustomerId) -> Option<f64> {
+    /// Units in the customer's quota bucket, as far as known.
+    pub(crate) fn known_level(&self, cx: &Context, customer: CustomerId) -> Option<f64> {
         let c = self.customers.get(&customer)?;
         c.account.store.level(quota_of(cx, c.plan), cx.now)
     }
 
-    /// The counter says nothing of this customer for a while: then the local bucket alone decides.
-    pub(crate) fn silent(&self, cx: &Context, customer: CustomerId) -> bool {
+    /// No call may be made for this customer, so its local bucket alone decides.
+    pub(crate) fn counter_silent(&self, cx: &Context, customer: CustomerId) -> bool {
         let own_open = self.customers.get(&customer).is_some_and(|c| c.breaker.opened.is_some());
-        !cx.set.counter || self.breaker.opened.is_some() || own_open
+        !cx.settings.counter || self.breaker.opened.is_some() || own_open
     }
 
-    /// A customer so spread that a gateway's share of its store holds less than one request.
-    pub(crate) fn slight(&self, cx: &Context, customer: CustomerId) -> bool {
-        let burst = |c: &Customer| cx.set.plans[c.plan].burst;
-        self.customers.get(&customer).is_some_and(|c| c.spread * cx.set.most_units > burst(c))
+    /// The customer's spread is so wide that a gateway's share of its bucket holds less than one request.
+    pub(crate) fn share_below_one(&self, cx: &Context, customer: CustomerId) -> bool {
+        let burst = |c: &Customer| cx.settings.plans[c.plan].burst;
+        self.customers.get(&customer).is_some_and(|c| c.spread * cx.settings.most_units > burst(c))
     }
 
-    /// Whether a request is to ask. Guards against a counter that our own calls drown, slow or near its
-    /// capacity: while calls fail only a part asks, what is worth much first, repeats last, as they were
-    /// refused a moment ago.
-    fn asks(&self, cx: &mut Context, power: f64) -> bool {
-        self.breaker.opened.is_some() || self.asking.should_call(cx.rng.f64(), power)
+    /// Whether a request may call the counter. Guards against a counter that our own calls overload, slow or
+    /// near its capacity: while calls fail only a fraction of requests call, those of high worth first,
+    /// repeats last, as they were refused a moment ago.
+    fn samples_call(&self, cx: &mut Context, power: f64) -> bool {
+        self.breaker.opened.is_some() || self.sampling.should_call(cx.rng.f64(), power)
     }
 
     pub(crate) fn may_call(&mut self, cx: &Context, customer: CustomerId) -> bool {
         let Some(c) = self.customers.get_mut(&customer) else { return false };
-        let ready = cx.set.counter && self.breaker.ready(cx.now) && c.breaker.ready(cx.now);
+        let ready = cx.settings.counter && self.breaker.ready(cx.now) && c.breaker.ready(cx.now);
         if ready {
-            self.breaker.ask();
-            c.breaker.ask();
+            self.breaker.record_call();
+            c.breaker.record_call();
         }
         ready
     }
 
-    /// The power of a request's chance to ask: lower for what is worth much.
-    pub(crate) fn rank(&self, cx: &Context, a: &Arrival) -> f64 {
-        (self.usual_worth / cx.worth(a).max(1e-9)).clamp(0.5, 2.0)
+    /// Exponent of a request's chance to call the counter: lower for a higher worth.
+    pub(crate) fn sampling_power(&self, cx: &Context, a: &Arrival) -> f64 {
+        (self.mean_worth / cx.worth(a).max(1e-9)).clamp(0.5, 2.0)
     }
 
-    /// The ordinary path: one add on the customer's window before anything is sent on.
-    pub(crate) fn ask_window(&mut self, cx: &mut Context, a: &Arrival) -> Asked {
+    /// The usual path: adds the units to the customer's window before anything is sent.
+    pub(crate) fn ask_window(&mut self, cx: &mut Context, a: &Arrival) -> CallDecision {
         let (customer, units, resent) = (a.customer, a.units, a.resent);
-        if self.breaker.opened.is_none() && self.room(cx, customer).is_some_and(|room| room < units) {
-            return Asked::Full; // Known full: a call could only tell the same.
+        if self.breaker.opened.is_none() && self.known_level(cx, customer).is_some_and(|left| left < units) {
+            return CallDecision::KnownFull; // A call could only confirm it.
         }
-        let power = if resent { REPEAT_POWER } else { self.rank(cx, a) };
-        if self.asks(cx, power) && self.may_call(cx, customer) {
+        let power = if resent { REPEAT_POWER } else { self.sampling_power(cx, a) };
+        if self.samples_call(cx, power) && self.may_call(cx, customer) {
             self.call(cx, Purpose::Window, customer, Some((a.id, a.service, cx.within(a))), units);
-            Asked::Called
+            CallDecision::Called
         } else {
-            Asked::Silent
+            CallDecision::NotCalled
         }
     }
 
-    /// One add on the customer's attempts out, where its plan caps them.
-    pub(crate) fn ask_place(&mut self, cx: &mut Context, a: &Arrival) -> Asked {
-        if cx.set.plans[a.plan.0].open <= 0.0 {
-            Asked::Free
-        } else if self.asks(cx, REPEAT_POWER) && self.may_call(cx, a.customer) {
+    /// Adds one to the customer's count of requests in flight, where its plan caps them.
+    pub(crate) fn ask_slot(&mut self, cx: &mut Context, a: &Arrival) -> CallDecision {
+        if cx.settings.plans[a.plan.0].open <= 0.0 {
+            CallDecision::NothingToAsk
+        } else if self.samples_call(cx, REPEAT_POWER) && self.may_call(cx, a.customer) {
             self.call(cx, Purpose::Open, a.customer, Some((a.id, a.service, cx.within(a))), 1.0);
-            Asked::Called
+            CallDecision::Called
         } else {
-            Asked::Silent
+            CallDecision::NotCalled
         }
     }
 
-    /// Decides a request by the total heard, or without one by the local bucket.
-    pub(crate) fn window_holds(&mut self, cx: &Context, a: &Arrival, left: Option<f64>) -> bool {
+    /// Decides by the total (`left`: units left in the bucket), or without one by the local bucket.
+    pub(crate) fn window_allows(&mut self, cx: &Context, a: &Arrival, left: Option<f64>) -> bool {
         let (customer, units, plan) = (a.customer, a.units, a.plan.0);
         match left {
-            Some(room) if room < 0.0 => false,
-            Some(_) if self.sure(cx, customer) => self.beyond_take(cx, customer, plan, 0.0),
-            Some(_) => self.beyond_take(cx, customer, plan, units),
-            // A repeat was refused a moment ago, here or elsewhere: where a share holds less than one request
-            // it must be heard. Elsewhere nine of ten had room, as most were refused for want of an answer.
-            None if a.resent && self.slight(cx, customer) && !self.silent(cx, customer) => false,
+            Some(left) if left < 0.0 => false,
+            Some(_) if self.total_is_current(cx, customer) => self.take_beyond(cx, customer, plan, 0.0),
+            Some(_) => self.take_beyond(cx, customer, plan, units),
+            // A repeat was refused a moment ago, here or elsewhere. Where a share holds less than one
+            // request, a total must decide it. Elsewhere nine of ten had room: most were refused for want of
+            // an answer.
+            None if a.resent && self.share_below_one(cx, customer) && !self.counter_silent(cx, customer) => {
+                false
+            }
             None => {
-                let paid = self.beyond_take(cx, customer, plan, units);
-                let ok = paid && self.local_take(cx, customer, units);
-                let ceiling = cx.set.plans[plan].ceiling_rate > 0.0;
+                let paid = self.take_beyond(cx, customer, plan, units);
+                let ok = paid && self.take_local(cx, customer, units);
+                let ceiling = cx.settings.plans[plan].ceiling_rate > 0.0;
                 let c = self.customers.get_mut(&customer).filter(|_| ceiling && paid && !ok);
-                c.into_iter().for_each(|c| c.beyond.level += units);
-                self.asked_here(cx, a, ok);
+                c.into_iter().for_each(|c| c.beyond_quota.level += units);
+                self.report_demand(cx, a, ok);
                 ok
             }
         }
     }
 
-    /// By a total heard just now, the store held what was taken here, whenever the others took theirs.
-    fn sure(&self, cx: &Context, customer: CustomerId) -> bool {
+    /// The total was heard just now, and held what was taken here even if other gateways took theirs first.
+    fn total_is_current(&self, cx: &Context, customer: CustomerId) -> bool {
         let holds = |c: &Customer| c.account.store.heard_at() == cx.now && c.account.store.floor() >= 0.0;
-        cx.now >= self.bound_until(cx) && self.customers.get(&customer).is_some_and(holds)
+        cx.now >= self.promised_until(cx) && self.customers.get(&customer).is_some_and(holds)
     }
 
-    /// The local bucket decides where the counter does not: the customer's rate over its gateways. It starts
-    /// with this gateway's part of what the customer's store was last known to hold; under a ceiling,
-    /// `beyond_take` stands before it and does start empty. Guards against refusing customers with few units,
-    /// for whom a share that starts empty admits nothing for seconds.
-    pub(crate) fn local_take(&mut self, cx: &Context, customer: CustomerId, units: f64) -> bool {
+    /// Decides by the local bucket: the gateway's share of the quota. It starts with that share of what the
+    /// customer's bucket was last known to hold. Starting empty would admit nothing for seconds from
+    /// customers with few units. Under a ceiling `take_beyond` is checked first, and that does start empty.
+    pub(crate) fn take_local(&mut self, cx: &Context, customer: CustomerId, units: f64) -> bool {
         let now = cx.now;
-        self.local(cx, customer).is_some_and(|(_, bucket)| bucket.take(now, units))
+        self.local_bucket(cx, customer).is_some_and(|(_, bucket)| bucket.take(now, units))
     }
 
-    /// Decides by the attempts out as they were heard, or without that by this gateway's share.
-    pub(crate) fn place_holds(&self, cx: &Context, a: &Arrival, heard: Option<f64>) -> bool {
-        let (customer, plan) = (a.customer, &cx.set.plans[a.plan.0]);
+    /// Decides by the heard number of requests in flight, or without it by this gateway's share of the cap.
+    pub(crate) fn slot_allows(&self, cx: &Context, a: &Arrival, heard: Option<f64>) -> bool {
+        let (customer, plan) = (a.customer, &cx.settings.plans[a.plan.0]);
+        let own_cap = |c: &Customer| (plan.open / c.spread).floor().max(1.0);
         match heard {
             Some(total) => total <= plan.open,
-            None if a.resent && !self.silent(cx, customer) => false,
-            None => {
-                self.customers.get(&customer).is_some_and(|c| c.out < (plan.open / c.spread).floor().max(1.0))
-            }
+            None if a.resent && !self.counter_silent(cx, customer) => false,
+            None => self.customers.get(&customer).is_some_and(|c| c.in_flight < own_cap(c)),
         }
     }
 }
--- a/crates/starlinghill-decision/src/api.rs
+++ b/crates/starlinghill-decision/src/api.rs
@@ -1,6 +1,7 @@
-//! The interface of the decision module: what a gateway is told and what it may do.
+//! The interface of the decision module: events that a gateway reports and actions that it must carry out.
 //!
-//! Nothing here decides. Ids carry no meaning beyond equality and order.
+//! Nothing here decides. Ids can only be compared; their numbers mean nothing. Times are [`Micros`]:
+//! microseconds of the caller's clock, or a length of time in microseconds.
 
 pub use starlinghill_rate_limit::{Allowance, Micros};
 
@@ -11,23 +12,23 @@
         pub struct $name(pub $inner);
     };
 }
-id!(/// One try of a client.
+id!(/// One request of a client; a repeat has another id.
     RequestId, u64);
 id!(/// A customer, whose quota all gateways share.
     CustomerId, u64);
-id!(/// A server of the back end; every gateway knows it by the same number.
+id!(/// A backend server; it has the same number at every gateway.
     ServerId, u64);
-id!(/// A place in `Settings::classes`.
+id!(/// An index in `Settings::classes`.
     ClassId, usize);
-id!(/// A place in `Settings::plans`.
+id!(/// An index in `Settings::plans`.
     PlanId, usize);
-id!(/// A zone, numbered as the gateway was told.
+id!(/// A zone; numbers are assigned by the caller.
     ZoneId, u32);
 id!(/// A group of servers that share which keys they have seen.
     CellId, u64);
-id!(/// A service: its servers stand in for each other. Where nothing is said of services, all are of one.
+id!(/// A service, whose servers can replace each other. Callers without services use the default for all.
     ServiceId, u32);
-id!(/// A number kept by the counter service.
+id!(/// The name of a count or token bucket at the counter.
     CountName, u64);
 id!(/// A timer, chosen by the module.
     TimerId, u64);
@@ -37,13 +38,13 @@
 pub enum Effect {
     /// Safe to repeat.
     Safe,
-    /// Carries a key; the servers of one group drop a repeat within the window.
+    /// Carries an idempotency key; the servers of one group drop a repeat within the window.
     Keyed,
     /// Must not run twice.
     Unsafe,
 }
 
-/// Which servers drop the repeats of a keyed request.
+/// Which servers know the keys of earlier keyed requests, and so drop their repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// Every server.
@@ -57,48 +58,48 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// An answer within this time of the arrival earns the full worth.
     pub target: Micros,
-    /// How long a client waits, all tries together.
+    /// How long a client waits for an answer, with all attempts.
     pub deadline: Micros,
-    /// What a request is worth.
+    /// Value of an answer in time, in any unit that all classes share. Requests of higher worth go first.
     pub worth: f64,
-    /// The part of the worth that an answer after the aim earns.
+    /// The fraction of the worth that an answer after the target earns.
     pub late_worth: f64,
-    /// Whether it may run again.
+    /// Whether a request may run again.
     pub effect: Effect,
-    /// Who drops repeats, where keyed.
+    /// The servers that drop repeats of keyed requests.
     pub group: Group,
-    /// How long they drop them, where keyed.
+    /// How long those servers remember a key.
     pub window: Micros,
-    /// The answer comes as a stream.
+    /// The answer is a stream.
     pub stream: bool,
 }
 
-/// A plan. Its quota holds for each customer over all gateways together.
+/// A plan. Its quota limits each customer over all gateways together.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Units a second; 0: no quota on the rate.
+    /// Rate of the quota in units a second; 0: no quota.
     pub rate: f64,
-    /// The most units the quota's store holds.
+    /// The most units that the quota's token bucket holds.
     pub burst: f64,
-    /// Attempts out at once; 0: no such cap.
+    /// Most requests of a customer in flight at once; 0: no limit.
     pub open: f64,
-    /// Multiplies the worth.
+    /// Multiplies the class's worth.
     pub price: f64,
-    /// Part of the worth earned beyond the quota.
+    /// Fraction of the worth that requests beyond the quota earn.
     pub over_worth: f64,
-    /// Part of the worth lost by sending on beyond the quota.
+    /// Fraction of the worth that is lost by sending a request beyond the quota.
     pub over_cost: f64,
-    /// Units a second of the hard ceiling; 0: none.
+    /// Rate of the hard ceiling in units a second; 0: no ceiling.
     pub ceiling_rate: f64,
-    /// The most units the ceiling's store holds.
+    /// The most units that the ceiling's token bucket holds.
     pub ceiling_burst: f64,
-    /// How far that store may fall below nothing.
+    /// How many units that bucket may fall below zero.
     pub ceiling_slack: f64,
 }
 
-/// What a gateway is told at its start.
+/// What a gateway knows from its start.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of gateways.
@@ -113,73 +114,75 @@
     pub plans: Vec<Plan>,
     /// The most attempts for one request.
     pub max_attempts: usize,
-    /// Two attempts of one request may be out together.
+    /// Two attempts of one request may be in flight together.
     pub second_copies: bool,
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Servers may be probed.
     pub probes: bool,
-    /// Clients receive a retry-after.
+    /// Refusals may carry a retry-after.
     pub retry_after: bool,
     /// The longest retry-after that a client follows.
     pub max_retry_after: Micros,
     /// The counter service may be called.
     pub counter: bool,
-    /// A count call ends unanswered after this.
+    /// A call to the counter counts as unanswered after this time.
     pub count_timeout: Micros,
-    /// Messages a second that a gateway takes in from the others; 0: none may be sent.
+    /// Messages a second that a gateway accepts from other gateways; 0: gateways send none.
     pub peers_per_s: f64,
-    /// The largest request in units.
+    /// Units of the largest request.
     pub most_units: f64,
-    /// List changes must be asked for.
+    /// Changes of the server list come only after [`Action::Subscribe`].
     pub must_subscribe: bool,
-    /// How long past its deadline a final answer still counts.
+    /// How long after its deadline a final answer still counts.
     pub answer_slack: Micros,
-    /// A server starts at no less than this part of its capacity.
+    /// The fraction of its capacity that a server has when it starts.
     pub cold_from: f64,
-    /// A server is warm after this.
+    /// Time from a server's start until it has its full capacity.
     pub cold: Micros,
-    /// A cold server falls over when sent this many times its present capacity,
+    /// A cold server is overloaded by this multiple of its present capacity
     pub fall_multiple: f64,
-    /// for this long.
+    /// if that lasts this long.
     pub tip_after: Micros,
     /// The shortest gap between two calls of the module.
     pub tick: Micros,
-    /// The budget of further attempts, by service; `None`: the module's own.
+    /// Budget of retries for each service; `None`: the module's own budget.
     pub retries: Option<RetryBudget>,
-    /// The counter keeps the quotas' stores itself: a request is drawn, and what its store has left is heard.
+    /// The counter keeps each quota's token bucket itself: a request draws from it and hears what is left. If
+    /// false, the counter adds up counts.
     pub counter_buckets: bool,
-    /// The same: what the rules let tenants have beyond their quotas.
+    /// With `counter_buckets`: what may be admitted beyond quotas while the counter does not answer.
     pub allowance: Allowance,
-    /// How long the breaker over the counter stays open before one request probes; `None`: the module's own.
+    /// How long a circuit breaker over the counter stays open before one request probes it; `None`: the
+    /// module's own time.
     pub cooldown: Option<Micros>,
-    /// An attempt is given up no sooner than its request.
+    /// Attempts are never given up before their request's deadline.
     pub wait_to_deadline: bool,
-    /// What is added to the module's time for the windows of counts, so that all gateways have the same.
+    /// Added to the module's clock to place the windows of counts, so that all gateways use the same windows.
     pub clock_offset: Micros,
 }
 
-/// A budget of further attempts.
+/// A budget of retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// What each request earns.
+    /// Retries earned by each request.
     pub share: f64,
-    /// The most that is saved up.
+    /// The most retries saved up.
     pub saved: f64,
 }
 
-/// Whether a server takes new work, as the list tells it.
+/// Whether a server takes new requests, by the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
-    /// It takes work.
+    /// It takes new requests.
     InService,
-    /// It finishes what it has.
+    /// It finishes the requests that it has.
     Draining,
-    /// It was taken away.
+    /// It was removed.
     Gone,
 }
 
-/// One line of the server list.
+/// One entry of the server list.
 #[derive(Clone, Debug)]
 pub struct ServerEntry {
     /// The server.
@@ -192,63 +195,63 @@
     pub cell: CellId,
     /// Its state.
     pub listed: Listed,
-    /// Its size against the others.
+    /// Its capacity relative to the other servers.
     pub weight: f64,
     /// When it last started; `None`: long ago.
     pub started: Option<Micros>,
 }
 
-/// What a list event holds.
+/// What a server list event contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// Only entries that changed.
     Changes,
     /// The complete list.
     Complete,
-    /// A call for the list or the subscription failed; the earlier list stays.
+    /// Fetching the list or subscribing failed; the earlier list stays valid.
     Failed,
 }
 
-/// How an attempt, a probe or a count call ended.
+/// How an attempt, a probe or a call to the counter ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Ok,
-    /// Answered with an error; may have run.
+    /// An error was answered; the request may have run.
     Error,
-    /// Turned away unseen.
+    /// The server refused it before running it.
     Rejected,
-    /// No answer in time; may have run.
+    /// No answer in time; it may have run.
     Timeout,
     /// No connection was made.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke; it may have run.
     Reset,
-    /// Called off; may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// The outcome proves that the attempt never ran.
+    /// Whether the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// What a server said of its load, where it did.
+/// A server's load, as far as it reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// Requests being handled.
     pub inflight: Option<f64>,
     /// Requests waiting.
     pub queue: Option<f64>,
-    /// Part of its cores in use.
+    /// Fraction of its cores in use.
     pub busy: Option<f64>,
 }
 
-/// A request that came in.
+/// A request that arrived.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
     /// Its id.
@@ -257,23 +260,23 @@
     pub class: ClassId,
     /// Its service.
     pub service: ServiceId,
-    /// The most attempts, where it has a bound of its own below that of the settings; 0: it has none.
+    /// The request's own limit on attempts, if below that of the settings; 0: none.
     pub max_attempts: usize,
     /// Its customer's plan.
     pub plan: PlanId,
     /// Its customer.
     pub customer: CustomerId,
-    /// Through how many gateways this customer's requests come.
+    /// How many gateways this customer's requests come through.
     pub spread: u32,
-    /// The client gives up then.
+    /// When the client gives up.
     pub deadline: Micros,
-    /// Its units.
+    /// Units that it takes from the quota.
     pub units: f64,
-    /// The first of those gateways, by number; the others follow, counted round.
+    /// Number of the first of the customer's gateways; the others have the numbers after it, wrapping around.
     pub first: u32,
-    /// The client repeats a try that was refused, failed or given up (where clients say so).
+    /// The client marked it as the repeat of a request that was refused, failed or given up.
     pub resent: bool,
-    /// Its body is passed on as it comes, so it can be sent once.
+    /// Its body is streamed to the server as it arrives, so only one attempt is possible.
     pub once: bool,
 }
 
@@ -282,144 +285,146 @@
 pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
-    /// Which of its attempts.
+    /// Index of the attempt in its request.
     pub attempt: usize,
     /// The server.
     pub server: ServerId,
-    /// How.
+    /// How it ended.
     pub outcome: Outcome,
-    /// How long it was out.
+    /// How long it was in flight.
     pub took: Micros,
     /// The request has had its final answer.
     pub ended: bool,
-    /// The true units, where they are settled afterwards.
+    /// Units that the request really took, where that is known only afterwards.
     pub actual_units: Option<f64>,
     /// The server's load report.
     pub report: Report,
 }
 
-/// The part of its work that a zone gets, by an order that holds for all gateways.
+/// The fraction of its usual work that a zone gets; the same for all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneShare {
-    /// From 0 (nothing new) to 1 (its whole part).
+    /// From 0 (no new requests) to 1 (all of its usual work).
     pub weight: f64,
-    /// It gets more all the same where no other zone can serve: the order can't be called off for this gateway.
+    /// The zone gets more than its share where no other zone can serve. Set where this gateway can't hear
+    /// that the share was lifted.
     pub yields: bool,
 }
 
-/// What a gateway is told.
+/// What happened, as the gateway reports it.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the server list.
     Servers(ListScope, Vec<ServerEntry>),
-    /// A request came in.
+    /// A request arrived.
     Request(Arrival),
-    /// A timer came due.
+    /// A timer that the module set has expired.
     Timer(TimerId),
-    /// A streamed answer has started; the request is the client's now.
+    /// A streamed answer has started, so the request can't be retried any more.
     StreamStarted(RequestId),
-    /// The client is gone.
+    /// The client has disconnected.
     ClientGone(RequestId),
     /// A probe ended.
     Probed(ServerId, Outcome, Report),
-    /// A count call ended, with the total where it was answered: the so many-th (from 0) of the calls still out for that
-    /// name, in the order in which they were made.
+    /// A call to the counter ended, with the total if it was answered. The index counts the pending calls for
+    /// that name from 0 in the order in which they were made.
     Counted(CountName, usize, Outcome, f64),
-    /// The counter has told this gateway's share of what that name counts, for when it can't be reached.
+    /// The counter assigned this gateway a share (0 to 1) of that name's quota, for when the counter can't be
+    /// reached.
     Share(CountName, f64),
-    /// With an answer that is told next, the same call's: the servers of the request's service that answer soonest, and in
-    /// what time, as is known where all gateways ask.
+    /// Comes before the [`Event::Counted`] of the same call: the servers of the request's service that answer
+    /// soonest by what all gateways report, each with the time that it takes.
     FastestServers(CountName, usize, Vec<(ServerId, Micros)>),
-    /// Whether this gateway hears nobody: others may use its shares meanwhile.
+    /// Whether this gateway has lost contact with all others. They may use its shares of quotas meanwhile.
     Isolated(bool),
-    /// A message from another gateway, by its number.
+    /// A message from the gateway of that number.
     Peer(u32, Vec<u8>),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The last byte came of a request whose body is passed on.
+    /// The last byte of a request body that is streamed to a server has arrived.
     BodyComplete(RequestId),
-    /// An answer that was being passed on, whose attempt had ended well, broke off at this server.
+    /// The attempt had ended well, but the server broke off while the response was being passed on.
     ResponseBroken(ServerId),
-    /// New rules for what comes from now on.
+    /// New rules for requests that arrive from now on.
     Rules(Rules),
-    /// The parts that zones get from now on, by order; those not named have their whole part.
+    /// The shares of zones from now on. Zones that are not named have their whole share.
     ZoneShares(Vec<(ZoneId, ZoneShare)>),
-    /// What an earlier process of this gateway knew.
+    /// What an earlier process of this gateway had learned.
     Learned(LearnedState),
-    /// This gateway is to end: all that is open must have its answer by then.
+    /// This gateway ends at that time; every open request must be answered by then.
     ShutDown(Micros),
 }
 
-/// What a gateway has learned of the servers, for the process that takes over from it.
+/// What a gateway has learned of the servers, for the process that replaces it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// When this was so, Unix time.
+    /// When this was measured, in Unix time.
     pub at: Micros,
-    /// Units a second that a warm server gets from this gateway, for its weight.
+    /// Units a second that a warm server gets from this gateway for each unit of weight.
     pub per_weight: f64,
-    /// Of each server: the bound on attempts out, and the usual time to answer, in microseconds.
+    /// For each server: the limit on attempts in flight, and the usual time to answer in microseconds.
     pub servers: Vec<(ServerId, f64, f64)>,
 }
 
-/// Rules that may change while a gateway runs. What is open keeps those under which it came.
+/// Rules that may change while a gateway runs. Open requests keep the rules under which they arrived.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// The classes. One that a request may still have keeps its place and is as it was; changed ones are new.
+    /// The classes. Those that open requests may have keep their index and content; changed classes are
+    /// added.
     pub classes: Vec<Class>,
     /// The most attempts for one request.
     pub max_attempts: usize,
-    /// What all gateways have in common, where that may change.
+    /// Settings shared by all gateways, where they may change.
     pub common: Option<SharedSettings>,
 }
 
-/// What all gateways have in common.
+/// Settings shared by all gateways.
 #[derive(Clone, Debug)]
 pub struct SharedSettings {
-    /// The plans; each keeps its place.
+    /// The plans; each keeps its index.
     pub plans: Vec<Plan>,
     /// Number of gateways.
     pub gateways: u32,
     /// This gateway's number among them.
     pub me: u32,
-    /// The budget of further attempts.
+    /// Budget of retries for each service.
     pub retries: Option<RetryBudget>,
     /// See [`Settings::clock_offset`].
     pub clock_offset: Micros,
 }
 
-/// What a gateway does.
+/// What the gateway must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt, to be given up at that time.
+    /// Send an attempt to a server and give it up at that time.
     Send(RequestId, ServerId, Micros),
-    /// Final answer: refused, with advice when to come back.
+    /// Final answer: refused, with a retry-after where there is one.
     Refuse(RequestId, Option<Micros>),
-    /// Final answer: failed.
+    /// Final answer: failed; it may have run.
     Fail(RequestId),
-    /// Call off an attempt.
+    /// Cancel the attempt of that index.
     Cancel(RequestId, usize),
     /// Ask a server for its load.
     Probe(ServerId),
-    /// Add to a count that lives that long, and hear the total.
+    /// Add units to a count that the counter keeps for that time, and report the total.
     Count(CountName, f64, Micros),
-    /// Where the counter keeps the stores: take so many units from one if it holds them. What it holds then is heard, below
-    /// nothing where it did not hold them. What is wanted is for a request of that service, which goes on only to a server
-    /// that answers within that time; or for none.
+    /// With `counter_buckets`: take units from a token bucket if it holds them. The answer is what the bucket
+    /// holds then, or a negative number if it held too little. The draw is for a request of that service,
+    /// which is sent only to a server that answers within that time. Both are zero if it is for no request.
     Draw(CountName, f64, (ServiceId, Micros)),
-    /// The same: so many units were used without a word of the counter's; fewer than none where units that were drawn
-    /// were not used.
+    /// With `counter_buckets`: units were used without a draw; negative if drawn units were not used.
     Charge(CountName, f64),
-    /// Send a message of up to 256 bytes to another gateway.
+    /// Send a message of up to 256 bytes to the gateway of that number.
     Tell(u32, Vec<u8>),
-    /// Wake the module after this time.
+    /// Report [`Event::Timer`] after this time.
     SetTimer(TimerId, Micros),
-    /// Ask for changes of the server list.
+    /// Subscribe to changes of the server list.
     Subscribe,
-    /// Ask for the whole server list.
+    /// Fetch the whole server list.
     FetchList,
 }
 
-/// Settings that make no sense.
+/// Invalid settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
@@ -431,20 +436,20 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Whether these settings make sense.
+    /// Checks that these settings are valid.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let fail = |what: &str| Err(SettingsError(what.to_string()));
-        let sound = |v: f64| v.is_finite() && v >= 0.0;
+        let fail = |reason: &str| Err(SettingsError(reason.to_string()));
+        let valid = |v: f64| v.is_finite() && v >= 0.0;
         if self.gateways == 0 || self.me >= self.gateways {
             return fail("gateways: expected at least one, and this one's number below it");
         }
         if self.max_attempts == 0 {
             return fail("max_attempts: expected at least 1");
         }
-        if ![self.cold_from, self.fall_multiple, self.most_units, self.peers_per_s].into_iter().all(sound) {
+        if ![self.cold_from, self.fall_multiple, self.most_units, self.peers_per_s].into_iter().all(valid) {
             return fail("cold_from, fall_multiple, most_units, peers_per_s: expected numbers of 0 or more");
         }
-        if !self.classes.iter().all(|c| sound(c.worth) && sound(c.late_worth) && c.deadline.0 > 0) {
+        if !self.classes.iter().all(|c| valid(c.worth) && valid(c.late_worth) && c.deadline.0 > 0) {
             return fail("class: expected a worth of 0 or more and a deadline above 0");
         }
         if self.peers_per_s > 0.0 && self.gateways.max(self.plans.len() as u32) > u32::from(u16::MAX) {
@@ -453,7 +458,7 @@
         for p in &self.plans {
             let quota = [p.rate, p.burst, p.open, p.ceiling_rate, p.ceiling_burst, p.ceiling_slack];
             let worth = [p.price, p.over_worth, p.over_cost];
-            if !quota.into_iter().chain(worth).all(sound) {
+            if !quota.into_iter().chain(worth).all(valid) {
                 return fail("plan: expected numbers of 0 or more");
             }
             if p.rate > 0.0 && p.burst <= 0.0 || p.ceiling_rate > 0.0 && p.ceiling_burst <= 0.0 {
--- a/crates/starlinghill-decision/src/bucket.rs
+++ b/crates/starlinghill-decision/src/bucket.rs
@@ -2,12 +2,13 @@
 
 use crate::api::Micros;
 
-/// A store of units that fills at a rate. It may go below nothing where the caller lets it.
+/// A token bucket in units; the rate is per second. Callers may let the level fall below zero.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TokenBucket {
     pub(crate) level: f64,
     pub(crate) depth: f64,
     pub(crate) rate: f64,
+    /// When the level was last updated.
     pub(crate) at: Micros,
 }
 
@@ -16,6 +17,7 @@
         self.level = (self.level + self.rate * (now - self.at).secs()).min(self.depth);
         self.at = now.max(self.at);
     }
+    /// Takes the units if the bucket holds them; returns whether it did.
     pub(crate) fn take(&mut self, now: Micros, units: f64) -> bool {
         self.fill(now);
         let enough = self.level >= units;
--- a/crates/starlinghill-decision/src/calls.rs
+++ b/crates/starlinghill-decision/src/calls.rs
@@ -1,41 +1,46 @@
-//! Calls to the counter whose answers are still to come. Nothing here decides.
+//! Calls to the counter that are not answered yet. Nothing here decides.
 
 use crate::api::*;
 use starlinghill_rate_limit::tally::{Fate, Post};
 
-/// What a count is for.
+/// What a call counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
+    /// Units in the customer's window.
     Window,
+    /// The customer's requests in flight.
     Open,
-    /// Of a customer that comes through many gateways: what it asks for, and what its ceiling has for all to take.
+    /// For customers whose requests come through many gateways: the units asked for, and units of a ceiling's
+    /// turn.
     Demand,
     Turn,
 }
 
-/// One call to the counter whose answer is still to come.
+/// A call to the counter that is not answered yet.
 #[derive(Debug)]
 pub(crate) struct Call {
+    /// When it was made.
     pub(crate) at: Micros,
     pub(crate) purpose: Purpose,
     pub(crate) customer: CustomerId,
     pub(crate) request: Option<RequestId>,
-    /// The request's own units.
+    /// Units of the request that made it; 0 without a request.
     pub(crate) units: f64,
-    /// What it carries.
+    /// The units that it reports, of the request and of earlier ones.
     pub(crate) post: Post,
+    /// It is the probe of a half-open breaker.
     pub(crate) probe: bool,
 }
 
 impl Call {
-    /// A call for a request, of which nothing else is known.
+    /// A call for a request that is not a probe.
     pub(crate) fn new(at: Micros, purpose: Purpose, a: &Arrival, span: u64, amount: f64) -> Call {
         let (customer, request, units) = (a.customer, Some(a.id), a.units);
         Call { at, purpose, customer, request, units, post: Post::of(span, amount), probe: false }
     }
 }
 
-/// What an answer says of what its call carried.
+/// Whether the counter has added the units of a call, by the call's outcome.
 pub(crate) fn fate(outcome: Outcome) -> Fate {
     match outcome {
         Outcome::Ok => Fate::Counted,
@@ -44,14 +49,14 @@
     }
 }
 
-/// What came of asking for a request.
-pub(crate) enum Asked {
-    /// The counter is asked; its answer decides.
+/// The result of trying to call the counter for a request.
+pub(crate) enum CallDecision {
+    /// A call was made; its answer decides.
     Called,
-    /// It is not asked: what is known here decides.
-    Silent,
-    /// Known full: a call could only tell the same.
-    Full,
-    /// There is nothing to ask for.
-    Free,
+    /// No call was made; what this gateway knows decides.
+    NotCalled,
+    /// The limit is known to be reached, so no call was made.
+    KnownFull,
+    /// There is no limit to check.
+    NothingToAsk,
 }
--- a/crates/starlinghill-decision/src/fleet.rs
+++ b/crates/starlinghill-decision/src/fleet.rs
@@ -1,55 +1,56 @@
-//! How a gateway shares the servers with the other gateways.
+//! How gateways share the servers: see "Sharing of servers by many gateways" in `lib.rs`.
 
 use crate::api::*;
 use crate::context::Context;
 use crate::roster::Fleet;
 use crate::server::Server;
 
-/// Deterministic subsetting: servers in a gateway's own part of the fleet, at least, and for each unit a
-/// second that it sends on. More spreads its load better, fewer lets it learn of each in a second or two.
-const REACH_LEAST: f64 = 8.0;
-const REACH_FLOW: f64 = 1.0;
-/// The same where gateways outnumber the servers, and each has some. Wider parts cost connections.
-const REACH_FLOW_MANY: f64 = 0.25;
-/// Attempts that all gateways together may have out at one server when learning starts; no gateway starts
-/// with more than `LIMIT_START` of them. Low: a bound that must first be cut costs late answers.
-pub(crate) const FLEET_START: f64 = 6.0;
-/// Where learning of the bound on attempts out at one server starts, scaled to the gateway's part (`scale`).
-pub(crate) const LIMIT_START: f64 = 2.0;
+/// Deterministic subsetting: least number of servers in a gateway's subset, and servers added per unit a
+/// second that it sends. More spread its load better, fewer let it learn about each in a second or two.
+const SUBSET_MIN: f64 = 8.0;
+const SUBSET_PER_UNIT: f64 = 1.0;
+/// Used where there are at least as many gateways as servers. Larger subsets cost connections.
+const SUBSET_PER_UNIT_MANY: f64 = 0.25;
+/// Attempts at one server over all gateways when learning starts. No gateway starts with more than
+/// `INITIAL_LIMIT`. Low, because limits that must first be cut cost late answers.
+pub(crate) const INITIAL_FLEET_LIMIT: f64 = 6.0;
+/// A gateway's limit when learning starts, before `limit_scale`.
+pub(crate) const INITIAL_LIMIT: f64 = 2.0;
 
 impl Fleet {
-    /// How many servers are in this gateway's own part of the fleet.
-    pub(crate) fn reach(&self, cx: &Context) -> usize {
-        let many = cx.set.gateways as usize >= self.ring.len();
-        let flow = self.flow_rate(cx) * if many { REACH_FLOW_MANY } else { REACH_FLOW };
-        (REACH_LEAST + flow).min(self.ring.len() as f64) as usize
+    /// The number of servers in this gateway's subset.
+    pub(crate) fn subset_size(&self, cx: &Context) -> usize {
+        let many_gateways = cx.settings.gateways as usize >= self.ring.len();
+        let flow = self.flow_rate(cx) * if many_gateways { SUBSET_PER_UNIT_MANY } else { SUBSET_PER_UNIT };
+        (SUBSET_MIN + flow).min(self.ring.len() as f64) as usize
     }
 
-    /// This gateway's part in the bound at one server: one where few gateways share it, else by how many do.
-    pub(crate) fn scale(&self, cx: &Context) -> f64 {
-        let sharing = f64::from(cx.set.gateways) * self.reach(cx) as f64 / self.ring.len().max(1) as f64;
-        (FLEET_START / LIMIT_START / sharing.max(1e-9)).min(1.0)
+    /// Factor for this gateway's limits: 1 where few gateways share a server, else falling with their number.
+    pub(crate) fn limit_scale(&self, cx: &Context) -> f64 {
+        let gateways_per_server =
+            f64::from(cx.settings.gateways) * self.subset_size(cx) as f64 / self.ring.len().max(1) as f64;
+        (INITIAL_FLEET_LIMIT / INITIAL_LIMIT / gateways_per_server.max(1e-9)).min(1.0)
     }
 
-    /// So many gateways share the servers that bounds start below one attempt and say little.
-    pub(crate) fn sparse(&self, cx: &Context) -> bool {
-        LIMIT_START * self.scale(cx) < 1.0
+    /// Whether so many gateways share the servers that limits start below one attempt and say little.
+    pub(crate) fn is_sparse(&self, cx: &Context) -> bool {
+        INITIAL_LIMIT * self.limit_scale(cx) < 1.0
     }
 
-    /// The listed servers, this gateway's own part of the fleet first. Guards against learning nothing of any
-    /// server where each gateway sees few requests. The golden ratio spreads the parts evenly, also those of
-    /// gateways in a row, through which one customer comes.
-    pub(crate) fn own_part_first(&self, cx: &Context) -> impl Iterator<Item = ServerId> + '_ {
-        let start = (f64::from(cx.set.me) * 0.618_033_988_749_895).fract() * self.ring.len() as f64;
+    /// The listed servers, this gateway's subset first. Without subsets each gateway would see too few
+    /// requests to learn anything of any server. The golden ratio spreads the subsets evenly, also those of
+    /// gateways with consecutive numbers, through which one customer comes.
+    pub(crate) fn own_subset(&self, cx: &Context) -> impl Iterator<Item = ServerId> + '_ {
+        let start = (f64::from(cx.settings.me) * 0.618_033_988_749_895).fract() * self.ring.len() as f64;
         self.ring.iter().cycle().skip(start as usize).take(self.ring.len()).copied()
     }
 
-    /// It may have the present request, by its health and its zone's part.
-    pub(crate) fn takes(&self, cx: &Context, s: &Server) -> bool {
-        self.healthy(cx, s) && !self.zones.is_shut(s.zone)
+    /// Whether a server may get the present request by its health and its zone's share.
+    pub(crate) fn accepts(&self, cx: &Context, s: &Server) -> bool {
+        self.healthy(cx, s) && !self.zones.is_excluded(s.zone)
     }
 
     pub(crate) fn healthy(&self, cx: &Context, s: &Server) -> bool {
-        cx.now >= s.ejected_until && (!s.trial || s.out < 1.0)
+        cx.now >= s.ejected_until && (!s.trial || s.in_flight < 1.0)
     }
 }
--- a/crates/starlinghill-decision/src/guards.rs
+++ b/crates/starlinghill-decision/src/guards.rs
@@ -1,4 +1,4 @@
-//! Guards of the rules: what a request still allows. Every send and every refusal passes here.
+//! What a request still allows. Every send and every refusal is checked here.
 
 use crate::api::*;
 use crate::context::Context;
@@ -6,40 +6,42 @@
 use crate::server::Server;
 use std::collections::BTreeMap;
 
-/// A request goes on if the server that answers soonest does so within this part of the aim, as far as is
-/// known: the rest is for the way there and back. Its client has asked before if it waits for less than that
-/// part of what its class may take: such a one goes first, since refused again it is lost.
-const SOON_PART: f64 = 0.65;
-const BACK_PART: f64 = 0.8;
-const WHOLE_PART: f64 = 0.9;
+/// A request is sent only if the server that answers soonest is known to do so within this fraction of the
+/// target; the rest is for the way there and back. The larger fraction is for repeats, which have less than
+/// `REPEAT_DEADLINE_PART` of the class's deadline left and are lost if refused again.
+const FIRST_TRY_PART: f64 = 0.65;
+const REPEAT_PART: f64 = 0.8;
+const REPEAT_DEADLINE_PART: f64 = 0.9;
 
 impl Context {
-    /// Within what time a server must answer a request that has just come.
+    /// The time within which a server must answer a request that has just arrived.
     pub(crate) fn within(&self, a: &Arrival) -> Micros {
-        let class = &self.set.classes[a.class.0];
-        let came_back = a.deadline - self.now < class.deadline.times(WHOLE_PART);
-        class.target.times(if came_back { BACK_PART } else { SOON_PART })
+        let class = &self.settings.classes[a.class.0];
+        let repeat = a.deadline - self.now < class.deadline.times(REPEAT_DEADLINE_PART);
+        class.target.times(if repeat { REPEAT_PART } else { FIRST_TRY_PART })
     }
 }
 
 impl Request {
-    /// Whether this request may go to this server now: lists, drains, effect, copies. For cold ones see
-    /// `pick`.
-    pub(crate) fn may_go(&self, cx: &Context, servers: &BTreeMap<ServerId, Server>, s: &Server) -> bool {
-        let class = &cx.set.classes[self.a.class.0];
-        let over =
-            self.done || self.streaming || cx.now >= self.a.deadline || self.attempts.len() >= self.most;
-        let second = self.is_out() && !cx.set.second_copies;
+    /// Whether an attempt may go to this server now, by its listing and by the request's effect, deadline and
+    /// attempts so far. `pick` checks cold servers.
+    pub(crate) fn may_use(&self, cx: &Context, servers: &BTreeMap<ServerId, Server>, s: &Server) -> bool {
+        let class = &cx.settings.classes[self.arrival.class.0];
+        let over = self.done
+            || self.streaming
+            || cx.now >= self.arrival.deadline
+            || self.attempts.len() >= self.max_attempts;
+        let second = self.any_in_flight() && !cx.settings.second_copies;
         if over || second || !s.listed {
             return false;
         }
-        let mut ran = self.attempts.iter().filter(|a| a.out || a.may_have_run);
+        let mut ran = self.attempts.iter().filter(|a| a.in_flight || a.may_have_run);
         match class.effect {
             Effect::Safe => true,
             Effect::Unsafe => ran.next().is_none(),
-            // The window counts from the first send that may have run, less a tick on the way.
+            // Counted from the first send that may have run, less two ticks for the way.
             Effect::Keyed => ran.all(|a| {
-                cx.now + cx.set.tick + cx.set.tick < a.sent + class.window
+                cx.now + cx.settings.tick + cx.settings.tick < a.sent + class.window
                     && match (class.group, servers.get(&a.server)) {
                         (Group::All, _) => true,
                         (Group::Zone, first) => first.is_some_and(|first| first.zone == s.zone),
@@ -49,10 +51,10 @@
         }
     }
 
-    /// Whether trying again is harmless for the client.
+    /// Whether a client may safely send this request again.
     pub(crate) fn may_refuse(&self, cx: &Context) -> bool {
-        let class = &cx.set.classes[self.a.class.0];
-        let ran = self.attempts.iter().any(|a| a.out || a.may_have_run);
+        let class = &cx.settings.classes[self.arrival.class.0];
+        let ran = self.attempts.iter().any(|a| a.in_flight || a.may_have_run);
         !self.streaming
             && match class.effect {
                 Effect::Safe => true,
--- a/crates/starlinghill-decision/src/lifecycle.rs
+++ b/crates/starlinghill-decision/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! What is no traffic: a gateway's start, what changes while it runs, and its end.
+//! A gateway's start, changes while it runs, uploads, and its end.
 
 use crate::admission::Admission;
 use crate::api::*;
@@ -9,92 +9,93 @@
 use crate::services::Fleets;
 
 impl Context {
-    /// A request as it stands under the rules of the moment: none waits beyond the gateway's end.
-    pub(crate) fn under_rules(&self, a: Arrival) -> Arrival {
-        Arrival { deadline: a.deadline.min(self.closing.unwrap_or(a.deadline)), ..a }
+    /// Limits a request's deadline to the gateway's end.
+    pub(crate) fn cap_deadline(&self, a: Arrival) -> Arrival {
+        Arrival { deadline: a.deadline.min(self.shut_down_at.unwrap_or(a.deadline)), ..a }
     }
 }
 
 impl Fleet {
-    /// Changes what is out at a server.
-    fn bears(&mut self, server: ServerId, change: f64) {
+    /// Changes the number of attempts in flight at a server.
+    fn adjust_in_flight(&mut self, server: ServerId, change: f64) {
         if let Some(s) = self.servers.get_mut(&server) {
-            s.out = (s.out + change).max(0.0);
-            self.out_now = (self.out_now + change).max(0.0);
+            s.in_flight = (s.in_flight + change).max(0.0);
+            self.in_flight = (self.in_flight + change).max(0.0);
         }
     }
 }
 
 impl Gateway {
-    /// A gateway as it starts, knowing nothing but its settings.
+    /// A gateway that knows nothing but its settings.
     pub fn new(seed: u64, set: Settings) -> Result<Gateway, SettingsError> {
         set.check()?;
         let cx = Context::new(seed, set);
-        let (admission, fleet) = (Admission::new(cx.set.gateways), Fleets::default());
-        let mut new = Gateway { cx, admission, fleet, ..Gateway::default() };
-        // Goes out with the first event, whichever that is.
+        let (admission, fleets) = (Admission::new(cx.settings.gateways), Fleets::default());
+        let mut new = Gateway { cx, admission, fleets, ..Gateway::default() };
+        // These actions are returned with the first event.
         new.cx.timer(Timer::Sweep, FORGET);
-        new.cx.out.extend(new.cx.set.must_subscribe.then_some(Action::Subscribe));
+        new.cx.actions.extend(new.cx.settings.must_subscribe.then_some(Action::Subscribe));
         Ok(new)
     }
 
-    /// How many things it keeps in mind. Comes back down when traffic does.
+    /// Number of entries that are kept; falls again when traffic does.
     pub fn tracked_items(&self) -> usize {
-        let told = self.fleet.tracked_items() + self.requests.len() + self.admission.tracked_items();
-        told + self.cx.timers.len() + self.held.len()
+        let sizes = self.fleets.tracked_items() + self.requests.len() + self.admission.tracked_items();
+        sizes + self.cx.timers.len() + self.held.len()
     }
 
-    /// Takes new rules for what comes from now on. Rules under which an open request came are kept, whatever was
-    /// handed in: guards against another effect for one that has run. Rules that make no sense change nothing.
+    /// Applies new rules to requests that arrive from now on. Classes of open requests are kept whatever the
+    /// new rules contain, as a request that has run must not get another effect. Invalid rules change
+    /// nothing.
     pub(crate) fn on_rules(&mut self, rules: Rules) {
         let mut set =
-            Settings { classes: rules.classes, max_attempts: rules.max_attempts, ..self.cx.set.clone() };
+            Settings { classes: rules.classes, max_attempts: rules.max_attempts, ..self.cx.settings.clone() };
         if let Some(common) = rules.common {
             let SharedSettings { plans, gateways, me, retries, clock_offset } = common;
             set = Settings { plans, gateways, me, retries, clock_offset, ..set };
         }
-        let open = self.requests.values().map(|r| r.a.class.0);
-        let kept = open.max().map_or(0, |highest| highest + 1).min(self.cx.set.classes.len());
-        for (place, class) in self.cx.set.classes[..kept].iter().enumerate() {
-            match set.classes.get_mut(place) {
+        let open = self.requests.values().map(|r| r.arrival.class.0);
+        let unchanged = open.max().map_or(0, |highest| highest + 1).min(self.cx.settings.classes.len());
+        for (index, class) in self.cx.settings.classes[..unchanged].iter().enumerate() {
+            match set.classes.get_mut(index) {
                 Some(new) => *new = class.clone(),
                 None => set.classes.push(class.clone()),
             }
         }
         if set.check().is_ok() {
-            self.cx.set = set;
+            self.cx.settings = set;
         }
     }
 
-    /// An attempt whose body is passed on loads its server from its last byte on. Guards against a few clients that send
-    /// slowly holding all that may be out at the servers.
-    pub(crate) fn still_comes(&mut self, id: RequestId, server: ServerId) {
-        if let Some(r) = self.requests.get_mut(&id).filter(|r| r.a.once) {
-            r.coming = true;
-            self.fleet.with(server).bears(server, -1.0);
+    /// An attempt whose body is streamed counts as in flight at its server only from its last byte on. Guards
+    /// against a few clients that send slowly and use up the servers' limits.
+    pub(crate) fn upload_started(&mut self, id: RequestId, server: ServerId) {
+        if let Some(r) = self.requests.get_mut(&id).filter(|r| r.arrival.once) {
+            r.uploading = true;
+            self.fleets.of_server(server).adjust_in_flight(server, -1.0);
         }
     }
 
-    /// Its last byte came, or its attempt ended.
-    pub(crate) fn came_whole(&mut self, id: RequestId) {
+    /// The last byte of a streamed body arrived, or its attempt ended.
+    pub(crate) fn upload_complete(&mut self, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let out = r.attempts.iter().find(|a| a.out).map(|a| a.server);
-        if let (true, Some(server)) = (std::mem::take(&mut r.coming), out) {
-            self.fleet.with(server).bears(server, 1.0);
+        let out = r.attempts.iter().find(|a| a.in_flight).map(|a| a.server);
+        if let (true, Some(server)) = (std::mem::take(&mut r.uploading), out) {
+            self.fleets.of_server(server).adjust_in_flight(server, 1.0);
         }
     }
 
-    /// All that is open, or still comes, must have its answer by then. Guards against what the end of the process
-    /// would leave without one.
-    pub(crate) fn on_closing(&mut self, by: Micros) {
-        if self.cx.closing.is_none() {
-            self.cx.closing = Some(by);
+    /// Sets the time by which every open and new request must be answered. Without it the end of the process
+    /// would leave requests without an answer.
+    pub(crate) fn on_shut_down(&mut self, by: Micros) {
+        if self.cx.shut_down_at.is_none() {
+            self.cx.shut_down_at = Some(by);
             self.cx.timer(Timer::Closing, by - self.cx.now);
         }
     }
 
-    /// Gives up what is still open.
-    pub(crate) fn close(&mut self) {
+    /// Answers all requests that are still open.
+    pub(crate) fn refuse_open(&mut self) {
         let open: Vec<RequestId> =
             self.requests.iter().filter(|(_, r)| !r.done && !r.streaming).map(|(&id, _)| id).collect();
         open.into_iter().for_each(|id| self.refuse(id));
--- a/crates/starlinghill-decision/src/request.rs
+++ b/crates/starlinghill-decision/src/request.rs
@@ -8,42 +8,45 @@
 pub(crate) struct Attempt {
     pub(crate) server: ServerId,
     pub(crate) sent: Micros,
-    pub(crate) out: bool,
+    pub(crate) in_flight: bool,
+    /// Its outcome does not prove that it never ran.
     pub(crate) may_have_run: bool,
 }
 
-/// A request from its arrival until it has its answer and nothing of it is out.
+/// A request, kept until it is answered and none of its attempts or calls is pending.
 #[derive(Debug, Default)]
 pub(crate) struct Request {
-    pub(crate) a: Arrival,
+    pub(crate) arrival: Arrival,
     pub(crate) arrived: Micros,
-    /// The most attempts, by the rules under which it came.
-    pub(crate) most: usize,
+    /// The most attempts, by the rules under which it arrived.
+    pub(crate) max_attempts: usize,
     pub(crate) attempts: Vec<Attempt>,
-    /// The servers that were named for it, each with the time in which it answers, and when they were.
-    pub(crate) rooms: Vec<(ServerId, Micros)>,
-    pub(crate) rooms_at: Micros,
-    /// Window whose count holds this request's units, until the first send.
-    pub(crate) counted: Option<u64>,
-    /// It holds a place in the customer's attempts out.
-    pub(crate) holds_place: bool,
-    /// Count calls made for it whose answers are still to come.
-    pub(crate) asking: u32,
+    /// The servers that the counter suggested, with the time that each takes to answer, and when it did so.
+    pub(crate) fastest: Vec<(ServerId, Micros)>,
+    pub(crate) fastest_at: Micros,
+    /// The window whose count holds this request's units; `None` once an attempt was sent.
+    pub(crate) counted_span: Option<u64>,
+    /// It counts as one of the customer's requests in flight.
+    pub(crate) holds_slot: bool,
+    /// Calls to the counter that are not answered yet.
+    pub(crate) calls_pending: u32,
+    /// Since when it waits for a free server.
     pub(crate) held_since: Option<Micros>,
     pub(crate) streaming: bool,
-    /// Its body still comes, and its attempt is no load to its server yet.
-    pub(crate) coming: bool,
+    /// Its body is still being uploaded, so its attempt does not count as in flight at the server yet.
+    pub(crate) uploading: bool,
+    /// It has its final answer.
     pub(crate) done: bool,
 }
 
 impl Request {
-    /// In what time the soonest of the servers named for it answers, where that was heard just now.
+    /// The least time in which a suggested server answers, if the suggestion has just arrived.
     pub(crate) fn soonest(&self, cx: &Context) -> Option<Micros> {
-        self.rooms.iter().filter(|_| cx.now == self.rooms_at).map(|(_, takes)| *takes).min()
+        self.fastest.iter().filter(|_| cx.now == self.fastest_at).map(|(_, takes)| *takes).min()
     }
 
-    /// An attempt of it is out.
-    pub(crate) fn is_out(&self) -> bool {
-        self.attempts.iter().any(|a| a.out)
+    /// Whether an attempt is in flight.
+    pub(crate) fn any_in_flight(&self) -> bool {
+        self.attempts.iter().any(|a| a.in_flight)
     }
 }
--- a/crates/starlinghill-decision/src/zones.rs
+++ b/crates/starlinghill-decision/src/zones.rs
@@ -1,9 +1,9 @@
-//! Zones by order: the part of its work that each zone gets, as the group has decided it for all gateways.
-//! It can hold a gateway back from a zone, and never lead it past its own list, health, or what cold servers
-//! bear.
+//! Zone shares: the fraction of its usual work that each zone gets, as the control group decides for all
+//! gateways. A share only withholds work. It sends none to unlisted or unhealthy servers, and cold ones get
+//! no more than their part.
 //!
-//! A zone's part is drawn by chance for each request, so that all gateways together come to it without a
-//! word. A repeat is kept from what is out alone: a keyed one may have no other servers that know its key.
+//! Each request draws at random which zones it avoids, so the sum over all gateways comes out right without
+//! messages. Retries avoid only zones with a share of 0: only servers there may know a request's key.
 
 use crate::api::*;
 use crate::context::Context;
@@ -11,50 +11,50 @@
 use crate::roster::Fleet;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The parts, and which zones the present request is kept from.
+/// Zone shares, and the zones that the present request avoids.
 #[derive(Debug, Default)]
 pub(crate) struct Zones {
     parts: BTreeMap<ZoneId, ZoneShare>,
-    shut: BTreeSet<ZoneId>,
+    excluded: BTreeSet<ZoneId>,
 }
 
 impl Zones {
-    /// New parts hold from now on. Zones that are not named have their whole part.
-    pub(crate) fn follow(&mut self, parts: Vec<(ZoneId, ZoneShare)>) {
+    /// Replaces all shares. Zones that are not named have their whole share.
+    pub(crate) fn update(&mut self, parts: Vec<(ZoneId, ZoneShare)>) {
         let sound = |(_, part): &(ZoneId, ZoneShare)| part.weight.is_finite() && part.weight < 1.0;
         self.parts = parts.into_iter().filter(sound).collect();
-        self.shut.clear();
+        self.excluded.clear();
     }
 
-    /// The present request is kept from this zone.
-    pub(crate) fn is_shut(&self, zone: ZoneId) -> bool {
-        self.shut.contains(&zone)
+    /// Whether the present request avoids this zone.
+    pub(crate) fn is_excluded(&self, zone: ZoneId) -> bool {
+        self.excluded.contains(&zone)
     }
 }
 
 impl Fleet {
-    /// Draws which zones a request is kept from. A zone whose part yields opens where no other one can serve.
+    /// Draws the zones that a request avoids. A zone whose share `yields` is used where no other can serve.
     pub(crate) fn draw_zones(&mut self, cx: &mut Context, r: &Request) {
         if self.zones.parts.is_empty() {
             return;
         }
         let first = r.attempts.is_empty();
-        self.zones.shut.clear();
+        self.zones.excluded.clear();
         for (zone, part) in &self.zones.parts {
             let least = if first { cx.rng.f64() } else { 0.0 };
             if part.weight <= least {
-                self.zones.shut.insert(*zone);
+                self.zones.excluded.insert(*zone);
             }
         }
         let mut usable = self.servers.values().filter(|s| s.listed && self.healthy(cx, s));
-        if !usable.any(|s| !self.zones.is_shut(s.zone)) {
+        if !usable.any(|s| !self.zones.is_excluded(s.zone)) {
             let parts = &self.zones.parts;
-            self.zones.shut.retain(|zone| parts.get(zone).is_some_and(|part| !part.yields));
+            self.zones.excluded.retain(|zone| parts.get(zone).is_some_and(|part| !part.yields));
         }
     }
 
-    /// A repeat may not go to this zone, whatever is drawn.
-    pub(crate) fn is_out(&self, zone: ZoneId) -> bool {
+    /// Whether retries must avoid this zone, whatever is drawn.
+    pub(crate) fn is_drained(&self, zone: ZoneId) -> bool {
         self.zones.parts.get(&zone).is_some_and(|part| part.weight <= 0.0 && !part.yields)
     }
 }
