--- a/crates/starlinghill-estimate/src/server_capacity.rs
+++ b/crates/starlinghill-estimate/src/server_capacity.rs
@@ -1,13 +1,13 @@
-//! What servers were seen to bear from this gateway, which is the measure for cold ones.
+//! The load that warm servers were seen to handle from this gateway, as a measure for cold ones.
 
 use starlinghill_rate_limit::Micros;
 
-/// Time over which what warm servers bear is averaged.
+/// Time over which the load of warm servers is averaged, in seconds.
 const SPAN: f64 = 10.0;
-/// Where the warm servers have less than this part of the weight, what they get says little of what they bear.
+/// If warm servers have less than this fraction of the weight, their load says little about their capacity.
 const WARM_PART: f64 = 1.0 / 3.0;
 
-/// Units a second for each weight of a warm server, over the last moments in which enough of them were warm.
+/// Units a second for each unit of weight of a warm server, over recent times with enough warm servers.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServerCapacity {
     rate: f64,
@@ -15,23 +15,26 @@
 }
 
 impl ServerCapacity {
-    /// What an earlier process of this gateway saw.
+    /// Starts with the rate that an earlier process of this gateway measured.
     pub fn from_previous(rate: f64) -> ServerCapacity {
         ServerCapacity { rate, at: None }
     }
 
-    /// The rate that another process of this gateway could go by.
+    /// The measured rate, for the next process of this gateway.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// What a warm server gets from this gateway now, for its weight, or bore when enough of them were warm.
+    /// Returns the units a second that a warm server now gets from this gateway for each unit of weight, or
+    /// got when enough servers were warm. `flow` is what this gateway sends, in units a second; then the
+    /// weights of warm and of all servers.
     ///
-    /// Guards against a spiral: with nearly all servers cold, what goes out is bounded by the very figure that is
-    /// reckoned from it, and falls and falls. The same holds for a process that has sent nothing yet.
+    /// The remembered rate guards against a spiral. With nearly all servers cold, the result limits what is
+    /// sent, and what is sent is what the result is computed from, so both would keep falling. The same holds
+    /// for a process that has sent nothing yet.
     ///
-    /// Never less than `least`: guards against a start with every server cold and nothing known, where what is allowed would be
-    /// nothing, and so would what goes out.
+    /// The result is at least `least`. Otherwise a start with only cold servers and nothing remembered would
+    /// allow nothing, for ever.
     pub fn per_weight(&mut self, now: Micros, flow: f64, (warm, all): (f64, f64), least: f64) -> f64 {
         if warm <= 0.0 || warm < WARM_PART * all {
             return (flow / all.max(1e-9)).max(self.rate).max(least);
--- a/crates/starlinghill-estimate/tests/estimates.rs
+++ b/crates/starlinghill-estimate/tests/estimates.rs
@@ -1,4 +1,4 @@
-//! Estimates against simple worlds: a counter with a capacity, servers in and out of overload.
+//! Estimates in small simulations: a counter of limited capacity, servers in and out of overload.
 
 use starlinghill_estimate::counter_sampling::CounterSampling;
 use starlinghill_estimate::server_capacity::ServerCapacity;
@@ -10,14 +10,15 @@
     Micros(n * 1_000)
 }
 
-/// The time that there is for a call.
+/// The time limit of a call.
 const LIMIT: Micros = Micros(80_000);
 
-/// Gateways before a counter that answers so many calls a second and queues what is more; the mean share that asks at
-/// the end, and the share of calls that failed in the last second.
-fn settled(gateways: u32, per_gateway: u32, capacity: f64, seconds: u64, seed: u64) -> (f64, f64) {
+/// Simulates gateways that call a counter, which answers `capacity` calls a second and queues the rest.
+/// Returns the mean share of requests that call at the end, and the share of calls that failed in the last
+/// second.
+fn simulate_counter(gateways: u32, per_gateway: u32, capacity: f64, seconds: u64, seed: u64) -> (f64, f64) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut all: Vec<CounterSampling> = (0..gateways).map(|_| CounterSampling::of(gateways)).collect();
+    let mut all: Vec<CounterSampling> = (0..gateways).map(|_| CounterSampling::new(gateways)).collect();
     let (mut queue, mut last) = (0.0_f64, (0, 0));
     for tick in 0..seconds * 100 {
         let now = ms(tick * 10);
@@ -44,26 +45,26 @@
 }
 
 #[test]
-fn gateways_find_what_a_counter_bears_and_leave_it_room() {
+fn gateways_converge_to_the_call_rate_that_the_counter_can_answer() {
     for seed in 0..10 {
         // 100 gateways, 3,000 requests a second, a counter of 600 calls.
-        let (share, failed) = settled(100, 30, 600.0, 40, seed);
+        let (share, failed) = simulate_counter(100, 30, 600.0, 40, seed);
         println!("seed {seed}: share {share:.3}, failed {failed:.3}");
         assert!((0.1..0.3).contains(&share), "seed {seed}: {share}");
         assert!(failed < 0.2, "seed {seed}: {failed}");
-        // One that bears all is asked for nearly all.
-        let (share, failed) = settled(100, 30, 30_000.0, 40, seed);
+        // A counter that can answer all calls gets nearly all.
+        let (share, failed) = simulate_counter(100, 30, 30_000.0, 40, seed);
         assert!(share > 0.9 && failed == 0.0, "seed {seed}: {share}, {failed}");
     }
 }
 
 #[test]
-fn one_cut_answers_for_all_calls_that_were_out_and_nothing_falls_below_the_least() {
+fn one_cut_covers_all_pending_calls_and_the_share_never_falls_below_the_minimum() {
     let mut asking = CounterSampling::default();
     for _ in 0..50 {
         asking.call_overloaded(ms(0), ms(80));
     }
-    // The first cut's moment comes after all of them were made.
+    // The first cut comes after all of these calls were made.
     let once = asking.call_probability(1.0);
     assert!((0.7..0.9).contains(&once), "{once}");
     for i in 1..200 {
@@ -72,17 +73,17 @@
     assert!((asking.call_probability(1.0) - MIN_SHARE).abs() < 1e-9);
     assert!(!asking.has_spare_capacity());
     asking.call_answered(ms(2), LIMIT, true);
-    assert!(asking.call_probability(1.0) >= 0.5, "a probe that was answered begins anew");
+    assert!(asking.call_probability(1.0) >= 0.5, "an answered probe raises the share");
 }
 
 #[test]
-fn a_counter_that_is_slow_by_itself_is_asked_as_ever() {
+fn a_counter_that_is_always_slow_gets_all_calls() {
     let mut asking = CounterSampling::default();
     for _ in 0..500 {
         asking.call_answered(ms(60), LIMIT, false);
     }
     assert!(asking.has_spare_capacity());
-    // The same time where the best is far below it: calls queue.
+    // The same time is queueing where the least is far below it.
     let mut queued = CounterSampling::default();
     for i in 0..500 {
         queued.call_answered(ms(if i % 10 == 0 { 2 } else { 60 }), LIMIT, false);
@@ -90,33 +91,34 @@
     assert!(!queued.has_spare_capacity(), "{}", queued.call_probability(1.0));
 }
 
-/// What passes of 1,000 requests a second before servers that bring so many of them back in time.
-fn passing(throttle: &mut Throttle, from: u64, seconds: u64, bears: f64, seed: u64) -> f64 {
+/// The share of 1,000 requests a second that is admitted before servers that answer `capacity` of them in
+/// time.
+fn admitted_share(throttle: &mut Throttle, from: u64, seconds: u64, capacity: f64, seed: u64) -> f64 {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut went = 0;
+    let mut admitted = 0;
     for i in 0..seconds * 1_000 {
         let load = 1_000.0 * throttle.pass_share();
         if rng.f64() < throttle.pass_share() {
-            went += 1;
-            throttle.record(ms(from * 1_000 + i), load <= bears || rng.f64() < bears / load);
+            admitted += 1;
+            throttle.record(ms(from * 1_000 + i), load <= capacity || rng.f64() < capacity / load);
         }
     }
-    f64::from(went) / (seconds * 1_000) as f64
+    f64::from(admitted) / (seconds * 1_000) as f64
 }
 
 #[test]
-fn overload_is_shed_down_to_a_little_more_than_comes_back_and_passes_again_afterwards() {
+fn in_overload_little_more_is_admitted_than_comes_back_and_all_is_admitted_afterwards() {
     for seed in 0..20 {
         let mut throttle = Throttle::default();
-        assert_eq!(passing(&mut throttle, 0, 10, 1e9, seed), 1.0, "nothing is shed at rest");
-        passing(&mut throttle, 10, 20, 400.0, seed);
-        let part = passing(&mut throttle, 30, 10, 400.0, seed);
+        assert_eq!(admitted_share(&mut throttle, 0, 10, 1e9, seed), 1.0, "all is admitted without overload");
+        admitted_share(&mut throttle, 10, 20, 400.0, seed);
+        let part = admitted_share(&mut throttle, 30, 10, 400.0, seed);
         assert!((0.4..0.75).contains(&part), "seed {seed}: {part}");
-        passing(&mut throttle, 40, 20, 1e9, seed);
-        let after = passing(&mut throttle, 60, 5, 1e9, seed);
+        admitted_share(&mut throttle, 40, 20, 1e9, seed);
+        let after = admitted_share(&mut throttle, 60, 5, 1e9, seed);
         assert!(after > 0.99, "seed {seed}: {after}");
-        // With nothing at all coming back a trickle goes on, or nobody would see the end of it.
-        passing(&mut throttle, 65, 60, 0.0, seed);
+        // With no answer in time a few requests are still sent, or the end of the overload would not be seen.
+        admitted_share(&mut throttle, 65, 60, 0.0, seed);
         assert!(
             throttle.pass_share() >= MIN_SHARE && throttle.pass_share() < 0.1,
             "seed {seed}: {}",
@@ -126,13 +128,13 @@
 }
 
 #[test]
-fn what_was_borne_is_remembered_while_nearly_all_are_cold_and_is_never_nothing() {
+fn the_measured_capacity_is_kept_while_nearly_all_servers_are_cold_and_is_never_zero() {
     let mut borne = ServerCapacity::default();
     for i in 0..100 {
         borne.per_weight(ms(500 * i), 120.0, (12.0, 12.0), 0.1);
     }
     assert!((borne.rate() - 10.0).abs() < 0.5, "{}", borne.rate());
-    // All but one cold: what goes out now falls, and says nothing of what they bear.
+    // With all but one server cold, the falling load says nothing about their capacity.
     let cold = borne.per_weight(ms(60_000), 12.0, (1.0, 12.0), 0.1);
     assert!(cold > 9.0, "{cold}");
     assert_eq!(ServerCapacity::from_previous(7.0).per_weight(ms(0), 0.0, (0.0, 12.0), 0.1), 7.0);
