--- a/crates/starlinghill-settings/src/lib.rs
+++ b/crates/starlinghill-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings by their dotted names, and the names of what they list. The simulator's adapter and the real
-//! gateway both read them here: one finds them on a line, the other flattens its JSON to the same form.
+//! Settings by their dotted names, and the names of the classes, plans, zones and servers that they list. The
+//! simulator's adapter reads them from a line of text; the real gateway flattens its JSON to the same form.
 
 pub mod classes;
 pub mod members;
@@ -9,7 +9,7 @@
 use std::fmt::Display;
 use std::str::FromStr;
 
-/// What was wrong with a named value.
+/// Describes a wrong value, with its place and name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FieldError(pub String);
 
@@ -20,21 +20,21 @@
 }
 impl std::error::Error for FieldError {}
 
-/// What reading a value comes to.
+/// The result of reading a value.
 pub type Result<T> = std::result::Result<T, FieldError>;
 
-/// Named values, and where they stood.
+/// Named values, and the place where they were found, for errors.
 pub struct Fields<'a> {
-    /// A line such as 'line 3: START', or another place to name in errors.
+    /// For example 'line 3: START'.
     pub place: String,
-    /// The line's first word.
+    /// The first word of the line.
     pub message: &'a str,
-    /// The values by their names.
+    /// The values by name.
     pub pairs: HashMap<&'a str, &'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// Reads a line of a word and `name=value` pairs.
+    /// Parses a line of a word and `name=value` pairs.
     pub fn parse(at: u64, line: &'a str) -> Result<Fields<'a>> {
         let mut parts = line.split(' ');
         let message = parts.next().unwrap_or("");
@@ -48,43 +48,43 @@
         }
         Ok(Fields { place, message, pairs })
     }
-    /// An error that names the value.
+    /// Returns an error that names the value, what was expected and what was found.
     pub fn fail<T>(&self, name: &str, wanted: &str) -> Result<T> {
         let found = self.pairs.get(name).map_or("nothing".to_string(), |v| format!("'{v}'"));
         Err(FieldError(format!("{}: {name}: expected {wanted}, found {found}", self.place)))
     }
-    /// A value, if it is there.
+    /// A value, if it is present. `wanted` describes it in errors.
     pub fn optional<T: FromStr>(&self, name: &str, wanted: &str) -> Result<Option<T>> {
         match self.pairs.get(name) {
             None => Ok(None),
             Some(text) => text.parse().map(Some).or_else(|_| self.fail(name, wanted)),
         }
     }
-    /// A whole number, which must be there.
+    /// A required whole number.
     pub fn required_u64(&self, name: &str) -> Result<u64> {
         self.optional(name, "a whole number")?.map_or_else(|| self.fail(name, "a whole number"), Ok)
     }
-    /// A whole number.
+    /// A whole number, or the default if it is absent.
     pub fn u64_or(&self, name: &str, default: u64) -> Result<u64> {
         Ok(self.optional(name, "a whole number")?.unwrap_or(default))
     }
-    /// A small whole number, which must be there.
+    /// A required whole number of 32 bits.
     pub fn required_u32(&self, name: &str) -> Result<u32> {
         self.optional(name, "a small whole number")?
             .map_or_else(|| self.fail(name, "a small whole number"), Ok)
     }
-    /// A finite number.
+    /// A finite number, or the default if it is absent.
     pub fn f64_or(&self, name: &str, default: f64) -> Result<f64> {
         match self.optional::<f64>(name, "a number")? {
             Some(v) if !v.is_finite() => self.fail(name, "a finite number"),
             v => Ok(v.unwrap_or(default)),
         }
     }
-    /// A time in microseconds.
+    /// A time in microseconds, or the default if it is absent.
     pub fn micros_or(&self, name: &str, default: u64) -> Result<Micros> {
         self.u64_or(name, default).map(Micros)
     }
-    /// A yes or no.
+    /// A flag (1, 0, true or false), or the default if it is absent.
     pub fn bool_or(&self, name: &str, default: bool) -> Result<bool> {
         match self.pairs.get(name) {
             None => Ok(default),
@@ -93,40 +93,40 @@
             Some(_) => self.fail(name, "1 or 0"),
         }
     }
-    /// A text, which must be there.
+    /// A required text.
     pub fn required_text(&self, name: &str) -> Result<&'a str> {
         self.pairs.get(name).copied().map_or_else(|| self.fail(name, "a text"), Ok)
     }
 }
 
+/// Settings, with the outside names of classes, plans, zones and servers.
 #[derive(Clone)]
-/// The settings with the names by which the outside knows classes, plans, zones and servers.
 pub struct NamedSettings {
-    /// The settings.
+    /// The settings for the decision module.
     pub settings: Settings,
-    /// Classes by name.
+    /// Indices of classes by name.
     pub classes: HashMap<String, usize>,
-    /// Plans by name.
+    /// Indices of plans by name.
     pub plans: HashMap<String, usize>,
     zones: HashMap<String, u32>,
-    /// The servers seen, by the numbers that stand for their names.
+    /// Names of the known servers by id.
     pub servers: HashMap<ServerId, String>,
 }
 
 impl NamedSettings {
-    /// Settings without names: the one who uses them numbers things by itself.
+    /// Settings without names, for callers that use ids only.
     pub fn unnamed(settings: Settings) -> NamedSettings {
         let (classes, plans, zones, servers) = Default::default();
         NamedSettings { settings, classes, plans, zones, servers }
     }
-    /// Reads settings as nested JSON.
+    /// Reads settings from nested JSON.
     pub fn from_json(settings: &serde_json::Value) -> Result<NamedSettings> {
         let mut names = BTreeMap::new();
         flatten("", settings, &mut names);
         let pairs = names.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
         NamedSettings::from_fields(&Fields { place: "settings".into(), message: "settings", pairs })
     }
-    /// Reads named values.
+    /// Reads settings from named values.
     pub fn from_fields(f: &Fields) -> Result<NamedSettings> {
         let list = |prefix: &str| -> Result<usize> {
             let count = f.u64_or(&format!("{prefix}.count"), 0)?;
@@ -219,9 +219,9 @@
         };
         Ok(NamedSettings { settings, classes, plans, zones, servers: HashMap::new() })
     }
-    /// The number of a server's name.
+    /// The id of a server's name.
     pub fn server(&mut self, name: &str) -> ServerId {
-        // The FNV-1a hash: the same number at every gateway; the next free one on a clash.
+        // The FNV-1a hash gives the same id at every gateway; a collision takes the next free id.
         let hash = name
             .bytes()
             .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3));
@@ -232,11 +232,11 @@
         self.servers.entry(id).or_insert_with(|| name.to_string());
         id
     }
-    /// The name of a zone's number.
+    /// The name of a zone's id.
     pub fn zone_name(&self, zone: ZoneId) -> Option<&str> {
         self.zones.iter().find(|(_, number)| **number == zone.0).map(|(name, _)| name.as_str())
     }
-    /// The number of a zone's name.
+    /// The id of a zone's name.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         zone_id(&mut self.zones, name)
     }
@@ -247,8 +247,8 @@
     ZoneId(*zones.entry(name.to_string()).or_insert(next))
 }
 
-/// Lays nested JSON out as dotted names: lists of plain values joined by commas, lists of objects as their
-/// `.count` and their numbered items.
+/// Flattens nested JSON to dotted names. A list of plain values becomes one text, joined by commas; a list of
+/// objects becomes its `.count` and its numbered items.
 pub fn flatten(prefix: &str, value: &serde_json::Value, into: &mut BTreeMap<String, String>) {
     use serde_json::Value;
     let below = |name: &str| if prefix.is_empty() { name.to_string() } else { format!("{prefix}.{name}") };
--- a/crates/starlinghill-settings/src/members.rs
+++ b/crates/starlinghill-settings/src/members.rs
@@ -1,26 +1,26 @@
-//! Discovery's list of backends, as it comes in JSON.
+//! The list of backends in discovery's JSON.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Discovery's form of the list of backends, whole or as changes.
+/// The list of backends from discovery, complete or as changes.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct MemberList {
-    /// The list's version.
+    /// The version of the list.
     pub revision: u64,
-    /// It holds every member, not just those that changed.
+    /// Whether all members are listed, not just those that changed.
     #[serde(default)]
     pub complete: bool,
-    /// The entries.
+    /// The backends.
     pub members: Vec<Member>,
 }
 
-/// One backend, as discovery tells of it.
+/// One backend, as discovery reports it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Member {
     /// Its name, the same at every gateway.
     pub id: String,
-    /// Where it listens, as seen from this gateway.
+    /// Address of the backend as seen from this gateway.
     pub host_port: SocketAddr,
     /// Its zone.
     #[serde(default)]
@@ -28,28 +28,28 @@
     /// Its cell.
     #[serde(default)]
     pub cell: u64,
-    /// Whether it takes work.
+    /// Whether it takes new requests.
     pub phase: Phase,
-    /// Its size against the others.
-    #[serde(default = "one")]
+    /// Its capacity relative to the others.
+    #[serde(default = "default_size")]
     pub size: f64,
-    /// When it last started, Unix time in milliseconds; 0: long ago.
+    /// When it last started, in Unix time in milliseconds; 0: long ago.
     #[serde(default)]
     pub up_since_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_size() -> f64 {
     1.0
 }
 
-/// Whether a backend takes work.
+/// Whether a backend takes new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It takes work.
+    /// It takes new requests.
     Ready,
-    /// It finishes what it has.
+    /// It finishes the requests that it has.
     Draining,
-    /// It was taken away.
+    /// It was removed.
     Gone,
 }
