--- a/crates/starlinghill-decision/tests/common/mod.rs
+++ b/crates/starlinghill-decision/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway under test, driven through the interface, and a counter that answers on demand.
+//! A gateway under test, driven through the interface, with a clock and timers.
 #![allow(dead_code)]
 
 use starlinghill_decision::api::*;
@@ -34,8 +34,8 @@
     }
 }
 
-/// Classes: 0 safe, 1 keyed by cell, 2 unsafe, 3 keyed by all. Plans: 0 ten units a second and twenty at
-/// once, 1 the same under a ceiling twice as high, 2 two attempts out at once, 3 no quota.
+/// Classes: 0 safe, 1 keyed by cell, 2 unsafe, 3 keyed by all servers. Plans: 0 ten units a second and bursts
+/// of twenty, 1 the same under a ceiling twice as high, 2 two requests in flight, 3 no quota.
 pub fn settings() -> Settings {
     let ceiling = Plan { ceiling_rate: 20.0, ceiling_burst: 40.0, ceiling_slack: 4.0, ..plan(10.0, 20.0) };
     Settings {
@@ -64,11 +64,12 @@
     }
 }
 
+/// A gateway with a clock in microseconds, all actions so far, and the next request id.
 pub struct Rig {
     pub gateway: Gateway,
     pub now: u64,
-    pub done: Vec<Action>,
-    pub next: u64,
+    pub actions: Vec<Action>,
+    pub next_id: u64,
     timers: Vec<(u64, TimerId)>,
 }
 
@@ -77,14 +78,14 @@
         Rig::seeded(7, settings, servers)
     }
     pub fn seeded(seed: u64, settings: Settings, servers: u32) -> Rig {
-        let gateway = Gateway::new(seed, settings).expect("sound settings");
-        let mut rig = Rig { gateway, now: 1_000 * S, done: Vec::new(), next: 1, timers: Vec::new() };
+        let gateway = Gateway::new(seed, settings).expect("valid settings");
+        let mut rig = Rig { gateway, now: 1_000 * S, actions: Vec::new(), next_id: 1, timers: Vec::new() };
         let entries = (0..servers).map(|i| entry(i, Listed::InService, None)).collect();
-        rig.tell(Event::Servers(ListScope::Complete, entries));
+        rig.handle(Event::Servers(ListScope::Complete, entries));
         rig
     }
-    /// Tells one event and returns what it led to.
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Handles one event and returns the resulting actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.gateway.handle(Micros(self.now), event, &mut out);
         for action in &out {
@@ -92,20 +93,22 @@
                 self.timers.push((self.now + after.0, *id));
             }
         }
-        self.done.extend(out.iter().cloned());
+        self.actions.extend(out.iter().cloned());
         out
     }
-    /// Lets time pass, ringing timers as they come due, and returns what they led to.
-    pub fn pass(&mut self, span: u64) -> Vec<Action> {
-        let (end, mut led) = (self.now + span, Vec::new());
+    /// Advances the clock by this many microseconds, fires timers as they come due, and returns the resulting
+    /// actions.
+    pub fn advance(&mut self, span: u64) -> Vec<Action> {
+        let (end, mut actions) = (self.now + span, Vec::new());
         while let Some(&(at, id)) = self.timers.iter().filter(|t| t.0 <= end).min_by_key(|t| t.0) {
             self.timers.retain(|t| t.1 != id);
             self.now = self.now.max(at);
-            led.extend(self.tell(Event::Timer(id)));
+            actions.extend(self.handle(Event::Timer(id)));
         }
         self.now = end;
-        led
+        actions
     }
+    /// Starts a request of a customer with a spread of two; returns its id and the actions.
     pub fn request(
         &mut self,
         class: usize,
@@ -113,8 +116,8 @@
         customer: u64,
         units: f64,
     ) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
         let deadline = Micros(self.now + 3 * S);
         let (class, plan, customer) = (ClassId(class), PlanId(plan), CustomerId(customer));
         let arrival = Arrival {
@@ -130,14 +133,15 @@
             once: false,
             ..Arrival::default()
         };
-        (id, self.tell(Event::Request(arrival)))
+        (id, self.handle(Event::Request(arrival)))
     }
-    /// A request without quota, sent on at once; returns where it went.
+    /// Starts a request without a quota, which is sent at once; returns the server that it went to.
     pub fn sent(&mut self, class: usize) -> (RequestId, ServerId) {
         let (id, out) = self.request(class, 3, 1, 1.0);
-        (id, sends(&out).first().expect("it is sent on").1)
+        (id, sends(&out).first().expect("the request is sent").1)
     }
-    pub fn ended(
+    /// Ends an attempt after 50 ms; success answers the request.
+    pub fn attempt_ended(
         &mut self,
         id: RequestId,
         attempt: usize,
@@ -147,7 +151,7 @@
         let (took, ended) = (Micros(50 * MS), outcome == Outcome::Ok);
         let report = Report::default();
         let end = AttemptEnd { id, attempt, server, outcome, took, ended, actual_units: None, report };
-        self.tell(Event::AttemptEnded(end))
+        self.handle(Event::AttemptEnded(end))
     }
 }
 
@@ -163,10 +167,11 @@
     }
 }
 
+/// The count calls among these actions.
 pub fn counts(out: &[Action]) -> Vec<(CountName, f64)> {
     out.iter().filter_map(|a| if let Action::Count(n, x, _) = a { Some((*n, *x)) } else { None }).collect()
 }
-/// The count calls that add or take off.
+/// The count calls that change a count.
 pub fn adds(out: &[Action]) -> Vec<(CountName, f64)> {
     counts(out).into_iter().filter(|(_, x)| *x != 0.0).collect()
 }
--- a/crates/starlinghill-decision/tests/fleet_view.rs
+++ b/crates/starlinghill-decision/tests/fleet_view.rs
@@ -1,23 +1,23 @@
-//! What the view of the fleet tells, against what a gateway does with the same news.
+//! The view of the fleet against what a gateway does with the same news.
 mod common;
 use common::*;
 use starlinghill_decision::api::*;
 use starlinghill_decision::{FleetView, Health};
 
 fn view(servers: u32) -> FleetView {
-    let mut view = FleetView::new(7, settings()).expect("sound settings");
+    let mut view = FleetView::new(7, settings()).expect("valid settings");
     let entries = (0..servers).map(|i| entry(i, Listed::InService, None)).collect();
     view.update_list(Micros(1_000 * S), ListScope::Complete, entries);
     view
 }
 
 fn health(view: &mut FleetView, now: u64, server: u64) -> Health {
-    let facts = view.statuses(Micros(now));
-    facts.iter().find(|f| f.server == ServerId(server)).expect("listed").health
+    let statuses = view.statuses(Micros(now));
+    statuses.iter().find(|f| f.server == ServerId(server)).expect("listed").health
 }
 
 #[test]
-fn failures_eject_a_server_by_the_rule_of_the_gateways_and_a_success_takes_it_back() {
+fn failures_eject_a_server_as_at_a_gateway_and_a_success_ends_the_trial() {
     let (mut view, mut now) = (view(3), 1_000 * S);
     let target = Micros(800 * MS);
     for _ in 0..4 {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_lost_list_changes_nothing_and_a_whole_one_may_be_empty() {
+fn a_failed_list_changes_nothing_and_a_complete_list_may_be_empty() {
     let mut view = view(3);
     view.update_list(Micros(1_001 * S), ListScope::Failed, Vec::new());
     assert_eq!(view.statuses(Micros(1_001 * S)).len(), 3);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_cold_server_warms_up_by_the_settings() {
+fn a_cold_server_warms_up_as_the_settings_say() {
     let mut view = view(1);
     view.update_list(
         Micros(1_000 * S),
--- a/crates/starlinghill-decision/tests/rules.rs
+++ b/crates/starlinghill-decision/tests/rules.rs
@@ -1,9 +1,10 @@
-//! The five rules, each by the guard that keeps it.
+//! Rules that must never be broken: one answer by the deadline, no unsafe retry, no request to a removed
+//! server, no overload of cold servers, and no use above a ceiling.
 mod common;
 use common::*;
 use starlinghill_decision::api::*;
 
-fn finals(done: &[Action], id: RequestId) -> usize {
+fn final_answers(done: &[Action], id: RequestId) -> usize {
     done.iter().filter(|a| matches!(a, Action::Refuse(r, _) | Action::Fail(r) if *r == id)).count()
 }
 
@@ -11,87 +12,87 @@
 fn every_request_is_answered_once_by_its_deadline() {
     let mut rig = Rig::new(settings(), 4);
     let (id, _) = rig.sent(0);
-    rig.pass(3 * S);
-    assert_eq!(finals(&rig.done, id), 1, "no outcome ever came");
-    rig.pass(10 * S);
-    assert_eq!(finals(&rig.done, id), 1);
+    rig.advance(3 * S);
+    assert_eq!(final_answers(&rig.actions, id), 1, "no outcome ever arrived");
+    rig.advance(10 * S);
+    assert_eq!(final_answers(&rig.actions, id), 1);
 }
 
 #[test]
 fn with_no_server_the_request_is_refused_in_time() {
     let mut rig = Rig::new(settings(), 0);
     let (id, _) = rig.request(0, 3, 1, 1.0);
-    rig.pass(3 * S);
-    assert_eq!(finals(&rig.done, id), 1);
+    rig.advance(3 * S);
+    assert_eq!(final_answers(&rig.actions, id), 1);
 }
 
 #[test]
-fn nothing_is_sent_after_the_end() {
+fn nothing_is_sent_after_the_client_is_gone() {
     let mut rig = Rig::new(settings(), 4);
     let (id, server) = rig.sent(0);
-    rig.tell(Event::ClientGone(id));
-    let out = rig.ended(id, 0, server, Outcome::Error);
-    assert!(sends(&out).is_empty() && finals(&out, id) == 0);
-    assert!(sends(&rig.ended(id, 0, server, Outcome::Error)).is_empty(), "a repeated outcome");
+    rig.handle(Event::ClientGone(id));
+    let out = rig.attempt_ended(id, 0, server, Outcome::Error);
+    assert!(sends(&out).is_empty() && final_answers(&out, id) == 0);
+    assert!(sends(&rig.attempt_ended(id, 0, server, Outcome::Error)).is_empty(), "a repeated outcome");
 }
 
 #[test]
 fn an_unsafe_request_that_may_have_run_fails() {
     let mut rig = Rig::new(settings(), 4);
     let (id, server) = rig.sent(2);
-    let out = rig.ended(id, 0, server, Outcome::Error);
+    let out = rig.attempt_ended(id, 0, server, Outcome::Error);
     assert!(failed(&out, id) && sends(&out).is_empty());
 }
 
 #[test]
-fn an_unsafe_request_that_never_ran_goes_elsewhere() {
+fn an_unsafe_request_that_never_ran_is_retried_at_another_server() {
     let mut rig = Rig::new(settings(), 4);
     let (id, server) = rig.sent(2);
-    let out = rig.ended(id, 0, server, Outcome::ConnectFailed);
+    let out = rig.attempt_ended(id, 0, server, Outcome::ConnectFailed);
     assert_eq!(sends(&out).len(), 1);
     assert_ne!(sends(&out)[0].1, server);
 }
 
 #[test]
-fn a_keyed_request_is_repeated_in_its_cell_only() {
+fn a_keyed_request_is_retried_in_its_cell_only() {
     for _ in 0..20 {
         let mut rig = Rig::new(settings(), 8);
         let (id, server) = rig.sent(1);
-        let out = rig.ended(id, 0, server, Outcome::Error);
+        let out = rig.attempt_ended(id, 0, server, Outcome::Error);
         assert_eq!(sends(&out)[0].1 .0 / 2, server.0 / 2);
     }
 }
 
 #[test]
-fn a_keyed_request_is_not_repeated_after_its_window_and_not_refused() {
+fn a_keyed_request_that_may_have_run_fails_after_its_window() {
     let mut set = settings();
     set.classes[1].window = Micros(100 * MS);
     let mut rig = Rig::new(set, 8);
     let (id, server) = rig.sent(1);
-    rig.pass(100 * MS);
-    let out = rig.ended(id, 0, server, Outcome::Error);
+    rig.advance(100 * MS);
+    let out = rig.attempt_ended(id, 0, server, Outcome::Error);
     assert!(failed(&out, id) && sends(&out).is_empty());
 }
 
 #[test]
-fn a_safe_request_may_be_refused_with_an_attempt_out() {
+fn a_safe_request_may_be_refused_with_an_attempt_in_flight() {
     let mut rig = Rig::new(settings(), 1);
     let (id, _) = rig.sent(0);
-    let out = rig.pass(3 * S);
+    let out = rig.advance(3 * S);
     assert!(refused(&out, id) && out.contains(&Action::Cancel(id, 0)));
 }
 
 #[test]
-fn nothing_goes_to_a_server_that_drains_or_is_gone() {
+fn nothing_is_sent_to_a_draining_or_removed_server() {
     for listed in [Listed::Draining, Listed::Gone] {
         let mut rig = Rig::new(settings(), 2);
-        rig.tell(Event::Servers(ListScope::Changes, vec![entry(0, listed, None)]));
+        rig.handle(Event::Servers(ListScope::Changes, vec![entry(0, listed, None)]));
         for _ in 0..50 {
             let (_, server) = rig.sent(0);
             assert_eq!(server, ServerId(1));
-            rig.ended(RequestId(rig.next - 1), 0, server, Outcome::Ok);
+            rig.attempt_ended(RequestId(rig.next_id - 1), 0, server, Outcome::Ok);
         }
-        rig.tell(Event::Servers(ListScope::Complete, vec![entry(0, Listed::InService, None)]));
+        rig.handle(Event::Servers(ListScope::Complete, vec![entry(0, Listed::InService, None)]));
         for _ in 0..2 {
             assert_eq!(rig.sent(0).1, ServerId(0), "a server missing from a whole list is gone");
         }
@@ -99,24 +100,24 @@
 }
 
 #[test]
-fn all_draining_means_refusal_in_time() {
+fn with_all_servers_draining_the_request_is_refused_in_time() {
     let mut rig = Rig::new(settings(), 1);
-    rig.tell(Event::Servers(ListScope::Changes, vec![entry(0, Listed::Draining, None)]));
+    rig.handle(Event::Servers(ListScope::Changes, vec![entry(0, Listed::Draining, None)]));
     let (id, out) = rig.request(0, 3, 1, 1.0);
     assert!(sends(&out).is_empty());
-    rig.pass(3 * S);
-    assert_eq!(finals(&rig.done, id), 1);
+    rig.advance(3 * S);
+    assert_eq!(final_answers(&rig.actions, id), 1);
 }
 
-/// Runs a steady flow for five seconds and counts what each server got.
-fn flow(rig: &mut Rig) -> Vec<u32> {
+/// Sends 100 requests a second for five seconds and counts how many each server got.
+fn steady_load(rig: &mut Rig) -> Vec<u32> {
     let mut got = vec![0; 8];
     for _ in 0..500 {
-        rig.pass(10 * MS);
+        rig.advance(10 * MS);
         let (id, out) = rig.request(0, 3, 1, 1.0);
         for (_, server) in sends(&out) {
             got[server.0 as usize] += 1;
-            rig.ended(id, 0, server, Outcome::Ok);
+            rig.attempt_ended(id, 0, server, Outcome::Ok);
         }
     }
     got
@@ -125,45 +126,46 @@
 #[test]
 fn a_cold_server_gets_no_more_than_its_part() {
     let mut rig = Rig::new(settings(), 4);
-    flow(&mut rig);
+    steady_load(&mut rig);
     let (now, cold) = (rig.now, 3);
-    rig.tell(Event::Servers(ListScope::Changes, vec![entry(cold, Listed::InService, Some(now))]));
-    let got = flow(&mut rig);
+    rig.handle(Event::Servers(ListScope::Changes, vec![entry(cold, Listed::InService, Some(now))]));
+    let got = steady_load(&mut rig);
     let warm = got[..3].iter().sum::<u32>() / 3;
-    // From a fifth to three fifths of its capacity over these seconds.
+    // It has from a fifth to three fifths of its capacity in these seconds.
     assert!(got[3] > 0 && got[3] * 2 < warm, "{got:?}");
 }
 
 #[test]
 fn a_restart_that_is_not_listed_yet_counts_as_cold() {
     let mut rig = Rig::new(settings(), 2);
-    flow(&mut rig);
+    steady_load(&mut rig);
     for _ in 0..2_000 {
-        rig.pass(10 * MS);
+        rig.advance(10 * MS);
         let (id, server) = rig.sent(0);
         let up = rig.now > 1_010 * S;
         let outcome = if server == ServerId(0) && !up { Outcome::ConnectFailed } else { Outcome::Ok };
-        let out = rig.ended(id, 0, server, outcome);
+        let out = rig.attempt_ended(id, 0, server, outcome);
         for (id, server) in sends(&out) {
-            rig.ended(id, 1, server, Outcome::Ok);
+            rig.attempt_ended(id, 1, server, Outcome::Ok);
         }
         if up && server == ServerId(0) {
             break;
         }
     }
-    let got = flow(&mut rig);
+    let got = steady_load(&mut rig);
     assert!(got[0] > 0 && got[0] * 3 < got[1] * 2, "{got:?}");
 }
 
-/// The most that one customer under a ceiling may have had at any moment: two gateways, each
-/// offered all it could want for thirty seconds; `answer` fails a call or tells which part of its
-/// totals the counter still has.
-fn ceiling_low(answer: impl Fn(u64) -> Option<f64>) -> f64 {
-    ceiling_low_with(|n, _| answer(n), |_, _| true)
+/// Lowest level of the ceiling's bucket, with two gateways that get all the requests of one customer that
+/// they can for thirty seconds. `answer` gets the number of a call; it lets it fail or returns the fraction
+/// of its totals that the counter still has.
+fn ceiling_minimum(answer: impl Fn(u64) -> Option<f64>) -> f64 {
+    ceiling_minimum_with(|n, _| answer(n), |_, _| true)
 }
 
-/// The same, with the amount of each call told, and gateways that have traffic only at some steps.
-fn ceiling_low_with(answer: impl Fn(u64, f64) -> Option<f64>, busy: impl Fn(usize, u64) -> bool) -> f64 {
+/// The same, where `answer` also gets the amount of the call, and `busy` says at which steps a gateway has
+/// traffic.
+fn ceiling_minimum_with(answer: impl Fn(u64, f64) -> Option<f64>, busy: impl Fn(usize, u64) -> bool) -> f64 {
     let mut totals = std::collections::BTreeMap::new();
     let mut set = settings();
     set.plans[1].over_worth = 0.5;
@@ -174,7 +176,7 @@
     for step in 0..3_000 {
         level = (level + 18.0 * 0.01).min(36.0);
         for (i, rig) in rigs.iter_mut().enumerate() {
-            rig.pass(10 * MS);
+            rig.advance(10 * MS);
             if !busy(i, step) {
                 continue;
             }
@@ -191,12 +193,12 @@
                         *total += amount;
                         (outcome, heard) = (Outcome::Ok, *total);
                     }
-                    next.extend(rig.tell(Event::Counted(name, 0, outcome, heard)));
+                    next.extend(rig.handle(Event::Counted(name, 0, outcome, heard)));
                 }
                 for (_, server) in sends(&pending) {
                     level -= 1.0;
                     lowest = lowest.min(level);
-                    next.extend(rig.ended(id, 0, server, Outcome::Ok));
+                    next.extend(rig.attempt_ended(id, 0, server, Outcome::Ok));
                 }
                 pending = next;
             }
@@ -207,20 +209,20 @@
 
 #[test]
 fn the_ceiling_holds_while_the_counter_answers() {
-    assert!(ceiling_low(|_| Some(1.0)) >= -4.0);
+    assert!(ceiling_minimum(|_| Some(1.0)) >= -4.0);
 }
 
 #[test]
 fn the_ceiling_holds_while_the_counter_is_down() {
-    assert!(ceiling_low(|_| None) >= -4.0);
+    assert!(ceiling_minimum(|_| None) >= -4.0);
 }
 
 #[test]
 fn the_ceiling_holds_while_the_counter_comes_and_goes() {
     for share in 2..12 {
-        let low = ceiling_low(|n| (n % share == 0).then_some(1.0));
+        let low = ceiling_minimum(|n| (n % share == 0).then_some(1.0));
         assert!(low >= -4.0, "one answer in {share}: {low}");
-        let low = ceiling_low(|n| (n % share != 0).then_some(1.0));
+        let low = ceiling_minimum(|n| (n % share != 0).then_some(1.0));
         assert!(low >= -4.0, "one failure in {share}: {low}");
     }
 }
@@ -228,16 +230,16 @@
 #[test]
 fn the_ceiling_holds_when_the_counter_is_emptied() {
     for every in [61, 75, 90, 97, 130, 311, 701] {
-        let low = ceiling_low(|n| Some(if n % every == 0 { 0.0 } else { 1.0 }));
+        let low = ceiling_minimum(|n| Some(if n % every == 0 { 0.0 } else { 1.0 }));
         assert!(low >= -4.0, "emptied every {every} calls: {low}");
     }
 }
 
 #[test]
-fn the_ceiling_holds_when_gateways_take_turns_and_each_believes_the_store_full() {
-    // Every read of the window before fails; a window of traffic here, then one there.
+fn the_ceiling_holds_when_gateways_alternate_and_each_assumes_a_full_bucket() {
+    // Calls that only read fail. Traffic alternates between the gateways, one second each.
     for offset in (0..100).step_by(10) {
-        let low = ceiling_low_with(
+        let low = ceiling_minimum_with(
             |_, amount| (amount != 0.0).then_some(1.0),
             |rig, step| ((step + offset) / 100) % 2 == rig as u64,
         );
@@ -245,15 +247,15 @@
     }
 }
 
-/// Hundreds of gateways with the same steady flow over one fleet, all told of a cold server at once.
+/// Many gateways with the same steady load on one fleet are all told of a cold server at once.
 #[test]
-fn hundreds_of_gateways_do_not_tip_a_cold_server_together() {
+fn hundreds_of_gateways_together_do_not_overload_a_cold_server() {
     let (gateways, servers) = (200, 20);
     let step = |rig: &mut Rig| {
-        rig.pass(200 * MS);
+        rig.advance(200 * MS);
         let (id, out) = rig.request(0, 3, 1, 1.0);
         let sent = sends(&out);
-        sent.iter().for_each(|(_, server)| drop(rig.ended(id, 0, *server, Outcome::Ok)));
+        sent.iter().for_each(|(_, server)| drop(rig.attempt_ended(id, 0, *server, Outcome::Ok)));
         sent.iter().any(|(_, server)| *server == ServerId(3))
     };
     let mut rigs: Vec<Rig> = (0..gateways)
@@ -264,11 +266,11 @@
                 step(&mut rig);
             }
             let now = rig.now;
-            rig.tell(Event::Servers(ListScope::Changes, vec![entry(3, Listed::InService, Some(now))]));
+            rig.handle(Event::Servers(ListScope::Changes, vec![entry(3, Listed::InService, Some(now))]));
             rig
         })
         .collect();
-    // A warm server gets 50 of these a second; a cold one tips at twice its part of that.
+    // A warm server gets 50 of these a second; a cold one is overloaded at twice its part of that.
     let (mut second, mut total) = (std::collections::VecDeque::new(), 0);
     for tick in 0..50 {
         let got = rigs.iter_mut().filter_map(|rig| step(rig).then_some(())).count();
@@ -280,5 +282,5 @@
         let (most, part) = (second.iter().sum::<usize>() as f64, 0.2 + 0.8 * f64::from(tick) / 50.0);
         assert!(most <= 2.0 * 50.0 * part + 4.0, "{most} in the second before {}", tick);
     }
-    assert!(total > 20, "it does get work: {total}");
+    assert!(total > 20, "the cold server gets some work: {total}");
 }
--- a/crates/starlinghill-decision/tests/scale.rs
+++ b/crates/starlinghill-decision/tests/scale.rs
@@ -1,4 +1,4 @@
-//! What holds where hundreds of gateways see a request or two a second each.
+//! Behaviour where hundreds of gateways see one or two requests a second each.
 mod common;
 use common::*;
 use starlinghill_decision::api::*;
@@ -8,12 +8,12 @@
     Rig::seeded(u64::from(me), Settings { gateways, me, ..settings() }, servers)
 }
 
-/// A request of a customer that comes through many gateways.
-fn wide(rig: &mut Rig, resent: bool) -> (RequestId, Vec<Action>) {
-    let id = RequestId(rig.next);
-    rig.next += 1;
+/// Starts a request of a customer whose requests come through 200 gateways.
+fn wide_request(rig: &mut Rig, resent: bool) -> (RequestId, Vec<Action>) {
+    let id = RequestId(rig.next_id);
+    rig.next_id += 1;
     let deadline = Micros(rig.now + 3 * S);
-    let (class, plan, customer) = (ClassId(0), PlanId(0), CustomerId(rig.next));
+    let (class, plan, customer) = (ClassId(0), PlanId(0), CustomerId(rig.next_id));
     let arrival = Arrival {
         id,
         class,
@@ -27,19 +27,19 @@
         once: false,
         ..Arrival::default()
     };
-    (id, rig.tell(Event::Request(arrival)))
+    (id, rig.handle(Event::Request(arrival)))
 }
 
 #[test]
-fn each_gateway_keeps_to_its_own_part_and_the_parts_cover_the_fleet_evenly() {
+fn each_gateway_keeps_to_its_subset_and_the_subsets_cover_the_fleet_evenly() {
     let mut gateways_at = BTreeMap::new();
     for me in 0..100 {
         let mut rig = one_of(100, me, 50);
         let mut used = BTreeMap::new();
         for _ in 0..100 {
-            rig.pass(500 * MS);
+            rig.advance(500 * MS);
             let (id, server) = rig.sent(0);
-            rig.ended(id, 0, server, Outcome::Ok);
+            rig.attempt_ended(id, 0, server, Outcome::Ok);
             *used.entry(server).or_insert(0) += 1;
         }
         assert!(used.len() <= 12, "gateway {me} used {} of 50", used.len());
@@ -51,17 +51,17 @@
 }
 
 #[test]
-fn a_busy_gateway_of_many_opens_connections_to_few_servers() {
+fn one_busy_gateway_of_many_connects_to_few_servers() {
     let mut at = BTreeMap::new();
     let mut all = 0;
     for me in 0..100 {
         let mut rig = one_of(100, me, 60);
         let mut used = BTreeMap::new();
-        // Twelve a second.
+        // Twelve requests a second.
         for _ in 0..240 {
-            rig.pass(S / 12);
+            rig.advance(S / 12);
             let (id, server) = rig.sent(0);
-            rig.ended(id, 0, server, Outcome::Ok);
+            rig.attempt_ended(id, 0, server, Outcome::Ok);
             *used.entry(server).or_insert(0) += 1;
         }
         all += used.len();
@@ -74,16 +74,16 @@
 }
 
 #[test]
-fn late_answers_make_a_small_gateway_shed_and_quick_ones_do_not() {
+fn late_answers_make_a_gateway_with_sparse_traffic_refuse_requests_and_quick_ones_do_not() {
     let refusals = |took: u64| {
         let mut rig = one_of(200, 3, 50);
         let mut refusals = 0;
         for _ in 0..200 {
-            rig.pass(700 * MS);
+            rig.advance(700 * MS);
             let (id, out) = rig.request(0, 3, 1, 1.0);
             refusals += u32::from(refused(&out, id));
             for (_, server) in sends(&out) {
-                rig.pass(took);
+                rig.advance(took);
                 let (outcome, report, took) = (Outcome::Ok, Report::default(), Micros(took));
                 let end = AttemptEnd {
                     id,
@@ -95,50 +95,51 @@
                     actual_units: None,
                     report,
                 };
-                rig.tell(Event::AttemptEnded(end));
+                rig.handle(Event::AttemptEnded(end));
             }
         }
         refusals
     };
     assert_eq!(refusals(50 * MS), 0);
     assert_eq!(refusals(700 * MS), 0, "slow, but within the target");
-    assert!(refusals(900 * MS) > 100, "one at a time, never two out, and still it sheds");
+    assert!(refusals(900 * MS) > 100, "it refuses requests though it never has two in flight");
 }
 
 #[test]
-fn while_calls_fail_repeats_are_not_guessed_but_first_tries_are() {
+fn while_calls_fail_first_tries_may_pass_without_a_total_but_repeats_may_not() {
     let mut rig = one_of(200, 3, 50);
-    let (mut went, mut total) = ([0, 0], 0.0);
+    let (mut sent, mut total) = ([0, 0], 0.0);
     for i in 0..300 {
-        rig.pass(300 * MS);
+        rig.advance(300 * MS);
         let resent = i % 2 == 1;
-        let (id, mut out) = wide(&mut rig, resent);
-        // Every fifth call is turned away, so the breaker stays closed.
+        let (id, mut out) = wide_request(&mut rig, resent);
+        // Every fifth call is rejected, so the breaker stays closed.
         for (name, amount) in counts(&out) {
             let outcome = if i % 5 == 0 { Outcome::Rejected } else { Outcome::Ok };
             total += if outcome == Outcome::Ok { amount } else { 0.0 };
-            out.extend(rig.tell(Event::Counted(name, 0, outcome, total)));
+            out.extend(rig.handle(Event::Counted(name, 0, outcome, total)));
         }
-        let guessed = i % 5 == 0 && !sends(&out).is_empty();
-        went[usize::from(resent)] += u32::from(guessed);
-        sends(&out).iter().for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
+        let without_total = i % 5 == 0 && !sends(&out).is_empty();
+        sent[usize::from(resent)] += u32::from(without_total);
+        sends(&out).iter().for_each(|(_, s)| drop(rig.attempt_ended(id, 0, *s, Outcome::Ok)));
     }
-    assert!(went[0] > 10, "first tries: {went:?}");
-    assert_eq!(went[1], 0, "repeats");
+    assert!(sent[0] > 10, "first tries: {sent:?}");
+    assert_eq!(sent[1], 0, "repeats");
 }
 
 #[test]
-fn a_share_of_less_than_one_request_still_lets_one_go() {
-    // A customer each: one that asks the counter, which turns it away, and one that does not.
+fn a_share_of_less_than_one_request_still_admits_one() {
+    // One gateway and customer each: some requests call the counter, which rejects the call, others make no
+    // call.
     let mut asked = [0, 0];
     for gateway in 0..60 {
         let mut rig = one_of(200, gateway, 50);
-        rig.pass(300 * MS);
-        let (id, mut out) = wide(&mut rig, false);
+        rig.advance(300 * MS);
+        let (id, mut out) = wide_request(&mut rig, false);
         let called = counts(&out);
         asked[called.len()] += 1;
         for (name, _) in called {
-            out = rig.tell(Event::Counted(name, 0, Outcome::Rejected, 0.0));
+            out = rig.handle(Event::Counted(name, 0, Outcome::Rejected, 0.0));
         }
         assert_eq!(sends(&out).first().map(|s| s.0), Some(id), "gateway {gateway}");
     }
@@ -146,26 +147,27 @@
 }
 
 #[test]
-fn with_the_counter_down_hundreds_of_gateways_keep_one_ceiling_by_their_sum() {
-    // 20 units a second up to 40, over 200 gateways that each have a request every second.
+fn with_the_counter_down_hundreds_of_gateways_together_keep_the_ceiling() {
+    // A ceiling of 20 units a second and bursts of 40, over 200 gateways that each have a request every
+    // second.
     let mut rigs: Vec<Rig> = (0..200).map(|me| one_of(200, me, 50)).collect();
     let (mut level, mut lowest) = (40.0f64, 40.0f64);
     for _ in 0..20 {
         level = (level + 20.0).min(40.0);
         for rig in &mut rigs {
-            rig.pass(S);
-            let id = RequestId(rig.next);
-            rig.next += 1;
+            rig.advance(S);
+            let id = RequestId(rig.next_id);
+            rig.next_id += 1;
             let deadline = Micros(rig.now + 3 * S);
             let (plan, customer) = (PlanId(1), CustomerId(9));
             let a = Arrival { id, plan, customer, spread: 200, deadline, units: 1.0, ..Arrival::default() };
-            let mut out = rig.tell(Event::Request(a));
+            let mut out = rig.handle(Event::Request(a));
             for (name, _) in counts(&out) {
-                out.extend(rig.tell(Event::Counted(name, 0, Outcome::Rejected, 0.0)));
+                out.extend(rig.handle(Event::Counted(name, 0, Outcome::Rejected, 0.0)));
             }
             level -= sends(&out).len() as f64;
             lowest = lowest.min(level);
-            sends(&out).iter().for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
+            sends(&out).iter().for_each(|(_, s)| drop(rig.attempt_ended(id, 0, *s, Outcome::Ok)));
         }
     }
     assert!(lowest >= -4.0, "{lowest}");
--- a/crates/starlinghill-decision/tests/sharing.rs
+++ b/crates/starlinghill-decision/tests/sharing.rs
@@ -1,21 +1,22 @@
-//! Several gateways with messages between them round one counter in trouble: the ceiling holds whatever is lost, late,
-//! doubled, emptied, set back, killed or restarted.
+//! Several gateways that send each other messages and share one failing counter. The ceiling holds whatever
+//! is lost, late, duplicated, emptied, set back, killed or restarted.
 mod common;
 use common::*;
 use starlinghill_decision::api::*;
 use std::collections::BTreeMap;
 
-/// Units that the ceiling's store may fall below nothing. It holds two seconds of its rate; the quota is ten units a
-/// second and twenty at once.
+/// Units by which the ceiling's bucket may fall below zero. The bucket holds two seconds of the ceiling's
+/// rate; the quota is ten units a second and bursts of twenty.
 const SLACK: f64 = 4.0;
 
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Counter {
-    Sound,
+    Healthy,
     Refuses,
     Stalls,
 }
 
+/// The gateways, the counter and all that is on its way between them.
 struct World {
     rng: fastrand::Rng,
     now: u64,
@@ -24,12 +25,14 @@
     ceiling: f64,
     counter: Counter,
     totals: BTreeMap<CountName, f64>,
-    kept: BTreeMap<CountName, f64>,
-    /// Answers of the counter on their way: when they arrive, to whom, of which call.
+    /// Earlier counts, to which the counter may be set back.
+    snapshot: BTreeMap<CountName, f64>,
+    /// Answers of the counter on their way: when they arrive, at which gateway, for which name.
     answers: Vec<(u64, usize, CountName, Outcome, f64)>,
-    /// Messages on their way: when they arrive, from whom, to whom.
-    letters: Vec<(u64, u32, u32, Vec<u8>)>,
-    lost: u32,
+    /// Messages on their way: when they arrive, from which gateway, to which.
+    messages: Vec<(u64, u32, u32, Vec<u8>)>,
+    loss_percent: u32,
+    /// Level of the ceiling's bucket, and its lowest value so far.
     level: f64,
     lowest: f64,
     sent: f64,
@@ -39,7 +42,7 @@
     let mut set = Settings { gateways, me, peers_per_s: if peers { 60.0 } else { 0.0 }, ..settings() };
     (set.plans[1].ceiling_rate, set.plans[1].ceiling_burst) = (ceiling, 2.0 * ceiling);
     let mut rig = Rig::seeded(seed, set, 8);
-    rig.pass(now.saturating_sub(rig.now));
+    rig.advance(now.saturating_sub(rig.now));
     rig
 }
 
@@ -50,11 +53,11 @@
         let now = 1_000 * S + rng.u64(0..25 * S);
         let rigs =
             (0..gateways).map(|me| Some(rig(me, gateways, peers, ceiling, now, rng.u64(..)))).collect();
-        let lost = [0, 10, 50, 100][rng.usize(0..4)];
+        let loss_percent = [0, 10, 50, 100][rng.usize(0..4)];
         let (level, totals) = (2.0 * ceiling, Default::default());
-        let kept = BTreeMap::new();
-        let (answers, letters) = (Vec::new(), Vec::new());
-        let counter = Counter::Sound;
+        let snapshot = BTreeMap::new();
+        let (answers, messages) = (Vec::new(), Vec::new());
+        let counter = Counter::Healthy;
         World {
             rng,
             now,
@@ -63,17 +66,17 @@
             ceiling,
             counter,
             totals,
-            kept,
+            snapshot,
             answers,
-            letters,
-            lost,
+            messages,
+            loss_percent,
             level,
             lowest: level,
             sent: 0.0,
         }
     }
-    /// Carries out what a gateway decided, until nothing is left to do.
-    fn act(&mut self, me: usize, actions: Vec<Action>) {
+    /// Carries out a gateway's actions, until none is left.
+    fn carry_out(&mut self, me: usize, actions: Vec<Action>) {
         let mut pending = actions;
         while !pending.is_empty() {
             let mut next = Vec::new();
@@ -81,7 +84,7 @@
                 match action {
                     Action::Count(name, amount, _) => {
                         let (outcome, total) = match self.counter {
-                            Counter::Sound => {
+                            Counter::Healthy => {
                                 let total = self.totals.entry(name).or_insert(0.0);
                                 *total += amount;
                                 (Outcome::Ok, *total)
@@ -97,16 +100,16 @@
                         self.level -= 1.0;
                         self.sent += 1.0;
                         self.lowest = self.lowest.min(self.level);
-                        let rig = self.rigs[me].as_mut().expect("it acts");
-                        next.extend(rig.ended(id, 0, server, Outcome::Ok));
+                        let rig = self.rigs[me].as_mut().expect("a running gateway");
+                        next.extend(rig.attempt_ended(id, 0, server, Outcome::Ok));
                     }
                     Action::Tell(to, message) => {
                         assert!(message.len() <= 256);
                         for _ in 0..self.rng.u32(1..=2) {
-                            if self.rng.u32(0..100) >= self.lost {
+                            if self.rng.u32(0..100) >= self.loss_percent {
                                 let late =
                                     if self.rng.u32(0..20) == 0 { 5 * S } else { self.rng.u64(MS..14 * MS) };
-                                self.letters.push((self.now + late, me as u32, to, message.clone()));
+                                self.messages.push((self.now + late, me as u32, to, message.clone()));
                             }
                         }
                     }
@@ -115,67 +118,68 @@
             }
             pending = next;
         }
-        self.answer();
+        self.deliver_answers();
     }
-    /// Answers of the counter that are due come, in any order.
-    fn answer(&mut self) {
+    /// Delivers the counter's answers that are due, in any order.
+    fn deliver_answers(&mut self) {
         while let Some(at) = self.answers.iter().position(|answer| answer.0 <= self.now) {
             let (_, me, name, outcome, total) = self.answers[at];
             let nth = self.answers[..at].iter().filter(|a| a.1 == me && a.2 == name).count();
             self.answers.remove(at);
             if let Some(rig) = self.rigs[me].as_mut() {
-                let out = rig.tell(Event::Counted(name, nth, outcome, total));
-                self.act(me, out);
+                let out = rig.handle(Event::Counted(name, nth, outcome, total));
+                self.carry_out(me, out);
             }
         }
     }
-    fn pass(&mut self, span: u64) {
+    fn advance(&mut self, span: u64) {
         self.now += span;
         self.level = (self.level + self.ceiling * span as f64 / 1e6).min(2.0 * self.ceiling);
         for me in 0..self.rigs.len() {
             if let Some(rig) = self.rigs[me].as_mut() {
-                let out = rig.pass(span);
-                self.act(me, out);
+                let out = rig.advance(span);
+                self.carry_out(me, out);
             }
         }
-        self.answer();
+        self.deliver_answers();
         let now = self.now;
-        let (due, rest) = std::mem::take(&mut self.letters).into_iter().partition(|l| l.0 <= now);
-        self.letters = rest;
+        let (due, rest) = std::mem::take(&mut self.messages).into_iter().partition(|l| l.0 <= now);
+        self.messages = rest;
         for (_, from, to, message) in Vec::from_iter::<Vec<_>>(due) {
             if let Some(rig) = self.rigs[to as usize].as_mut() {
-                let out = rig.tell(Event::Peer(from, message));
-                self.act(to as usize, out);
+                let out = rig.handle(Event::Peer(from, message));
+                self.carry_out(to as usize, out);
             }
         }
     }
     fn request(&mut self, me: usize) {
         let spread = self.rigs.len() as u32;
         let Some(rig) = self.rigs[me].as_mut() else { return };
-        let id = RequestId(rig.next);
-        rig.next += 1;
+        let id = RequestId(rig.next_id);
+        rig.next_id += 1;
         let (plan, customer, deadline) = (PlanId(1), CustomerId(9), Micros(rig.now + 3 * S));
         let a = Arrival { id, plan, customer, spread, deadline, units: 1.0, ..Arrival::default() };
-        let out = rig.tell(Event::Request(a));
-        self.act(me, out);
+        let out = rig.handle(Event::Request(a));
+        self.carry_out(me, out);
     }
-    fn trouble(&mut self) {
+    /// Changes the counter's state or its counts, or kills or restarts a gateway.
+    fn inject_fault(&mut self) {
         let gateways = self.rigs.len();
         match self.rng.u32(0..10) {
-            0 | 1 => self.counter = Counter::Sound,
+            0 | 1 => self.counter = Counter::Healthy,
             2 | 3 => self.counter = Counter::Refuses,
             4 => self.counter = Counter::Stalls,
             5 => self.totals.clear(),
             6 => match self.rng.bool() {
-                true => self.kept = self.totals.clone(),
-                false => self.totals = self.kept.clone(),
+                true => self.snapshot = self.totals.clone(),
+                false => self.totals = self.snapshot.clone(),
             },
             7 => {
                 let me = self.rng.usize(0..gateways);
                 self.answers.retain(|answer| answer.1 != me);
                 if self.rigs[me].take().is_none() {
-                    // It takes some time to start.
-                    self.pass(300 * MS);
+                    // A restart takes 300 ms.
+                    self.advance(300 * MS);
                     let seed = self.rng.u64(..);
                     self.rigs[me] =
                         Some(rig(me as u32, gateways as u32, self.peers, self.ceiling, self.now, seed));
@@ -186,30 +190,31 @@
     }
 }
 
-/// Plays one seed: trouble every second or so, and far more traffic than the ceiling bears.
+/// Plays one seed: a fault every second or so, and far more traffic than the ceiling allows.
 fn play(seed: u64, peers: bool) -> World {
-    // From close above the quota to twice of it.
+    // From just above the quota to twice the quota.
     let ceiling = [11.0, 13.0, 16.0, 20.0][(seed % 4) as usize];
     let mut world = World::new(seed, peers, ceiling);
     let gateways = world.rigs.len();
-    let mut favourite = 0;
+    let mut busiest = 0;
     for step in 0..1_500 {
-        world.pass(10 * MS);
+        world.advance(10 * MS);
         if step % 100 == 99 {
-            world.trouble();
+            world.inject_fault();
         }
         if step % 150 == 0 {
-            favourite = world.rng.usize(0..gateways);
+            busiest = world.rng.usize(0..gateways);
         }
         for _ in 0..world.rng.u32(0..3) {
-            let me = if world.rng.bool() { favourite } else { world.rng.usize(0..gateways) };
+            let me = if world.rng.bool() { busiest } else { world.rng.usize(0..gateways) };
             world.request(me);
         }
     }
     world
 }
 
-/// How many fleets are played; a longer run by `SEEDS=20000 cargo test --release -p starlinghill-decision --test sharing`.
+/// The number of seeds; for a longer run: `SEEDS=20000 cargo test --release -p starlinghill-decision --test
+/// sharing`.
 fn seeds() -> u64 {
     std::env::var("SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(200)
 }
@@ -231,17 +236,17 @@
 }
 
 #[test]
-fn while_all_are_silent_messages_let_the_whole_ceiling_be_used() {
+fn with_the_counter_down_messages_let_gateways_use_the_whole_ceiling() {
     let sent = |peers| {
         let mut world = World::new(3, peers, 13.0);
-        world.lost = 0;
+        world.loss_percent = 0;
         let gateways = world.rigs.len();
         (0..gateways).for_each(|me| world.request(me));
-        world.pass(2 * S);
+        world.advance(2 * S);
         world.counter = Counter::Refuses;
         for _ in 0..1_000 {
-            world.pass(10 * MS);
-            // Most of it through one gateway.
+            world.advance(10 * MS);
+            // Most requests come through one gateway.
             world.request(0);
             let me = world.rng.usize(0..gateways);
             world.request(me);
@@ -253,100 +258,100 @@
     assert!(with > 1.3 * without, "{with} against {without}");
 }
 
-/// Opens the breaker of a gateway by other customers' calls, all turned away.
-fn silence(rig: &mut Rig) {
+/// Opens the breaker of a gateway by rejecting the calls of other customers.
+fn open_breaker(rig: &mut Rig) {
     for customer in 100.. {
         let (_, out) = rig.request(0, 0, customer, 1.0);
         let calls = counts(&out);
         let mut done = out;
         for (name, _) in &calls {
-            done.extend(rig.tell(Event::Counted(*name, 0, Outcome::Rejected, 0.0)));
+            done.extend(rig.handle(Event::Counted(*name, 0, Outcome::Rejected, 0.0)));
         }
-        // What goes on by its local bucket is served, or servers would be full of it.
-        sends(&done).iter().for_each(|(id, server)| drop(rig.ended(*id, 0, *server, Outcome::Ok)));
+        // Answers what the local buckets admit, or the servers' limits would be reached.
+        sends(&done).iter().for_each(|(id, server)| drop(rig.attempt_ended(*id, 0, *server, Outcome::Ok)));
         if calls.is_empty() && customer > 140 {
             return;
         }
-        rig.pass(20 * MS);
+        rig.advance(20 * MS);
         assert!(customer < 400, "the breaker never opened");
     }
 }
 
-/// The messages among what a gateway did.
-fn told(out: &[Action]) -> Vec<Vec<u8>> {
+/// The messages among a gateway's actions.
+fn messages_in(out: &[Action]) -> Vec<Vec<u8>> {
     out.iter().filter_map(|a| if let Action::Tell(_, m) = a { Some(m.clone()) } else { None }).collect()
 }
 
-/// Sends on what a gateway lets in of one customer now, until it refuses.
-fn drain(rig: &mut Rig) -> (f64, Vec<Vec<u8>>) {
+/// Sends requests of one customer until one is refused; returns the units sent and the messages.
+fn send_until_refused(rig: &mut Rig) -> (f64, Vec<Vec<u8>>) {
     let (mut units, mut messages) = (0.0, Vec::new());
     for _ in 0..60 {
         let (id, out) = rig.request(0, 0, 9, 1.0);
-        messages.extend(told(&out));
+        messages.extend(messages_in(&out));
         if refused(&out, id) {
             break;
         }
         for (_, server) in sends(&out) {
             units += 1.0;
-            rig.ended(id, 0, server, Outcome::Ok);
+            rig.attempt_ended(id, 0, server, Outcome::Ok);
         }
     }
     (units, messages)
 }
 
 #[test]
-fn a_share_that_comes_late_fills_nothing_for_the_time_before_it_was_given() {
+fn a_share_that_arrives_late_adds_no_units_for_the_time_before_it() {
     let mut rigs = [0, 1].map(|me| rig(me, 2, true, 20.0, 1_000 * S, 1 + u64::from(me)));
     for rig in &mut rigs {
-        // Each has heard a total, so none has given anything away in an earlier life.
+        // Each gateway has heard a total, so none can have given its share away before a restart.
         let (id, out) = rig.request(0, 0, 50, 1.0);
         let (name, _) = adds(&out)[0];
-        let out = rig.tell(Event::Counted(name, 0, Outcome::Ok, 1.0));
-        sends(&out).iter().for_each(|(_, server)| drop(rig.ended(id, 0, *server, Outcome::Ok)));
-        silence(rig);
+        let out = rig.handle(Event::Counted(name, 0, Outcome::Ok, 1.0));
+        sends(&out).iter().for_each(|(_, server)| drop(rig.attempt_ended(id, 0, *server, Outcome::Ok)));
+        open_breaker(rig);
     }
     let now = rigs[0].now.max(rigs[1].now);
-    rigs.iter_mut().for_each(|rig| drop(rig.pass(now - rig.now)));
-    // What the true store holds: twenty at most, and ten a second come in.
-    let (mut store, mut at) = (20.0, now);
-    let mut took = |now: u64, units: f64| {
-        store = f64::min(20.0, store + 10.0 * (now - at) as f64 / 1e6) - units;
+    rigs.iter_mut().for_each(|rig| drop(rig.advance(now - rig.now)));
+    // The true bucket: at most 20 units, filled with 10 a second.
+    let (mut level, mut at) = (20.0, now);
+    let mut check_sent = |now: u64, units: f64| {
+        level = f64::min(20.0, level + 10.0 * (now - at) as f64 / 1e6) - units;
         at = now;
-        assert!(store >= -1.0, "{store} after {units}");
+        assert!(level >= -1.0, "{level} after {units}");
     };
-    // One takes all of its share, asks for more, and is not asked for anything for four seconds.
-    let (units, wants) = drain(&mut rigs[0]);
-    took(rigs[0].now, units);
-    assert!(!wants.is_empty());
-    rigs.iter_mut().for_each(|rig| drop(rig.pass(4 * S)));
-    // The other one used its own meanwhile, and hears of it only now.
-    let (units, _) = drain(&mut rigs[1]);
-    took(rigs[1].now, units);
-    let mut gifts = Vec::new();
-    for want in wants {
-        gifts.extend(told(&rigs[1].tell(Event::Peer(0, want))));
+    // One gateway uses up its share, asks for more, and has no requests for four seconds.
+    let (units, requests) = send_until_refused(&mut rigs[0]);
+    check_sent(rigs[0].now, units);
+    assert!(!requests.is_empty());
+    rigs.iter_mut().for_each(|rig| drop(rig.advance(4 * S)));
+    // The other gateway used its own share meanwhile and receives the messages only now.
+    let (units, _) = send_until_refused(&mut rigs[1]);
+    check_sent(rigs[1].now, units);
+    let mut replies = Vec::new();
+    for request in requests {
+        replies.extend(messages_in(&rigs[1].handle(Event::Peer(0, request))));
     }
-    rigs[0].pass(30 * MS);
-    gifts.extend(told(&rigs[1].pass(30 * MS)));
-    // Another customer's request lets out what waits, and asks for nothing itself.
-    gifts.extend(told(&rigs[1].request(0, 0, 50, 1.0).1));
-    assert!(!gifts.is_empty());
-    for gift in gifts {
-        rigs[0].tell(Event::Peer(1, gift));
+    rigs[0].advance(30 * MS);
+    replies.extend(messages_in(&rigs[1].advance(30 * MS)));
+    // Another customer's request lets the waiting messages go out, and asks for nothing itself.
+    replies.extend(messages_in(&rigs[1].request(0, 0, 50, 1.0).1));
+    assert!(!replies.is_empty());
+    for reply in replies {
+        rigs[0].handle(Event::Peer(1, reply));
     }
-    let (units, _) = drain(&mut rigs[0]);
-    assert!(units > 5.0, "its own share came in: {units}");
-    took(rigs[0].now, units);
+    let (units, _) = send_until_refused(&mut rigs[0]);
+    assert!(units > 5.0, "its own share filled up again: {units}");
+    check_sent(rigs[0].now, units);
 }
 
 #[test]
-fn nonsense_and_strangers_change_nothing() {
+fn invalid_messages_and_unknown_senders_change_nothing() {
     let mut rig = rig(0, 2, true, 20.0, 1_000 * S, 1);
     let before = rig.gateway.tracked_items();
     let mut rng = fastrand::Rng::with_seed(8);
     for _ in 0..2_000 {
-        let noise: Vec<u8> = (0..rng.usize(0..=256)).map(|_| rng.u8(..)).collect();
-        assert!(rig.tell(Event::Peer(rng.u32(0..4), noise)).is_empty());
+        let bytes: Vec<u8> = (0..rng.usize(0..=256)).map(|_| rng.u8(..)).collect();
+        assert!(rig.handle(Event::Peer(rng.u32(0..4), bytes)).is_empty());
     }
     assert_eq!(rig.gateway.tracked_items(), before);
 }
