--- a/crates/starlinghill-settings/src/members.rs
+++ b/crates/starlinghill-settings/src/members.rs
@@ -31,14 +31,14 @@
     /// Whether it takes new requests.
     pub phase: Phase,
     /// Its capacity relative to the others.
-    #[serde(default = "default_size")]
+    #[serde(default = "one")]
     pub size: f64,
     /// When it last started, in Unix time in milliseconds; 0: long ago.
     #[serde(default)]
     pub up_since_ms: u64,
 }
 
-fn default_size() -> f64 {
+fn one() -> f64 {
     1.0
 }
 
