--- a/crates/starlinghill-console/src/main.rs
+++ b/crates/starlinghill-console/src/main.rs
@@ -9,7 +9,7 @@
 use starlinghill_console::screen::{draw, ScreenState};
 use starlinghill_console::status::{EventLog, Overview};
 use starlinghill_decision::api::CustomerId;
-use starlinghill_decision::store_name;
+use starlinghill_decision::bucket_name;
 use starlinghill_runtime::settings::NodeSettings;
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -183,7 +183,7 @@
         if items_changed {
             let items = client.items().await.map_err(drop).and_then(|items| item_set(&items).map_err(drop));
             if let Ok(items) = items {
-                let bucket = |name: &str| store_name(CustomerId(xxh3_64(name.as_bytes()))).0;
+                let bucket = |name: &str| bucket_name(CustomerId(xxh3_64(name.as_bytes()))).0;
                 let table = RoutingTable::of(&items);
                 tenants = table.tenants.iter().map(|t| (bucket(&t.name), t.name.clone())).collect();
             }
--- a/crates/starlinghill-simhost/src/lib.rs
+++ b/crates/starlinghill-simhost/src/lib.rs
@@ -7,7 +7,7 @@
 
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
-use starlinghill_settings::{FieldError, Fields, Result, Site};
+use starlinghill_settings::{FieldError, Fields, NamedSettings, Result};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -16,15 +16,15 @@
 
 /// Reads the outcome of an attempt, a probe or a counter call: the simulator writes it as an HTTP-like status code.
 fn outcome(f: &Fields) -> Result<Outcome> {
-    Ok(match f.text("how")? {
+    Ok(match f.required_text("how")? {
         "200" => Outcome::Ok,
         "500" => Outcome::Error,
-        "503" => Outcome::Full,
+        "503" => Outcome::Rejected,
         "504" => Outcome::Timeout,
         "502" => Outcome::ConnectFailed,
         "598" => Outcome::Reset,
         "499" => Outcome::Cancelled,
-        "410" => Outcome::Moot,
+        "410" => Outcome::NotSent,
         _ => return f.fail("how", "one of 200 410 499 500 502 503 504 598"),
     })
 }
@@ -55,30 +55,30 @@
 /// A gateway instance, and the mapping between its numeric ids and the names on the wire.
 struct Instance {
     gateway: Gateway,
-    site: Site,
+    names: NamedSettings,
 }
 
 impl Instance {
     fn start(f: &Fields) -> Result<Instance> {
-        let (seed, site) = (f.whole("rng_seed")?, Site::read(f)?);
-        let gateway = Gateway::new(seed, site.settings.clone())
+        let (seed, names) = (f.required_u64("rng_seed")?, NamedSettings::from_fields(f)?);
+        let gateway = Gateway::new(seed, names.settings.clone())
             .map_err(|e| FieldError(format!("{}: settings: {e}", f.place)))?;
-        Ok(Instance { gateway, site })
+        Ok(Instance { gateway, names })
     }
     /// Reads one entry of a backend list.
     fn server_entry(&mut self, f: &Fields) -> Result<ServerEntry> {
         Ok(ServerEntry {
-            server: self.site.server(f.text("backend")?),
+            server: self.names.server(f.required_text("backend")?),
             service: ServiceId::default(),
-            zone: self.site.zone(f.pairs.get("rack_zone").copied().unwrap_or("")),
-            cell: CellId(f.whole_or("pod", 0)?),
-            listed: match f.text("status")? {
+            zone: self.names.zone(f.pairs.get("rack_zone").copied().unwrap_or("")),
+            cell: CellId(f.u64_or("pod", 0)?),
+            listed: match f.required_text("status")? {
                 "in_service" => Listed::InService,
                 "terminating" => Listed::Draining,
                 "terminated" => Listed::Gone,
                 _ => return f.fail("status", "in_service, terminating or terminated"),
             },
-            weight: f.real_or("heft", 1.0)?,
+            weight: f.f64_or("heft", 1.0)?,
             started: Some(f.micros_or("last_start", 0)?).filter(|s| s.0 > 0),
         })
     }
@@ -88,55 +88,60 @@
         Ok(Some(match f.message {
             "KNOCK" => {
                 let class = *self
-                    .site
+                    .names
                     .classes
-                    .get(f.text("kind")?)
+                    .get(f.required_text("kind")?)
                     .map_or_else(|| f.fail("kind", "a known class"), Ok)?;
                 let plan = *self
-                    .site
+                    .names
                     .plans
-                    .get(f.text("plan")?)
+                    .get(f.required_text("plan")?)
                     .map_or_else(|| f.fail("plan", "a known plan"), Ok)?;
-                let Ok(customer) = u64::from_str_radix(f.text("user_key")?, 16) else {
+                let Ok(customer) = u64::from_str_radix(f.required_text("user_key")?, 16) else {
                     return f.fail("user_key", "16 hex digits");
                 };
-                let max_deadline = self.site.settings.classes[class].deadline;
-                let units = f.real_or("price_units", 1.0)?;
+                let max_deadline = self.names.settings.classes[class].deadline;
+                let units = f.f64_or("price_units", 1.0)?;
                 if units < 0.0 {
                     return f.fail("price_units", "a number of 0 or more");
                 }
                 Event::Request(Arrival {
-                    id: RequestId(f.whole("ref")?),
+                    id: RequestId(f.required_u64("ref")?),
                     class: ClassId(class),
                     plan: PlanId(plan),
                     customer: CustomerId(customer),
-                    spread: f.real_or("doors", 1.0)?.clamp(1.0, MAX_COUNT) as u32,
-                    first: f.real_or("set_from", 0.0)?.clamp(0.0, MAX_COUNT) as u32,
-                    deadline: f.read("drop_dead", "a clock time")?.map_or(now + max_deadline, Micros),
+                    spread: f.f64_or("doors", 1.0)?.clamp(1.0, MAX_COUNT) as u32,
+                    first: f.f64_or("set_from", 0.0)?.clamp(0.0, MAX_COUNT) as u32,
+                    deadline: f.optional("drop_dead", "a clock time")?.map_or(now + max_deadline, Micros),
                     units,
-                    resent: f.flag_or("resent", false)?,
+                    resent: f.bool_or("resent", false)?,
                     ..Arrival::default()
                 })
             }
-            "RING" => Event::Timer(TimerId(f.whole("ref")?)),
-            "FIRST_BYTE" => Event::StreamStarted(RequestId(f.whole("ref")?)),
-            "TIMED_OUT_CLIENT" => Event::ClientGone(RequestId(f.whole("ref")?)),
+            "RING" => Event::Timer(TimerId(f.required_u64("ref")?)),
+            "FIRST_BYTE" => Event::StreamStarted(RequestId(f.required_u64("ref")?)),
+            "TIMED_OUT_CLIENT" => Event::ClientGone(RequestId(f.required_u64("ref")?)),
             "MEMO" => {
-                let Some(message) = from_hex(f.text("blob")?) else { return f.fail("blob", "bytes in hex") };
-                Event::Peer(f.small("neighbour")?, message)
-            }
-            "PONG" => Event::Probed(self.site.server(f.text("backend")?), outcome(f)?, report(f)?),
-            "COUNT_RESULT" => {
-                Event::Counted(CountName(f.whole("book")?), 0, outcome(f)?, f.real_or("result_value", 0.0)?)
+                let Some(message) = from_hex(f.required_text("blob")?) else {
+                    return f.fail("blob", "bytes in hex");
+                };
+                Event::Peer(f.required_u32("neighbour")?, message)
             }
+            "PONG" => Event::Probed(self.names.server(f.required_text("backend")?), outcome(f)?, report(f)?),
+            "COUNT_RESULT" => Event::Counted(
+                CountName(f.required_u64("book")?),
+                0,
+                outcome(f)?,
+                f.f64_or("result_value", 0.0)?,
+            ),
             "OUTCOME" => Event::AttemptEnded(AttemptEnd {
-                id: RequestId(f.whole("ref")?),
-                attempt: f.whole_or("trial", 0)? as usize,
-                server: self.site.server(f.text("backend")?),
+                id: RequestId(f.required_u64("ref")?),
+                attempt: f.u64_or("trial", 0)? as usize,
+                server: self.names.server(f.required_text("backend")?),
                 outcome: outcome(f)?,
                 took: f.micros_or("took", 0)?,
-                ended: f.flag_or("ended", false)?,
-                settled: Some(f.real_or("settled", 0.0)?).filter(|s| *s > 0.0),
+                ended: f.bool_or("ended", false)?,
+                actual_units: Some(f.f64_or("settled", 0.0)?).filter(|s| *s > 0.0),
                 report: report(f)?,
             }),
             _ => return Ok(None),
@@ -145,7 +150,7 @@
 
     /// Prints an action as a line of the reply.
     fn write(&self, action: &Action, out: &mut String) {
-        let name = |s: &ServerId| self.site.servers.get(s).map_or("", String::as_str);
+        let name = |s: &ServerId| self.names.servers.get(s).map_or("", String::as_str);
         // Writing to a String cannot fail.
         let _ = match action {
             Action::Send(r, s, until) => {
@@ -215,13 +220,13 @@
         }
         match f.message {
             "TICK" => {
-                let now = Micros(f.whole("now")?);
+                let now = Micros(f.required_u64("now")?);
                 if self.in_batch || now < self.now {
                     return f.fail("now", "a batch's end first, and a clock that moves forward");
                 }
                 (self.now, self.in_batch, self.selected) = (now, true, None);
             }
-            "FOR" => self.selected = Some(f.small("who")?),
+            "FOR" => self.selected = Some(f.required_u32("who")?),
             "START" => {
                 let Some(who) = self.selected else { return self.missing_for(&f) };
                 self.instances.insert(who, Instance::start(&f)?);
@@ -243,13 +248,13 @@
                 return Ok(Some(reply));
             }
             "FLEET" => {
-                let scope = match f.text("scope")? {
+                let scope = match f.required_text("scope")? {
                     "incr" => ListScope::Changes,
-                    "total" | "warm_copy" => ListScope::Whole,
-                    "lost" => ListScope::Lost,
+                    "total" | "warm_copy" => ListScope::Complete,
+                    "lost" => ListScope::Failed,
                     _ => return f.fail("scope", "incr, total, warm_copy or lost"),
                 };
-                let missing = f.whole_or("items", 0)?;
+                let missing = f.u64_or("items", 0)?;
                 if self.selected.is_none() {
                     return self.missing_for(&f);
                 }
