--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -6,7 +6,7 @@
 use crate::processes::{mount, Platter, Process};
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::{CustomerId, Listed, Micros, Outcome, ServiceId};
-use starlinghill_decision::store_name;
+use starlinghill_decision::bucket_name;
 use starlinghill_gateway::counter::CounterTransport;
 use starlinghill_gateway::inbox::{Clock, Input, Listing};
 use starlinghill_runtime::essential_tasks::EssentialTasks;
@@ -15,7 +15,7 @@
 use starlinghill_runtime::{CONFIG_STORE_PORT_OFFSET, PROXY_PORT_OFFSET, REGISTRY_PORT_OFFSET};
 
 use starlinghill_config_model::RoutingTable;
-use starlinghill_config_store::program::store;
+use starlinghill_config_store::program::run_store;
 use starlinghill_proxy::decision_settings::Places;
 use starlinghill_proxy::heartbeat::Ring;
 use starlinghill_proxy::quota_client::Counter;
@@ -205,7 +205,7 @@
         let run = async move {
             // Nobody sends it SIGHUP.
             let (_told, reread) = watch::channel(None);
-            store(&node, &net, reread, found, mount(disk), async move { drop(ends.await) }).await
+            run_store(&node, &net, reread, found, mount(disk), async move { drop(ends.await) }).await
         };
         *core.store.borrow_mut() = self.watched(format!("store {i}"), run);
     }
@@ -412,7 +412,7 @@
 
 /// Draws from the tenant with a quota as often as clients who want far more, one draw after the other.
 async fn draw(counter: Rc<Counter>, granted: Rc<RefCell<Vec<Duration>>>, begun: Instant) {
-    let name = store_name(CustomerId(xxh3_64(RATIONED.as_bytes())));
+    let name = bucket_name(CustomerId(xxh3_64(RATIONED.as_bytes())));
     loop {
         sleep(Duration::from_millis(fastrand::u64(1..=DRAWS_MS))).await;
         let counted = counter.clone().draw(name, 1.0, (ServiceId(0), Micros(1_000_000))).await;
