--- a/crates/starlinghill-proxy/src/backend_protocol.rs
+++ b/crates/starlinghill-proxy/src/backend_protocol.rs
@@ -40,7 +40,7 @@
         if refused {
             // Another process has the address, so this backend is gone.
             let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
-            let outcome = if misdirected { Outcome::ConnectFailed } else { Outcome::Full };
+            let outcome = if misdirected { Outcome::ConnectFailed } else { Outcome::Rejected };
             return ResponseVerdict { outcome, pass: false, head: false, own };
         }
         // A success without the seal, or with an encoding, was made or changed by something else than the backend.
--- a/crates/starlinghill-proxy/src/decision_settings.rs
+++ b/crates/starlinghill-proxy/src/decision_settings.rs
@@ -65,7 +65,7 @@
 
 fn class_key(route: &Route, tenant: Option<&Tenant>) -> ClassKey {
     let priority = tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority);
-    ClassKey { aim: route.aim, timeout: route.timeout, priority, safe: route.safe }
+    ClassKey { aim: route.target_time, timeout: route.timeout, priority, safe: route.idempotent }
 }
 
 fn micros(duration: Duration) -> Micros {
@@ -87,7 +87,7 @@
                 // The configuration has only ranks. Each rank is worth less than the one above it.
                 let worth = 3.0 / (1.0 + class_key.priority as f64);
                 self.classes.push(Class {
-                    aim: micros(class_key.aim),
+                    target: micros(class_key.aim),
                     deadline: micros(class_key.timeout),
                     worth,
                     late_worth: worth * LATE_WORTH_RATIO,
@@ -124,12 +124,12 @@
     pub fn rules(&self, position: &FleetPosition, bounds: &Bounds) -> Rules {
         let (gateways, index) = (position.gateways.max(1), position.index);
         let retries = Some(retry_budget(bounds, gateways));
-        let common = Common {
+        let common = SharedSettings {
             plans: self.plans.clone(),
             gateways,
             me: index.min(gateways - 1),
             retries,
-            skew: position.skew,
+            clock_offset: position.skew,
         };
         Rules { classes: self.classes.clone(), max_attempts: MAX_ATTEMPTS, common: Some(common) }
     }
@@ -148,9 +148,9 @@
 
 /// One gateway's part of the retry budget. The sum over all gateways stays within the budget: each earns the ratio
 /// for its own requests only, and saves no more than its part of the extra.
-pub fn retry_budget(bounds: &Bounds, gateways: u32) -> Retries {
+pub fn retry_budget(bounds: &Bounds, gateways: u32) -> RetryBudget {
     let saved = bounds.retry_extra * RETRY_EXTRA_USED / f64::from(gateways.max(1));
-    Retries { share: bounds.retry_ratio * RETRY_RATIO_USED, saved }
+    RetryBudget { share: bounds.retry_ratio * RETRY_RATIO_USED, saved }
 }
 
 /// How long the module waits before it tries an unreachable counter again. Another registry takes over within about a
@@ -183,11 +183,11 @@
         tip_after: Micros(1_000_000),
         tick: Micros(1_000),
         retries: Some(retry_budget(bounds, 16)),
-        levels: true,
+        counter_buckets: true,
         allowance: bounds.allowance(),
         cooldown: Some(COUNTER_RETRY_DELAY),
         // Cancelling an attempt that a backend already works on wastes that work.
-        patient: true,
-        skew: Micros(0),
+        wait_to_deadline: true,
+        clock_offset: Micros(0),
     }
 }
--- a/crates/starlinghill-proxy/src/heartbeat.rs
+++ b/crates/starlinghill-proxy/src/heartbeat.rs
@@ -29,23 +29,23 @@
             start: Instant::now(),
             monitor,
             port: at.port(),
-            heartbeat: Heartbeat { life: incarnation },
+            heartbeat: Heartbeat { incarnation },
         }
     }
 
     /// Sets the addresses of all gateways.
     pub fn follow(&self, gateways: impl IntoIterator<Item = IpAddr>) {
-        self.monitor.borrow_mut().follow(gateways);
+        self.monitor.borrow_mut().set_peers(gateways);
     }
 
     /// The gateways that it received heartbeats of, and how long ago.
     pub fn sightings(&self) -> Vec<PeerSighting> {
-        self.monitor.borrow().seen(self.start.elapsed())
+        self.monitor.borrow().recent_sightings(self.start.elapsed())
     }
 
     /// True if there are other gateways but none of them is heard.
-    pub fn is_alone(&self) -> bool {
-        self.monitor.borrow().is_alone(self.start.elapsed())
+    pub fn is_isolated(&self) -> bool {
+        self.monitor.borrow().is_isolated(self.start.elapsed())
     }
 
     /// Sends and receives heartbeats until the process ends.
@@ -58,7 +58,7 @@
         loop {
             tokio::select! {
                 _ = ticks.tick() => {
-                    let watchers = self.monitor.borrow().to_tell();
+                    let watchers = self.monitor.borrow().heartbeat_targets();
                     for ip in watchers {
                         // A lost heartbeat is made up for by the next.
                         let _ = socket.try_send_to(&datagram, SocketAddr::new(ip, self.port));
@@ -70,7 +70,7 @@
                         continue;
                     };
                     if let Ok(heartbeat) = bitcode::decode::<Heartbeat>(body) {
-                        self.monitor.borrow_mut().heard(self.start.elapsed(), from.ip(), heartbeat);
+                        self.monitor.borrow_mut().record_heartbeat(self.start.elapsed(), from.ip(), heartbeat);
                     }
                 }
             }
--- a/crates/starlinghill-proxy/src/quota_client.rs
+++ b/crates/starlinghill-proxy/src/quota_client.rs
@@ -112,7 +112,7 @@
     /// What this gateway knows of quotas and owes them; its times count from `start`.
     client: RefCell<QuotaClient>,
     start: Instant,
-    /// Rate (units per second) and burst (units) of each quota, by the number of its store.
+    /// Rate (units per second) and burst (units) of each quota, by the number of its token bucket.
     pub quotas: RefCell<HashMap<u64, (f64, f64)>>,
     draws: mpsc::Sender<PendingDraw>,
     connected: Cell<bool>,
@@ -203,7 +203,7 @@
         };
         stream.tune();
         let mut reader = Reader::default();
-        self.client.borrow_mut().calls(self.start.elapsed(), term);
+        self.client.borrow_mut().on_connect(self.start.elapsed(), term);
         // The recall comes first: a new counter must know the earlier levels before it grants anything.
         let recall = self.recall(incarnation, term);
         if frame::write(&mut stream, &recall).await.is_err() {
@@ -242,13 +242,13 @@
                     match (unanswered.pop_front(), answer) {
                         (Some(SentMessage::Draws(draws, _)), RegistryResponse::Levels(levels, time)) if levels.len() == draws.len() => {
                             self.observe_system_time(time);
-                            self.client.borrow_mut().hears(self.start.elapsed(), term);
+                            self.client.borrow_mut().on_reply(self.start.elapsed(), term);
                             draws.into_iter().zip(levels).for_each(|(draw, level)| self.answered(draw, level, time));
                         }
                         (Some(SentMessage::Draws(draws, reported)), RegistryResponse::NotHolder(known)) => {
                             // None of the draws and loads was recorded.
                             self.changed_backends.borrow_mut().extend(reported);
-                            draws.into_iter().for_each(|draw| self.failed(draw, Outcome::Full));
+                            draws.into_iter().for_each(|draw| self.failed(draw, Outcome::Rejected));
                             if known > term {
                                 break "another_term";
                             }
@@ -320,7 +320,7 @@
     /// of the backends. Without this, all work would go to a few backends while the others stay idle.
     fn choose_unknown_backends(&self, service: u32) -> Option<Vec<(ServerId, Micros)>> {
         let unknown = self.unknown.borrow();
-        let unknown = unknown.get(&service).filter(|unknown| fastrand::f64() < unknown.part)?;
+        let unknown = unknown.get(&service).filter(|unknown| fastrand::f64() < unknown.capacity_fraction)?;
         let mut chosen = fastrand::choose_multiple(unknown.backends.iter(), UNKNOWN_BACKENDS_OFFERED);
         fastrand::shuffle(&mut chosen);
         Some(chosen.into_iter().map(|backend| (ServerId(*backend), Micros(0))).collect())
@@ -328,7 +328,8 @@
 
     /// The levels that a new counter, or one that has forgotten this gateway, needs.
     fn recall(&self, incarnation: u64, term: u64) -> RegistryRequest {
-        let readings = self.client.borrow_mut().recall(self.start.elapsed(), *self.time.borrow());
+        let readings =
+            self.client.borrow_mut().readings_for_recovery(self.start.elapsed(), *self.time.borrow());
         RegistryRequest::Recall { term, from: incarnation, readings }
     }
 
@@ -340,12 +341,20 @@
     ) -> (SentMessage, RegistryRequest) {
         let drawn = draws.iter_mut().map(|draw| &mut draw.draw);
         let owed_elsewhere =
-            self.client.borrow_mut().tells(self.start.elapsed(), drawn, MAX_DRAWS_PER_MESSAGE);
+            self.client.borrow_mut().on_send(self.start.elapsed(), drawn, MAX_DRAWS_PER_MESSAGE);
         let quotas = self.quotas.borrow();
         for (name, owed) in owed_elsewhere {
             // Without a quota, the tenant was removed.
             let Some((rate, burst)) = quotas.get(&name).copied() else { continue };
-            let draw = Draw { name, owed, units: 0.0, rate, burst, service: 0, within_ms: 0 };
+            let draw = Draw {
+                bucket: name,
+                unreported: owed,
+                units: 0.0,
+                rate,
+                burst,
+                service: 0,
+                max_response_ms: 0,
+            };
             draws.push(PendingDraw { draw, reply: None });
         }
         let load_reports = self.due_load_reports();
@@ -360,7 +369,7 @@
     /// Handles the result of one draw.
     fn answered(&self, pending: PendingDraw, level: QuotaLevel, time: u64) {
         let (draw, granted) = (pending.draw, level.level >= 0.0);
-        let offered = || level.rooms.iter().copied().map(offered).collect();
+        let offered = || level.offers.iter().copied().map(offered).collect();
         let rooms = self.choose_unknown_backends(draw.service).unwrap_or_else(offered);
         let asked = pending.reply.is_some();
         let (outcome, total, share) = (Outcome::Ok, level.level, Some(level.share));
@@ -368,7 +377,7 @@
         if asked {
             self.count_answer(waited, granted);
         }
-        self.client.borrow_mut().answered(time, &draw, &level, waited);
+        self.client.borrow_mut().on_draw_answered(time, &draw, &level, waited);
     }
 
     /// The load reports that are due. How attempts ended is reported once, because losing it does no harm. The number
@@ -376,12 +385,12 @@
     fn due_load_reports(&self) -> Vec<LoadReport> {
         let mut loads = self.loads.borrow_mut();
         let take_report = |backend| {
-            let empty = LoadReport { backend, out: 0, well: 0, took_ms: 0, ill: 0 };
+            let empty = LoadReport { backend, outstanding: 0, succeeded: 0, total_latency_ms: 0, failed: 0 };
             let Some(load) = loads.get_mut(&backend) else { return empty };
             let report = *load;
-            match report.out {
+            match report.outstanding {
                 0 => drop(loads.remove(&backend)),
-                out => *load = LoadReport { out, ..empty },
+                out => *load = LoadReport { outstanding: out, ..empty },
             }
             report
         };
@@ -390,7 +399,7 @@
 
     fn update_load(&self, server: ServerId, change: impl FnOnce(&mut LoadReport)) {
         let backend = server.0;
-        let empty = LoadReport { backend, out: 0, well: 0, took_ms: 0, ill: 0 };
+        let empty = LoadReport { backend, outstanding: 0, succeeded: 0, total_latency_ms: 0, failed: 0 };
         change(self.loads.borrow_mut().entry(backend).or_insert(empty));
         self.changed_backends.borrow_mut().insert(backend);
         self.report_due.notify_one();
@@ -401,7 +410,7 @@
     async fn next_report_due(&self) {
         let due = async {
             sleep(REPORT_INTERVAL_PER_GATEWAY * self.gateways.get()).await;
-            while self.changed_backends.borrow().is_empty() && !self.client.borrow().owes() {
+            while self.changed_backends.borrow().is_empty() && !self.client.borrow().has_unreported() {
                 self.report_due.notified().await;
             }
         };
@@ -419,7 +428,7 @@
 
     /// Ends a draw without a result.
     fn failed(&self, pending: PendingDraw, outcome: Outcome) {
-        self.client.borrow_mut().failed(&pending.draw);
+        self.client.borrow_mut().on_draw_failed(&pending.draw);
         if pending.reply.is_some() {
             self.count_draws(|counts| counts.failed += 1);
         }
@@ -458,37 +467,37 @@
 
 /// Converts an offered backend to the decision module's types.
 fn offered(offer: BackendOffer) -> (ServerId, Micros) {
-    (ServerId(offer.backend), Micros(u64::from(offer.takes_ms) * 1_000))
+    (ServerId(offer.backend), Micros(u64::from(offer.expected_response_ms) * 1_000))
 }
 
 impl CounterTransport for CounterClient {
     /// Not used: all quotas are drawn from with `draw`.
     fn count(self: Rc<Self>, _: CountName, _: f64, _: Micros) -> CounterCall {
-        Box::pin(async { Outcome::Moot.into() })
+        Box::pin(async { Outcome::NotSent.into() })
     }
 
     fn charge(&self, name: CountName, units: f64) {
         let rate = self.quotas.borrow().get(&name.0).map_or(0.0, |(rate, _)| *rate);
-        self.client.borrow_mut().charge(name.0, units, rate, self.gateways.get() as usize);
+        self.client.borrow_mut().add_unreported(name.0, units, rate, self.gateways.get() as usize);
         self.report_due.notify_one();
     }
 
     fn sent(&self, server: ServerId) {
         self.count_draws(|counts| counts.attempts += 1);
-        self.update_load(server, |load| load.out = load.out.saturating_add(1));
+        self.update_load(server, |load| load.outstanding = load.outstanding.saturating_add(1));
     }
 
     fn came_back(&self, server: ServerId, outcome: Outcome, took: Micros) {
         self.update_load(server, |load| {
-            load.out = load.out.saturating_sub(1);
+            load.outstanding = load.outstanding.saturating_sub(1);
             match outcome {
                 Outcome::Ok => {
-                    load.well = load.well.saturating_add(1);
-                    load.took_ms = load.took_ms.saturating_add((took.0 / 1_000) as u32);
+                    load.succeeded = load.succeeded.saturating_add(1);
+                    load.total_latency_ms = load.total_latency_ms.saturating_add((took.0 / 1_000) as u32);
                 }
                 // Such an attempt says nothing about the backend.
-                Outcome::Cancelled | Outcome::Moot => {}
-                _ => load.ill = load.ill.saturating_add(1),
+                Outcome::Cancelled | Outcome::NotSent => {}
+                _ => load.failed = load.failed.saturating_add(1),
             }
         });
     }
@@ -503,10 +512,18 @@
             return Box::pin(async { Outcome::ConnectFailed.into() });
         }
         let Some((rate, burst)) = self.quotas.borrow().get(&name.0).copied() else {
-            return Box::pin(async { Outcome::Moot.into() });
+            return Box::pin(async { Outcome::NotSent.into() });
         };
         let within_ms = (within.0 / 1_000).min(u64::from(u16::MAX)) as u16;
-        let draw = Draw { name: name.0, owed: 0.0, units, rate, burst, service: service.0, within_ms };
+        let draw = Draw {
+            bucket: name.0,
+            unreported: 0.0,
+            units,
+            rate,
+            burst,
+            service: service.0,
+            max_response_ms: within_ms,
+        };
         let (reply, answer) = oneshot::channel();
         if let Err(refused) = self.draws.try_send(PendingDraw { draw, reply: Some(reply) }) {
             self.failed(refused.into_inner(), Outcome::ConnectFailed);
--- a/crates/starlinghill-proxy/src/registry_client.rs
+++ b/crates/starlinghill-proxy/src/registry_client.rs
@@ -5,13 +5,15 @@
 use crate::heartbeat::HeartbeatRing;
 use crate::quota_client::{CounterClient, CounterHolder};
 use hyper::header::HeaderValue;
-use starlinghill_catalog::{number, service_number, BackendState, Change, Gateway, Liveness, MergedView};
-use starlinghill_config_model::items::digest;
+use starlinghill_catalog::{
+    name_hash, service_hash, BackendChange, BackendState, Gateway, Liveness, MergedView,
+};
+use starlinghill_config_model::items::versions_digest;
 use starlinghill_config_model::routing::Tenant;
 use starlinghill_config_model::{ItemSet, RoutingTable};
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::*;
-use starlinghill_decision::store_name;
+use starlinghill_decision::bucket_name;
 use starlinghill_gateway::inbox::{Clock, Inbox, Input, Listing};
 use starlinghill_lease::contact::{LastQuorumContact, StalenessBudget};
 use starlinghill_registry::wire::{KnownState, RegistryRequest, RegistryResponse, RegistryUpdate};
@@ -65,12 +67,12 @@
 
 /// The decision module's id of a service.
 pub fn service_id(name: &str) -> ServiceId {
-    ServiceId(service_number(name))
+    ServiceId(service_hash(name))
 }
 
 /// The decision module's id of a zone.
 pub fn zone_id(name: &str) -> ZoneId {
-    ZoneId(number(name) as u32)
+    ZoneId(name_hash(name) as u32)
 }
 
 /// What the registry client is connected to.
@@ -99,11 +101,10 @@
 ) {
     let RegistryClientContext { net, driver, clock, counter, holder, ring } = context;
     let (updates_out, updates) = mpsc::channel(MAX_QUEUED_UPDATES);
-    let own_gateway =
-        Gateway { ip: node.ip, life: incarnation, zone: node.zone.clone(), node: node.name.clone() };
+    let own_gateway = Gateway { ip: node.ip, incarnation, zone: node.zone.clone(), node: node.name.clone() };
     let term = Rc::new(std::cell::Cell::new(0));
     let items_digest = Rc::new(std::cell::Cell::new(0));
-    let staleness = StalenessBudget::of(node.bounds.apply);
+    let staleness = StalenessBudget::from_apply_bound(node.bounds.apply);
     let poller = Poller {
         registry: 0,
         client: Rc::new(RpcClient::new(&net, node.internal_address(node.ip, REGISTRY_PORT_OFFSET))),
@@ -114,7 +115,7 @@
         counter: counter.clone(),
         updates: updates_out,
         stopping: shared.stopping.clone(),
-        poll_timeout: staleness.given_up,
+        poll_timeout: staleness.request_timeout,
     };
     // The seeds are only used until a registry has sent the members.
     let mut registries = PolledRegistries {
@@ -319,7 +320,7 @@
         self.counter.observe_system_time(update.time);
         for gone in update.members.as_ref().map(|members| self.registries.follow(members)).unwrap_or_default()
         {
-            self.backends.left(gone);
+            self.backends.remove_registry(gone);
             self.gateway_lists.remove(&gone);
         }
         let changed = !self.items.merge(update.items).is_empty();
@@ -327,13 +328,17 @@
             self.apply_items().await;
         }
         let (now, asked) = (self.start.elapsed(), asked.saturating_duration_since(self.start));
-        let heard = update.contact.map(|contact| LastQuorumContact::passed_on(contact, asked, now));
-        self.contact = LastQuorumContact::newer(self.contact, heard, now);
-        if self.staleness.may_vouch(self.contact.map(|contact| contact.age(now))) && !self.items.is_empty() {
+        let heard = update.contact.map(|contact| LastQuorumContact::from_peer(contact, asked, now));
+        self.contact = LastQuorumContact::newest(self.contact, heard, now);
+        if self.staleness.is_fresh(self.contact.map(|contact| contact.age(now))) && !self.items.is_empty() {
             self.first_update.get_or_insert_with(Instant::now);
         }
-        let changes =
-            self.backends.told(self.start.elapsed(), registry, update.registry_incarnation, update.backends);
+        let changes = self.backends.apply_observations(
+            self.start.elapsed(),
+            registry,
+            update.registry_incarnation,
+            update.backends,
+        );
         self.apply_backend_changes(changes).await;
         if update.complete || !update.gateways.is_empty() {
             let list = self.gateway_lists.entry(registry).or_default();
@@ -358,10 +363,10 @@
 
     /// The decision module gets the new rules before any request is routed by the new items.
     async fn apply_items(&mut self) {
-        let table = RoutingTable::of(&self.items);
+        let table = RoutingTable::from_items(&self.items);
         self.shared.view.borrow_mut().index.follow(&table);
         let quota = |tenant: &Rc<Tenant>| {
-            let name = store_name(CustomerId(number(&tenant.name)));
+            let name = bucket_name(CustomerId(name_hash(&tenant.name)));
             (name.0, (tenant.rate, tenant.burst.max(1.0)))
         };
         *self.counter.quotas.borrow_mut() = table.tenants.iter().map(quota).collect();
@@ -369,7 +374,7 @@
         let routes = table.routes().count();
         log::info!("event=configuration routes={routes} tenants={}", table.tenants.len());
         self.shared.view.borrow_mut().table = table;
-        self.items_digest.set(digest(self.items.items().map(|held| &held.item)));
+        self.items_digest.set(versions_digest(self.items.items().map(|held| &held.item)));
     }
 
     async fn send_rules(&mut self, changed: bool) {
@@ -399,23 +404,23 @@
         let _ = self.driver.send(Input::Rules(rules)).await;
     }
 
-    async fn apply_backend_changes(&mut self, changes: Vec<Change>) {
+    async fn apply_backend_changes(&mut self, changes: Vec<BackendChange>) {
         if changes.is_empty() {
             return;
         }
         self.changed_services.extend(changes.iter().map(|change| change.instance.service.clone()));
         let (now, time) = (self.clock.now(), *self.counter.time.borrow());
-        let listing = |change: Change| {
-            let Change { instance, liveness } = change;
+        let listing = |change: BackendChange| {
+            let BackendChange { instance, liveness } = change;
             let listed = match (instance.state, liveness) {
                 (BackendState::Gone, _) | (_, Liveness::Lost) => Listed::Gone,
                 (BackendState::Ready, Liveness::Alive) => Listed::InService,
                 (BackendState::Ready, Liveness::Silent) | (BackendState::Draining, _) => Listed::Draining,
             };
-            let warm_in = instance.warm_at.saturating_sub(time);
+            let warm_in = instance.warm_at_us.saturating_sub(time);
             let started = (warm_in > 0).then(|| now + Micros(warm_in.min(WARMUP.0)) - WARMUP);
             let entry = ServerEntry {
-                server: ServerId(instance.number()),
+                server: ServerId(instance.id_hash()),
                 service: service_id(&instance.service),
                 zone: zone_id(&instance.zone),
                 cell: CellId(0),
@@ -440,7 +445,7 @@
         if services.is_empty() {
             return;
         }
-        for (service, count) in self.backends.serving(services.iter().map(String::as_str)) {
+        for (service, count) in self.backends.ready_counts(services.iter().map(String::as_str)) {
             match count {
                 0 => log::warn!("event=no_backend service={service}"),
                 _ => log::info!("event=backends service={service} serving={count}"),
@@ -451,7 +456,7 @@
     /// Tells the decision module when this gateway becomes isolated: the others may take it for dead and use its
     /// share of the quotas.
     async fn check_isolation(&mut self) {
-        let isolated = self.ring.is_alone() && !self.counter.is_available();
+        let isolated = self.ring.is_isolated() && !self.counter.is_available();
         if std::mem::replace(&mut self.isolated, isolated) != isolated {
             log::warn!("event=alone alone={isolated}");
             let _ = self.driver.send(Input::Alone(isolated)).await;
@@ -461,8 +466,8 @@
     /// Finds the backends that the counter's registry doesn't know.
     fn find_unknown_backends(&self) {
         let holder = self.holder.borrow().and_then(|(_, at)| Some(self.registries.pollers.get(&at.ip())?.0));
-        let unknown = holder.map(|registry| self.backends.unknown_to(registry)).unwrap_or_default();
-        let unknown = unknown.into_iter().map(|(of, unknown)| (service_number(of), unknown)).collect();
+        let unknown = holder.map(|registry| self.backends.unknown_to_registry(registry)).unwrap_or_default();
+        let unknown = unknown.into_iter().map(|(of, unknown)| (service_hash(of), unknown)).collect();
         let before = self.counter.unknown.replace(unknown);
         let now = self.counter.unknown.borrow();
         if before.is_empty() != now.is_empty() {
@@ -491,17 +496,17 @@
         let Some(since) = self.first_update else { return };
         let age = self.contact.map(|contact| contact.age(self.start.elapsed()));
         let confirmed =
-            self.staleness.may_begin_to_serve(age, self.gateway_lists.len(), self.registries.pollers.len());
+            self.staleness.may_start_serving(age, self.gateway_lists.len(), self.registries.pollers.len());
         // Serves with what it has if most registries stay silent although a majority of stores has been heard of, but
         // never on outdated configuration.
-        let waited = since.elapsed() > MAX_READY_DELAY && self.staleness.may_vouch(age);
+        let waited = since.elapsed() > MAX_READY_DELAY && self.staleness.is_fresh(age);
         if !(confirmed || waited) {
             return;
         }
-        let served = self.backends.served();
+        let served = self.backends.available_services();
         let view = self.shared.view.borrow();
         let all_served =
-            view.table.routes().flat_map(|route| &route.to).all(|(to, _)| served.contains(to.as_str()));
+            view.table.routes().flat_map(|route| &route.targets).all(|(to, _)| served.contains(to.as_str()));
         if all_served || since.elapsed() > MAX_READY_DELAY {
             log::info!("event=ready served={} all={all_served} gateways={}", served.len(), view.gateways);
             self.shared.ready.send_replace(true);
--- a/crates/starlinghill-proxy/src/request_handler.rs
+++ b/crates/starlinghill-proxy/src/request_handler.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use starlinghill_catalog::number;
+use starlinghill_catalog::name_hash;
 use starlinghill_config_model::routing::Route;
 use starlinghill_decision::api::*;
 use starlinghill_gateway::answer::AnswerBody;
@@ -97,7 +97,7 @@
         let key = headers.get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
         let key = key.and_then(|v| v.strip_prefix("Bearer ")).map(str::trim);
         let tenant = key.and_then(|key| view.table.tenant(key));
-        if view.table.keyed && !route.public && tenant.is_none() {
+        if view.table.requires_key && !route.public && tenant.is_none() {
             return Err((StatusCode::UNAUTHORIZED, "Authorization: expected the key of a customer\n"));
         }
         let class = view.index.class(route, tenant.map(Rc::as_ref));
@@ -106,13 +106,13 @@
             return Err((StatusCode::SERVICE_UNAVAILABLE, "not ready\n"));
         };
         let plan = tenant.and_then(|tenant| view.index.plan(&tenant.name));
-        let customer = tenant.map_or(CustomerId(0), |tenant| CustomerId(number(&tenant.name)));
+        let customer = tenant.map_or(CustomerId(0), |tenant| CustomerId(name_hash(&tenant.name)));
         let timeout = Micros(route.timeout.as_micros() as u64);
         let time_left = time_left.map_or(timeout, |ms| Micros(ms.saturating_mul(1_000)));
         let arrival = Arrival {
             class,
             service: service_id(self.choose_service(route)),
-            tries: route.tries as usize,
+            max_attempts: route.max_tries as usize,
             plan: plan.unwrap_or(NO_TENANT_PLAN),
             customer,
             spread: view.gateways,
@@ -127,7 +127,7 @@
         if let Some(name) = tenant.and_then(|tenant| HeaderValue::from_str(&tenant.name).ok()) {
             headers.insert(TENANT, name);
         }
-        let reuse = if route.safe { Reuse::Repeatable } else { Reuse::Once };
+        let reuse = if route.idempotent { Reuse::Repeatable } else { Reuse::Once };
         Ok(ParsedRequest {
             wanted: Wanted { arrival, budget: time_left.min(timeout) - TRANSPORT_TIME, headers, reuse },
         })
@@ -135,15 +135,15 @@
 
     /// Chooses one of a route's services at random, by their weights.
     fn choose_service<'a>(&self, route: &'a Route) -> &'a str {
-        let total: f64 = route.to.iter().map(|(_, weight)| weight).sum();
+        let total: f64 = route.targets.iter().map(|(_, weight)| weight).sum();
         let mut remaining = self.rng.borrow_mut().f64() * total;
-        for (name, weight) in &route.to {
+        for (name, weight) in &route.targets {
             remaining -= weight;
             if remaining < 0.0 {
                 return name;
             }
         }
-        route.to.iter().rev().find(|(_, weight)| *weight > 0.0).map_or("", |(name, _)| name)
+        route.targets.iter().rev().find(|(_, weight)| *weight > 0.0).map_or("", |(name, _)| name)
     }
 }
 
--- a/crates/starlinghill-proxy/tests/quota_client.rs
+++ b/crates/starlinghill-proxy/tests/quota_client.rs
@@ -26,7 +26,7 @@
 
 fn levels(draws: &[Draw], level: f64) -> RegistryResponse {
     RegistryResponse::Levels(
-        draws.iter().map(|_| QuotaLevel { level, share: 1.0, rooms: Vec::new() }).collect(),
+        draws.iter().map(|_| QuotaLevel { level, share: 1.0, offers: Vec::new() }).collect(),
         1,
     )
 }
@@ -107,7 +107,11 @@
         _ => levels(draws, 5.0),
     };
     let (results, connections) = draw_repeatedly(forgets, Duration::from_millis(700));
-    assert_eq!((results.first(), results.last()), (Some(&Outcome::Full), Some(&Outcome::Ok)), "{results:?}");
+    assert_eq!(
+        (results.first(), results.last()),
+        (Some(&Outcome::Rejected), Some(&Outcome::Ok)),
+        "{results:?}"
+    );
     assert_eq!(connections, 1);
 }
 
@@ -152,14 +156,14 @@
 #[test]
 fn backends_that_the_counter_does_not_know_get_their_part_of_the_requests() {
     let offers_one: AnswerDraws = |draws, _, _| {
-        let rooms = vec![BackendOffer { backend: 1, takes_ms: 900 }];
+        let offers = vec![BackendOffer { backend: 1, expected_response_ms: 900 }];
         RegistryResponse::Levels(
-            draws.iter().map(|_| QuotaLevel { level: 5.0, share: 1.0, rooms: rooms.clone() }).collect(),
+            draws.iter().map(|_| QuotaLevel { level: 5.0, share: 1.0, offers: offers.clone() }).collect(),
             1,
         )
     };
     let part_of_unknown = |part| {
-        let unknown = UnknownBackends { part, backends: vec![7, 8, 9, 10] };
+        let unknown = UnknownBackends { capacity_fraction: part, backends: vec![7, 8, 9, 10] };
         let observed = run_counter(offers_one, Duration::from_millis(1_500), Duration::ZERO, Some(unknown));
         let first: Vec<_> =
             observed.results.iter().filter_map(|result| result.rooms.first().copied()).collect();
@@ -203,7 +207,7 @@
         else {
             panic!("debts are reported first");
         };
-        let owed: f64 = draws.iter().map(|draw| draw.owed).sum();
+        let owed: f64 = draws.iter().map(|draw| draw.unreported).sum();
         // A gateway that doesn't know its share of a tenant's quota yet uses a quarter of an even part; here it is
         // the only gateway.
         let paid = rate / 4.0 * (reached - started).as_secs_f64();
--- a/crates/starlinghill-registry/src/http.rs
+++ b/crates/starlinghill-registry/src/http.rs
@@ -141,10 +141,10 @@
         };
         let (reply_to, recorded) = oneshot::channel();
         if self.state.send(Command::Heartbeat(instance, warmup, reply_to)).await.is_err() {
-            return error_reply(StatusCode::SERVICE_UNAVAILABLE, "shutting down");
+            return error_reply(StatusCode::SERVICE_UNAVAILABLE, "ending");
         }
         let Ok(instance) = recorded.await else {
-            return error_reply(StatusCode::SERVICE_UNAVAILABLE, "shutting down");
+            return error_reply(StatusCode::SERVICE_UNAVAILABLE, "ending");
         };
         if refuses_new_work(&instance) {
             // The heartbeat is acknowledged only once the state would survive the loss of this registry.
@@ -161,7 +161,7 @@
     async fn leave(&self, id: &str) -> Reply {
         let (reply_to, recorded) = oneshot::channel();
         if self.state.send(Command::Leave(id.into(), reply_to)).await.is_err() || recorded.await.is_err() {
-            return error_reply(StatusCode::SERVICE_UNAVAILABLE, "shutting down");
+            return error_reply(StatusCode::SERVICE_UNAVAILABLE, "ending");
         }
         match self.peers.replicate_departure(id).await {
             true => reply(StatusCode::OK, b"{}".to_vec()),
@@ -180,9 +180,9 @@
     async fn change(&self, body: Bytes) -> Reply {
         let started = Instant::now();
         let asked =
-            ask_store(&self.net, self.stores(), StoreRequest::Change(body.to_vec()), ORDER_RESPONSE_TIMEOUT);
+            ask_store(&self.net, self.stores(), StoreRequest::Apply(body.to_vec()), ORDER_RESPONSE_TIMEOUT);
         let outcome = match asked.await {
-            Some(StoreResponse::Changed(outcome)) => outcome,
+            Some(StoreResponse::Applied(outcome)) => outcome,
             _ => ChangeOutcome::Unclear,
         };
         let took = started.elapsed().as_millis();
@@ -200,8 +200,8 @@
 
     async fn read(&self) -> Reply {
         match ask_store(&self.net, self.stores(), StoreRequest::Read, ORDER_RESPONSE_TIMEOUT).await {
-            Some(StoreResponse::Whole(items)) => {
-                reply(StatusCode::OK, ItemSet::of(items).layout().encode().into_bytes())
+            Some(StoreResponse::Items(items)) => {
+                reply(StatusCode::OK, ItemSet::from_items(items).to_upsert().encode().into_bytes())
             }
             _ => error_reply(StatusCode::SERVICE_UNAVAILABLE, "no majority of stores in time"),
         }
@@ -237,8 +237,8 @@
         version: if version.exists() { version.text(f) } else { String::new() },
         capacity: details.at("capacity").count(f).clamp(1, 100_000) as u32,
         state,
-        calls: observed.at("call_count").count(f),
-        warm_at: 0,
+        beat_count: observed.at("call_count").count(f),
+        warm_at_us: 0,
     };
     let checked = errors.into_result((instance, warmup));
     checked.map_err(|errors| errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))
--- a/crates/starlinghill-registry/src/members.rs
+++ b/crates/starlinghill-registry/src/members.rs
@@ -43,7 +43,7 @@
             return false;
         }
         // `before` is included because a registry that has just started may have gone by that set until now.
-        for set in [ips(&self.members.voters), ips(&members.before)] {
+        for set in [ips(&self.members.voters), ips(&members.previous_voters)] {
             if !set.is_empty() {
                 self.replaced.push((now + self.replaced_valid_for, set));
             }
--- a/crates/starlinghill-registry/src/peers.rs
+++ b/crates/starlinghill-registry/src/peers.rs
@@ -57,8 +57,8 @@
         let newer = known.voters.is_empty() && !members.voters.is_empty() || members.epoch > known.epoch;
         if newer {
             *known = members.clone();
-            self.clients.borrow_mut().retain(|ip, _| members.at(*ip).is_some());
-            self.unsynced.borrow_mut().retain(|ip| members.at(*ip).is_some());
+            self.clients.borrow_mut().retain(|ip, _| members.member_at(*ip).is_some());
+            self.unsynced.borrow_mut().retain(|ip| members.member_at(*ip).is_some());
         }
         newer
     }
@@ -106,11 +106,11 @@
                 });
             }
             drop(replies);
-            let mut acknowledged: BTreeSet<Member> = members.at(self.own_ip).into_iter().collect();
+            let mut acknowledged: BTreeSet<Member> = members.member_at(self.own_ip).into_iter().collect();
             let mut newer = false;
             while !may_confirm_drain(acknowledged.len(), members.voters.len()) && !newer {
                 match answers.recv().await {
-                    Some((ip, RegistryResponse::Acknowledged)) => acknowledged.extend(members.at(ip)),
+                    Some((ip, RegistryResponse::Acknowledged)) => acknowledged.extend(members.member_at(ip)),
                     Some((_, RegistryResponse::NewerMembers(known))) => newer = self.follow(&known),
                     Some(_) => {}
                     None => return false,
@@ -249,8 +249,11 @@
         let _ = state.send(Command::Clock(reply)).await;
         let Ok(asked_at) = now.await else { return };
         let asked = Instant::now();
-        match client.call(&store::StoreRequest::News(known_ballot, had_contact), staleness.given_up).await {
-            Ok(store::StoreResponse::News { ballot, contact, members, votes, proposed, items }) => {
+        match client
+            .call(&store::StoreRequest::Changes(known_ballot, had_contact), staleness.request_timeout)
+            .await
+        {
+            Ok(store::StoreResponse::Changes { ballot, contact, members, is_voter, proposed, items }) => {
                 (silent, had_contact) = (false, contact.is_some());
                 // A store that restarted with an empty disk may know less than before; items older than the known
                 // ones are ignored.
@@ -261,7 +264,7 @@
                     spawn_local(async move { peers.fetch_all_reports(&state).await });
                 }
                 // A store that doesn't vote can't tell what a majority may have accepted.
-                let valid_from = votes.then_some(asked_at);
+                let valid_from = is_voter.then_some(asked_at);
                 let sent = state.send(Command::Members(valid_from, members, proposed)).await;
                 let new = items.is_some() || contact.is_some();
                 if sent.is_err()
@@ -324,7 +327,7 @@
                 Ok(answer) => Some(answer),
                 Err(error) => {
                     log::warn!("event=store_failed address={} error=\"{error}\"", client.address());
-                    (!error.is_not_sent()).then_some(store::StoreResponse::NotNow)
+                    (!error.is_not_sent()).then_some(store::StoreResponse::Unavailable)
                 }
             }
         }
@@ -373,12 +376,12 @@
 
 /// The change was rejected by the current items, so another store may still accept it later.
 fn is_refusal(answer: &store::StoreResponse) -> bool {
-    matches!(answer, store::StoreResponse::Changed(store::ChangeOutcome::Invalid(_)))
+    matches!(answer, store::StoreResponse::Applied(store::ChangeOutcome::Invalid(_)))
 }
 
 fn is_conclusive(answer: &store::StoreResponse) -> bool {
     !matches!(
         answer,
-        store::StoreResponse::NotNow | store::StoreResponse::Changed(store::ChangeOutcome::Unclear)
+        store::StoreResponse::Unavailable | store::StoreResponse::Applied(store::ChangeOutcome::Unclear)
     )
 }
--- a/crates/starlinghill-registry/src/program.rs
+++ b/crates/starlinghill-registry/src/program.rs
@@ -83,7 +83,7 @@
     let state = state::start(node, &essentials);
     let (stop, stopping) = watch::channel(false);
     essentials.spawn("peers", peers.clone().run(state.clone()));
-    let staleness = StalenessBudget::of(node.bounds.apply);
+    let staleness = StalenessBudget::from_apply_bound(node.bounds.apply);
     essentials.spawn("store", follow_store(net.clone(), store, state.clone(), peers.clone(), staleness));
     let api = HttpApi {
         net: net.clone(),
--- a/crates/starlinghill-registry/src/state.rs
+++ b/crates/starlinghill-registry/src/state.rs
@@ -5,8 +5,8 @@
 use crate::wire::{
     CounterStatus, KnownState, PeerReport, RegistryRequest, RegistryResponse, RegistryStatus, RegistryUpdate,
 };
-use starlinghill_catalog::{number, service_number, BackendState, Catalog, Instance, Liveness, Observation};
-use starlinghill_config_model::items::digest;
+use starlinghill_catalog::{name_hash, service_hash, BackendState, Catalog, Instance, Liveness, Observation};
+use starlinghill_config_model::items::versions_digest;
 use starlinghill_config_model::{Item, ItemKind};
 use starlinghill_config_store::wire::Value;
 use starlinghill_consensus::Members;
@@ -121,7 +121,7 @@
 pub fn start(node: &NodeSettings, essentials: &EssentialTasks) -> StateHandle {
     let own_ip = node.ip;
     let (queue, mut commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
-    let staleness = StalenessBudget::of(node.bounds.apply);
+    let staleness = StalenessBudget::from_apply_bound(node.bounds.apply);
     let mut state = RegistryState {
         incarnation: fastrand::u64(1..),
         first_start: node.first_start,
@@ -134,7 +134,7 @@
         staleness,
         contact: None,
         lease: LeaseParticipant::new(own_ip, Duration::ZERO),
-        voter_sets: VoterSets::new(staleness.contact),
+        voter_sets: VoterSets::new(staleness.max_contact_age),
         own_ip,
         members_valid_until: Duration::ZERO,
         members_changed: 0,
@@ -173,18 +173,18 @@
     }
 
     fn may_vouch(&self, now: Duration) -> bool {
-        self.staleness.may_vouch(self.contact.map(|contact| contact.age(now)))
+        self.staleness.is_fresh(self.contact.map(|contact| contact.age(now)))
     }
 
     fn handle(&mut self, command: Command) {
         let now = self.now();
-        let before = self.catalog.urgent();
+        let before = self.catalog.urgent_seq();
         match command {
             Command::Request(request, reply) => return self.handle_request(now, request, reply),
             Command::Heartbeat(instance, warmup, reply) => {
-                let instance = Instance { warm_at: self.system_time_us() + warmup, ..instance };
+                let instance = Instance { warm_at_us: self.system_time_us() + warmup, ..instance };
                 let id = instance.id.clone();
-                if self.catalog.heard(now, instance.clone(), Duration::ZERO) {
+                if self.catalog.record_backend(now, instance.clone(), Duration::ZERO) {
                     let state = self.catalog.get(&id).map_or(instance.state, |known| known.state);
                     log::info!(
                         "event=backend id={id} service={} address={} state={state:?}",
@@ -195,25 +195,25 @@
                 let _ = reply.send(self.catalog.get(&id).cloned().unwrap_or(instance));
             }
             Command::Leave(id, reply) => {
-                let known = self.catalog.left(now, &id);
+                let known = self.catalog.mark_gone(now, &id);
                 log::info!("event=backend_left id={id} known={known}");
                 let _ = reply.send(());
             }
             Command::StoreUpdate(items, contact, asked) => {
                 let could_vouch = self.may_vouch(now);
                 let asked = asked.saturating_duration_since(self.start);
-                let heard = contact.map(|contact| LastQuorumContact::passed_on(contact, asked, now));
-                self.contact = LastQuorumContact::newer(self.contact, heard, now);
+                let heard = contact.map(|contact| LastQuorumContact::from_peer(contact, asked, now));
+                self.contact = LastQuorumContact::newest(self.contact, heard, now);
                 if !could_vouch && self.may_vouch(now) {
                     // Advances the sequence number, so that polls of gateways that have just started and wait for
                     // this contact are answered.
-                    self.catalog.number();
+                    self.catalog.next_urgent_seq();
                 }
                 self.merge_items(items.unwrap_or_default());
             }
             Command::Members(asked, members, proposed) => {
                 self.members_valid_until = asked.map_or(self.members_valid_until, |asked| {
-                    self.members_valid_until.max(asked + self.staleness.contact)
+                    self.members_valid_until.max(asked + self.staleness.max_contact_age)
                 });
                 self.voter_sets.propose(now, proposed.as_ref());
                 self.follow(now, &members);
@@ -225,18 +225,18 @@
                 let _ = reply.send(due);
             }
             Command::LeaseReply(from, asked, request, vote) => {
-                self.lease.told(now, from, asked, request, vote)
+                self.lease.handle_reply(now, from, asked, request, vote)
             }
             Command::End(reply) => {
                 let next =
                     self.voter_sets.members().voters.iter().map(|m| m.ip).find(|ip| *ip != self.own_ip);
                 self.counter = None;
-                let _ = reply.send(next.and_then(|next| self.lease.leave(now, next)));
+                let _ = reply.send(next.and_then(|next| self.lease.resign(now, next)));
             }
         }
         self.update_counter(now);
         self.list_backends(now);
-        if self.catalog.urgent() != before {
+        if self.catalog.urgent_seq() != before {
             self.answer_waiting_polls(true);
         }
     }
@@ -245,10 +245,10 @@
     fn follow(&mut self, now: Duration, members: &Members) {
         if self.voter_sets.follow(now, members) {
             log::info!("event=members epoch={} voters={:?}", members.epoch, members.voters);
-            self.members_changed = self.catalog.number();
+            self.members_changed = self.catalog.next_urgent_seq();
         }
         let sets = self.voter_sets.required_majorities(now);
-        self.lease.vouch(sets, self.members_valid_until);
+        self.lease.set_voters(sets, self.members_valid_until);
     }
 
     /// Acknowledges a report only to a sender that knows the current members. Otherwise the sender could count
@@ -264,17 +264,17 @@
     fn list_backends(&mut self, now: Duration) {
         let (seq, time) = (self.catalog.seq(), self.system_time_us());
         let Some(counter) = self.counter.as_mut().filter(|_| self.listed_up_to != seq) else { return };
-        for Observation { instance, liveness } in self.catalog.since(self.listed_up_to).backends {
-            counter.loads.listed(
+        for Observation { instance, liveness } in self.catalog.changes_since(self.listed_up_to).backends {
+            counter.loads.update_listing(
                 now,
                 ListedBackend {
-                    backend: instance.number(),
-                    service: service_number(&instance.service),
-                    zone: number(&instance.zone),
+                    backend: instance.id_hash(),
+                    service: service_hash(&instance.service),
+                    zone: name_hash(&instance.zone),
                     capacity: instance.capacity,
-                    serves: instance.state == BackendState::Ready && liveness < Liveness::Lost,
-                    silent: liveness == Liveness::Silent,
-                    cold_for: Duration::from_micros(instance.warm_at.saturating_sub(time)),
+                    accepts_work: instance.state == BackendState::Ready && liveness < Liveness::Lost,
+                    is_silent: liveness == Liveness::Silent,
+                    warm_up_left: Duration::from_micros(instance.warm_at_us.saturating_sub(time)),
                 },
             );
         }
@@ -286,7 +286,7 @@
             let key = (item.kind, item.name.clone());
             let known_version = self.items.get(&key).map(|(known, _)| known.version);
             if known_version.is_none_or(|version| version < item.version) {
-                let seq = self.catalog.number();
+                let seq = self.catalog.next_urgent_seq();
                 log::info!("event=item kind={:?} name={} version=r{}", item.kind, item.name, item.version);
                 self.items.insert(key, (item, seq));
             }
@@ -299,22 +299,27 @@
         request: RegistryRequest,
         reply: oneshot::Sender<RegistryResponse>,
     ) {
-        let before = self.catalog.urgent();
+        let before = self.catalog.urgent_seq();
         // The requester may have disconnected.
         let answer = |reply: oneshot::Sender<RegistryResponse>, answer| drop(reply.send(answer));
         match request {
             RegistryRequest::Poll(known) => {
                 self.observe_system_time(known.time);
-                self.lease.seen(known.counter_term);
+                self.lease.observe_term(known.counter_term);
                 self.digests_in_force.insert(known.gateway.ip, known.items_digest);
-                self.gateway_liveness.told(now, known.gateway.ip, known.gateway.life, &known.sightings);
+                self.gateway_liveness.record_report(
+                    now,
+                    known.gateway.ip,
+                    known.gateway.incarnation,
+                    &known.sightings,
+                );
                 if known.leaving {
-                    self.catalog.leaves(now, &known.gateway);
+                    self.catalog.mark_gateway_leaving(now, &known.gateway);
                 } else {
-                    self.catalog.asks(now, known.gateway.clone(), Duration::ZERO);
+                    self.catalog.record_gateway(now, known.gateway.clone(), Duration::ZERO);
                 }
                 let is_current =
-                    known.registry_incarnation == self.incarnation && known.seq >= self.catalog.urgent();
+                    known.registry_incarnation == self.incarnation && known.seq >= self.catalog.urgent_seq();
                 if is_current && self.waiting_polls.len() < MAX_WAITING_POLLS {
                     self.waiting_polls.push((known, now, reply));
                 } else {
@@ -324,8 +329,8 @@
             }
             RegistryRequest::Draw { term, from, draws, load_reports } => {
                 let levels = match &mut self.counter {
-                    Some(counter) if counter.term == term && self.lease.may_draw(now, term) => {
-                        counter.loads.tell(now, from, &load_reports);
+                    Some(counter) if counter.term == term && self.lease.may_act_in(now, term) => {
+                        counter.loads.apply_reports(now, from, &load_reports);
                         counter.draw(now, from, &draws)
                     }
                     _ => None,
@@ -340,8 +345,8 @@
                 );
             }
             RegistryRequest::Recall { term, from, readings } => match &mut self.counter {
-                Some(counter) if counter.term == term && self.lease.may_draw(now, term) => {
-                    counter.recall(now, from, &readings);
+                Some(counter) if counter.term == term && self.lease.may_act_in(now, term) => {
+                    counter.apply_readings(now, from, &readings);
                     answer(reply, RegistryResponse::Acknowledged);
                 }
                 _ => answer(
@@ -353,7 +358,7 @@
                 answer(reply, self.acknowledge(epoch))
             }
             RegistryRequest::Lease(_, request) => {
-                let vote = self.lease.asked(now, request);
+                let vote = self.lease.handle_request(now, request);
                 answer(reply, RegistryResponse::Lease(vote));
             }
             RegistryRequest::Report(report) => {
@@ -362,7 +367,7 @@
                 answer(reply, reply_body);
             }
             RegistryRequest::BackendLeft(epoch, id) => {
-                self.catalog.left(now, &id);
+                self.catalog.mark_gone(now, &id);
                 answer(reply, self.acknowledge(epoch));
             }
             RegistryRequest::Status => {
@@ -373,7 +378,7 @@
                 Some(instance) => {
                     log::info!("event=drain_ordered id={id}");
                     let state = instance.state.max(BackendState::Draining);
-                    self.catalog.heard(now, Instance { state, ..instance }, Duration::ZERO);
+                    self.catalog.record_backend(now, Instance { state, ..instance }, Duration::ZERO);
                     answer(reply, RegistryResponse::Acknowledged);
                 }
                 None => answer(reply, RegistryResponse::UnknownBackend),
@@ -382,15 +387,15 @@
                 reply,
                 RegistryResponse::FullReport(PeerReport {
                     epoch: self.voter_sets.members().epoch,
-                    backends: self.catalog.heard_within(now, Duration::MAX),
-                    gateways: self.catalog.asked_within(now, Duration::MAX),
+                    backends: self.catalog.backends_heard_within(now, Duration::MAX),
+                    gateways: self.catalog.gateways_heard_within(now, Duration::MAX),
                     time: self.system_time_us(),
                 }),
             ),
         }
         self.update_counter(now);
         self.list_backends(now);
-        if self.catalog.urgent() != before {
+        if self.catalog.urgent_seq() != before {
             self.answer_waiting_polls(true);
         }
     }
@@ -400,11 +405,11 @@
         let item =
             |(item, _): &(Item, u64)| (item.kind, item.name.clone(), item.version, item.body.is_some());
         let in_force = |ip: &IpAddr| self.digests_in_force.get(ip).copied().unwrap_or_default();
-        let gateways = self.catalog.asked_within(now, Duration::MAX);
+        let gateways = self.catalog.gateways_heard_within(now, Duration::MAX);
         let counter_status = |counter: &QuotaCounter| CounterStatus {
-            silent_gateways: counter.state().1 as u64,
-            quota_stores: counter.stores(now),
-            backend_loads: counter.loads.seen(),
+            silent_gateways: counter.counts().1 as u64,
+            token_buckets: counter.bucket_levels(now),
+            backend_loads: counter.loads.snapshot(),
         };
         RegistryStatus {
             ip: self.own_ip,
@@ -413,8 +418,8 @@
             has_quorum_contact: self.may_vouch(now),
             members: self.voter_sets.members().clone(),
             items: self.items.values().map(item).collect(),
-            items_digest: digest(self.items.values().map(|(item, _)| item)),
-            backends: self.catalog.all(now),
+            items_digest: versions_digest(self.items.values().map(|(item, _)| item)),
+            backends: self.catalog.present_backends(now),
             gateways: gateways
                 .into_iter()
                 .map(|(gateway, ago)| {
@@ -423,17 +428,21 @@
                 })
                 .collect(),
             counter_holder: holder,
-            counter: self.counter.as_ref().filter(|_| self.lease.holds(now).is_some()).map(counter_status),
+            counter: self
+                .counter
+                .as_ref()
+                .filter(|_| self.lease.held_term(now).is_some())
+                .map(counter_status),
         }
     }
 
     fn merge_report(&mut self, now: Duration, report: PeerReport) {
         self.observe_system_time(report.time);
         for (instance, ago) in report.backends {
-            self.catalog.heard(now, instance, Duration::from_millis(ago));
+            self.catalog.record_backend(now, instance, Duration::from_millis(ago));
         }
         for (gateway, ago) in report.gateways {
-            self.catalog.asks(now, gateway, Duration::from_millis(ago));
+            self.catalog.record_gateway(now, gateway, Duration::from_millis(ago));
         }
     }
 
@@ -442,7 +451,7 @@
     fn update_for(&self, known: &KnownState, asked: Duration) -> RegistryUpdate {
         let now = self.now();
         let since = if known.registry_incarnation == self.incarnation { known.seq } else { 0 };
-        let changes = self.catalog.since(since);
+        let changes = self.catalog.changes_since(since);
         // Skips the search through all items where nothing changed.
         let items_to_check = if since < self.catalog.seq() { self.items.len() } else { 0 };
         let items = self.items.values().take(items_to_check).filter(|(_, seq)| *seq > since);
@@ -450,7 +459,7 @@
         RegistryUpdate {
             registry_incarnation: self.incarnation,
             seq: self.catalog.seq(),
-            contact: self.contact.filter(|_| self.may_vouch(now)).map(|contact| contact.pass_on(now, asked)),
+            contact: self.contact.filter(|_| self.may_vouch(now)).map(|contact| contact.to_peer(now, asked)),
             items: items.map(|(item, _)| item.clone()).collect(),
             backends: changes.backends,
             complete: since == 0,
@@ -463,7 +472,7 @@
 
     /// Answers the polls that were held open for the longest permitted time, or all of them.
     fn answer_waiting_polls(&mut self, all: bool) {
-        let (now, holds) = (self.now(), self.staleness.registry_holds);
+        let (now, holds) = (self.now(), self.staleness.registry_long_poll);
         let (due, waiting) = std::mem::take(&mut self.waiting_polls)
             .into_iter()
             .partition(|(_, asked, _)| all || now.saturating_sub(*asked) >= holds);
@@ -483,17 +492,17 @@
         if let Some(counter) = &mut self.counter {
             let all = self.catalog.gateways().map(|gateway| gateway.ip).collect();
             // Gateways that died get no share of the quotas, so that the others can use it.
-            let dead = self.gateway_liveness.dead(now, &all);
+            let dead = self.gateway_liveness.dead_gateways(now, &all);
             let living = self.catalog.gateways().filter(|gateway| !dead.contains(&gateway.ip));
             let mut incarnations = BTreeSet::new();
             for gateway in living {
-                incarnations.insert(gateway.life);
-                counter.loads.gateway(gateway.life, number(&gateway.zone));
+                incarnations.insert(gateway.incarnation);
+                counter.loads.set_gateway_zone(gateway.incarnation, name_hash(&gateway.zone));
             }
-            let before = counter.state().1;
+            let before = counter.counts().1;
             counter.tick(now, &incarnations);
-            if counter.state().1 != before {
-                log::info!("event=gateways_silent count={} of={}", counter.state().1, incarnations.len());
+            if counter.counts().1 != before {
+                log::info!("event=gateways_silent count={} of={}", counter.counts().1, incarnations.len());
             }
             let violations = counter.violations();
             if std::mem::replace(&mut self.violations, violations) < violations {
@@ -503,7 +512,7 @@
         self.answer_waiting_polls(false);
         self.ticks += 1;
         let sets = self.voter_sets.required_majorities(now);
-        self.lease.vouch(sets, self.members_valid_until);
+        self.lease.set_voters(sets, self.members_valid_until);
         let epoch = self.voter_sets.members().epoch;
         let lease_request =
             self.lease.tick(now, self.system_time_us() / TERM_STEP_US).map(|request| (now, request));
@@ -512,8 +521,8 @@
             let since = now.saturating_sub(std::mem::replace(&mut self.last_report, now));
             PeerReport {
                 epoch,
-                backends: self.catalog.heard_within(now, since),
-                gateways: self.catalog.asked_within(now, since),
+                backends: self.catalog.backends_heard_within(now, since),
+                gateways: self.catalog.gateways_heard_within(now, since),
                 time: self.system_time_us(),
             }
         });
@@ -521,20 +530,20 @@
     }
 
     fn update_counter(&mut self, now: Duration) {
-        let holds = self.lease.holds(now);
+        let holds = self.lease.held_term(now);
         if let Some(term) =
             holds.filter(|term| self.counter.as_ref().is_none_or(|counter| counter.term != *term))
         {
-            let recent = self.catalog.asked_within(now, RECALL_WINDOW);
-            let gateways: Vec<u64> = recent.iter().map(|(gateway, _)| gateway.life).collect();
+            let recent = self.catalog.gateways_heard_within(now, RECALL_WINDOW);
+            let gateways: Vec<u64> = recent.iter().map(|(gateway, _)| gateway.incarnation).collect();
             log::info!("event=count_held term={term} gateways={}", gateways.len());
-            self.counter = Some(QuotaCounter::begin(now, term, self.first_start, self.allowance, gateways));
+            self.counter = Some(QuotaCounter::start(now, term, self.first_start, self.allowance, gateways));
             self.violations = 0;
             self.listed_up_to = 0;
         }
         if self.lease.holder() != self.last_holder {
             self.last_holder = self.lease.holder();
-            self.holder_changed = self.catalog.number();
+            self.holder_changed = self.catalog.next_urgent_seq();
         }
     }
 }
--- a/crates/starlinghill-registry/src/wire.rs
+++ b/crates/starlinghill-registry/src/wire.rs
@@ -168,9 +168,9 @@
 pub struct CounterStatus {
     /// Number of gateways that the counter hears nothing of.
     pub silent_gateways: u64,
-    /// Each tenant's quota store: its number, its level in units, the tenant's rate in units per second, and the
+    /// Each tenant's token bucket: its number, its level in units, the tenant's rate in units per second, and the
     /// units drawn per second lately.
-    pub quota_stores: Vec<(u64, f64, f64, f64)>,
+    pub token_buckets: Vec<(u64, f64, f64, f64)>,
     /// The load of backends.
     pub backend_loads: Vec<BackendLoad>,
 }
--- a/crates/starlinghill-registry/tests/contact.rs
+++ b/crates/starlinghill-registry/tests/contact.rs
@@ -45,7 +45,8 @@
 }
 
 async fn poll(owner: &StateHandle, registry_incarnation: u64, seq: u64) -> RegistryUpdate {
-    let gateway = Gateway { ip: [10, 0, 1, 1].into(), life: 7, zone: String::new(), node: String::new() };
+    let gateway =
+        Gateway { ip: [10, 0, 1, 1].into(), incarnation: 7, zone: String::new(), node: String::new() };
     let (time, counter_term, leaving, items_digest, sightings) = (0, 0, false, 0, Vec::new());
     let have = KnownState {
         gateway,
@@ -66,7 +67,7 @@
 /// Sends the contact of a store that had heard a majority `ago` before.
 async fn report_store_contact(owner: &StateHandle, ago: Duration) {
     let majority = LastQuorumContact::from_majority(Duration::ZERO);
-    let contact = Some(majority.pass_on(ago, ago));
+    let contact = Some(majority.to_peer(ago, ago));
     assert!(owner.send(Command::StoreUpdate(None, contact, Instant::now())).await.is_ok());
 }
 
@@ -88,9 +89,9 @@
             }
             advance(Duration::from_millis(40)).await;
         }
-        let budget = StalenessBudget::of(APPLY);
+        let budget = StalenessBudget::from_apply_bound(APPLY);
         assert!(
-            oldest <= budget.contact && oldest + budget.look >= budget.contact,
+            oldest <= budget.max_contact_age && oldest + budget.poll_interval >= budget.max_contact_age,
             "oldest contact passed on: {oldest:?}"
         );
     })
@@ -116,12 +117,12 @@
         let asked = Instant::now();
         let update = poll(&owner, known.registry_incarnation, known.seq).await;
         assert!(
-            asked.elapsed() >= StalenessBudget::of(APPLY).registry_holds,
+            asked.elapsed() >= StalenessBudget::from_apply_bound(APPLY).registry_long_poll,
             "the poll was held for {:?}",
             asked.elapsed()
         );
         let (asked, now) = (asked.duration_since(start), start.elapsed());
-        let heard = update.contact.map(|contact| LastQuorumContact::passed_on(contact, asked, now).age(now));
+        let heard = update.contact.map(|contact| LastQuorumContact::from_peer(contact, asked, now).age(now));
         let (heard, age) = (heard.expect("recent enough to be passed on"), ago + now);
         assert!(
             heard >= age && heard <= age + Duration::from_millis(5),
--- a/crates/starlinghill-registry/tests/orders.rs
+++ b/crates/starlinghill-registry/tests/orders.rs
@@ -33,18 +33,18 @@
     match behavior {
         Accepts(ms) => {
             sleep(Duration::from_millis(ms)).await;
-            Some(StoreResponse::Changed(ChangeOutcome::Taken))
+            Some(StoreResponse::Applied(ChangeOutcome::Taken))
         }
         NoMajority => {
             sleep(ORDER_COMMIT_TIMEOUT).await;
-            Some(StoreResponse::Changed(ChangeOutcome::Unclear))
+            Some(StoreResponse::Applied(ChangeOutcome::Unclear))
         }
         Silent => std::future::pending().await,
         Unreachable => None,
-        ConnectionLost => Some(StoreResponse::NotNow),
+        ConnectionLost => Some(StoreResponse::Unavailable),
         Rejects(ms) => {
             sleep(Duration::from_millis(ms)).await;
-            Some(StoreResponse::Changed(rejection()))
+            Some(StoreResponse::Applied(rejection()))
         }
     }
 }
@@ -84,7 +84,7 @@
             simulated_store(stores[i])
         });
         let answer = match answer.await {
-            Some(StoreResponse::Changed(outcome)) => Some(outcome),
+            Some(StoreResponse::Applied(outcome)) => Some(outcome),
             _ => None,
         };
         let took = started.elapsed().as_millis();
--- a/crates/starlinghill-runtime/src/validation.rs
+++ b/crates/starlinghill-runtime/src/validation.rs
@@ -3,7 +3,7 @@
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use starlinghill_config_model::routing::time;
+use starlinghill_config_model::routing::parse_duration;
 use std::time::Duration;
 
 /// Maximum number of errors that are reported for one document.
@@ -139,7 +139,7 @@
 
     /// A duration, as in `1500ms` or `2.5s`.
     pub fn time(&self, errors: &mut ValidationErrors) -> Duration {
-        let found = self.value.and_then(|v| v.as_str()).and_then(time);
+        let found = self.value.and_then(|v| v.as_str()).and_then(parse_duration);
         self.required(errors, found, "a time such as \"1500ms\" or \"2.5s\"")
     }
 
