--- a/crates/starlinghill-control/src/group_follower.rs
+++ b/crates/starlinghill-control/src/group_follower.rs
@@ -5,7 +5,7 @@
 use starlinghill_failover::follower::View;
 use starlinghill_failover::topology::{is_name, TopologyProblem};
 use starlinghill_failover::FULL_WEIGHT;
-use starlinghill_failover_client::subscription::{follow, Evidence, Settings};
+use starlinghill_failover_client::subscription::{follow, ReportSource, Settings};
 use starlinghill_gateway::ZoneParts;
 use starlinghill_operator_config::Group;
 use tokio::sync::watch;
@@ -15,7 +15,10 @@
 fn parts(view: &View) -> ZoneParts {
     let less = view.zones.iter().filter(|(_, z)| z.weight < FULL_WEIGHT);
     less.map(|(name, z)| {
-        (name.clone(), ZoneShare { weight: f64::from(z.weight) / f64::from(FULL_WEIGHT), yields: z.yields })
+        (
+            name.clone(),
+            ZoneShare { weight: f64::from(z.weight) / f64::from(FULL_WEIGHT), yields: z.overridable },
+        )
     })
     .collect()
 }
@@ -68,12 +71,12 @@
     group: &Group,
     name: &str,
     zone: &str,
-    evidence: Option<Evidence>,
+    evidence: Option<ReportSource>,
 ) -> Result<Following, TopologyProblem> {
     let settings = settings(group, name, zone, fastrand::u64(..))?;
     info!(members = settings.members.len(), "follows the group");
     let (renew, changes) = watch::channel(settings);
-    let (views, mut seen) = watch::channel(View::of_own_sight());
+    let (views, mut seen) = watch::channel(View::without_group());
     let (tell, told) = watch::channel(ZoneParts::new());
     tokio::spawn(follow(changes, views, evidence));
     tokio::spawn(async move {
--- a/crates/starlinghill-control/src/program.rs
+++ b/crates/starlinghill-control/src/program.rs
@@ -169,9 +169,9 @@
     if let Some(group) = operators.group {
         let ms = |m: starlinghill_failover::Micros| m.0.div_ceil(1_000);
         let t = group.timing;
-        println!("a change reaches every connected gateway within {} ms", ms(t.reaches_within()));
-        println!("the same where a member dies meanwhile: {} ms", ms(t.reaches_within_after_a_death()));
-        println!("no gateway acts on what is older than {} ms without saying so", ms(t.never_older_than()));
+        println!("a change reaches every connected gateway within {} ms", ms(t.delivery_bound()));
+        println!("the same where a member dies meanwhile: {} ms", ms(t.delivery_bound_after_failure()));
+        println!("no gateway acts on what is older than {} ms without saying so", ms(t.max_acted_on_age()));
     }
     Ok(())
 }
--- a/crates/starlinghill-control/src/program/explain.rs
+++ b/crates/starlinghill-control/src/program/explain.rs
@@ -4,7 +4,7 @@
 use super::zones::{newest, print_json, runtime, usage, Exit};
 use serde_json::json;
 use starlinghill_failover::Micros;
-use starlinghill_zone_health::findings::{find, Found, Observer};
+use starlinghill_zone_health::findings::{evaluate_reports, GatewayReport, ZoneFinding};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -34,17 +34,17 @@
         let known: Vec<&str> = zones.iter().map(String::as_str).collect();
         return Err(usage(format!("expected one of the zones {}, found '{zone}'", known.join(", "))));
     }
-    let observers: BTreeMap<String, Observer> = followers
+    let observers: BTreeMap<String, GatewayReport> = followers
         .values()
         .filter_map(|s| {
-            let (age_ms, seen) = s.evidence.clone()?;
+            let (age_ms, seen) = s.zone_report.clone()?;
             let age = Micros(age_ms.saturating_mul(1_000));
-            Some((s.name.clone(), Observer { zone: s.zone.clone(), age, report: seen }))
+            Some((s.name.clone(), GatewayReport { zone: s.zone.clone(), age, report: seen }))
         })
         .collect();
-    let found = find(&zones, &observers);
+    let found = evaluate_reports(&zones, &observers);
     let wanted = |zone: &String| args.zone.as_ref().is_none_or(|wanted| wanted == zone);
-    let shown: Vec<(&String, &Found)> = found.zones.iter().filter(|(zone, _)| wanted(zone)).collect();
+    let shown: Vec<(&String, &ZoneFinding)> = found.zones.iter().filter(|(zone, _)| wanted(zone)).collect();
     if args.json {
         let zones: BTreeMap<&String, serde_json::Value> = shown
             .into_iter()
@@ -56,18 +56,20 @@
                 (zone, json!({"finding": found.finding.to_string(), "why": found.to_string(), "seen": seen}))
             })
             .collect();
-        return print_json(&json!({"zones": zones, "blind": found.blind, "left_out": found.left_out}));
+        return print_json(
+            &json!({"zones": zones, "blind": found.isolated_gateways, "left_out": found.ignored_gateways}),
+        );
     }
     for (zone, found) in shown {
         println!("{zone}: {found}");
     }
-    if !found.blind.is_empty() {
-        println!("cut off themselves, and not counted: {}", found.blind.join(", "));
+    if !found.isolated_gateways.is_empty() {
+        println!("cut off themselves, and not counted: {}", found.isolated_gateways.join(", "));
     }
-    if !found.left_out.is_empty() {
+    if !found.ignored_gateways.is_empty() {
         println!(
             "not counted, as too old, beyond bounds, or of a zone that is not on the map: {}",
-            found.left_out.join(", ")
+            found.ignored_gateways.join(", ")
         );
     }
     println!("{} of {} gateways say what they see", observers.len(), followers.len());
--- a/crates/starlinghill-control/src/program/group.rs
+++ b/crates/starlinghill-control/src/program/group.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use starlinghill_failover::order::{Order, OrderKind};
 use starlinghill_failover::state::Outcome;
-use starlinghill_failover_client::client::{give, look_at_all, manage, OrderError};
+use starlinghill_failover_client::client::{change_membership, fetch_all_reports, submit_order, OrderError};
 use starlinghill_failover_client::report::{MembershipChange, MembershipResult, Report};
 use starlinghill_operator_config::Group;
 use starlinghill_raft::member::Settings;
@@ -182,7 +182,7 @@
 
 fn change(file: &Path, change: &MembershipChange) -> Result<(), Exit> {
     let group = read(file).map_err(usage)?;
-    managed(runtime()?.block_on(manage(&addresses(&group), change, PATIENCE)))
+    managed(runtime()?.block_on(change_membership(&addresses(&group), change, PATIENCE)))
 }
 
 fn init(file: &Path, restored: Option<Box<starlinghill_failover::state::State>>) -> Result<(), Exit> {
@@ -191,14 +191,18 @@
     let begin = MembershipChange::Init { members, restored };
     // One member alone is asked: two that begin the same group would each find the other's members taken.
     let first = &addresses(&group)[..1];
-    managed(runtime()?.block_on(manage(first, &begin, PATIENCE)))
+    managed(runtime()?.block_on(change_membership(first, &begin, PATIENCE)))
 }
 
 fn add(file: &Path, id: u64) -> Result<(), Exit> {
     let group = read(file).map_err(usage)?;
     let found = group.members.iter().find(|m| m.id == id);
     let address = found.ok_or_else(|| usage(format!("{}: no member {id}", file.display())))?.listen;
-    managed(runtime()?.block_on(manage(&addresses(&group), &MembershipChange::Add { id, address }, PATIENCE)))
+    managed(runtime()?.block_on(change_membership(
+        &addresses(&group),
+        &MembershipChange::Add { id, address },
+        PATIENCE,
+    )))
 }
 
 fn adopt(file: &Path, reason: String) -> Result<(), Exit> {
@@ -206,9 +210,12 @@
     let members = addresses(&group);
     runtime()?.block_on(async {
         let (report, _) = newest(&members).await?;
-        let what = OrderKind::Adopt { map: group.map.clone(), expect: Some(report.state.position.epoch) };
-        let order = Order { what, ..crate::program::zones::signed(None, None, reason) };
-        match give(&members, &order, crate::program::zones::GIVE).await? {
+        let what = OrderKind::Adopt {
+            topology: group.map.clone(),
+            expected_epoch: Some(report.state.position.epoch),
+        };
+        let order = Order { kind: what, ..crate::program::zones::signed(None, None, reason) };
+        match submit_order(&members, &order, crate::program::zones::GIVE).await? {
             Outcome::Accepted { position } => {
                 println!("adopted at {position}");
                 Ok(())
@@ -225,7 +232,8 @@
     runtime()?.block_on(async {
         let mut failed = Vec::new();
         for member in addresses(&group) {
-            let done = manage(&[member], &MembershipChange::Snapshot, Duration::from_secs(2)).await;
+            let done =
+                change_membership(&[member], &MembershipChange::Snapshot, Duration::from_secs(2)).await;
             match managed(done) {
                 Ok(()) => println!("{member}: kept"),
                 Err(e) => failed.push(format!("{member}: {e}")),
@@ -273,7 +281,7 @@
 
 fn show(file: &Path, as_json: bool) -> Result<(), Exit> {
     let group = read(file).map_err(usage)?;
-    let found = runtime()?.block_on(look_at_all(&addresses(&group), crate::program::zones::LOOK));
+    let found = runtime()?.block_on(fetch_all_reports(&addresses(&group), crate::program::zones::LOOK));
     if as_json {
         let all = group.members.iter().zip(&found).map(|(m, found)| match found {
             Ok(report) => json!({"id": m.id, "listen": m.listen, "report": report}),
--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -25,7 +25,7 @@
             Ok(operators) => {
                 renew.renew(operators.group.as_ref());
                 let zones = operators.group.map(|group| group.map.zones.into_keys());
-                zones.into_iter().for_each(|zones| locked(&watch).follow(zones));
+                zones.into_iter().for_each(|zones| locked(&watch).set_zones(zones));
             }
             Err(problems) => {
                 for problem in problems {
@@ -42,10 +42,10 @@
         Outcome::Ok if attempted.late => AttemptResult::Late,
         Outcome::Ok => AttemptResult::Answered,
         Outcome::Error | Outcome::Reset => AttemptResult::Failed,
-        Outcome::Rejected => AttemptResult::TurnedAway,
-        Outcome::Timeout => AttemptResult::Silent,
-        Outcome::ConnectFailed if attempted.refused => AttemptResult::Refused,
-        Outcome::ConnectFailed => AttemptResult::Unreached,
+        Outcome::Rejected => AttemptResult::Rejected,
+        Outcome::Timeout => AttemptResult::Unanswered,
+        Outcome::ConnectFailed if attempted.refused => AttemptResult::ConnectionRefused,
+        Outcome::ConnectFailed => AttemptResult::ConnectFailed,
         Outcome::Cancelled | Outcome::NotSent => return None,
     })
 }
@@ -63,7 +63,7 @@
     let (seen, told) = (watch.clone(), watch.clone());
     let watcher = move |attempted: &Attempted| {
         let Some(became) = became(attempted) else { return };
-        locked(&seen).ended(now(), attempted.zone, became);
+        locked(&seen).record(now(), attempted.zone, became);
     };
     let evidence = move || locked(&told).report(now());
     let following = begin(group, config.name(), config.zone(), Some(Arc::new(evidence)));
--- a/crates/starlinghill-control/src/program/zones.rs
+++ b/crates/starlinghill-control/src/program/zones.rs
@@ -7,7 +7,7 @@
 use starlinghill_failover::order::{Change, Order, OrderKind, Ramp, ZoneOrder};
 use starlinghill_failover::state::{Outcome, ZoneState};
 use starlinghill_failover::{Position, FULL_WEIGHT};
-use starlinghill_failover_client::client::{give, look_at_all, OrderError};
+use starlinghill_failover_client::client::{fetch_all_reports, submit_order, OrderError};
 use starlinghill_failover_client::report::{Report, Subscriber};
 use starlinghill_failover_client::wall_clock;
 use std::collections::BTreeMap;
@@ -72,7 +72,7 @@
 impl From<OrderError> for Exit {
     fn from(e: OrderError) -> Exit {
         match e {
-            OrderError::NotReached(why) => Exit::NotReached(why),
+            OrderError::NotAccepted(why) => Exit::NotReached(why),
             OrderError::Unknown(_) => Exit::Unknown(e.to_string()),
         }
     }
@@ -186,7 +186,7 @@
 /// What the newest of the members knows, and who follows by any of them.
 pub async fn newest(members: &[SocketAddr]) -> Result<(Report, BTreeMap<String, Subscriber>), Exit> {
     let (mut reports, mut away) = (Vec::new(), Vec::new());
-    for found in look_at_all(members, LOOK).await {
+    for found in fetch_all_reports(members, LOOK).await {
         match found {
             Ok(report) => reports.push(report),
             Err(why) => away.push(why),
@@ -209,14 +209,14 @@
     let author = by.or_else(|| std::env::var("USER").ok()).unwrap_or_else(|| "operator".into());
     let id = id.unwrap_or_else(|| format!("{:016x}", fastrand::u64(..)));
     // What is ordered is filled in by the caller; a step of nothing is refused by every group.
-    let what = OrderKind::Step { zone: String::new(), of: 0 };
-    Order { id, author, reason, at_ms: wall_clock::now_ms(), what }
+    let what = OrderKind::Step { zone: String::new(), zone_epoch: 0 };
+    Order { id, author, reason, at_ms: wall_clock::now_ms(), kind: what }
 }
 
 fn part(z: &ZoneState) -> String {
     let percent = |w: u16| format!("{}%", f64::from(w) / 10.0);
-    match z.moves() {
-        true => format!("{} -> {}", percent(z.weight), percent(z.to)),
+    match z.has_pending_step() {
+        true => format!("{} -> {}", percent(z.weight), percent(z.target_weight)),
         false => percent(z.weight),
     }
 }
@@ -238,12 +238,12 @@
 fn show(args: &ListArgs) -> Result<(), Exit> {
     let group = read(&args.file).map_err(usage)?;
     let (report, followers) = runtime()?.block_on(newest(&addresses(&group)))?;
-    let stale = group.timing.stale.0 / 1_000;
+    let stale = group.timing.stale_limit.0 / 1_000;
     let state = &report.state;
     if args.json {
         return print_json(&json!({
             "position": state.position, "age_ms": report.age_ms, "leader": report.leader,
-            "zones": state.zones, "map": state.map, "next": state.next,
+            "zones": state.zones, "map": state.topology, "next": state.takeover_regions,
             "gateways": followers.values().collect::<Vec<_>>(),
         }));
     }
@@ -258,18 +258,18 @@
         "ZONE", "REGION", "STATE", "PART", "EPOCH", "AGE", "BY"
     );
     for (name, z) in &state.zones {
-        let region = state.map.as_ref().and_then(|m| m.zones.get(name)).map_or("", |z| &z.region);
+        let region = state.topology.as_ref().and_then(|m| m.zones.get(name)).map_or("", |z| &z.region);
         println!(
             "{name:<16} {region:<12} {:<10} {:>13} {:>6} {:>8}  {:<16} {}",
             z.phase.to_string(),
             part(z),
             z.epoch,
-            ago(z.at_ms),
-            z.by,
+            ago(z.changed_at_ms),
+            z.changed_by,
             z.reason
         );
     }
-    for (region, next) in &state.next {
+    for (region, next) in &state.takeover_regions {
         println!("region {region} has nothing in service; {next} takes over");
     }
     let mut by_epoch: BTreeMap<Position, Vec<&Subscriber>> = BTreeMap::new();
@@ -288,9 +288,10 @@
 /// Orders something about a zone.
 pub fn order(command: ZoneCommand) -> ExitCode {
     let (args, change) = match command {
-        ZoneCommand::Drain { order, ramp, to } => {
-            (order, Change::Drain { to: to.saturating_mul(10).min(FULL_WEIGHT), ramp: ramp.ramp() })
-        }
+        ZoneCommand::Drain { order, ramp, to } => (
+            order,
+            Change::Drain { target_weight: to.saturating_mul(10).min(FULL_WEIGHT), ramp: ramp.ramp() },
+        ),
         ZoneCommand::Out { order } => (order, Change::Out),
         ZoneCommand::Return { order, ramp } => (order, Change::Return { ramp: ramp.ramp() }),
         ZoneCommand::Hold { order } => (order, Change::Hold),
@@ -308,12 +309,12 @@
         let what = OrderKind::Zone(ZoneOrder {
             zone: args.zone.clone(),
             change,
-            expect: seen,
-            next: args.next,
+            expected_epoch: seen,
+            takeover_region: args.next,
             force: args.force,
         });
-        let order = Order { what, ..signed(args.id, args.by, args.reason) };
-        let position = match give(&members, &order, GIVE).await {
+        let order = Order { kind: what, ..signed(args.id, args.by, args.reason) };
+        let position = match submit_order(&members, &order, GIVE).await {
             Ok(Outcome::Accepted { position }) => position,
             Ok(Outcome::Refused { causes, .. }) => {
                 return Err(Exit::Refused(causes.iter().map(ToString::to_string).collect()));
@@ -362,7 +363,7 @@
                     .filter(|s| s.followed < report.state.position.max(ordered))
                     .map(|s| format!("{} at {} ({})", s.name, s.followed, s.mode))
                     .collect();
-                let moves = z.is_some_and(ZoneState::moves);
+                let moves = z.is_some_and(ZoneState::has_pending_step);
                 if report.state.position >= ordered && !moves && late.is_empty() {
                     let ms = u64::try_from(begin.elapsed().as_millis()).unwrap_or(u64::MAX);
                     if !quiet {
--- a/crates/starlinghill-control/tests/clocks.rs
+++ b/crates/starlinghill-control/tests/clocks.rs
@@ -104,10 +104,11 @@
         // A group that is gone is gone for as long on every clock.
         fleet.suffer(&Fault::KillGroup);
         let away = Instant::now();
-        let timing = Timing { stale: Micros(3_000_000), fresh: Micros(1_000_000), ..Timing::default() };
+        let timing =
+            Timing { stale_limit: Micros(3_000_000), fresh_limit: Micros(1_000_000), ..Timing::default() };
         for gateway in &fleet.gateways {
             let own = gateway.wait_for_log("mode=own sight", LIMIT).at - away;
-            let bound = Duration::from_micros(timing.never_older_than().0) + SLACK;
+            let bound = Duration::from_micros(timing.max_acted_on_age().0) + SLACK;
             assert!(own > Duration::from_millis(1_900) && own < bound, "{own:?} of {bound:?}");
         }
     });
--- a/crates/starlinghill-control/tests/failover.rs
+++ b/crates/starlinghill-control/tests/failover.rs
@@ -111,8 +111,9 @@
         let away = Instant::now();
         fleet.gateways[0].wait_for_log("mode=keeping", LIMIT);
         let own = fleet.gateways[0].wait_for_log("mode=own sight position=1.2", LIMIT);
-        let timing = Timing { stale: Micros(3_000_000), fresh: Micros(1_000_000), ..Timing::default() };
-        let bound = Duration::from_micros(timing.never_older_than().0) + SLACK;
+        let timing =
+            Timing { stale_limit: Micros(3_000_000), fresh_limit: Micros(1_000_000), ..Timing::default() };
+        let bound = Duration::from_micros(timing.max_acted_on_age().0) + SLACK;
         assert!(own.at - away < bound, "{:?} of {bound:?}", own.at - away);
         fleet.suffer(&Fault::RestartGateway(1));
         fleet.gateways[1].wait_for_log("ready", LIMIT);
--- a/crates/starlinghill-control/tests/group.rs
+++ b/crates/starlinghill-control/tests/group.rs
@@ -1,8 +1,8 @@
 //! Groups of real member processes: they are killed, stopped, cut from each other and lose their disks.
 
 use starlinghill_failover::follower::{Mode, View};
-use starlinghill_failover_client::client::look;
-use starlinghill_failover_client::subscription::{follow, Evidence};
+use starlinghill_failover_client::client::fetch_report;
+use starlinghill_failover_client::subscription::{follow, ReportSource};
 use starlinghill_testkit::group::{Group, LIMIT};
 use starlinghill_testkit::processes::Process;
 use starlinghill_zone_health::attempt_counts::AttemptCounts;
@@ -345,7 +345,7 @@
         starlinghill_operator_config::read(&group.operators()).expect("a file").group.expect("a group");
     let mut views = Vec::new();
     for i in 0..FOLLOWERS {
-        let (tx, rx) = tokio::sync::watch::channel(View::of_own_sight());
+        let (tx, rx) = tokio::sync::watch::channel(View::without_group());
         let (_fixed, changes) = tokio::sync::watch::channel(
             starlinghill_control::group_follower::settings(&file, &format!("f{i}"), "", i as u64)
                 .expect("a name"),
@@ -367,7 +367,7 @@
     // More than one page of a member's report: none is left out, none is told twice.
     let mut told = Vec::new();
     for member in &group.listen {
-        let report = look(*member, LIMIT).await.expect("a report");
+        let report = fetch_report(*member, LIMIT).await.expect("a report");
         assert!(!report.more);
         told.extend(report.subscribers.into_iter().map(|s| s.name));
     }
@@ -462,11 +462,11 @@
     ];
     let mut views = Vec::new();
     for (name, zones) in said {
-        let (tx, rx) = tokio::sync::watch::channel(View::of_own_sight());
+        let (tx, rx) = tokio::sync::watch::channel(View::without_group());
         let settings = starlinghill_control::group_follower::settings(&file, name, "c", 1).expect("a name");
         let (_fixed, changes) = tokio::sync::watch::channel(settings);
         let report = Report { zones: zones.into_iter().map(|(zone, sums)| (zone.into(), sums)).collect() };
-        let evidence: Option<Evidence> = match name {
+        let evidence: Option<ReportSource> = match name {
             "silent" => None,
             _ => Some(std::sync::Arc::new(move || report.clone())),
         };
@@ -479,12 +479,12 @@
     }
     let until = std::time::Instant::now() + LIMIT;
     let kept = loop {
-        let report = look(group.listen[0], LIMIT).await.expect("a report");
+        let report = fetch_report(group.listen[0], LIMIT).await.expect("a report");
         let of =
             |name: &str| report.subscribers.iter().find(|s| s.name == name).cloned().expect("it follows");
-        if let Some((_, evidence)) = of("wide").evidence {
+        if let Some((_, evidence)) = of("wide").zone_report {
             assert_eq!(
-                (of("wide").zone.as_str(), of("absurd").evidence, of("silent").evidence),
+                (of("wide").zone.as_str(), of("absurd").zone_report, of("silent").zone_report),
                 ("c", None, None)
             );
             break evidence;
@@ -496,8 +496,8 @@
     // It tells once a second. Nonsense three times later it follows still, by the same stream, and was named once.
     let (mut tellings, mut last) = (0, 0);
     while tellings < 3 {
-        let report = look(group.listen[0], LIMIT).await.expect("a report");
-        let wide = report.subscribers.iter().find(|s| s.name == "wide").and_then(|s| s.evidence.as_ref());
+        let report = fetch_report(group.listen[0], LIMIT).await.expect("a report");
+        let wide = report.subscribers.iter().find(|s| s.name == "wide").and_then(|s| s.zone_report.as_ref());
         let age = wide.map_or(0, |(age, _)| *age);
         tellings += usize::from(age < last);
         last = age;
--- a/crates/starlinghill-failover-client/src/client.rs
+++ b/crates/starlinghill-failover-client/src/client.rs
@@ -6,7 +6,7 @@
 use crate::report::{MembershipChange, MembershipResult, Report};
 use starlinghill_failover::order::Order;
 use starlinghill_failover::state::Outcome;
-use starlinghill_failover::wire::{decode, encode, Message, LONGEST};
+use starlinghill_failover::wire::{decode, encode, Message, MAX_MESSAGE_BYTES};
 use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderError {
     /// No member took it, and it certainly does not count.
-    NotReached(String),
+    NotAccepted(String),
     /// A member took it and did not answer. It may count or not; sent again with its id, it counts once.
     Unknown(String),
 }
@@ -35,7 +35,7 @@
 impl fmt::Display for OrderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            OrderError::NotReached(why) => write!(f, "no member took it: {why}"),
+            OrderError::NotAccepted(why) => write!(f, "no member took it: {why}"),
             OrderError::Unknown(why) => {
                 write!(f, "it may count or not: {why}; sent again with the same id, it counts once")
             }
@@ -54,7 +54,7 @@
 
 fn group(member: SocketAddr) -> Result<GroupClient<Channel>, tonic::transport::Error> {
     let channel = channel(member, CONNECT)?;
-    Ok(GroupClient::new(channel).max_decoding_message_size(2 * LONGEST))
+    Ok(GroupClient::new(channel).max_decoding_message_size(2 * MAX_MESSAGE_BYTES))
 }
 
 /// Whether a call may have had an effect though it failed so.
@@ -118,7 +118,7 @@
             }
         }
         if Instant::now() + PAUSE + ONE_TRY.min(patience / 2) >= until {
-            return Err(if counts { OrderError::Unknown(why) } else { OrderError::NotReached(why) });
+            return Err(if counts { OrderError::Unknown(why) } else { OrderError::NotAccepted(why) });
         }
         tokio::time::sleep(PAUSE).await;
     }
@@ -137,12 +137,16 @@
 }
 
 /// Gives an order, to one member after the other, until one tells its outcome.
-pub async fn give(members: &[SocketAddr], order: &Order, patience: Duration) -> Result<Outcome, OrderError> {
+pub async fn submit_order(
+    members: &[SocketAddr],
+    order: &Order,
+    patience: Duration,
+) -> Result<Outcome, OrderError> {
     ask(members, Kind::Give, order, patience).await
 }
 
 /// Changes the group itself.
-pub async fn manage(
+pub async fn change_membership(
     members: &[SocketAddr],
     change: &MembershipChange,
     patience: Duration,
@@ -151,7 +155,7 @@
 }
 
 /// What one member knows. Followers come by pages, the rest is of the last page.
-pub async fn look(member: SocketAddr, patience: Duration) -> Result<Report, String> {
+pub async fn fetch_report(member: SocketAddr, patience: Duration) -> Result<Report, String> {
     let told = |e: &dyn fmt::Display| format!("{member}: {e}");
     let mut client = group(member).map_err(|e| told(&e))?;
     let until = Instant::now() + patience;
@@ -174,8 +178,8 @@
 }
 
 /// What every member knows that answers, all asked at once.
-pub async fn look_at_all(members: &[SocketAddr], patience: Duration) -> Vec<Result<Report, String>> {
-    let asked: Vec<_> = members.iter().map(|m| tokio::spawn(look(*m, patience))).collect();
+pub async fn fetch_all_reports(members: &[SocketAddr], patience: Duration) -> Vec<Result<Report, String>> {
+    let asked: Vec<_> = members.iter().map(|m| tokio::spawn(fetch_report(*m, patience))).collect();
     let mut all = Vec::new();
     for one in asked {
         all.push(one.await.unwrap_or_else(|e| Err(e.to_string())));
--- a/crates/starlinghill-failover-client/src/report.rs
+++ b/crates/starlinghill-failover-client/src/report.rs
@@ -27,7 +27,8 @@
     /// The zone that it is in.
     pub zone: String,
     /// What it saw of zones last, and how long ago it said that.
-    pub evidence: Option<(u64, Evidence)>,
+    #[serde(rename = "evidence")]
+    pub zone_report: Option<(u64, Evidence)>,
 }
 
 /// What one member knows.
@@ -50,7 +51,7 @@
     pub members: BTreeMap<u64, (String, bool)>,
     /// The state.
     pub state: State,
-    /// Those who follow by this member, by name; [`FOLLOWERS_PER_REPORT`] at most.
+    /// Those who follow by this member, by name; [`SUBSCRIBERS_PER_REPORT`] at most.
     pub subscribers: Vec<Subscriber>,
     /// Whether there are more past the last of them.
     pub more: bool,
@@ -58,7 +59,7 @@
 
 /// The most followers that one report tells of. A member that may take a hundred thousand would fill a message of
 /// any size; beside a state of many zones this many are little.
-pub const FOLLOWERS_PER_REPORT: usize = 50;
+pub const SUBSCRIBERS_PER_REPORT: usize = 50;
 
 /// A change of the group itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/starlinghill-failover-client/src/subscription.rs
+++ b/crates/starlinghill-failover-client/src/subscription.rs
@@ -7,7 +7,7 @@
 use starlinghill_failover::bounds::Timing;
 use starlinghill_failover::directive::DirectiveUpdate;
 use starlinghill_failover::follower::{Action, Event, Follower, View};
-use starlinghill_failover::wire::{decode, encode, LONGEST};
+use starlinghill_failover::wire::{decode, encode, MAX_MESSAGE_BYTES};
 use starlinghill_failover::{Micros, Position};
 use starlinghill_zone_health::report::Report;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
 }
 
 /// What is seen of zones, asked for when it is told.
-pub type Evidence = Arc<dyn Fn() -> Report + Send + Sync>;
+pub type ReportSource = Arc<dyn Fn() -> Report + Send + Sync>;
 
 /// How often what is seen is told.
 const TELL: Duration = Duration::from_secs(1);
@@ -85,7 +85,7 @@
 pub async fn follow(
     mut changes: watch::Receiver<Settings>,
     views: watch::Sender<View>,
-    evidence: Option<Evidence>,
+    evidence: Option<ReportSource>,
 ) {
     let mut settings = changes.borrow_and_update().clone();
     if settings.members.is_empty() {
@@ -102,7 +102,7 @@
     let (mut link, mut heard) = connect(&settings, at);
     let (mut failures, mut resume): (u32, Option<Instant>) = (0, None);
     let mut tick = ticks(&settings);
-    follower.met(now());
+    follower.connected(now());
     loop {
         let mut actions = Vec::new();
         let mut left = None;
@@ -114,7 +114,7 @@
                 if new.members.is_empty() || new == settings {
                     continue;
                 }
-                follower.renew(new.timing, new.generation);
+                follower.update_settings(new.timing, new.generation);
                 // Not all at once: operators tell all gateways of a file in the same moment.
                 resume = Some(Instant::now() + FIRST_PAUSE.mul_f64(rng.f64()));
                 link.abort();
@@ -124,10 +124,10 @@
                 settings = new;
             }
             news = heard.recv(), if resume.is_none() => match news {
-                Some(Heard::Told(told)) => actions = follower.handle(now(), Event::Told(told)),
+                Some(Heard::Told(told)) => actions = follower.handle(now(), Event::Update(told)),
                 Some(Heard::Answer { asked, age, position }) => {
                     failures = 0;
-                    actions = follower.handle(now(), Event::Answer { asked, age, position });
+                    actions = follower.handle(now(), Event::Answer { asked_at: asked, age, position });
                 }
                 Some(Heard::Lost(why)) => left = Some(why),
                 None => left = Some("the connection ended".into()),
@@ -135,7 +135,7 @@
             () = tokio::time::sleep_until(resume.unwrap_or(begin)), if resume.is_some() => {
                 resume = None;
                 (link, heard) = connect(&settings, at);
-                follower.met(now());
+                follower.connected(now());
             }
             _ = tick.tick() => actions = follower.handle(now(), Event::Tick),
         }
@@ -146,9 +146,9 @@
                     info!(mode = %view.mode, position = %view.position, ?age_ms, "zones by the group");
                     views.send_replace(view);
                 }
-                Action::AskWhole => status.send_modify(|s| s.whole += 1),
-                Action::Leave(why) if resume.is_none() => left = Some(why.to_string()),
-                Action::Leave(_) => {}
+                Action::RequestFull => status.send_modify(|s| s.whole += 1),
+                Action::SwitchMember(why) if resume.is_none() => left = Some(why.to_string()),
+                Action::SwitchMember(_) => {}
             }
         }
         status.send_if_modified(|s| {
@@ -170,7 +170,7 @@
 }
 
 fn ticks(settings: &Settings) -> Interval {
-    let mut ticks = tokio::time::interval(span(settings.timing.tick));
+    let mut ticks = tokio::time::interval(span(settings.timing.tick_interval));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     ticks
 }
@@ -180,7 +180,7 @@
     at: usize,
     begin: Instant,
     status: watch::Receiver<Status>,
-    evidence: Option<Evidence>,
+    evidence: Option<ReportSource>,
 ) -> (JoinHandle<()>, mpsc::Receiver<Heard>) {
     // Bounded: a reader that falls behind makes the member wait, not this process's memory grow.
     let (tx, rx) = mpsc::channel(16);
@@ -199,15 +199,15 @@
     at: usize,
     begin: Instant,
     mut status: watch::Receiver<Status>,
-    evidence: Option<Evidence>,
+    evidence: Option<ReportSource>,
     out: &mpsc::Sender<Heard>,
 ) -> String {
-    let patience = span(settings.timing.patience);
+    let patience = span(settings.timing.answer_timeout);
     let channel = match crate::client::channel(settings.members[at], patience) {
         Ok(channel) => channel,
         Err(e) => return e.to_string(),
     };
-    let mut client = GroupClient::new(channel).max_decoding_message_size(2 * LONGEST);
+    let mut client = GroupClient::new(channel).max_decoding_message_size(2 * MAX_MESSAGE_BYTES);
     let (up, ups) = mpsc::channel(QUESTIONS);
     let hello = Hello {
         name: settings.name.clone(),
@@ -224,7 +224,7 @@
         Err(_) => return "no answer in time".into(),
     };
     let now = || Micros(u64::try_from(begin.elapsed().as_micros()).unwrap_or(u64::MAX));
-    let mut ask = tokio::time::interval(span(settings.timing.ask));
+    let mut ask = tokio::time::interval(span(settings.timing.ask_interval));
     ask.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let (mut number, mut wholes) = (0u64, status.borrow().whole);
     let mut open: Vec<(u64, Instant, Micros)> = Vec::new();
--- a/crates/starlinghill-failover/src/directive.rs
+++ b/crates/starlinghill-failover/src/directive.rs
@@ -2,7 +2,7 @@
 //! from and to, so that one that got lost is noticed.
 
 use crate::state::{Phase, State};
-use crate::topology::{is_name, MOST_ZONES};
+use crate::topology::{is_name, MAX_ZONES};
 use crate::{Permille, Position, FULL_WEIGHT};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -33,7 +33,8 @@
     /// The zones.
     pub zones: BTreeMap<String, ZoneDirective>,
     /// The region that takes over, for each that has nothing in service.
-    pub next: BTreeMap<String, String>,
+    #[serde(rename = "next")]
+    pub takeover_regions: BTreeMap<String, String>,
 }
 
 /// A message to gateways.
@@ -54,24 +55,25 @@
         /// The zones that changed.
         zones: BTreeMap<String, ZoneDirective>,
         /// All regions that have nothing in service, with those that take over.
-        next: BTreeMap<String, String>,
+        #[serde(rename = "next")]
+        takeover_regions: BTreeMap<String, String>,
     },
 }
 
 /// What is wrong with what was told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Unusable {
+pub enum InvalidUpdate {
     /// Too many zones.
-    TooMany(usize),
+    TooManyZones(usize),
     /// A name or a weight is out of bounds.
-    Zone(String),
+    BadZone(String),
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for InvalidUpdate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unusable::TooMany(n) => write!(f, "{n} zones, {MOST_ZONES} at most"),
-            Unusable::Zone(name) => {
+            InvalidUpdate::TooManyZones(n) => write!(f, "{n} zones, {MAX_ZONES} at most"),
+            InvalidUpdate::BadZone(name) => {
                 let name: String = name.chars().take(80).collect();
                 write!(f, "zone '{}': a name or weight out of bounds", name.escape_debug())
             }
@@ -89,19 +91,19 @@
     }
 
     /// Whether it keeps to the bounds of names, numbers and weights.
-    pub fn check(&self) -> Result<(), Unusable> {
+    pub fn check(&self) -> Result<(), InvalidUpdate> {
         let (zones, next) = match self {
-            DirectiveUpdate::Whole { directives } => (&directives.zones, &directives.next),
-            DirectiveUpdate::Change { zones, next, .. } => (zones, next),
+            DirectiveUpdate::Whole { directives } => (&directives.zones, &directives.takeover_regions),
+            DirectiveUpdate::Change { zones, takeover_regions: next, .. } => (zones, next),
         };
-        if zones.len() > MOST_ZONES || next.len() > MOST_ZONES {
-            return Err(Unusable::TooMany(zones.len().max(next.len())));
+        if zones.len() > MAX_ZONES || next.len() > MAX_ZONES {
+            return Err(InvalidUpdate::TooManyZones(zones.len().max(next.len())));
         }
         let bad = |(name, z): &(&String, &ZoneDirective)| {
             !is_name(name) || !is_name(&z.region) || z.weight > FULL_WEIGHT
         };
         match zones.iter().find(bad) {
-            Some((name, _)) => Err(Unusable::Zone(name.clone())),
+            Some((name, _)) => Err(InvalidUpdate::BadZone(name.clone())),
             None => Ok(()),
         }
     }
@@ -109,8 +111,8 @@
 
 impl Directives {
     /// What gateways are told of a state.
-    pub fn of(state: &State) -> Directives {
-        let Some(map) = &state.map else {
+    pub fn from_state(state: &State) -> Directives {
+        let Some(map) = &state.topology else {
             return Directives { position: state.position, ..Directives::default() };
         };
         let zones = state.zones.iter().filter_map(|(name, z)| {
@@ -121,12 +123,12 @@
             position: state.position,
             regions: map.regions.clone(),
             zones: zones.collect(),
-            next: state.next.clone(),
+            takeover_regions: state.takeover_regions.clone(),
         }
     }
 
     /// What to tell one who holds `old`. The whole where zones came or went, or the group was restored.
-    pub fn since(&self, old: &Directives) -> DirectiveUpdate {
+    pub fn update_from(&self, old: &Directives) -> DirectiveUpdate {
         let same = old.position.generation == self.position.generation
             && old.regions == self.regions
             && old.zones.len() == self.zones.len()
@@ -139,15 +141,15 @@
             from: old.position,
             to: self.position,
             zones: changed.map(|(n, z)| (n.clone(), z.clone())).collect(),
-            next: self.next.clone(),
+            takeover_regions: self.takeover_regions.clone(),
         }
     }
 
     /// The picture with a change taken in; `None` where it doesn't follow on this one.
-    pub fn with(&self, told: &DirectiveUpdate) -> Option<Directives> {
+    pub fn updated_by(&self, told: &DirectiveUpdate) -> Option<Directives> {
         match told {
             DirectiveUpdate::Whole { directives } => Some(directives.clone()),
-            DirectiveUpdate::Change { from, to, zones, next } => {
+            DirectiveUpdate::Change { from, to, zones, takeover_regions: next } => {
                 let known = zones.keys().all(|name| self.zones.contains_key(name));
                 if *from != self.position || to < from || !known {
                     return None;
@@ -155,7 +157,7 @@
                 let mut new = self.clone();
                 new.position = *to;
                 new.zones.extend(zones.iter().map(|(n, z)| (n.clone(), z.clone())));
-                new.next.clone_from(next);
+                new.takeover_regions.clone_from(next);
                 Some(new)
             }
         }
--- a/crates/starlinghill-failover/src/follower.rs
+++ b/crates/starlinghill-failover/src/follower.rs
@@ -15,7 +15,7 @@
 //! that lay in a buffer, makes the age larger, never smaller; no two processes' clocks are compared.
 
 use crate::bounds::Timing;
-use crate::directive::{DirectiveUpdate, Directives, Unusable};
+use crate::directive::{DirectiveUpdate, Directives, InvalidUpdate};
 use crate::state::Phase;
 use crate::{Micros, Permille, Position, FULL_WEIGHT};
 use std::collections::BTreeMap;
@@ -25,11 +25,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// A message from the member.
-    Told(DirectiveUpdate),
+    Update(DirectiveUpdate),
     /// The member's answer to a question.
     Answer {
         /// When the question was sent, by this process's clock.
-        asked: Micros,
+        asked_at: Micros,
         /// How old the member's own certainty was; `None`: it has none.
         age: Option<Micros>,
         /// Where the member stood.
@@ -43,9 +43,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Mode {
     /// By its own sight.
-    OwnSight,
+    LocalOnly,
     /// By what it followed last.
-    Keeping,
+    Retaining,
     /// By what it is told.
     Following,
 }
@@ -53,8 +53,8 @@
 impl fmt::Display for Mode {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Mode::OwnSight => "own sight",
-            Mode::Keeping => "keeping",
+            Mode::LocalOnly => "own sight",
+            Mode::Retaining => "keeping",
             Mode::Following => "following",
         })
     }
@@ -66,7 +66,7 @@
     /// The most of its work that it gets.
     pub weight: Permille,
     /// It gets more all the same where no other zone can serve.
-    pub yields: bool,
+    pub overridable: bool,
 }
 
 /// What a gateway does.
@@ -82,14 +82,14 @@
 
 impl View {
     /// What a gateway does that was never told anything.
-    pub fn of_own_sight() -> View {
-        View { mode: Mode::OwnSight, position: Position::default(), zones: BTreeMap::new() }
+    pub fn without_group() -> View {
+        View { mode: Mode::LocalOnly, position: Position::default(), zones: BTreeMap::new() }
     }
 }
 
-/// Why another member is to be asked.
+/// SwitchReason another member is to be asked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Why {
+pub enum SwitchReason {
     /// This one is of a group that was restored since, or has not caught up in time.
     Behind {
         /// Where it stands.
@@ -98,20 +98,22 @@
         held: Position,
     },
     /// It tells something else of the same position.
-    Differs(Position),
+    Contradicts(Position),
     /// What it tells is out of bounds.
-    Unusable(Unusable),
+    InvalidUpdate(InvalidUpdate),
     /// It has not said for `fresh` that it knows the newest.
-    Unsure,
+    AgeUnknown,
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for SwitchReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Why::Behind { member, held } => write!(f, "it stands at {member}, {held} is known"),
-            Why::Differs(position) => write!(f, "it tells something else of {position} than another member"),
-            Why::Unusable(what) => write!(f, "what it tells can't be used: {what}"),
-            Why::Unsure => f.write_str("it can't say how old what it knows is"),
+            SwitchReason::Behind { member, held } => write!(f, "it stands at {member}, {held} is known"),
+            SwitchReason::Contradicts(position) => {
+                write!(f, "it tells something else of {position} than another member")
+            }
+            SwitchReason::InvalidUpdate(what) => write!(f, "what it tells can't be used: {what}"),
+            SwitchReason::AgeUnknown => f.write_str("it can't say how old what it knows is"),
         }
     }
 }
@@ -122,9 +124,9 @@
     /// Go by this from now on.
     Follow(View),
     /// Ask the member for the whole picture.
-    AskWhole,
+    RequestFull,
     /// Ask another member.
-    Leave(Why),
+    SwitchMember(SwitchReason),
 }
 
 /// One gateway's follower.
@@ -157,13 +159,13 @@
             sure: Micros(0),
             behind: None,
             generation,
-            view: View::of_own_sight(),
+            view: View::without_group(),
         }
     }
 
     /// Other times hold from now on, and no generation below this is believed any more. What was told by an older one
     /// counts as never told: its zones' weights go on as the most that they get, by own sight.
-    pub fn renew(&mut self, timing: Timing, generation: u64) {
+    pub fn update_settings(&mut self, timing: Timing, generation: u64) {
         self.timing = timing;
         self.generation = self.generation.max(generation);
         if self.held.as_ref().is_some_and(|held| held.position.generation < self.generation) {
@@ -188,7 +190,7 @@
     }
 
     /// A member was connected to.
-    pub fn met(&mut self, now: Micros) {
+    pub fn connected(&mut self, now: Micros) {
         self.sure = now;
         self.behind = None;
     }
@@ -197,8 +199,10 @@
     pub fn handle(&mut self, now: Micros, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
-            Event::Told(told) => self.told(now, &told, &mut actions),
-            Event::Answer { asked, age, position } => self.answer(now, asked, age, position, &mut actions),
+            Event::Update(told) => self.told(now, &told, &mut actions),
+            Event::Answer { asked_at: asked, age, position } => {
+                self.answer(now, asked, age, position, &mut actions)
+            }
             Event::Tick => {}
         }
         if actions.is_empty() {
@@ -212,7 +216,7 @@
 
     fn told(&mut self, now: Micros, told: &DirectiveUpdate, actions: &mut Vec<Action>) {
         if let Err(what) = told.check() {
-            actions.push(Action::Leave(Why::Unusable(what)));
+            actions.push(Action::SwitchMember(SwitchReason::InvalidUpdate(what)));
             return;
         }
         let position = told.position();
@@ -222,14 +226,14 @@
             return;
         }
         let new = match &self.held {
-            Some(held) => held.with(told),
-            None => Directives::default().with(told),
+            Some(held) => held.updated_by(told),
+            None => Directives::default().updated_by(told),
         };
         match new {
-            None => actions.push(Action::AskWhole),
+            None => actions.push(Action::RequestFull),
             Some(new) => {
                 if self.held.as_ref().is_some_and(|h| h.position == new.position && *h != new) {
-                    actions.push(Action::Leave(Why::Differs(new.position)));
+                    actions.push(Action::SwitchMember(SwitchReason::Contradicts(new.position)));
                     return;
                 }
                 // A restored group may have lost what was confirmed of the one before: its age begins anew.
@@ -253,8 +257,8 @@
     ) {
         match position.cmp(&self.held()) {
             std::cmp::Ordering::Less => self.is_behind(now, position),
-            std::cmp::Ordering::Greater => actions.push(Action::AskWhole),
-            std::cmp::Ordering::Equal if self.held.is_none() => actions.push(Action::AskWhole),
+            std::cmp::Ordering::Greater => actions.push(Action::RequestFull),
+            std::cmp::Ordering::Equal if self.held.is_none() => actions.push(Action::RequestFull),
             std::cmp::Ordering::Equal => {
                 self.behind = None;
                 let Some(age) = age else { return };
@@ -266,7 +270,7 @@
                 if self.confirmed.is_none_or(|c| c.0 < at) {
                     self.confirmed = Some(Micros(at));
                 }
-                if self.age(now).is_some_and(|age| age <= self.timing.fresh) {
+                if self.age(now).is_some_and(|age| age <= self.timing.fresh_limit) {
                     self.sure = now;
                 }
             }
@@ -282,34 +286,34 @@
     fn patience(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let held = self.held();
         if let Some((since, member)) = self.behind {
-            let late = now.0.saturating_sub(since.0) > self.timing.patience.0;
+            let late = now.0.saturating_sub(since.0) > self.timing.answer_timeout.0;
             if late || member.generation < held.generation {
                 self.behind = None;
-                actions.push(Action::Leave(Why::Behind { member, held }));
+                actions.push(Action::SwitchMember(SwitchReason::Behind { member, held }));
             }
-        } else if now.0.saturating_sub(self.sure.0) > self.timing.fresh.0 {
+        } else if now.0.saturating_sub(self.sure.0) > self.timing.fresh_limit.0 {
             self.sure = now;
-            actions.push(Action::Leave(Why::Unsure));
+            actions.push(Action::SwitchMember(SwitchReason::AgeUnknown));
         }
     }
 
     /// Whether what is done has changed.
     fn look(&mut self, now: Micros) -> bool {
         let mode = match self.age(now) {
-            Some(age) if age <= self.timing.fresh => Mode::Following,
-            Some(age) if age <= self.timing.stale && self.followed.is_some() => Mode::Keeping,
-            _ => Mode::OwnSight,
+            Some(age) if age <= self.timing.fresh_limit => Mode::Following,
+            Some(age) if age <= self.timing.stale_limit && self.followed.is_some() => Mode::Retaining,
+            _ => Mode::LocalOnly,
         };
         if mode == Mode::Following && self.followed != self.held {
             self.followed.clone_from(&self.held);
         }
         let view = match &self.followed {
-            None => View::of_own_sight(),
+            None => View::without_group(),
             Some(d) => {
-                let yields = mode == Mode::OwnSight;
+                let yields = mode == Mode::LocalOnly;
                 let zone = |(name, z): (&String, &crate::directive::ZoneDirective)| {
                     let weight = if z.phase == Phase::Serving { FULL_WEIGHT } else { z.weight };
-                    (name.clone(), ZoneView { weight, yields })
+                    (name.clone(), ZoneView { weight, overridable: yields })
                 };
                 View { mode, position: d.position, zones: d.zones.iter().map(zone).collect() }
             }
--- a/crates/starlinghill-failover/src/order.rs
+++ b/crates/starlinghill-failover/src/order.rs
@@ -4,15 +4,16 @@
 use crate::topology::Topology;
 use crate::Permille;
 use serde::{Deserialize, Serialize};
+use std::fmt;
 
 /// The most bytes of an id.
-pub const LONGEST_ID: usize = 64;
+pub const MAX_ID_BYTES: usize = 64;
 /// The most bytes of an author's name or a reason.
-pub const LONGEST_WORDS: usize = 256;
+pub const MAX_TEXT_BYTES: usize = 256;
 /// The shortest time between steps of a ramp, in milliseconds. A gateway hears of a step in less.
-pub const SHORTEST_PACE: u32 = 500;
+pub const MIN_STEP_INTERVAL_MS: u32 = 500;
 /// The longest time between steps of a ramp, in milliseconds.
-pub const LONGEST_PACE: u32 = 3_600_000;
+pub const MAX_STEP_INTERVAL_MS: u32 = 3_600_000;
 
 /// How a weight changes in steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -25,13 +26,14 @@
 }
 
 /// What is to become of a zone.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Change {
     /// Give it less, in steps, down to a weight; at 0 it is out.
     Drain {
         /// The weight at the end.
-        to: Permille,
+        #[serde(rename = "to")]
+        target_weight: Permille,
         /// The steps.
         ramp: Ramp,
     },
@@ -47,7 +49,7 @@
 }
 
 /// An order about one zone.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneOrder {
     /// The zone.
@@ -56,23 +58,27 @@
     pub change: Change,
     /// The zone's epoch that the author saw. Where the zone has changed since, the order is refused: two who order
     /// opposite things at once can't both have meant what comes of it.
-    pub expect: Option<u64>,
+    #[serde(rename = "expect")]
+    pub expected_epoch: Option<u64>,
     /// The region that takes over, where the last zone of a region goes.
-    pub next: Option<String>,
+    #[serde(rename = "next")]
+    pub takeover_region: Option<String>,
     /// Go on though another zone is not in full service.
     pub force: bool,
 }
 
 /// What is ordered.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum OrderKind {
     /// Adopt this map. Zones that stay keep their states; new ones begin in service.
     Adopt {
         /// The map.
-        map: Topology,
+        #[serde(rename = "map")]
+        topology: Topology,
         /// The group's epoch that the author saw; none for the first map.
-        expect: Option<u64>,
+        #[serde(rename = "expect")]
+        expected_epoch: Option<u64>,
     },
     /// Change a zone.
     Zone(ZoneOrder),
@@ -82,7 +88,8 @@
         zone: String,
         /// The zone's epoch that the step follows. A step proposed twice, or by a leader whose term ended, finds
         /// another epoch and does nothing.
-        of: u64,
+        #[serde(rename = "of")]
+        zone_epoch: u64,
     },
 }
 
@@ -99,5 +106,46 @@
     /// When, in Unix milliseconds by the author's clock. For people to read; nothing is decided by it.
     pub at_ms: u64,
     /// What is ordered.
-    pub what: OrderKind,
+    #[serde(rename = "what")]
+    pub kind: OrderKind,
+}
+
+// The leader logs each applied order with `{:?}`. The names in that line are those of the stored form.
+impl fmt::Debug for Change {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Change::Drain { target_weight, ramp } => {
+                f.debug_struct("Drain").field("to", target_weight).field("ramp", ramp).finish()
+            }
+            Change::Out => f.write_str("Out"),
+            Change::Return { ramp } => f.debug_struct("Return").field("ramp", ramp).finish(),
+            Change::Hold => f.write_str("Hold"),
+        }
+    }
+}
+
+impl fmt::Debug for ZoneOrder {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("ZoneOrder")
+            .field("zone", &self.zone)
+            .field("change", &self.change)
+            .field("expect", &self.expected_epoch)
+            .field("next", &self.takeover_region)
+            .field("force", &self.force)
+            .finish()
+    }
+}
+
+impl fmt::Debug for OrderKind {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            OrderKind::Adopt { topology, expected_epoch } => {
+                f.debug_struct("Adopt").field("map", topology).field("expect", expected_epoch).finish()
+            }
+            OrderKind::Zone(order) => f.debug_tuple("Zone").field(order).finish(),
+            OrderKind::Step { zone, zone_epoch } => {
+                f.debug_struct("Step").field("zone", zone).field("of", zone_epoch).finish()
+            }
+        }
+    }
 }
--- a/crates/starlinghill-failover/src/pacer.rs
+++ b/crates/starlinghill-failover/src/pacer.rs
@@ -11,7 +11,7 @@
     /// The zone.
     pub zone: String,
     /// The zone's epoch that the step follows.
-    pub of: u64,
+    pub zone_epoch: u64,
 }
 
 /// The leader's watch over ramps.
@@ -22,20 +22,21 @@
 
 impl Pacer {
     /// The steps that are due now. One that is proposed and not carried out is due again after the same time.
-    pub fn handle(&mut self, now: Micros, state: &State, leading: bool) -> Vec<Due> {
+    pub fn due_steps(&mut self, now: Micros, state: &State, leading: bool) -> Vec<Due> {
         if !leading {
             self.seen.clear();
             return Vec::new();
         }
-        self.seen
-            .retain(|zone, (epoch, _)| state.zones.get(zone).is_some_and(|z| z.epoch == *epoch && z.moves()));
+        self.seen.retain(|zone, (epoch, _)| {
+            state.zones.get(zone).is_some_and(|z| z.epoch == *epoch && z.has_pending_step())
+        });
         let mut due = Vec::new();
-        for (zone, z) in state.zones.iter().filter(|(_, z)| z.moves()) {
+        for (zone, z) in state.zones.iter().filter(|(_, z)| z.has_pending_step()) {
             let (_, since) = self.seen.entry(zone.clone()).or_insert((z.epoch, now));
             let pace = z.ramp.map_or(0, |r| u64::from(r.every_ms) * 1_000);
             if now.0.saturating_sub(since.0) >= pace {
                 *since = now;
-                due.push(Due { zone: zone.clone(), of: z.epoch });
+                due.push(Due { zone: zone.clone(), zone_epoch: z.epoch });
             }
         }
         due
--- a/crates/starlinghill-failover/src/rejection.rs
+++ b/crates/starlinghill-failover/src/rejection.rs
@@ -1,6 +1,6 @@
 //! Why an order is refused. A refusal names every cause, so that an order is not mended one cause at a time.
 
-use crate::order::{LONGEST_ID, LONGEST_PACE, LONGEST_WORDS, SHORTEST_PACE};
+use crate::order::{MAX_ID_BYTES, MAX_STEP_INTERVAL_MS, MAX_TEXT_BYTES, MIN_STEP_INTERVAL_MS};
 use crate::state::Phase;
 use crate::topology::TopologyProblem;
 use crate::Permille;
@@ -20,12 +20,15 @@
     /// The reason is empty or too long.
     BadReason,
     /// The map can't be used.
-    BadMap {
+    #[serde(rename = "bad_map")]
+    BadTopology {
         /// What is wrong.
-        problems: Vec<TopologyProblem>,
+        #[serde(rename = "problems")]
+        topology_problems: Vec<TopologyProblem>,
     },
     /// No map was adopted yet.
-    NoMap,
+    #[serde(rename = "no_map")]
+    NoTopology,
     /// The group's state has changed since the author saw it.
     GroupChanged {
         /// The epoch that the author saw.
@@ -39,7 +42,8 @@
         zone: String,
     },
     /// The zone is not on the map.
-    NoZone {
+    #[serde(rename = "no_zone")]
+    UnknownZone {
         /// What was named.
         zone: String,
         /// The zones that there are.
@@ -57,41 +61,50 @@
         phase: Phase,
     },
     /// It is so already.
-    AlreadySo {
+    #[serde(rename = "already_so")]
+    AlreadyInPhase {
         /// What the zone is.
         phase: Phase,
     },
     /// The weight to drain to is not below the present one.
-    NotLess {
+    #[serde(rename = "not_less")]
+    TargetNotLower {
         /// The weight wanted.
-        to: Permille,
+        #[serde(rename = "to")]
+        target_weight: Permille,
         /// The weight now.
         now: Permille,
     },
     /// The ramp's step or pace is out of bounds.
     BadRamp,
     /// Other zones are not in full service.
-    NotAlone {
+    #[serde(rename = "not_alone")]
+    OtherZonesNotInFullService {
         /// These.
         zones: Vec<String>,
     },
     /// It would be the last zone of its region, and no region is named that takes over.
-    LastOfRegion {
+    #[serde(rename = "last_of_region")]
+    LastZoneOfRegion {
         /// The region.
         region: String,
     },
     /// Under the new map a region would have nothing in service, and no region in service takes over.
-    RegionWithout {
+    #[serde(rename = "region_without")]
+    RegionUnserved {
         /// The region.
         region: String,
     },
     /// The region named to take over is not there, is the same, or has nothing in service.
-    BadNext {
+    #[serde(rename = "bad_next")]
+    BadTakeoverRegion {
         /// What was named.
-        next: String,
+        #[serde(rename = "next")]
+        region: String,
     },
     /// No zone at all would be left.
-    LastOfAll,
+    #[serde(rename = "last_of_all")]
+    NoZoneLeft,
     /// Too little would stay in service.
     BelowFloor {
         /// What would stay, in thousandths of all capacity.
@@ -104,15 +117,15 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Cause::BadId => write!(f, "the order's id must have 1 to {LONGEST_ID} bytes"),
+            Cause::BadId => write!(f, "the order's id must have 1 to {MAX_ID_BYTES} bytes"),
             Cause::IdReused => f.write_str("another order had this id"),
-            Cause::BadAuthor => write!(f, "the author must have 1 to {LONGEST_WORDS} bytes"),
-            Cause::BadReason => write!(f, "the reason must have 1 to {LONGEST_WORDS} bytes"),
-            Cause::BadMap { problems } => {
-                let lines: Vec<String> = problems.iter().map(TopologyProblem::to_string).collect();
+            Cause::BadAuthor => write!(f, "the author must have 1 to {MAX_TEXT_BYTES} bytes"),
+            Cause::BadReason => write!(f, "the reason must have 1 to {MAX_TEXT_BYTES} bytes"),
+            Cause::BadTopology { topology_problems } => {
+                let lines: Vec<String> = topology_problems.iter().map(TopologyProblem::to_string).collect();
                 write!(f, "the map can't be used: {}", lines.join("; "))
             }
-            Cause::NoMap => f.write_str("the group has no map of zones yet"),
+            Cause::NoTopology => f.write_str("the group has no map of zones yet"),
             Cause::GroupChanged { seen, now } => {
                 let seen = seen.map_or("none".into(), |e| e.to_string());
                 write!(f, "the group has changed since you looked: epoch {now} now, {seen} then")
@@ -120,43 +133,43 @@
             Cause::ZoneInService { zone } => {
                 write!(f, "zone '{zone}' would leave the map while it is in service; take it out first")
             }
-            Cause::NoZone { zone, known } => {
+            Cause::UnknownZone { zone, known } => {
                 write!(f, "expected one of the zones {}, found '{}'", known.join(", "), zone.escape_debug())
             }
             Cause::ZoneChanged { seen, now, by, phase } => write!(
                 f,
                 "the zone has changed since you looked: {phase} by {by} at epoch {now}, you saw epoch {seen}"
             ),
-            Cause::AlreadySo { phase } => write!(f, "the zone is {phase} already"),
-            Cause::NotLess { to, now } => {
+            Cause::AlreadyInPhase { phase } => write!(f, "the zone is {phase} already"),
+            Cause::TargetNotLower { target_weight: to, now } => {
                 write!(f, "expected a weight below the present {now} thousandths to drain to, found {to}")
             }
             Cause::BadRamp => write!(
                 f,
-                "expected steps of 1 to 1000 thousandths, {SHORTEST_PACE} to {LONGEST_PACE} ms apart"
+                "expected steps of 1 to 1000 thousandths, {MIN_STEP_INTERVAL_MS} to {MAX_STEP_INTERVAL_MS} ms apart"
             ),
-            Cause::NotAlone { zones } => {
+            Cause::OtherZonesNotInFullService { zones } => {
                 write!(f, "not in full service already: {}; --force goes on all the same", zones.join(", "))
             }
-            Cause::LastOfRegion { region } => {
+            Cause::LastZoneOfRegion { region } => {
                 write!(
                     f,
                     "it is the last zone of region '{region}'; name the region that takes over (--next)"
                 )
             }
-            Cause::RegionWithout { region } => write!(
+            Cause::RegionUnserved { region } => write!(
                 f,
                 "region '{}' would have nothing in service, and no region in service takes over for it",
                 region.escape_debug()
             ),
-            Cause::BadNext { next } => {
+            Cause::BadTakeoverRegion { region: next } => {
                 write!(
                     f,
                     "region '{}' can't take over: expected another region in service",
                     next.escape_debug()
                 )
             }
-            Cause::LastOfAll => f.write_str("no zone at all would be left in service"),
+            Cause::NoZoneLeft => f.write_str("no zone at all would be left in service"),
             Cause::BelowFloor { left, floor } => {
                 write!(f, "{left} thousandths of all capacity would stay in service, {floor} have to")
             }
--- a/crates/starlinghill-failover/src/staleness.rs
+++ b/crates/starlinghill-failover/src/staleness.rs
@@ -19,7 +19,7 @@
 
 impl StalenessBound {
     /// A leader that a majority follows said, to a question asked then, that this entry was the newest committed.
-    pub fn answered(&mut self, asked: Micros, newest: u64) {
+    pub fn record_answer(&mut self, asked: Micros, newest: u64) {
         if newest <= self.applied {
             self.sure = self.sure.max(Some(asked));
         } else if self.waiting.len() < WAITING {
@@ -28,7 +28,7 @@
     }
 
     /// All up to this entry is applied here.
-    pub fn applied(&mut self, entry: u64) {
+    pub fn record_applied(&mut self, entry: u64) {
         self.applied = self.applied.max(entry);
         let applied = self.applied;
         let met = self.waiting.iter().filter(|(_, newest)| *newest <= applied).map(|(asked, _)| *asked).max();
--- a/crates/starlinghill-failover/src/state.rs
+++ b/crates/starlinghill-failover/src/state.rs
@@ -3,7 +3,8 @@
 //! may not be so one after the other.
 
 use crate::order::{
-    Change, Order, OrderKind, Ramp, ZoneOrder, LONGEST_ID, LONGEST_PACE, LONGEST_WORDS, SHORTEST_PACE,
+    Change, Order, OrderKind, Ramp, ZoneOrder, MAX_ID_BYTES, MAX_STEP_INTERVAL_MS, MAX_TEXT_BYTES,
+    MIN_STEP_INTERVAL_MS,
 };
 use crate::rejection::Cause;
 use crate::topology::{clipped, Topology, Zone};
@@ -14,7 +15,7 @@
 
 /// Orders whose outcomes are kept, so that one sent again counts once. An order sent again after so many others
 /// is taken for a new one; the epoch that its author saw then refuses it.
-pub const REMEMBERED: usize = 512;
+pub const MAX_RECORDED_OUTCOMES: usize = 512;
 /// The most problems of a map, or names of zones, that a refusal keeps.
 const MOST_NAMED: usize = 16;
 
@@ -55,31 +56,34 @@
     /// The part of its work that it takes now.
     pub weight: Permille,
     /// The part that it takes when all steps are made.
-    pub to: Permille,
+    #[serde(rename = "to")]
+    pub target_weight: Permille,
     /// The steps, where it is on its way.
     pub ramp: Option<Ramp>,
     /// The group's epoch at its last change.
     pub epoch: u64,
     /// Who changed it last.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub changed_by: String,
     /// Why.
     pub reason: String,
     /// When, by the author's clock, in Unix milliseconds. For people.
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub changed_at_ms: u64,
 }
 
 impl ZoneState {
     /// Whether a step is still to be made.
-    pub fn moves(&self) -> bool {
-        self.ramp.is_some() && self.weight != self.to
+    pub fn has_pending_step(&self) -> bool {
+        self.ramp.is_some() && self.weight != self.target_weight
     }
 
     /// What it takes at the least while what was ordered so far is carried out.
-    fn sure(&self) -> Permille {
-        self.weight.min(self.to)
+    fn guaranteed_weight(&self) -> Permille {
+        self.weight.min(self.target_weight)
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_in_full_service(&self) -> bool {
         self.weight == FULL_WEIGHT && matches!(self.phase, Phase::Serving | Phase::Held)
     }
 }
@@ -104,7 +108,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Done {
+struct RecordedOutcome {
     id: String,
     digest: u64,
     outcome: Outcome,
@@ -117,12 +121,15 @@
     /// Where it stands.
     pub position: Position,
     /// The map, once one was adopted.
-    pub map: Option<Topology>,
+    #[serde(rename = "map")]
+    pub topology: Option<Topology>,
     /// The states of the map's zones.
     pub zones: BTreeMap<String, ZoneState>,
     /// The region that takes over, for each that has nothing in service.
-    pub next: BTreeMap<String, String>,
-    done: VecDeque<Done>,
+    #[serde(rename = "next")]
+    pub takeover_regions: BTreeMap<String, String>,
+    #[serde(rename = "done")]
+    recorded_outcomes: VecDeque<RecordedOutcome>,
 }
 
 impl State {
@@ -139,14 +146,14 @@
     }
 
     /// The state without the outcomes that it keeps: for those who look at it and decide nothing by it.
-    pub fn shown(&self) -> State {
-        State { done: VecDeque::new(), ..self.clone() }
+    pub fn without_recorded_outcomes(&self) -> State {
+        State { recorded_outcomes: VecDeque::new(), ..self.clone() }
     }
 
     /// Takes an order in. The same order again gets the same outcome and changes nothing.
     pub fn apply(&mut self, order: &Order) -> Outcome {
         let digest = meant(order);
-        if let Some(done) = self.done.iter().find(|d| !order.id.is_empty() && d.id == order.id) {
+        if let Some(done) = self.recorded_outcomes.iter().find(|d| !order.id.is_empty() && d.id == order.id) {
             if done.digest == digest {
                 return done.outcome.clone();
             }
@@ -157,32 +164,38 @@
             Err(causes) => Outcome::Refused { position: self.position, causes },
         };
         // Steps are told apart by their epoch, and would push operators' orders out. An id too long is not kept.
-        if !order.id.is_empty() && order.id.len() <= LONGEST_ID {
-            if self.done.len() >= REMEMBERED {
-                self.done.pop_front();
+        if !order.id.is_empty() && order.id.len() <= MAX_ID_BYTES {
+            if self.recorded_outcomes.len() >= MAX_RECORDED_OUTCOMES {
+                self.recorded_outcomes.pop_front();
             }
-            self.done.push_back(Done { id: order.id.clone(), digest, outcome: outcome.clone() });
+            self.recorded_outcomes.push_back(RecordedOutcome {
+                id: order.id.clone(),
+                digest,
+                outcome: outcome.clone(),
+            });
         }
         outcome
     }
 
     fn judge(&mut self, order: &Order) -> Result<(), Vec<Cause>> {
         let mut causes = Vec::new();
-        let step = matches!(order.what, OrderKind::Step { .. });
-        if order.id.len() > LONGEST_ID || order.id.is_empty() != step {
+        let step = matches!(order.kind, OrderKind::Step { .. });
+        if order.id.len() > MAX_ID_BYTES || order.id.is_empty() != step {
             causes.push(Cause::BadId);
         }
-        let words = |s: &str| !s.trim().is_empty() && s.len() <= LONGEST_WORDS;
+        let words = |s: &str| !s.trim().is_empty() && s.len() <= MAX_TEXT_BYTES;
         if !words(&order.author) {
             causes.push(Cause::BadAuthor);
         }
         if !words(&order.reason) {
             causes.push(Cause::BadReason);
         }
-        match &order.what {
-            OrderKind::Adopt { map, expect } => self.adopt(order, map, *expect, causes),
+        match &order.kind {
+            OrderKind::Adopt { topology: map, expected_epoch: expect } => {
+                self.adopt(order, map, *expect, causes)
+            }
             OrderKind::Zone(zone) => self.change(order, zone, causes),
-            OrderKind::Step { zone, of } => self.step(order, zone, *of, causes),
+            OrderKind::Step { zone, zone_epoch: of } => self.step(order, zone, *of, causes),
         }
     }
 
@@ -196,10 +209,10 @@
         let mut problems = map.problems();
         problems.truncate(MOST_NAMED);
         if !problems.is_empty() {
-            causes.push(Cause::BadMap { problems });
+            causes.push(Cause::BadTopology { topology_problems: problems });
         }
         let now = self.position.epoch;
-        if self.map.is_some() && expect != Some(now) {
+        if self.topology.is_some() && expect != Some(now) {
             causes.push(Cause::GroupChanged { seen: expect, now });
         }
         let leaving = self.zones.iter().filter(|(name, _)| !map.zones.contains_key(*name));
@@ -208,19 +221,20 @@
         }
         // Zones that were out stay out: under the new map they may have to be in service first.
         if causes.is_empty() {
-            let sure = |name: &String| self.zones.get(name).map_or(FULL_WEIGHT, ZoneState::sure);
+            let sure = |name: &String| self.zones.get(name).map_or(FULL_WEIGHT, ZoneState::guaranteed_weight);
             let left = left(map, |name| sure(name));
             if left == 0 {
-                causes.push(Cause::LastOfAll);
+                causes.push(Cause::NoZoneLeft);
             } else if left < map.floor {
                 causes.push(Cause::BelowFloor { left, floor: map.floor });
             }
             // A zone that moves to another region, or leaves, may have been the last one there.
             let served = |region: &String| map.zones.iter().any(|(n, z)| z.region == *region && sure(n) > 0);
-            let taken_over =
-                |region: &String| self.next.get(region).is_some_and(|n| map.regions.contains(n) && served(n));
+            let taken_over = |region: &String| {
+                self.takeover_regions.get(region).is_some_and(|n| map.regions.contains(n) && served(n))
+            };
             let without = map.regions.iter().filter(|region| !served(region) && !taken_over(region));
-            causes.extend(without.map(|region| Cause::RegionWithout { region: region.clone() }));
+            causes.extend(without.map(|region| Cause::RegionUnserved { region: region.clone() }));
         }
         if !causes.is_empty() {
             return Err(causes);
@@ -231,15 +245,15 @@
             self.zones.entry(name.clone()).or_insert_with(|| ZoneState {
                 phase: Phase::Serving,
                 weight: FULL_WEIGHT,
-                to: FULL_WEIGHT,
+                target_weight: FULL_WEIGHT,
                 ramp: None,
                 epoch: now + 1,
-                by: order.author.clone(),
+                changed_by: order.author.clone(),
                 reason: order.reason.clone(),
-                at_ms: order.at_ms,
+                changed_at_ms: order.at_ms,
             });
         }
-        self.map = Some(map.clone());
+        self.topology = Some(map.clone());
         self.forget_next();
         Ok(())
     }
@@ -250,27 +264,27 @@
         wanted: &ZoneOrder,
         mut causes: Vec<Cause>,
     ) -> Result<(), Vec<Cause>> {
-        let Some(map) = &self.map else {
-            causes.push(Cause::NoMap);
+        let Some(map) = &self.topology else {
+            causes.push(Cause::NoTopology);
             return Err(causes);
         };
         let (Some(place), Some(old)) = (map.zones.get(&wanted.zone), self.zones.get(&wanted.zone)) else {
             causes.push(self.no_zone(&wanted.zone));
             return Err(causes);
         };
-        if let Some(seen) = wanted.expect.filter(|seen| *seen != old.epoch) {
-            let (by, phase) = (old.by.clone(), old.phase);
+        if let Some(seen) = wanted.expected_epoch.filter(|seen| *seen != old.epoch) {
+            let (by, phase) = (old.changed_by.clone(), old.phase);
             causes.push(Cause::ZoneChanged { seen, now: old.epoch, by, phase });
         }
         let (phase, weight, to, ramp) = target(old, wanted.change, &mut causes);
-        let takes_away = to < old.sure();
+        let takes_away = to < old.guaranteed_weight();
         if takes_away {
             self.check_rest(map, place, wanted, to, &mut causes);
         }
         let beside = self.zones.iter().filter(|(name, _)| **name != wanted.zone);
         let others: Vec<String> = match wanted.change {
             Change::Drain { .. } | Change::Out => {
-                beside.filter(|(_, z)| !z.is_whole()).map(|(name, _)| name.clone()).collect()
+                beside.filter(|(_, z)| !z.is_in_full_service()).map(|(name, _)| name.clone()).collect()
             }
             Change::Return { .. } => {
                 beside.filter(|(_, z)| z.phase == Phase::Returning).map(|(name, _)| name.clone()).collect()
@@ -278,25 +292,27 @@
             Change::Hold => Vec::new(),
         };
         if !others.is_empty() && !wanted.force {
-            causes.push(Cause::NotAlone { zones: others.into_iter().take(MOST_NAMED).collect() });
+            causes.push(Cause::OtherZonesNotInFullService {
+                zones: others.into_iter().take(MOST_NAMED).collect(),
+            });
         }
         if !causes.is_empty() {
             return Err(causes);
         }
         // Named without need, it was not checked either.
-        if let (Some(next), true) = (&wanted.next, takes_away) {
-            self.next.insert(place.region.clone(), next.clone());
+        if let (Some(next), true) = (&wanted.takeover_region, takes_away) {
+            self.takeover_regions.insert(place.region.clone(), next.clone());
         }
         self.position.epoch += 1;
         let state = ZoneState {
             phase,
             weight,
-            to,
+            target_weight: to,
             ramp,
             epoch: self.position.epoch,
-            by: order.author.clone(),
+            changed_by: order.author.clone(),
             reason: order.reason.clone(),
-            at_ms: order.at_ms,
+            changed_at_ms: order.at_ms,
         };
         self.zones.insert(wanted.zone.clone(), state);
         self.forget_next();
@@ -314,19 +330,19 @@
     ) {
         let sure = |name: &String| match *name == wanted.zone {
             true => to,
-            false => self.zones.get(name).map_or(0, ZoneState::sure),
+            false => self.zones.get(name).map_or(0, ZoneState::guaranteed_weight),
         };
         let in_service = |region: &str| map.zones.iter().any(|(n, z)| z.region == region && sure(n) > 0);
-        if let Some(next) = &wanted.next {
+        if let Some(next) = &wanted.takeover_region {
             if *next == place.region || !map.regions.contains(next) || !in_service(next) {
-                causes.push(Cause::BadNext { next: clipped(next) });
+                causes.push(Cause::BadTakeoverRegion { region: clipped(next) });
             }
         } else if !in_service(&place.region) {
-            causes.push(Cause::LastOfRegion { region: place.region.clone() });
+            causes.push(Cause::LastZoneOfRegion { region: place.region.clone() });
         }
         let left = left(map, sure);
         if left == 0 {
-            causes.push(Cause::LastOfAll);
+            causes.push(Cause::NoZoneLeft);
         } else if left < map.floor {
             causes.push(Cause::BelowFloor { left, floor: map.floor });
         }
@@ -338,11 +354,11 @@
             return Err(causes);
         };
         if old.epoch != of {
-            let (by, phase) = (old.by.clone(), old.phase);
+            let (by, phase) = (old.changed_by.clone(), old.phase);
             causes.push(Cause::ZoneChanged { seen: of, now: old.epoch, by, phase });
         }
-        let Some(ramp) = old.ramp.filter(|_| old.moves()) else {
-            causes.push(Cause::AlreadySo { phase: old.phase });
+        let Some(ramp) = old.ramp.filter(|_| old.has_pending_step()) else {
+            causes.push(Cause::AlreadyInPhase { phase: old.phase });
             return Err(causes);
         };
         if !causes.is_empty() {
@@ -350,10 +366,10 @@
         }
         self.position.epoch += 1;
         let mut new = old.clone();
-        new.weight = stepped(old.weight, old.to, ramp.step);
+        new.weight = stepped(old.weight, old.target_weight, ramp.step);
         new.phase = arrived(old.phase, new.weight);
         new.epoch = self.position.epoch;
-        new.at_ms = order.at_ms;
+        new.changed_at_ms = order.at_ms;
         self.zones.insert(zone.into(), new);
         self.forget_next();
         Ok(())
@@ -361,17 +377,19 @@
 
     fn no_zone(&self, zone: &str) -> Cause {
         let known = self.zones.keys().take(MOST_NAMED).cloned().collect();
-        Cause::NoZone { zone: clipped(zone), known }
+        Cause::UnknownZone { zone: clipped(zone), known }
     }
 
     /// A region that has something in service again needs nobody to take over.
     fn forget_next(&mut self) {
-        let Some(map) = &self.map else { return };
+        let Some(map) = &self.topology else { return };
         let zones = &self.zones;
         let served = |region: &String| {
-            map.zones.iter().any(|(n, z)| z.region == *region && zones.get(n).is_some_and(|s| s.sure() > 0))
+            map.zones
+                .iter()
+                .any(|(n, z)| z.region == *region && zones.get(n).is_some_and(|s| s.guaranteed_weight() > 0))
         };
-        self.next.retain(|region, _| map.regions.contains(region) && !served(region));
+        self.takeover_regions.retain(|region, _| map.regions.contains(region) && !served(region));
     }
 }
 
@@ -379,8 +397,9 @@
 /// somebody sends it again by hand.
 fn meant(order: &Order) -> u64 {
     let mut order = Order { at_ms: 0, ..order.clone() };
-    match &mut order.what {
-        OrderKind::Adopt { expect, .. } | OrderKind::Zone(ZoneOrder { expect, .. }) => *expect = None,
+    match &mut order.kind {
+        OrderKind::Adopt { expected_epoch: expect, .. }
+        | OrderKind::Zone(ZoneOrder { expected_epoch: expect, .. }) => *expect = None,
         OrderKind::Step { .. } => {}
     }
     crate::wire::digest(&order)
@@ -414,23 +433,23 @@
     causes: &mut Vec<Cause>,
 ) -> (Phase, Permille, Permille, Option<Ramp>) {
     let mut check = |ramp: Ramp| {
-        let paced = (SHORTEST_PACE..=LONGEST_PACE).contains(&ramp.every_ms);
+        let paced = (MIN_STEP_INTERVAL_MS..=MAX_STEP_INTERVAL_MS).contains(&ramp.every_ms);
         if !paced || ramp.step == 0 || ramp.step > FULL_WEIGHT {
             causes.push(Cause::BadRamp);
         }
     };
     match change {
-        Change::Drain { to, ramp } => {
+        Change::Drain { target_weight: to, ramp } => {
             check(ramp);
             if to >= old.weight {
-                causes.push(Cause::NotLess { to, now: old.weight });
+                causes.push(Cause::TargetNotLower { target_weight: to, now: old.weight });
             }
             let weight = stepped(old.weight, to.min(old.weight), ramp.step);
             (arrived(Phase::Draining, weight), weight, to, Some(ramp))
         }
         Change::Out => {
             if old.phase == Phase::Out {
-                causes.push(Cause::AlreadySo { phase: old.phase });
+                causes.push(Cause::AlreadyInPhase { phase: old.phase });
             }
             (Phase::Out, 0, 0, None)
         }
@@ -439,14 +458,14 @@
             if old.weight == FULL_WEIGHT && old.phase == Phase::Serving
                 || old.phase == Phase::Returning && old.ramp == Some(ramp)
             {
-                causes.push(Cause::AlreadySo { phase: old.phase });
+                causes.push(Cause::AlreadyInPhase { phase: old.phase });
             }
             let weight = stepped(old.weight, FULL_WEIGHT, ramp.step);
             (arrived(Phase::Returning, weight), weight, FULL_WEIGHT, Some(ramp))
         }
         Change::Hold => {
             if old.phase == Phase::Held {
-                causes.push(Cause::AlreadySo { phase: old.phase });
+                causes.push(Cause::AlreadyInPhase { phase: old.phase });
             }
             (Phase::Held, old.weight, old.weight, None)
         }
--- a/crates/starlinghill-failover/src/topology.rs
+++ b/crates/starlinghill-failover/src/topology.rs
@@ -6,11 +6,11 @@
 use std::fmt;
 
 /// The most zones of a map. Guards the size of what gateways are told.
-pub const MOST_ZONES: usize = 256;
+pub const MAX_ZONES: usize = 256;
 /// The most bytes of a name.
-pub const LONGEST_NAME: usize = 64;
-/// The largest capacity of a zone; sums of [`MOST_ZONES`] of them stay far below 64 bits.
-pub const LARGEST_CAPACITY: u32 = 1_000_000;
+pub const MAX_NAME_BYTES: usize = 64;
+/// The largest capacity of a zone; sums of [`MAX_ZONES`] of them stay far below 64 bits.
+pub const MAX_CAPACITY: u32 = 1_000_000;
 
 /// One zone.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
 
 /// What somebody wrote, short enough to be kept and shown.
 pub(crate) fn clipped(name: &str) -> String {
-    name.chars().take(LONGEST_NAME).collect()
+    name.chars().take(MAX_NAME_BYTES).collect()
 }
 
 /// What is wrong with a map.
@@ -74,10 +74,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             TopologyProblem::Empty => f.write_str("expected a zone at least, found none"),
-            TopologyProblem::TooMany(n) => write!(f, "expected {MOST_ZONES} zones at most, found {n}"),
+            TopologyProblem::TooMany(n) => write!(f, "expected {MAX_ZONES} zones at most, found {n}"),
             TopologyProblem::Name(name) => write!(
                 f,
-                "expected a name of 1 to {LONGEST_NAME} letters, digits, '-', '_' or '.', found '{}'",
+                "expected a name of 1 to {MAX_NAME_BYTES} letters, digits, '-', '_' or '.', found '{}'",
                 name.escape_debug()
             ),
             TopologyProblem::Twice(name) => write!(f, "expected each region once, found '{name}' again"),
@@ -88,7 +88,7 @@
                 write!(f, "region '{name}': expected a zone at least, found none")
             }
             TopologyProblem::Capacity { zone, found } => {
-                write!(f, "zone '{zone}': expected a capacity from 1 to {LARGEST_CAPACITY}, found {found}")
+                write!(f, "zone '{zone}': expected a capacity from 1 to {MAX_CAPACITY}, found {found}")
             }
             TopologyProblem::Floor(found) => {
                 write!(f, "expected a floor of 1000 thousandths at most, found {found}")
@@ -101,7 +101,7 @@
 /// Whether a name can be used: for zones, regions, gateways and members.
 pub fn is_name(name: &str) -> bool {
     let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    !name.is_empty() && name.len() <= LONGEST_NAME && name.bytes().all(fits)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(fits)
 }
 
 impl Topology {
@@ -111,7 +111,7 @@
         if self.zones.is_empty() {
             found.push(TopologyProblem::Empty);
         }
-        if self.zones.len() > MOST_ZONES {
+        if self.zones.len() > MAX_ZONES {
             found.push(TopologyProblem::TooMany(self.zones.len()));
         }
         let mut regions = BTreeSet::new();
@@ -133,7 +133,7 @@
             if !regions.contains(&zone.region) {
                 found.push(TopologyProblem::NoRegion { zone: clipped(name), region: clipped(&zone.region) });
             }
-            if zone.capacity == 0 || zone.capacity > LARGEST_CAPACITY {
+            if zone.capacity == 0 || zone.capacity > MAX_CAPACITY {
                 found.push(TopologyProblem::Capacity { zone: clipped(name), found: zone.capacity });
             }
         }
--- a/crates/starlinghill-failover/src/wire.rs
+++ b/crates/starlinghill-failover/src/wire.rs
@@ -10,9 +10,9 @@
 /// The version that this program writes, and the only one that it reads.
 pub const VERSION: u32 = 1;
 /// The most bytes of one message: a state with all outcomes that it keeps, each a refusal of many words.
-pub const LONGEST: usize = 4 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 /// The most bytes of an order: a map of the most zones with the longest names takes half.
-pub const LONGEST_ORDER: usize = 128 << 10;
+pub const MAX_ORDER_BYTES: usize = 128 << 10;
 
 /// What may stand in an envelope.
 pub trait Message: Serialize + DeserializeOwned {
@@ -36,7 +36,7 @@
 /// A message that can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WireError {
-    /// It is longer than [`LONGEST`].
+    /// It is longer than [`MAX_MESSAGE_BYTES`].
     TooLong(usize),
     /// It is of another version.
     Version(u32),
@@ -49,7 +49,7 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::TooLong(n) => write!(f, "a message of {n} bytes, {LONGEST} at most"),
+            WireError::TooLong(n) => write!(f, "a message of {n} bytes, {MAX_MESSAGE_BYTES} at most"),
             WireError::Version(found) => {
                 write!(f, "a message of version {found}; this program knows version {VERSION} alone")
             }
@@ -84,7 +84,7 @@
 
 /// The message of these bytes.
 pub fn decode<T: Message>(bytes: &[u8]) -> Result<T, WireError> {
-    if bytes.len() > LONGEST {
+    if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(WireError::TooLong(bytes.len()));
     }
     serde_json::from_slice::<Head>(bytes).map_err(malformed)?.open()
@@ -92,17 +92,17 @@
 
 /// An envelope as a value, for what is kept inside something else: an entry of a log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Sealed(serde_json::Value);
+pub struct JsonEnvelope(serde_json::Value);
 
-impl Sealed {
+impl JsonEnvelope {
     /// A message in its envelope.
-    pub fn of<T: Message>(message: &T) -> Sealed {
+    pub fn encode<T: Message>(message: &T) -> JsonEnvelope {
         let envelope = Envelope { v: VERSION, kind: T::KIND, body: message };
-        Sealed(serde_json::to_value(envelope).unwrap_or_default())
+        JsonEnvelope(serde_json::to_value(envelope).unwrap_or_default())
     }
 
     /// The message in it.
-    pub fn open<T: Message>(self) -> Result<T, WireError> {
+    pub fn decode<T: Message>(self) -> Result<T, WireError> {
         serde_json::from_value::<Head>(self.0).map_err(malformed)?.open()
     }
 }
--- a/crates/starlinghill-failover/tests/follower.rs
+++ b/crates/starlinghill-failover/tests/follower.rs
@@ -2,7 +2,7 @@
 
 use starlinghill_failover::bounds::Timing;
 use starlinghill_failover::directive::{DirectiveUpdate, Directives};
-use starlinghill_failover::follower::{Action, Event, Follower, Mode, Why};
+use starlinghill_failover::follower::{Action, Event, Follower, Mode, SwitchReason};
 use starlinghill_failover::order::{Change, Order, OrderKind, Ramp, ZoneOrder};
 use starlinghill_failover::staleness::StalenessBound;
 use starlinghill_failover::state::{Outcome, State};
@@ -15,7 +15,7 @@
 }
 
 fn order(id: u64, what: OrderKind) -> Order {
-    Order { id: format!("o{id}"), author: "eve".into(), reason: "a drill".into(), at_ms: 0, what }
+    Order { id: format!("o{id}"), author: "eve".into(), reason: "a drill".into(), at_ms: 0, kind: what }
 }
 
 fn settled(generation: u64) -> State {
@@ -23,48 +23,49 @@
     let zones = [zone("a1", "east"), zone("a2", "east"), zone("b1", "west")].into_iter().collect();
     let map = Topology { regions: vec!["east".into(), "west".into()], zones, floor: 0 };
     let mut state = State::new(generation);
-    state.apply(&order(0, OrderKind::Adopt { map, expect: None }));
+    state.apply(&order(0, OrderKind::Adopt { topology: map, expected_epoch: None }));
     state
 }
 
 fn change(state: &mut State, id: u64, zone: &str, change: Change) {
     let (zone, force) = (zone.into(), true);
-    let wanted = OrderKind::Zone(ZoneOrder { zone, change, expect: None, next: None, force });
+    let wanted =
+        OrderKind::Zone(ZoneOrder { zone, change, expected_epoch: None, takeover_region: None, force });
     let outcome = state.apply(&order(id, wanted));
     assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
 }
 
 fn whole(state: &State) -> Event {
-    Event::Told(DirectiveUpdate::Whole { directives: Directives::of(state) })
+    Event::Update(DirectiveUpdate::Whole { directives: Directives::from_state(state) })
 }
 
 fn answer(asked: u64, age: u64, position: Position) -> Event {
-    Event::Answer { asked: ms(asked), age: Some(ms(age)), position }
+    Event::Answer { asked_at: ms(asked), age: Some(ms(age)), position }
 }
 
 /// Follows `state` from 10 ms on, as sure as can be.
 fn following(state: &State) -> Follower {
     let mut follower = Follower::new(Timing::default(), 0);
-    follower.met(ms(10));
+    follower.connected(ms(10));
     follower.handle(ms(10), whole(state));
     follower.handle(ms(10), answer(10, 0, state.position));
     assert_eq!(follower.view().mode, Mode::Following);
     follower
 }
 
-const DRAIN: Change = Change::Drain { to: 0, ramp: Ramp { step: 500, every_ms: 1_000 } };
+const DRAIN: Change = Change::Drain { target_weight: 0, ramp: Ramp { step: 500, every_ms: 1_000 } };
 
 #[test]
 fn what_is_told_is_followed_only_once_its_age_is_known() {
     let mut state = settled(1);
     change(&mut state, 1, "a1", DRAIN);
     let mut follower = Follower::new(Timing::default(), 0);
-    follower.met(ms(10));
+    follower.connected(ms(10));
     assert!(follower.handle(ms(10), whole(&state)).is_empty());
-    assert_eq!(follower.view().mode, Mode::OwnSight);
+    assert_eq!(follower.view().mode, Mode::LocalOnly);
     let actions = follower.handle(ms(20), answer(15, 3, state.position));
     assert!(
-        matches!(&actions[..], [Action::Follow(v)] if v.zones["a1"].weight == 500 && !v.zones["a1"].yields)
+        matches!(&actions[..], [Action::Follow(v)] if v.zones["a1"].weight == 500 && !v.zones["a1"].overridable)
     );
 }
 
@@ -75,19 +76,19 @@
     let mut follower = following(&state);
     assert!(follower.handle(ms(1_900), Event::Tick).is_empty());
     let kept = follower.handle(ms(2_100), Event::Tick);
-    assert!(kept.iter().any(|a| matches!(a, Action::Follow(v) if v.mode == Mode::Keeping)), "{kept:?}");
+    assert!(kept.iter().any(|a| matches!(a, Action::Follow(v) if v.mode == Mode::Retaining)), "{kept:?}");
     // A member cut off from the leader tells the next step, and can't say how old it is.
     let mut later = state.clone();
     change(&mut later, 2, "a1", Change::Out);
     follower.handle(ms(2_200), whole(&later));
-    follower.handle(ms(2_200), Event::Answer { asked: ms(2_150), age: None, position: later.position });
+    follower.handle(ms(2_200), Event::Answer { asked_at: ms(2_150), age: None, position: later.position });
     follower.handle(ms(2_300), answer(2_250, 5_000, later.position));
-    assert_eq!((follower.view().mode, follower.view().zones["a1"].weight), (Mode::Keeping, 500));
+    assert_eq!((follower.view().mode, follower.view().zones["a1"].weight), (Mode::Retaining, 500));
     assert_eq!(follower.held(), later.position);
     let own = follower.handle(ms(10_100), Event::Tick);
     let Some(Action::Follow(view)) = own.last() else { panic!("{own:?}") };
-    assert_eq!((view.mode, view.zones["a1"].weight), (Mode::OwnSight, 500));
-    assert!(view.zones["a1"].yields);
+    assert_eq!((view.mode, view.zones["a1"].weight), (Mode::LocalOnly, 500));
+    assert!(view.zones["a1"].overridable);
     // Once it is sure again it follows what it held.
     follower.handle(ms(10_200), answer(10_190, 2, later.position));
     assert_eq!((follower.view().mode, follower.view().zones["a1"].weight), (Mode::Following, 0));
@@ -99,14 +100,14 @@
     let mut state = old.clone();
     change(&mut state, 1, "a1", Change::Out);
     let mut follower = following(&state);
-    follower.met(ms(20));
+    follower.connected(ms(20));
     assert!(follower.handle(ms(20), whole(&old)).is_empty());
     // A member that woke up and believes itself sure renews nothing.
     follower.handle(ms(30), answer(25, 0, old.position));
     assert_eq!(follower.held(), state.position);
     assert_eq!(follower.age(ms(1_000)), Some(Timing::default().stretched(ms(990))));
     let actions = follower.handle(ms(600), Event::Tick);
-    assert!(matches!(&actions[..], [Action::Leave(Why::Behind { .. })]), "{actions:?}");
+    assert!(matches!(&actions[..], [Action::SwitchMember(SwitchReason::Behind { .. })]), "{actions:?}");
 }
 
 #[test]
@@ -114,29 +115,29 @@
     let mut state = settled(1);
     change(&mut state, 1, "a1", Change::Out);
     let mut follower = following(&state);
-    let shorter = Timing { fresh: ms(1_500), ..Timing::default() };
-    follower.renew(shorter, 1);
+    let shorter = Timing { fresh_limit: ms(1_500), ..Timing::default() };
+    follower.update_settings(shorter, 1);
     assert!(follower.handle(ms(1_400), Event::Tick).is_empty());
     assert_eq!((follower.view().mode, follower.view().zones["a1"].weight), (Mode::Following, 0));
     // The new times hold: by the old ones it would still be fresh.
     follower.handle(ms(1_600), Event::Tick);
-    assert_eq!(follower.view().mode, Mode::Keeping);
-    follower.renew(shorter, 2);
-    follower.met(ms(1_600));
+    assert_eq!(follower.view().mode, Mode::Retaining);
+    follower.update_settings(shorter, 2);
+    follower.connected(ms(1_600));
     follower.handle(ms(1_600), Event::Tick);
-    assert_eq!((follower.view().mode, follower.view().zones["a1"].weight), (Mode::OwnSight, 0));
-    assert!(follower.view().zones["a1"].yields);
+    assert_eq!((follower.view().mode, follower.view().zones["a1"].weight), (Mode::LocalOnly, 0));
+    assert!(follower.view().zones["a1"].overridable);
     // Members of the life before are not believed any more, whatever they say; the restored group is.
     follower.handle(ms(1_610), whole(&state));
     follower.handle(ms(1_620), answer(1_615, 0, state.position));
-    assert_eq!(follower.view().mode, Mode::OwnSight);
+    assert_eq!(follower.view().mode, Mode::LocalOnly);
     // A lower generation in a file that was put back does not bring them back.
-    follower.renew(shorter, 1);
+    follower.update_settings(shorter, 1);
     follower.handle(ms(1_630), whole(&state));
     follower.handle(ms(1_640), answer(1_635, 0, state.position));
-    assert_eq!(follower.view().mode, Mode::OwnSight);
+    assert_eq!(follower.view().mode, Mode::LocalOnly);
     let restored = state.restored();
-    follower.met(ms(1_650));
+    follower.connected(ms(1_650));
     follower.handle(ms(1_650), whole(&restored));
     follower.handle(ms(1_660), answer(1_655, 0, restored.position));
     assert_eq!((follower.view().mode, follower.view().position), (Mode::Following, restored.position));
@@ -162,12 +163,12 @@
     assert_eq!(follower.age(ms(20)), None, "what was confirmed of the old group says nothing of this one");
     follower.handle(ms(30), answer(25, 0, restored.position));
     let actions = follower.handle(ms(40), whole(&beyond));
-    assert!(matches!(&actions[..], [Action::Leave(Why::Behind { .. })]), "{actions:?}");
+    assert!(matches!(&actions[..], [Action::SwitchMember(SwitchReason::Behind { .. })]), "{actions:?}");
     // One that was restarted believes what its file says at the least.
     let mut fresh = Follower::new(Timing::default(), 2);
-    fresh.met(ms(10));
+    fresh.connected(ms(10));
     let actions = fresh.handle(ms(10), whole(&beyond));
-    assert!(matches!(&actions[..], [Action::Leave(Why::Behind { .. })]), "{actions:?}");
+    assert!(matches!(&actions[..], [Action::SwitchMember(SwitchReason::Behind { .. })]), "{actions:?}");
 }
 
 #[test]
@@ -176,38 +177,40 @@
     let mut follower = following(&start);
     let mut state = start.clone();
     change(&mut state, 1, "a1", DRAIN);
-    let first = Directives::of(&state);
+    let first = Directives::from_state(&state);
     change(&mut state, 2, "a1", Change::Out);
-    let second = Directives::of(&state);
-    let lost = second.since(&first);
+    let second = Directives::from_state(&state);
+    let lost = second.update_from(&first);
     assert!(matches!(&lost, DirectiveUpdate::Change { zones, .. } if zones.len() == 1));
-    assert_eq!(follower.handle(ms(20), Event::Told(lost.clone())), [Action::AskWhole]);
-    follower.handle(ms(30), Event::Told(first.since(&Directives::of(&start))));
-    follower.handle(ms(30), Event::Told(lost));
+    assert_eq!(follower.handle(ms(20), Event::Update(lost.clone())), [Action::RequestFull]);
+    follower.handle(ms(30), Event::Update(first.update_from(&Directives::from_state(&start))));
+    follower.handle(ms(30), Event::Update(lost));
     assert_eq!(follower.held(), state.position);
     // An answer that names more than was told asks for it too.
     let ahead = Position { epoch: state.position.epoch + 1, ..state.position };
-    assert_eq!(follower.handle(ms(40), answer(35, 0, ahead)), [Action::AskWhole]);
+    assert_eq!(follower.handle(ms(40), answer(35, 0, ahead)), [Action::RequestFull]);
 }
 
 #[test]
 fn what_is_out_of_bounds_or_contradicts_another_member_is_not_taken() {
     let state = settled(1);
     let mut follower = following(&state);
-    let mut other = Directives::of(&state);
+    let mut other = Directives::from_state(&state);
     other.zones.get_mut("a1").unwrap().weight = 3;
-    let actions = follower.handle(ms(20), Event::Told(DirectiveUpdate::Whole { directives: other.clone() }));
-    assert!(matches!(&actions[..], [Action::Leave(Why::Differs(_))]), "{actions:?}");
+    let actions =
+        follower.handle(ms(20), Event::Update(DirectiveUpdate::Whole { directives: other.clone() }));
+    assert!(matches!(&actions[..], [Action::SwitchMember(SwitchReason::Contradicts(_))]), "{actions:?}");
     other.position.epoch += 1;
     other.zones.get_mut("a1").unwrap().weight = FULL_WEIGHT + 1;
-    let actions = follower.handle(ms(20), Event::Told(DirectiveUpdate::Whole { directives: other.clone() }));
-    assert!(matches!(&actions[..], [Action::Leave(Why::Unusable(_))]), "{actions:?}");
+    let actions =
+        follower.handle(ms(20), Event::Update(DirectiveUpdate::Whole { directives: other.clone() }));
+    assert!(matches!(&actions[..], [Action::SwitchMember(SwitchReason::InvalidUpdate(_))]), "{actions:?}");
     for i in 0..300 {
         let zone = other.zones["b1"].clone();
         other.zones.insert(format!("z{i}"), zone);
     }
-    let actions = follower.handle(ms(20), Event::Told(DirectiveUpdate::Whole { directives: other }));
-    assert!(matches!(&actions[..], [Action::Leave(Why::Unusable(_))]), "{actions:?}");
+    let actions = follower.handle(ms(20), Event::Update(DirectiveUpdate::Whole { directives: other }));
+    assert!(matches!(&actions[..], [Action::SwitchMember(SwitchReason::InvalidUpdate(_))]), "{actions:?}");
     assert_eq!(follower.held(), state.position);
 }
 
@@ -267,8 +270,8 @@
                 let wanted = OrderKind::Zone(ZoneOrder {
                     zone: zone.into(),
                     change: all[rng.usize(..4)],
-                    expect: None,
-                    next: None,
+                    expected_epoch: None,
+                    takeover_region: None,
                     force: true,
                 });
                 new.apply(&order(t + 1, wanted));
@@ -287,7 +290,7 @@
                 }
                 // A cut may hold the leader's answer back too, which then comes late.
                 if let Some((asked, newest)) = m.question.filter(|_| t >= m.cut_until) {
-                    m.certainty.answered(clock.at(asked), newest);
+                    m.certainty.record_answer(clock.at(asked), newest);
                     m.question = None;
                 }
                 if t < m.cut_until {
@@ -295,7 +298,7 @@
                 }
                 if rng.bool() {
                     m.state = newest.clone();
-                    m.certainty.applied(newest.position.epoch);
+                    m.certainty.record_applied(newest.position.epoch);
                 }
                 if rng.u32(..4) == 0 {
                     m.question = Some((t, newest.position.epoch));
@@ -308,7 +311,7 @@
                 }
                 if let Some(asked) = asked.take_if(|a: &mut u64| *a < t) {
                     let (asked, age) = (mine.at(asked), m.certainty.age(clocks[at].at(t)));
-                    let event = Event::Answer { asked, age, position: m.state.position };
+                    let event = Event::Answer { asked_at: asked, age, position: m.state.position };
                     wire.push_back((t + rng.u64(..100), event));
                 }
                 if asked.is_none() && rng.bool() {
@@ -320,25 +323,25 @@
             while wire.front().is_some_and(|(when, _)| *when <= t) {
                 actions.extend(wire.pop_front().map(|(_, e)| follower.handle(now, e)).unwrap_or_default());
             }
-            if actions.iter().any(|a| matches!(a, Action::Leave(_))) || rng.u32(..200) == 0 {
+            if actions.iter().any(|a| matches!(a, Action::SwitchMember(_))) || rng.u32(..200) == 0 {
                 at = rng.usize(..3);
                 wire.clear();
                 asked = None;
-                follower.met(now);
+                follower.connected(now);
             }
             let view = follower.view();
             assert!(view.position >= highest, "seed {seed}, {t} ms: from {highest} to {}", view.position);
             highest = view.position;
             let bound = match view.mode {
-                Mode::Following => timing.fresh,
-                Mode::Keeping => timing.stale,
-                Mode::OwnSight => {
+                Mode::Following => timing.fresh_limit,
+                Mode::Retaining => timing.stale_limit,
+                Mode::LocalOnly => {
                     own += 1;
                     continue;
                 }
             };
             followed_something += usize::from(view.mode == Mode::Following);
-            kept += usize::from(view.mode == Mode::Keeping);
+            kept += usize::from(view.mode == Mode::Retaining);
             let since = t.saturating_sub(bound.0 / 1_000);
             let was = truth.iter().rev().find(|(when, _)| *when < since).map(|(_, s)| s.position);
             let held = follower.held();
--- a/crates/starlinghill-failover/tests/model.rs
+++ b/crates/starlinghill-failover/tests/model.rs
@@ -19,7 +19,13 @@
 
 fn timing() -> Timing {
     let moments = |n| Micros(n * MOMENT);
-    Timing { fresh: moments(1), stale: moments(3), patience: moments(9), drift_ppm: 0, ..Timing::default() }
+    Timing {
+        fresh_limit: moments(1),
+        stale_limit: moments(3),
+        answer_timeout: moments(9),
+        drift_ppm: 0,
+        ..Timing::default()
+    }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
@@ -80,7 +86,7 @@
 }
 
 fn told(position: Position) -> Event {
-    Event::Told(DirectiveUpdate::Whole { directives: Directives { position, ..Directives::default() } })
+    Event::Update(DirectiveUpdate::Whole { directives: Directives { position, ..Directives::default() } })
 }
 
 impl World {
@@ -91,10 +97,10 @@
     fn handle(&mut self, mut event: Event, fault: Fault) {
         let now = Micros(self.now * MOMENT);
         match (fault, &mut event) {
-            (Fault::Positions, Event::Told(told)) if told.position() < self.follower.held() => {
+            (Fault::Positions, Event::Update(told)) if told.position() < self.follower.held() => {
                 self.follower = Follower::new(timing(), 0);
             }
-            (Fault::Ages, Event::Answer { asked, .. }) => *asked = now,
+            (Fault::Ages, Event::Answer { asked_at, .. }) => *asked_at = now,
             _ => {}
         }
         self.follower.handle(now, event);
@@ -109,8 +115,8 @@
         let position = Position { generation: 1, epoch: 1 };
         let mut member = Member { position, ..Member::default() };
         // It has just been told the newest by the leader.
-        member.certainty.applied(1);
-        member.certainty.answered(Micros(0), 1);
+        member.certainty.record_applied(1);
+        member.certainty.record_answer(Micros(0), 1);
         vec![World {
             now: 0,
             committed: vec![0],
@@ -178,9 +184,9 @@
                 let m = &mut w.members[i];
                 let (asked, newest) = m.question.take()?;
                 let newest = newest?;
-                m.certainty.answered(Micros(asked * MOMENT), newest);
+                m.certainty.record_answer(Micros(asked * MOMENT), newest);
                 m.position.epoch = m.position.epoch.max(newest);
-                m.certainty.applied(newest);
+                m.certainty.record_applied(newest);
             }
             Step::Tells(i) => w.wire[i].push(Sent::Told(w.members[i].position)),
             Step::GatewayAsks(i) => {
@@ -192,7 +198,7 @@
                 let event = match w.wire[i].remove(0) {
                     Sent::Told(position) => told(position),
                     Sent::Answer { asked, age, position } => {
-                        Event::Answer { asked: Micros(asked * MOMENT), age, position }
+                        Event::Answer { asked_at: Micros(asked * MOMENT), age, position }
                     }
                 };
                 w.handle(event, self.fault);
@@ -215,7 +221,7 @@
                 if view.mode != Mode::Following || view.position.generation < w.generation {
                     return true;
                 }
-                let since = w.now.saturating_sub(timing().fresh.0 / MOMENT);
+                let since = w.now.saturating_sub(timing().fresh_limit.0 / MOMENT);
                 let was = w.committed.iter().filter(|at| **at < since).count() as u64;
                 view.position.epoch >= was
             }),
@@ -225,7 +231,7 @@
             Property::sometimes("it follows the restored group", |_, w: &World| {
                 w.follower.view().mode == Mode::Following && w.follower.view().position.generation == 2
             }),
-            Property::sometimes("it keeps", |_, w: &World| w.follower.view().mode == Mode::Keeping),
+            Property::sometimes("it keeps", |_, w: &World| w.follower.view().mode == Mode::Retaining),
         ]
     }
 }
--- a/crates/starlinghill-operator-config/src/group.rs
+++ b/crates/starlinghill-operator-config/src/group.rs
@@ -3,8 +3,8 @@
 use crate::check::Check;
 use crate::problem::{Problem, Source};
 use serde::Deserialize;
-use starlinghill_failover::bounds::{Timing, TimingProblem, MOST_DRIFT_PPM};
-use starlinghill_failover::topology::{is_name, Topology, TopologyProblem, Zone, LARGEST_CAPACITY};
+use starlinghill_failover::bounds::{Timing, TimingProblem, MAX_DRIFT_PPM};
+use starlinghill_failover::topology::{is_name, Topology, TopologyProblem, Zone, MAX_CAPACITY};
 use starlinghill_failover::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -196,7 +196,7 @@
             continue;
         };
         let capacity =
-            c.number("group.zones.capacity", zone.capacity, 100, 1..=i64::from(LARGEST_CAPACITY)) as u32;
+            c.number("group.zones.capacity", zone.capacity, 100, 1..=i64::from(MAX_CAPACITY)) as u32;
         if zones.contains_key(name.get_ref()) {
             let what = format!("expected each zone once, found '{}' again", name.get_ref());
             c.fail(name.span(), "group.zones.name", what);
@@ -219,23 +219,23 @@
         Micros(c.number(&key, raw, (default.0 / 1_000) as i64, least..=3_600_000) as u64 * 1_000)
     };
     let timing = Timing {
-        heartbeat: ms("heartbeat_ms", raw.heartbeat_ms, d.heartbeat, 10),
-        election: ms("election_ms", raw.election_ms, d.election, 100),
-        confirm: ms("confirm_ms", raw.confirm_ms, d.confirm, 10),
-        ask: ms("ask_ms", raw.ask_ms, d.ask, 10),
-        patience: ms("patience_ms", raw.patience_ms, d.patience, 50),
-        fresh: ms("fresh_ms", raw.fresh_ms, d.fresh, 100),
-        stale: ms("stale_ms", raw.stale_ms, d.stale, 200),
-        tick: d.tick,
-        link: ms("link_ms", raw.link_ms, d.link, 1),
+        heartbeat_interval: ms("heartbeat_ms", raw.heartbeat_ms, d.heartbeat_interval, 10),
+        election_timeout: ms("election_ms", raw.election_ms, d.election_timeout, 100),
+        confirm_interval: ms("confirm_ms", raw.confirm_ms, d.confirm_interval, 10),
+        ask_interval: ms("ask_ms", raw.ask_ms, d.ask_interval, 10),
+        answer_timeout: ms("patience_ms", raw.patience_ms, d.answer_timeout, 50),
+        fresh_limit: ms("fresh_ms", raw.fresh_ms, d.fresh_limit, 100),
+        stale_limit: ms("stale_ms", raw.stale_ms, d.stale_limit, 200),
+        tick_interval: d.tick_interval,
+        max_link_delay: ms("link_ms", raw.link_ms, d.max_link_delay, 1),
         drift_ppm: c.number(
             "group.timing.drift_ppm",
             raw.drift_ppm,
             i64::from(d.drift_ppm),
-            0..=i64::from(MOST_DRIFT_PPM),
+            0..=i64::from(MAX_DRIFT_PPM),
         ) as u32,
     };
-    for misfit in timing.misfits() {
+    for misfit in timing.problems() {
         let key = match misfit {
             TimingProblem::Election => "group.timing.election_ms",
             TimingProblem::Fresh { .. } => "group.timing.fresh_ms",
--- a/crates/starlinghill-operator-config/tests/group.rs
+++ b/crates/starlinghill-operator-config/tests/group.rs
@@ -18,8 +18,8 @@
     let group = read(GOOD).expect("sound");
     assert_eq!((group.generation, group.map.floor, group.timing), (1, 500, Timing::default()));
     assert_eq!(group.file(2), Path::new("/etc/starlinghill/group/member-2.redb"));
-    assert_eq!(group.timing.misfits(), []);
-    assert!(group.timing.age_while_connected() < group.timing.fresh);
+    assert_eq!(group.timing.problems(), []);
+    assert!(group.timing.max_connected_age() < group.timing.fresh_limit);
 }
 
 #[test]
--- a/crates/starlinghill-raft/src/lib.rs
+++ b/crates/starlinghill-raft/src/lib.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use starlinghill_failover::order::Order;
 use starlinghill_failover::state::{Outcome, State};
-use starlinghill_failover::wire::{Message, Sealed};
+use starlinghill_failover::wire::{JsonEnvelope, Message};
 use std::io::Cursor;
 
 /// What stands in the log.
@@ -41,12 +41,12 @@
 
 impl Serialize for Recorded {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        Sealed::of(&self.0).serialize(s)
+        JsonEnvelope::encode(&self.0).serialize(s)
     }
 }
 impl<'de> Deserialize<'de> for Recorded {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Recorded, D::Error> {
-        Sealed::deserialize(d)?.open().map(Recorded).map_err(serde::de::Error::custom)
+        JsonEnvelope::deserialize(d)?.decode().map(Recorded).map_err(serde::de::Error::custom)
     }
 }
 
--- a/crates/starlinghill-raft/src/machine.rs
+++ b/crates/starlinghill-raft/src/machine.rs
@@ -84,13 +84,13 @@
 
     fn publish(&self) {
         let before = self.publish.borrow().clone();
-        let directives = Directives::of(&self.state);
+        let directives = Directives::from_state(&self.state);
         let same = before.directives == directives && !before.whole.is_empty();
         let whole = match same {
             true => before.whole.clone(),
             false => encode(&DirectiveUpdate::Whole { directives: directives.clone() }),
         };
-        let change = match directives.since(&before.directives) {
+        let change = match directives.update_from(&before.directives) {
             told @ DirectiveUpdate::Change { .. } if !same => {
                 Some((before.directives.position, encode(&told)))
             }
@@ -167,7 +167,7 @@
                         let outcome = self.state.apply(&order);
                         if self.state.position > before {
                             let (author, reason) = (&order.author, &order.reason);
-                            info!(position = %self.state.position, author, reason, what = ?order.what, "decided");
+                            info!(position = %self.state.position, author, reason, what = ?order.kind, "decided");
                             // One at a time: each position is told, none is skipped over unseen.
                             self.publish();
                         }
--- a/crates/starlinghill-raft/src/member.rs
+++ b/crates/starlinghill-raft/src/member.rs
@@ -298,10 +298,10 @@
         let t = settings.timing;
         let config = Config {
             cluster_name: ident.group.clone(),
-            heartbeat_interval: ms(t.heartbeat),
+            heartbeat_interval: ms(t.heartbeat_interval),
             // By chance between the half and the whole, so that two candidates rarely meet twice.
-            election_timeout_min: ms(t.election) / 2,
-            election_timeout_max: ms(t.election),
+            election_timeout_min: ms(t.election_timeout) / 2,
+            election_timeout_max: ms(t.election_timeout),
             install_snapshot_timeout: 2_000,
             snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT_AFTER),
             max_in_snapshot_log_to_keep: KEPT,
@@ -368,7 +368,7 @@
         let mut applied = self.applied.clone();
         loop {
             let index = applied.borrow_and_update().index;
-            self.certainty().applied(index);
+            self.certainty().record_applied(index);
             if applied.changed().await.is_err() {
                 return;
             }
@@ -377,7 +377,7 @@
 
     /// The newest committed entry, by a leader that a majority follows at this moment.
     pub(crate) async fn newest(&self) -> Result<u64, Status> {
-        let patience = span(self.settings.timing.patience);
+        let patience = span(self.settings.timing.answer_timeout);
         match tokio::time::timeout(patience, self.raft.get_read_log_id()).await {
             Ok(Ok((newest, _))) => Ok(newest.map_or(0, |l| l.index)),
             Ok(Err(RaftError::APIError(CheckIsLeaderError::QuorumNotEnough(e)))) => {
@@ -424,7 +424,7 @@
     /// come out when that heals.
     fn reaches_leader(&self, leader: u64) -> Result<(), Status> {
         let age = self.age();
-        if age.is_some_and(|age| age <= self.settings.timing.fresh) {
+        if age.is_some_and(|age| age <= self.settings.timing.fresh_limit) {
             return Ok(());
         }
         let since = age.map_or("ever".into(), |age| format!("for {} ms", age.0 / 1_000));
@@ -460,7 +460,7 @@
 
     /// Asks again and again whether what is applied here is the newest.
     async fn confirm_always(self: Arc<Alive>) {
-        let mut every = tokio::time::interval(span(self.settings.timing.confirm));
+        let mut every = tokio::time::interval(span(self.settings.timing.confirm_interval));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut link: Option<(String, crate::network::Client)> = None;
         loop {
@@ -475,7 +475,7 @@
                     }
                     let Some((_, client)) = &mut link else { continue };
                     let call = client.send(self.speaker.frame("confirm", Vec::new()));
-                    let patience = span(self.settings.timing.patience);
+                    let patience = span(self.settings.timing.answer_timeout);
                     match tokio::time::timeout(patience, call).await {
                         Ok(Ok(reply)) => serde_json::from_slice(&reply.into_inner().body).ok(),
                         Ok(Err(_)) | Err(_) => None,
@@ -483,7 +483,7 @@
                 }
             };
             if let Some(newest) = newest {
-                self.certainty().answered(asked, newest);
+                self.certainty().record_answer(asked, newest);
             }
         }
     }
@@ -497,17 +497,17 @@
             every.tick().await;
             let leads = self.metrics().current_leader == Some(self.speaker.id);
             let applied = self.applied.borrow().clone();
-            if leads && applied.index > 0 && applied.state.map.is_none() {
+            if leads && applied.index > 0 && applied.state.topology.is_none() {
                 self.adopt_first().await;
                 continue;
             }
-            for due in pacer.handle(self.now(), &applied.state, leads) {
+            for due in pacer.due_steps(self.now(), &applied.state, leads) {
                 let order = Order {
                     id: String::new(),
                     author: format!("member {}", self.speaker.id),
                     reason: "the next step".into(),
                     at_ms: wall_clock::now_ms(),
-                    what: OrderKind::Step { zone: due.zone.clone(), of: due.of },
+                    kind: OrderKind::Step { zone: due.zone.clone(), zone_epoch: due.zone_epoch },
                 };
                 if let Err(e) = self.write(Record::Order(order)).await {
                     warn!(zone = due.zone, why = e.message(), "a step was not made");
@@ -523,7 +523,7 @@
             author: "operators' file".into(),
             reason: "the group begins".into(),
             at_ms: 0,
-            what: OrderKind::Adopt { map: self.settings.map.clone(), expect: None },
+            kind: OrderKind::Adopt { topology: self.settings.map.clone(), expected_epoch: None },
         };
         match self.write(Record::Order(order)).await {
             Ok(Some(Outcome::Refused { causes, .. })) => {
@@ -540,7 +540,7 @@
     async fn write(&self, record: Record) -> Result<Option<Outcome>, Status> {
         // A leader that lost its majority would take the record in and be unable to say what becomes of it.
         self.newest().await?;
-        let patience = span(self.settings.timing.election) * 2;
+        let patience = span(self.settings.timing.election_timeout) * 2;
         match tokio::time::timeout(patience, self.raft.client_write(Recorded(record))).await {
             Ok(Ok(done)) => Ok(done.data.0),
             Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(_)))) => {
@@ -553,7 +553,7 @@
 
     /// Carries an order out, here or at the leader.
     pub(crate) async fn give(&self, order: &Order, may_forward: bool) -> Result<Outcome, Status> {
-        if let OrderKind::Step { .. } = order.what {
+        if let OrderKind::Step { .. } = order.kind {
             return Err(Status::invalid_argument("steps are the leader's own"));
         }
         match self.other_leader()? {
@@ -563,7 +563,7 @@
                 .ok_or_else(|| Status::internal("an order without an outcome")),
             Some((leader, at)) if may_forward => {
                 self.reaches_leader(leader)?;
-                let patience = span(self.settings.timing.election) * 3;
+                let patience = span(self.settings.timing.election_timeout) * 3;
                 let body = self.ask_leader(leader, &at, "give", encode(order), patience).await?;
                 decode(&body).map_err(|e| Status::internal(e.to_string()))
             }
--- a/crates/starlinghill-raft/src/network.rs
+++ b/crates/starlinghill-raft/src/network.rs
@@ -13,7 +13,7 @@
 use openraft::{BasicNode, RPCTypes, RaftNetwork, RaftNetworkFactory};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use starlinghill_failover::wire::LONGEST;
+use starlinghill_failover::wire::MAX_MESSAGE_BYTES;
 use starlinghill_failover_client::client::channel;
 use starlinghill_failover_client::proto::members_client::MembersClient;
 use starlinghill_failover_client::proto::Frame;
@@ -26,7 +26,7 @@
 /// The version of frames.
 pub const VERSION: u32 = 1;
 /// The most bytes of a frame: an append of many entries, or a piece of a snapshot.
-pub const LONGEST_FRAME: usize = 4 * LONGEST;
+pub const LONGEST_FRAME: usize = 4 * MAX_MESSAGE_BYTES;
 /// How long a connection to another member may take.
 const CONNECT: Duration = Duration::from_millis(500);
 
--- a/crates/starlinghill-raft/src/serve.rs
+++ b/crates/starlinghill-raft/src/serve.rs
@@ -6,14 +6,14 @@
 use crate::store::Ident;
 use starlinghill_failover::order::Order;
 use starlinghill_failover::topology::is_name;
-use starlinghill_failover::wire::{decode, encode, LONGEST, LONGEST_ORDER};
+use starlinghill_failover::wire::{decode, encode, MAX_MESSAGE_BYTES, MAX_ORDER_BYTES};
 use starlinghill_failover::Position;
 use starlinghill_failover_client::proto::group_server::{Group, GroupServer};
 use starlinghill_failover_client::proto::members_server::{Members, MembersServer};
 use starlinghill_failover_client::proto::{
     down, up, Answer, Down, Frame, Hello, LookRequest, Question, Sealed, Up,
 };
-use starlinghill_failover_client::report::{MembershipChange, Report, Subscriber, FOLLOWERS_PER_REPORT};
+use starlinghill_failover_client::report::{MembershipChange, Report, Subscriber, SUBSCRIBERS_PER_REPORT};
 use starlinghill_zone_health::report::Report as Evidence;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -81,8 +81,8 @@
         let mut stopping = self.stopping.clone();
         // Past the places: one connection may hold a follower, an operator's call and another member's.
         let group = GroupServer::new(self.clone())
-            .max_decoding_message_size(LONGEST)
-            .max_encoding_message_size(2 * LONGEST);
+            .max_decoding_message_size(MAX_MESSAGE_BYTES)
+            .max_encoding_message_size(2 * MAX_MESSAGE_BYTES);
         let members = MembersServer::new(self)
             .max_decoding_message_size(LONGEST_FRAME)
             .max_encoding_message_size(LONGEST_FRAME);
@@ -117,7 +117,7 @@
         let mut rest = known.range::<str, _>((from, Bound::Unbounded));
         let subscribers: Vec<Subscriber> = rest
             .by_ref()
-            .take(FOLLOWERS_PER_REPORT)
+            .take(SUBSCRIBERS_PER_REPORT)
             .map(|(name, k)| Subscriber {
                 name: name.clone(),
                 program: k.program.clone(),
@@ -126,7 +126,7 @@
                 mode: k.mode.clone(),
                 heard_ms: ms(k.heard.elapsed()),
                 zone: k.zone.clone(),
-                evidence: k.evidence.clone().map(|(at, evidence)| (ms(at.elapsed()), evidence)),
+                zone_report: k.evidence.clone().map(|(at, evidence)| (ms(at.elapsed()), evidence)),
             })
             .collect();
         Report {
@@ -137,7 +137,7 @@
             applied: applied.index,
             age_ms: alive.age().map(|age| age.0 / 1_000),
             members: nodes.map(|(id, n)| (*id, (n.addr.clone(), voters.contains(id)))).collect(),
-            state: applied.state.shown(),
+            state: applied.state.without_recorded_outcomes(),
             more: rest.next().is_some(),
             subscribers,
         }
@@ -223,8 +223,8 @@
 }
 
 fn order(bytes: &[u8]) -> Result<Order, Status> {
-    if bytes.len() > LONGEST_ORDER {
-        let what = format!("an order of {} bytes, {LONGEST_ORDER} at most", bytes.len());
+    if bytes.len() > MAX_ORDER_BYTES {
+        let what = format!("an order of {} bytes, {MAX_ORDER_BYTES} at most", bytes.len());
         return Err(Status::invalid_argument(what));
     }
     decode(bytes).map_err(|e| Status::invalid_argument(e.to_string()))
@@ -237,7 +237,7 @@
             "expected the name of a gateway, of letters, digits, '-', '_', '.'",
         ));
     }
-    let Some(map) = &applied.state.map else {
+    let Some(map) = &applied.state.topology else {
         return Err(Status::failed_precondition("the group has no map of zones yet"));
     };
     let theirs: BTreeSet<&String> = hello.zones.iter().collect();
@@ -354,7 +354,7 @@
         match evidence(&question.evidence) {
             Ok(mut evidence) => {
                 let applied = self.alive.applied.borrow();
-                let map = applied.state.map.as_ref();
+                let map = applied.state.topology.as_ref();
                 evidence.zones.retain(|zone, _| map.is_some_and(|map| map.zones.contains_key(zone)));
                 Some((Instant::now(), evidence))
             }
--- a/crates/starlinghill-raft/tests/store.rs
+++ b/crates/starlinghill-raft/tests/store.rs
@@ -104,13 +104,19 @@
 
 #[test]
 fn a_message_with_a_record_of_a_later_version_is_refused_whole() {
-    let zone = ZoneOrder { zone: "a".into(), change: Change::Out, expect: None, next: None, force: false };
+    let zone = ZoneOrder {
+        zone: "a".into(),
+        change: Change::Out,
+        expected_epoch: None,
+        takeover_region: None,
+        force: false,
+    };
     let order = Order {
         id: "o1".into(),
         author: "eve".into(),
         reason: "a drill".into(),
         at_ms: 0,
-        what: OrderKind::Zone(zone),
+        kind: OrderKind::Zone(zone),
     };
     let entry = openraft::Entry::<Types> {
         log_id: openraft::LogId::new(openraft::CommittedLeaderId::new(1, 1), 3),
--- a/crates/starlinghill-testkit/examples/followers.rs
+++ b/crates/starlinghill-testkit/examples/followers.rs
@@ -11,8 +11,8 @@
 use starlinghill_failover::order::{Change, Order, OrderKind, Ramp, ZoneOrder};
 use starlinghill_failover::state::Outcome;
 use starlinghill_failover::{Position, FULL_WEIGHT};
-use starlinghill_failover_client::client::give;
-use starlinghill_failover_client::subscription::{follow, Evidence};
+use starlinghill_failover_client::client::submit_order;
+use starlinghill_failover_client::subscription::{follow, ReportSource};
 use starlinghill_testkit::group::Group;
 use starlinghill_testkit::processes::used;
 use starlinghill_zone_health::attempt_counts::AttemptCounts;
@@ -40,13 +40,14 @@
 fn order(number: u64) -> Order {
     let ramp = Ramp { step: FULL_WEIGHT, every_ms: 1_000 };
     let change = if number.is_multiple_of(2) { Change::Out } else { Change::Return { ramp } };
-    let zone = ZoneOrder { zone: "b".into(), change, expect: None, next: None, force: false };
+    let zone =
+        ZoneOrder { zone: "b".into(), change, expected_epoch: None, takeover_region: None, force: false };
     Order {
         id: format!("o{number}"),
         author: "followers".into(),
         reason: "a measurement".into(),
         at_ms: 0,
-        what: OrderKind::Zone(zone),
+        kind: OrderKind::Zone(zone),
     }
 }
 
@@ -100,7 +101,7 @@
     let mut commits = Histogram::<u64>::new(3)?;
     for number in 0..cli.orders {
         let given = Instant::now();
-        let outcome = give(&members, &order(number), Duration::from_secs(10)).await?;
+        let outcome = submit_order(&members, &order(number), Duration::from_secs(10)).await?;
         commits.record(given.elapsed().as_micros().max(1) as u64)?;
         if let Outcome::Refused { causes, .. } = outcome {
             return Err(format!("{causes:?}").into());
@@ -113,15 +114,15 @@
         answered: 812,
         late: 17,
         failed: 3,
-        silent: 2,
-        usual: 790,
+        unanswered: 2,
+        usual_answers: 790,
         ..AttemptCounts::default()
     };
     let seen = Report { zones: (0..cli.zones).map(|i| (format!("zone-{i}"), sums)).collect() };
-    let evidence = (cli.zones > 0).then(|| -> Evidence { Arc::new(move || seen.clone()) });
+    let evidence = (cli.zones > 0).then(|| -> ReportSource { Arc::new(move || seen.clone()) });
     let mut views = Vec::new();
     for i in 0..cli.followers {
-        let (tx, rx) = watch::channel(View::of_own_sight());
+        let (tx, rx) = watch::channel(View::without_group());
         let (_fixed, changes) =
             watch::channel(group_follower::settings(&settings, &format!("f{i}"), "", i as u64)?);
         tokio::spawn(follow(changes, tx, evidence.clone()));
@@ -137,7 +138,8 @@
     let span = Instant::now();
     for number in cli.orders..cli.orders + 20 {
         let given = Instant::now();
-        let Outcome::Accepted { position } = give(&members, &order(number), Duration::from_secs(10)).await?
+        let Outcome::Accepted { position } =
+            submit_order(&members, &order(number), Duration::from_secs(10)).await?
         else {
             return Err("refused".into());
         };
@@ -161,7 +163,8 @@
     let died = Instant::now();
     let mut changes = Histogram::<u64>::new(3)?;
     let number = cli.orders + 20;
-    let Outcome::Accepted { position } = give(&members, &order(number), Duration::from_secs(10)).await?
+    let Outcome::Accepted { position } =
+        submit_order(&members, &order(number), Duration::from_secs(10)).await?
     else {
         return Err("refused".into());
     };
@@ -174,8 +177,8 @@
     let timing = settings.timing;
     println!(
         "bounds by the settings: {:.0} ms, after a death {:.0} ms",
-        timing.reaches_within().0 as f64 / 1e3,
-        timing.reaches_within_after_a_death().0 as f64 / 1e3
+        timing.delivery_bound().0 as f64 / 1e3,
+        timing.delivery_bound_after_failure().0 as f64 / 1e3
     );
     let streams: Vec<usize> =
         group.members.iter().map(|m| m.log().iter().filter(|l| l.contains(" follows ")).count()).collect();
--- a/crates/starlinghill-zone-health/src/attempt_counts.rs
+++ b/crates/starlinghill-zone-health/src/attempt_counts.rs
@@ -33,13 +33,13 @@
     /// Answered with an error, or the answer broke off.
     Failed,
     /// Turned away unseen: the server was full.
-    TurnedAway,
+    Rejected,
     /// The connection was refused: the host is there, nothing listens.
-    Refused,
+    ConnectionRefused,
     /// No connection came about.
-    Unreached,
+    ConnectFailed,
     /// Sent, and no answer came.
-    Silent,
+    Unanswered,
 }
 
 /// How many became what.
@@ -57,22 +57,27 @@
     pub failed: u32,
     /// Turned away unseen.
     #[serde(skip_serializing_if = "none")]
-    pub turned_away: u32,
+    #[serde(rename = "turned_away")]
+    pub rejected: u32,
     /// Refused connections.
     #[serde(skip_serializing_if = "none")]
     pub refused: u32,
     /// Connections that did not come about.
     #[serde(skip_serializing_if = "none")]
-    pub unreached: u32,
+    #[serde(rename = "unreached")]
+    pub connect_failed: u32,
     /// Sent without an answer.
     #[serde(skip_serializing_if = "none")]
-    pub silent: u32,
+    #[serde(rename = "silent")]
+    pub unanswered: u32,
     /// Attempts in a row that nothing came back of, up to now, where nothing has come back for a whole span.
     #[serde(skip_serializing_if = "none")]
-    pub mute: u32,
+    #[serde(rename = "mute")]
+    pub unanswered_run: u32,
     /// Answers that usually come from there in as much time; 0: not known yet.
     #[serde(skip_serializing_if = "none")]
-    pub usual: u32,
+    #[serde(rename = "usual")]
+    pub usual_answers: u32,
 }
 
 #[expect(clippy::trivially_copy_pass_by_ref, reason = "serde passes fields by reference")]
@@ -82,37 +87,37 @@
 
 /// What a zone looks like from one place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Sight {
+pub enum ObservedHealth {
     /// Too few attempts to tell.
     Unknown,
     /// It answers.
-    Well,
+    Healthy,
     /// Nothing comes back.
-    Dark,
+    Unreachable,
     /// Its hosts are there, and nothing listens where the list says.
-    Absent,
+    NotListening,
     /// It answers, and mostly badly or late, while it does less than usual.
-    Sick,
+    Degraded,
     /// It does its work, and is asked for more.
-    Loaded,
+    Overloaded,
 }
 
-impl fmt::Display for Sight {
+impl fmt::Display for ObservedHealth {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Sight::Unknown => "unknown",
-            Sight::Well => "well",
-            Sight::Dark => "dark",
-            Sight::Absent => "absent",
-            Sight::Sick => "sick",
-            Sight::Loaded => "loaded",
+            ObservedHealth::Unknown => "unknown",
+            ObservedHealth::Healthy => "well",
+            ObservedHealth::Unreachable => "dark",
+            ObservedHealth::NotListening => "absent",
+            ObservedHealth::Degraded => "sick",
+            ObservedHealth::Overloaded => "loaded",
         })
     }
 }
 
 impl AttemptCounts {
     /// Notes one attempt.
-    pub fn note(&mut self, became: AttemptResult) {
+    pub fn record(&mut self, became: AttemptResult) {
         let count = match became {
             AttemptResult::Answered => &mut self.answered,
             AttemptResult::Late => {
@@ -120,46 +125,47 @@
                 &mut self.answered
             }
             AttemptResult::Failed => &mut self.failed,
-            AttemptResult::TurnedAway => &mut self.turned_away,
-            AttemptResult::Refused => &mut self.refused,
-            AttemptResult::Unreached => &mut self.unreached,
-            AttemptResult::Silent => &mut self.silent,
+            AttemptResult::Rejected => &mut self.rejected,
+            AttemptResult::ConnectionRefused => &mut self.refused,
+            AttemptResult::ConnectFailed => &mut self.connect_failed,
+            AttemptResult::Unanswered => &mut self.unanswered,
         };
         *count = count.saturating_add(1);
     }
 
     /// All attempts.
     pub fn attempts(&self) -> u64 {
-        let all = [self.answered, self.failed, self.turned_away, self.refused, self.unreached, self.silent];
+        let all =
+            [self.answered, self.failed, self.rejected, self.refused, self.connect_failed, self.unanswered];
         all.into_iter().map(u64::from).sum()
     }
 
     /// What it looks like.
-    pub fn sight(&self) -> Sight {
+    pub fn observed_health(&self) -> ObservedHealth {
         let n = self.attempts() as f64;
-        if self.mute >= MUTE {
-            return Sight::Dark;
+        if self.unanswered_run >= MUTE {
+            return ObservedHealth::Unreachable;
         }
         if self.attempts() < u64::from(FLOOR) {
-            return Sight::Unknown;
+            return ObservedHealth::Unknown;
         }
         let part = |count: u32| f64::from(count) / n;
-        let heard_of = part(self.answered) + part(self.failed) + part(self.turned_away);
-        let dark = part(self.unreached) + part(self.silent);
+        let heard_of = part(self.answered) + part(self.failed) + part(self.rejected);
+        let dark = part(self.connect_failed) + part(self.unanswered);
         if part(self.refused) >= NEARLY_ALL {
-            return Sight::Absent;
+            return ObservedHealth::NotListening;
         }
         if dark + part(self.refused) >= NEARLY_ALL && heard_of <= NEARLY_NONE {
-            return Sight::Dark;
+            return ObservedHealth::Unreachable;
         }
         let late = self.answered > 0 && f64::from(self.late) >= LATE * f64::from(self.answered);
         let trouble = late || part(self.failed) + dark + part(self.refused) >= LOST;
-        let usual = f64::from(self.usual);
+        let usual = f64::from(self.usual_answers);
         let pressed = usual > 0.0 && f64::from(self.answered) >= AT_WORK * usual && n >= PRESSED * usual;
         match () {
-            () if part(self.turned_away) >= MANY || trouble && pressed => Sight::Loaded,
-            () if trouble => Sight::Sick,
-            () => Sight::Well,
+            () if part(self.rejected) >= MANY || trouble && pressed => ObservedHealth::Overloaded,
+            () if trouble => ObservedHealth::Degraded,
+            () => ObservedHealth::Healthy,
         }
     }
 }
@@ -170,11 +176,11 @@
         add(&mut self.answered, other.answered);
         add(&mut self.late, other.late);
         add(&mut self.failed, other.failed);
-        add(&mut self.turned_away, other.turned_away);
+        add(&mut self.rejected, other.rejected);
         add(&mut self.refused, other.refused);
-        add(&mut self.unreached, other.unreached);
-        add(&mut self.silent, other.silent);
-        add(&mut self.mute, other.mute);
-        add(&mut self.usual, other.usual);
+        add(&mut self.connect_failed, other.connect_failed);
+        add(&mut self.unanswered, other.unanswered);
+        add(&mut self.unanswered_run, other.unanswered_run);
+        add(&mut self.usual_answers, other.usual_answers);
     }
 }
--- a/crates/starlinghill-zone-health/src/attempt_window.rs
+++ b/crates/starlinghill-zone-health/src/attempt_window.rs
@@ -1,6 +1,6 @@
 //! One gateway's counts of each zone over the last seconds. Memory is bounded by the zones of the map, whatever comes.
 
-use crate::attempt_counts::{AttemptCounts, AttemptResult, Sight, FLOOR};
+use crate::attempt_counts::{AttemptCounts, AttemptResult, ObservedHealth, FLOOR};
 use crate::report::{Report, SPAN_MS};
 use starlinghill_failover::Micros;
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
         let (sums, span) = self.spanned(slot);
         let usual = self.usual.map_or(0, |rate| (rate * span).round().min(1e6) as u32);
         let quiet = slot >= self.word + USUAL_SLOTS as u64 && sums.attempts() > 0;
-        AttemptCounts { usual, mute: if quiet { self.mute } else { 0 }, ..sums }
+        AttemptCounts { usual_answers: usual, unanswered_run: if quiet { self.mute } else { 0 }, ..sums }
     }
 
     /// The same, and how many seconds they took.
@@ -71,25 +71,25 @@
     }
 
     /// Another map holds: zones that stay keep their counts.
-    pub fn follow(&mut self, zones: impl IntoIterator<Item = String>) {
+    pub fn set_zones(&mut self, zones: impl IntoIterator<Item = String>) {
         let mut old = std::mem::take(&mut self.zones);
         let kept = |name: String| (name.clone(), old.remove(&name).unwrap_or_default());
         self.zones = zones.into_iter().map(kept).collect();
     }
 
     /// An attempt at a zone ended. Zones that are not on the map are not counted.
-    pub fn ended(&mut self, now: Micros, zone: &str, became: AttemptResult) {
+    pub fn record(&mut self, now: Micros, zone: &str, became: AttemptResult) {
         self.roll(now);
         let slot = self.slot;
         if let Some(zone) = self.zones.get_mut(zone) {
             zone.begun.get_or_insert(slot);
             match became {
-                AttemptResult::Silent | AttemptResult::Unreached => {
+                AttemptResult::Unanswered | AttemptResult::ConnectFailed => {
                     zone.mute = zone.mute.saturating_add(1).min(MOST_MUTE)
                 }
                 _ => (zone.word, zone.mute) = (slot, 0),
             }
-            zone.slots[slot as usize % SLOTS].note(became);
+            zone.slots[slot as usize % SLOTS].record(became);
         }
     }
 
@@ -124,7 +124,7 @@
     /// less and less by order loses its usual rate at the same pace.
     fn learn(&mut self, slot: u64, passed: f64) {
         let (sums, span) = self.spanned(slot);
-        if sums.sight() != Sight::Well {
+        if sums.observed_health() != ObservedHealth::Healthy {
             return;
         }
         let rate = f64::from(sums.answered) / span;
--- a/crates/starlinghill-zone-health/src/report.rs
+++ b/crates/starlinghill-zone-health/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::attempt_counts::AttemptCounts;
 use serde::{Deserialize, Serialize};
-use starlinghill_failover::topology::{is_name, MOST_ZONES};
+use starlinghill_failover::topology::{is_name, MAX_ZONES};
 use starlinghill_failover::wire::Message;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -26,40 +26,48 @@
 
 /// Why a report is not used.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Unusable {
+pub enum InvalidReport {
     /// It names too many zones.
-    TooMany(usize),
+    TooManyZones(usize),
     /// A name is none.
-    Name(String),
+    BadName(String),
     /// A count is beyond what can be, or does not fit the others.
-    Counts(String),
+    BadCounts(String),
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for InvalidReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unusable::TooMany(n) => write!(f, "{n} zones, {MOST_ZONES} at most"),
-            Unusable::Name(name) => write!(f, "a zone named '{}'", name.escape_debug()),
-            Unusable::Counts(zone) => write!(f, "zone '{zone}': counts that can't be"),
+            InvalidReport::TooManyZones(n) => write!(f, "{n} zones, {MAX_ZONES} at most"),
+            InvalidReport::BadName(name) => write!(f, "a zone named '{}'", name.escape_debug()),
+            InvalidReport::BadCounts(zone) => write!(f, "zone '{zone}': counts that can't be"),
         }
     }
 }
 
 impl Report {
     /// Whether it keeps to the bounds.
-    pub fn check(&self) -> Result<(), Unusable> {
-        if self.zones.len() > MOST_ZONES {
-            return Err(Unusable::TooMany(self.zones.len()));
+    pub fn check(&self) -> Result<(), InvalidReport> {
+        if self.zones.len() > MAX_ZONES {
+            return Err(InvalidReport::TooManyZones(self.zones.len()));
         }
         for (name, sums) in &self.zones {
             if !is_name(name) {
-                return Err(Unusable::Name(name.chars().take(64).collect()));
+                return Err(InvalidReport::BadName(name.chars().take(64).collect()));
             }
             let s = sums;
-            let all =
-                [s.answered, s.failed, s.turned_away, s.refused, s.unreached, s.silent, s.mute, s.usual];
+            let all = [
+                s.answered,
+                s.failed,
+                s.rejected,
+                s.refused,
+                s.connect_failed,
+                s.unanswered,
+                s.unanswered_run,
+                s.usual_answers,
+            ];
             if s.late > s.answered || all.iter().any(|n| *n > MOST) {
-                return Err(Unusable::Counts(name.clone()));
+                return Err(InvalidReport::BadCounts(name.clone()));
             }
         }
         Ok(())
--- a/crates/starlinghill-zone-health/tests/attempt_window.rs
+++ b/crates/starlinghill-zone-health/tests/attempt_window.rs
@@ -1,9 +1,9 @@
 //! One gateway's counts over time.
 
 use starlinghill_failover::Micros;
-use starlinghill_zone_health::attempt_counts::{AttemptCounts, AttemptResult, Sight};
+use starlinghill_zone_health::attempt_counts::{AttemptCounts, AttemptResult, ObservedHealth};
 use starlinghill_zone_health::attempt_window::AttemptWindow;
-use starlinghill_zone_health::report::{Report, Unusable};
+use starlinghill_zone_health::report::{InvalidReport, Report};
 
 fn secs(s: f64) -> Micros {
     Micros((s * 1e6) as u64)
@@ -19,7 +19,7 @@
     became: impl Fn(u64) -> AttemptResult,
 ) {
     for i in 0..(seconds * per_s) as u64 {
-        watch.ended(secs(from + i as f64 / per_s), zone, became(i));
+        watch.record(secs(from + i as f64 / per_s), zone, became(i));
     }
 }
 
@@ -31,22 +31,22 @@
 fn a_report_is_of_the_last_four_seconds_and_of_zones_that_were_tried() {
     let mut watch = watch();
     run(&mut watch, 0.0, 10.0, 20.0, "a", |_| AttemptResult::Answered);
-    run(&mut watch, 10.0, 4.0, 20.0, "a", |_| AttemptResult::Silent);
-    watch.ended(secs(13.9), "nowhere", AttemptResult::Failed);
+    run(&mut watch, 10.0, 4.0, 20.0, "a", |_| AttemptResult::Unanswered);
+    watch.record(secs(13.9), "nowhere", AttemptResult::Failed);
     let report = watch.report(secs(13.99));
     assert_eq!(report.zones.keys().collect::<Vec<_>>(), ["a"]);
     let sums = report.zones["a"];
-    assert_eq!((sums.answered, sums.silent), (0, 80));
-    assert_eq!(sums.sight(), Sight::Dark);
+    assert_eq!((sums.answered, sums.unanswered), (0, 80));
+    assert_eq!(sums.observed_health(), ObservedHealth::Unreachable);
     // Its servers are left alone then, and tried once in a while: what is known of them is not forgotten.
-    assert_eq!(watch.report(secs(18.1)).zones["a"].sight(), Sight::Dark);
-    watch.ended(secs(25.0), "a", AttemptResult::Unreached);
-    assert_eq!(watch.report(secs(45.0)).zones["a"].sight(), Sight::Dark);
+    assert_eq!(watch.report(secs(18.1)).zones["a"].observed_health(), ObservedHealth::Unreachable);
+    watch.record(secs(25.0), "a", AttemptResult::ConnectFailed);
+    assert_eq!(watch.report(secs(45.0)).zones["a"].observed_health(), ObservedHealth::Unreachable);
     // With nothing new it forgets all the same, and says nothing of what it does not know.
     assert_eq!(watch.report(secs(57.6)), Report::default());
     // Once it answers again that counts alone.
     run(&mut watch, 60.0, 4.0, 20.0, "a", |_| AttemptResult::Answered);
-    assert_eq!(watch.report(secs(63.99)).zones["a"].sight(), Sight::Well);
+    assert_eq!(watch.report(secs(63.99)).zones["a"].observed_health(), ObservedHealth::Healthy);
 }
 
 /// Failed requests come again at once, so that more is asked than usual, while the answers from before are still counted.
@@ -56,12 +56,13 @@
         let mut watch = watch();
         run(&mut watch, 0.0, 60.0, 20.0, "a", |_| AttemptResult::Answered);
         run(&mut watch, 60.0, failing, 120.0, "a", |_| AttemptResult::Failed);
-        watch.report(secs(60.0 + failing)).zones["a"].sight()
+        watch.report(secs(60.0 + failing)).zones["a"].observed_health()
     };
-    let all: Vec<Sight> = (1..=60).map(|tenth| seen(f64::from(tenth) / 10.0)).collect();
-    let last = all.iter().rposition(|sight| *sight == Sight::Loaded).expect("loaded at some moment");
+    let all: Vec<ObservedHealth> = (1..=60).map(|tenth| seen(f64::from(tenth) / 10.0)).collect();
+    let last =
+        all.iter().rposition(|sight| *sight == ObservedHealth::Overloaded).expect("loaded at some moment");
     assert!(last < 10, "for less than a second: {all:?}");
-    assert!(all[last + 1..].iter().all(|sight| *sight == Sight::Sick), "{all:?}");
+    assert!(all[last + 1..].iter().all(|sight| *sight == ObservedHealth::Degraded), "{all:?}");
 }
 
 #[test]
@@ -70,11 +71,11 @@
     let mut asked_more = watch();
     run(&mut asked_more, 0.0, 60.0, 20.0, "a", |_| AttemptResult::Answered);
     run(&mut asked_more, 60.0, 6.0, 40.0, "a", late);
-    assert_eq!(asked_more.report(secs(65.99)).zones["a"].sight(), Sight::Loaded);
+    assert_eq!(asked_more.report(secs(65.99)).zones["a"].observed_health(), ObservedHealth::Overloaded);
     let mut slower = watch();
     run(&mut slower, 0.0, 60.0, 20.0, "a", |_| AttemptResult::Answered);
     run(&mut slower, 60.0, 6.0, 20.0, "a", late);
-    assert_eq!(slower.report(secs(65.99)).zones["a"].sight(), Sight::Sick);
+    assert_eq!(slower.report(secs(65.99)).zones["a"].observed_health(), ObservedHealth::Degraded);
     // Half of its servers are gone, and the rest does what it can: it is not at its work.
     let mut halved = watch();
     run(&mut halved, 0.0, 60.0, 20.0, "a", |_| AttemptResult::Answered);
@@ -82,48 +83,48 @@
         if i % 3 == 0 {
             AttemptResult::Late
         } else {
-            AttemptResult::Silent
+            AttemptResult::Unanswered
         }
     });
-    assert_eq!(halved.report(secs(65.99)).zones["a"].sight(), Sight::Sick);
+    assert_eq!(halved.report(secs(65.99)).zones["a"].observed_health(), ObservedHealth::Degraded);
     // A trouble is not taken for usual, however long it lasts.
     run(&mut slower, 66.0, 600.0, 20.0, "a", late);
-    assert_eq!(slower.report(secs(665.99)).zones["a"].sight(), Sight::Sick);
+    assert_eq!(slower.report(secs(665.99)).zones["a"].observed_health(), ObservedHealth::Degraded);
 }
 
 #[test]
 fn a_few_attempts_in_a_row_without_a_word_are_enough_once_nothing_has_come_back_for_a_span() {
     let mut watch = watch();
     run(&mut watch, 0.0, 20.0, 5.0, "a", |_| AttemptResult::Answered);
-    let sight = |watch: &mut AttemptWindow, at: f64| watch.report(secs(at)).zones["a"].sight();
+    let sight = |watch: &mut AttemptWindow, at: f64| watch.report(secs(at)).zones["a"].observed_health();
     // Its servers are left alone after each, so that few are made.
     for at in [20.5, 21.0, 23.5] {
-        watch.ended(secs(at), "a", AttemptResult::Silent);
+        watch.record(secs(at), "a", AttemptResult::Unanswered);
     }
-    assert_ne!(sight(&mut watch, 26.0), Sight::Dark);
-    watch.ended(secs(26.5), "a", AttemptResult::Unreached);
-    assert_eq!(sight(&mut watch, 26.6), Sight::Dark);
-    watch.ended(secs(27.0), "a", AttemptResult::Failed);
-    assert_ne!(sight(&mut watch, 27.1), Sight::Dark, "something came back");
+    assert_ne!(sight(&mut watch, 26.0), ObservedHealth::Unreachable);
+    watch.record(secs(26.5), "a", AttemptResult::ConnectFailed);
+    assert_eq!(sight(&mut watch, 26.6), ObservedHealth::Unreachable);
+    watch.record(secs(27.0), "a", AttemptResult::Failed);
+    assert_ne!(sight(&mut watch, 27.1), ObservedHealth::Unreachable, "something came back");
     // As many in a row within a span are chance.
     let mut busy = self::watch();
     run(&mut busy, 0.0, 10.0, 20.0, "a", |i| {
         if i >= 194 {
-            AttemptResult::Silent
+            AttemptResult::Unanswered
         } else {
             AttemptResult::Answered
         }
     });
-    assert_eq!(sight(&mut busy, 9.99), Sight::Well);
+    assert_eq!(sight(&mut busy, 9.99), ObservedHealth::Healthy);
 }
 
 #[test]
 fn a_start_says_nothing_of_what_is_usual() {
     let mut watch = watch();
     run(&mut watch, 0.0, 1.0, 20.0, "a", |_| AttemptResult::Answered);
-    assert_eq!(watch.report(secs(1.0)).zones["a"].usual, 0);
+    assert_eq!(watch.report(secs(1.0)).zones["a"].usual_answers, 0);
     run(&mut watch, 1.0, 20.0, 20.0, "a", |_| AttemptResult::Answered);
-    let usual = watch.report(secs(21.0)).zones["a"].usual;
+    let usual = watch.report(secs(21.0)).zones["a"].usual_answers;
     assert!((75..=82).contains(&usual), "{usual}");
 }
 
@@ -134,7 +135,7 @@
         run(&mut watch, 0.0, 8.0, 20.0, &format!("zone-{i}"), |n| match n % 10 {
             0 => AttemptResult::Late,
             1 => AttemptResult::Failed,
-            2 => AttemptResult::Silent,
+            2 => AttemptResult::Unanswered,
             _ => AttemptResult::Answered,
         });
     }
@@ -146,20 +147,20 @@
     assert_eq!(report.check(), Ok(()));
     let with = |name: &str, sums: AttemptCounts| Report { zones: [(name.to_string(), sums)].into() };
     let bad = AttemptCounts { answered: 1, late: 2, ..AttemptCounts::default() };
-    assert_eq!(with("a", bad).check(), Err(Unusable::Counts("a".into())));
+    assert_eq!(with("a", bad).check(), Err(InvalidReport::BadCounts("a".into())));
     assert_eq!(
-        with("a", AttemptCounts { silent: u32::MAX, ..bad }).check(),
-        Err(Unusable::Counts("a".into()))
+        with("a", AttemptCounts { unanswered: u32::MAX, ..bad }).check(),
+        Err(InvalidReport::BadCounts("a".into()))
     );
-    assert!(matches!(with("a b", AttemptCounts::default()).check(), Err(Unusable::Name(_))));
+    assert!(matches!(with("a b", AttemptCounts::default()).check(), Err(InvalidReport::BadName(_))));
     let many = Report { zones: (0..300).map(|i| (format!("z{i}"), AttemptCounts::default())).collect() };
-    assert_eq!(many.check(), Err(Unusable::TooMany(300)));
+    assert_eq!(many.check(), Err(InvalidReport::TooManyZones(300)));
 }
 
 #[test]
 fn counts_never_run_over() {
-    let mut sums = AttemptCounts { silent: u32::MAX, ..AttemptCounts::default() };
-    sums.note(AttemptResult::Silent);
+    let mut sums = AttemptCounts { unanswered: u32::MAX, ..AttemptCounts::default() };
+    sums.record(AttemptResult::Unanswered);
     sums += sums;
-    assert_eq!(sums.silent, u32::MAX);
+    assert_eq!(sums.unanswered, u32::MAX);
 }
--- a/crates/starlinghill-zone-health/tests/findings.rs
+++ b/crates/starlinghill-zone-health/tests/findings.rs
@@ -2,7 +2,7 @@
 
 use starlinghill_failover::Micros;
 use starlinghill_zone_health::attempt_counts::{AttemptCounts, AttemptResult};
-use starlinghill_zone_health::findings::{find, Finding, Findings, Observer, OLDEST};
+use starlinghill_zone_health::findings::{evaluate_reports, Finding, Findings, GatewayReport, OLDEST};
 use starlinghill_zone_health::report::Report;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,10 +12,10 @@
     AttemptResult::Answered,
     AttemptResult::Late,
     AttemptResult::Failed,
-    AttemptResult::TurnedAway,
-    AttemptResult::Refused,
-    AttemptResult::Unreached,
-    AttemptResult::Silent,
+    AttemptResult::Rejected,
+    AttemptResult::ConnectionRefused,
+    AttemptResult::ConnectFailed,
+    AttemptResult::Unanswered,
 ];
 const WELL: Way = [0.97, 0.02, 0.01, 0.0, 0.0, 0.0, 0.0];
 const CUT: Way = [0.0, 0.0, 0.0, 0.0, 0.0, 0.7, 0.3];
@@ -57,26 +57,27 @@
         let way = self.ways.get(&(from, to)).copied().unwrap_or(WELL);
         let usual = self.rng.u32(30..120);
         let asked = (f64::from(usual) * self.asked.get(&to).copied().unwrap_or(1.0)) as u32;
-        let mut sums = AttemptCounts { usual, ..AttemptCounts::default() };
+        let mut sums = AttemptCounts { usual_answers: usual, ..AttemptCounts::default() };
         for _ in 0..asked {
             let mut draw = self.rng.f64() * way.iter().sum::<f64>();
             let kind = way.iter().position(|part| {
                 draw -= part;
                 draw < 0.0
             });
-            sums.note(KINDS[kind.unwrap_or(0)]);
+            sums.record(KINDS[kind.unwrap_or(0)]);
         }
         sums
     }
 
-    fn observers(&mut self) -> BTreeMap<String, Observer> {
+    fn observers(&mut self) -> BTreeMap<String, GatewayReport> {
         let mut all = BTreeMap::new();
         for from in 0..self.zones.len() {
             for gateway in 0..self.gateways {
                 let zones =
                     (0..self.zones.len()).map(|to| (self.zones[to].clone(), self.sums(from, to))).collect();
                 let age = Micros(self.rng.u64(..1_500_000));
-                let observer = Observer { zone: self.zones[from].clone(), age, report: Report { zones } };
+                let observer =
+                    GatewayReport { zone: self.zones[from].clone(), age, report: Report { zones } };
                 all.insert(format!("g{from}-{gateway}"), observer);
             }
         }
@@ -88,8 +89,8 @@
         self.find_by(&observers)
     }
 
-    fn find_by(&self, observers: &BTreeMap<String, Observer>) -> Findings {
-        find(&self.zones.iter().cloned().collect(), observers)
+    fn find_by(&self, observers: &BTreeMap<String, GatewayReport>) -> Findings {
+        evaluate_reports(&self.zones.iter().cloned().collect(), observers)
     }
 
     fn any(&mut self) -> usize {
@@ -107,7 +108,10 @@
         match name == zone {
             true => assert_eq!(f.finding, *wanted, "seed {seed}, {name}: {f}"),
             false => assert!(
-                matches!(f.finding, Finding::Well | Finding::Unsure | Finding::CutFrom { .. }),
+                matches!(
+                    f.finding,
+                    Finding::Healthy | Finding::Inconclusive | Finding::UnreachableFrom { .. }
+                ),
                 "seed {seed}, {name}: {f}"
             ),
         }
@@ -117,13 +121,13 @@
 #[test]
 fn a_zone_in_trouble_is_found_with_its_kind_and_no_other_zone_is() {
     let kinds = [
-        (SLOW, true, Finding::Sick),
-        (LOSSY, true, Finding::Sick),
-        (FAILING, true, Finding::Sick),
+        (SLOW, true, Finding::Degraded),
+        (LOSSY, true, Finding::Degraded),
+        (FAILING, true, Finding::Degraded),
         (FULL, true, Finding::Overloaded),
-        (EMPTY, true, Finding::ListWrong),
-        (CUT, false, Finding::CutOff),
-        (CUT, true, Finding::CutOff),
+        (EMPTY, true, Finding::ServerListWrong),
+        (CUT, false, Finding::Isolated),
+        (CUT, true, Finding::Isolated),
     ];
     for seed in 0..SEEDS {
         for (way, inside, wanted) in &kinds {
@@ -140,7 +144,7 @@
         let found = world.find();
         only(seed, &found, &world.zones[zone], &Finding::Overloaded);
         let mut world = World::new(seed, 2);
-        assert!(world.find().zones.values().all(|f| f.finding == Finding::Well), "seed {seed}");
+        assert!(world.find().zones.values().all(|f| f.finding == Finding::Healthy), "seed {seed}");
     }
 }
 
@@ -153,7 +157,7 @@
         let name = world.zones[zone].clone();
         let mut observers = world.observers();
         observers.retain(|_, o| o.zone != name);
-        only(seed, &world.find_by(&observers), &name, &Finding::CutOff);
+        only(seed, &world.find_by(&observers), &name, &Finding::Isolated);
     }
 }
 
@@ -169,10 +173,10 @@
             }
             let found = world.find();
             let cut = |zone: usize| found.zones[&world.zones[zone]].finding.clone();
-            let from = |zone: usize| Finding::CutFrom { from: [world.zones[zone].clone()].into() };
+            let from = |zone: usize| Finding::UnreachableFrom { from: [world.zones[zone].clone()].into() };
             assert_eq!(cut(b), from(a), "seed {seed}");
-            assert_eq!(cut(a), if both { from(b) } else { Finding::Well }, "seed {seed}");
-            assert!(found.blind.is_empty());
+            assert_eq!(cut(a), if both { from(b) } else { Finding::Healthy }, "seed {seed}");
+            assert!(found.isolated_gateways.is_empty());
         }
     }
 }
@@ -185,7 +189,10 @@
         world.ways.insert((0, 1), CUT);
         world.ways.insert((1, 0), CUT);
         let found = world.find();
-        assert!(found.zones.values().all(|f| f.finding == Finding::Everywhere), "seed {seed}: {found:?}");
+        assert!(
+            found.zones.values().all(|f| f.finding == Finding::TroubleEverywhere),
+            "seed {seed}: {found:?}"
+        );
     }
 }
 
@@ -199,7 +206,10 @@
                 world.asked.insert(zone, asked);
             }
             let found = world.find();
-            assert!(found.zones.values().all(|f| f.finding == Finding::Everywhere), "seed {seed}: {found:?}");
+            assert!(
+                found.zones.values().all(|f| f.finding == Finding::TroubleEverywhere),
+                "seed {seed}: {found:?}"
+            );
         }
     }
 }
@@ -216,8 +226,8 @@
             *sums = world.sums(99, to);
         }
         let found = world.find_by(&observers);
-        assert_eq!(found.blind, [name], "seed {seed}");
-        assert!(found.zones.values().all(|f| f.finding == Finding::Well), "seed {seed}: {found:?}");
+        assert_eq!(found.isolated_gateways, [name], "seed {seed}");
+        assert!(found.zones.values().all(|f| f.finding == Finding::Healthy), "seed {seed}: {found:?}");
     }
 }
 
@@ -237,13 +247,17 @@
         let zone = world.zones[victim].clone();
         for liar in liars {
             let report = &mut observers.get_mut(&names[liar]).expect("it").report;
-            report
-                .zones
-                .insert(zone.clone(), AttemptCounts { unreached: 1_000_000, ..AttemptCounts::default() });
+            report.zones.insert(
+                zone.clone(),
+                AttemptCounts { connect_failed: 1_000_000, ..AttemptCounts::default() },
+            );
         }
         let found = world.find_by(&observers);
         assert!(
-            matches!(found.zones[&zone].finding, Finding::Well | Finding::Unsure | Finding::CutFrom { .. }),
+            matches!(
+                found.zones[&zone].finding,
+                Finding::Healthy | Finding::Inconclusive | Finding::UnreachableFrom { .. }
+            ),
             "seed {seed}: {}",
             found.zones[&zone]
         );
@@ -255,7 +269,7 @@
     let mut world = World::new(1, 4);
     world.to(1, CUT, false);
     let fresh = world.observers();
-    let spoilt = |spoil: &dyn Fn(&mut Observer)| {
+    let spoilt = |spoil: &dyn Fn(&mut GatewayReport)| {
         let mut all = fresh.clone();
         all.values_mut().for_each(spoil);
         world.find_by(&all)
@@ -268,14 +282,14 @@
     let elsewhere = spoilt(&|o| o.zone = "nowhere".into());
     let none = world.find_by(&BTreeMap::new());
     for found in [old, absurd, elsewhere, none] {
-        assert!(found.zones.values().all(|f| f.finding == Finding::Unsure), "{found:?}");
-        assert!(found.left_out.len() <= 8);
+        assert!(found.zones.values().all(|f| f.finding == Finding::Inconclusive), "{found:?}");
+        assert!(found.ignored_gateways.len() <= 8);
     }
     // Seven attempts say nothing, whatever became of them.
     let few = spoilt(&|o| {
-        o.report.zones.insert("z1".into(), AttemptCounts { silent: 7, ..AttemptCounts::default() });
+        o.report.zones.insert("z1".into(), AttemptCounts { unanswered: 7, ..AttemptCounts::default() });
     });
-    assert_eq!(few.zones["z1"].finding, Finding::Unsure);
+    assert_eq!(few.zones["z1"].finding, Finding::Inconclusive);
 }
 
 #[test]
