--- a/crates/starlinghill-failover/src/bounds.rs
+++ b/crates/starlinghill-failover/src/bounds.rs
@@ -1,33 +1,33 @@
-//! How late a change may reach a gateway, and how old what a gateway acts on may be: functions of the settings,
-//! printed for operators, and held against every run by the same code.
+//! Upper bounds on how late a change reaches a gateway and on how old the directives are that a gateway acts on. They
+//! follow from the settings. Operators can print them, and the tests check their runs against the same functions.
 
 use crate::Micros;
 
-/// Clocks that run further from true than this are not reckoned with.
+/// The largest clock drift that the settings may name, in millionths. The bounds do not hold for a worse clock.
 pub const MAX_DRIFT_PPM: u32 = 100_000;
 
-/// The settings that the bounds follow from.
+/// The time settings of the group that the bounds follow from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Timing {
-    /// How often the group's leader tells the other members that it is there.
+    /// How often the group's leader sends a heartbeat to the other members.
     pub heartbeat_interval: Micros,
-    /// The longest that members wait for that before they choose another leader.
+    /// The longest that a member waits for a heartbeat before it starts an election.
     pub election_timeout: Micros,
-    /// How often a member asks the leader whether what it has is the newest.
+    /// How often a member asks the leader for the newest committed entry.
     pub confirm_interval: Micros,
-    /// How often a gateway asks its member how old what it was told is.
+    /// How often a gateway asks its member for the age of its directives.
     pub ask_interval: Micros,
-    /// How long a gateway waits for an answer before it goes to another member.
+    /// How long a gateway waits for an answer before it switches to another member.
     pub answer_timeout: Micros,
-    /// Up to this age a gateway follows.
+    /// Up to this age of its directives a gateway applies new ones.
     pub fresh_limit: Micros,
-    /// Past this age a gateway goes by its own sight.
+    /// Past this age a gateway decides by its own server list and health checks again.
     pub stale_limit: Micros,
-    /// How often a gateway looks at the age of what it follows.
+    /// How often a gateway checks the age of its directives.
     pub tick_interval: Micros,
-    /// The longest that a message is on its way while a link works.
+    /// The longest delivery time of a message over a working link.
     pub max_link_delay: Micros,
-    /// How far a clock may run from true, in millionths.
+    /// The largest rate error of a clock, in millionths.
     pub drift_ppm: u32,
 }
 
@@ -49,17 +49,17 @@
     }
 }
 
-/// Settings that don't fit together.
+/// A conflict between two of the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TimingProblem {
-    /// The election's time is not over twice the heartbeat's.
+    /// The election timeout is below three heartbeat intervals, so that a lost heartbeat could start an election.
     Election,
-    /// A connected gateway would not stay fresh: its answers are older than `fresh` as they come.
+    /// A connected gateway could exceed `fresh_limit` between two answers, and would then switch members for no fault.
     Fresh {
-        /// The least that works.
+        /// The smallest allowed `fresh_limit`.
         least: Micros,
     },
-    /// `stale` is not above `fresh`.
+    /// `stale_limit` is not above `fresh_limit`.
     Stale,
 }
 
@@ -67,11 +67,11 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             TimingProblem::Election => {
-                f.write_str("expected election_ms of three times heartbeat_ms at least")
+                f.write_str("expected election_ms of at least three times heartbeat_ms")
             }
             TimingProblem::Fresh { least } => write!(
                 f,
-                "expected fresh_ms of {} at least, the age at which answers come at the worst",
+                "expected fresh_ms of at least {}, the highest age between two answers",
                 least.0.div_ceil(1_000)
             ),
             TimingProblem::Stale => f.write_str("expected stale_ms above fresh_ms"),
@@ -80,54 +80,57 @@
 }
 
 impl Timing {
-    /// The longest true time that a span of a clock may stand for, where the clock runs slow by all of the drift.
+    /// The longest true time that a measured span can stand for, if the clock runs slow by `drift_ppm`.
     pub fn stretched(&self, span: Micros) -> Micros {
         let rate = 1_000_000 - u128::from(self.drift_ppm.min(MAX_DRIFT_PPM));
-        let long = (u128::from(span.0) * 1_000_000).div_ceil(rate);
-        Micros(u64::try_from(long).unwrap_or(u64::MAX))
+        let longest = (u128::from(span.0) * 1_000_000).div_ceil(rate);
+        Micros(u64::try_from(longest).unwrap_or(u64::MAX))
     }
 
-    /// The age of what a gateway holds just before the next answer, while every link and member works: the member's
-    /// answer is of its last question to the leader, which took three ways of two links, and the gateway's own.
+    /// The highest age of a gateway's directives just before the next answer, while every link and member works. The
+    /// age grows over the member's interval between questions to the leader, over the gateway's interval between
+    /// questions to the member, and over six link delays: for each of the two links three message deliveries.
     pub fn max_connected_age(&self) -> Micros {
-        let links = self.max_link_delay.0 * 6;
-        // Once for the timers, which may run slow, once for the ages, which are taken to be measured slow.
-        self.stretched(self.stretched(Micros(self.confirm_interval.0 + self.ask_interval.0 + links)))
+        let link_delays = self.max_link_delay.0 * 6;
+        // Stretched once because the timers may run slow, and once because ages are measured as if the clock ran slow.
+        self.stretched(self.stretched(Micros(self.confirm_interval.0 + self.ask_interval.0 + link_delays)))
     }
 
-    /// Within this a change that the group has accepted is followed by every gateway that is connected to a member
-    /// which hears the leader: the leader tells the members with its next heartbeat at the latest, they the gateways.
+    /// The longest time from the acceptance of a change until every gateway applies it whose member is connected to the
+    /// leader. The leader informs the members with its next heartbeat at the latest, and they inform the gateways.
     pub fn delivery_bound(&self) -> Micros {
         self.stretched(Micros(self.heartbeat_interval.0 + 2 * self.max_link_delay.0))
     }
 
-    /// The same where the gateway's member or the leader dies meanwhile: a new leader is chosen (twice, where votes
-    /// are split), and the gateway finds another member.
+    /// The same bound if the gateway's member or the leader fails meanwhile. The group needs a new leader, with a second
+    /// election if the votes are split, and the gateway needs another member.
     pub fn delivery_bound_after_failure(&self) -> Micros {
-        let found = self.answer_timeout.0 + self.ask_interval.0 + 4 * self.max_link_delay.0;
-        let chosen = 2 * self.election_timeout.0 + 4 * self.max_link_delay.0;
-        self.stretched(Micros(self.delivery_bound().0 + found.max(chosen) + self.max_connected_age().0))
+        let member_switch = self.answer_timeout.0 + self.ask_interval.0 + 4 * self.max_link_delay.0;
+        let leader_election = 2 * self.election_timeout.0 + 4 * self.max_link_delay.0;
+        self.stretched(Micros(
+            self.delivery_bound().0 + member_switch.max(leader_election) + self.max_connected_age().0,
+        ))
     }
 
-    /// No gateway acts on what is older than this without saying so: ages are reckoned long, so that true ages are
-    /// below, and it looks once in a tick.
+    /// The highest age of directives that a gateway applies without reporting that it is on its own. Computed ages are
+    /// never below the true ones, and the gateway checks them once per `tick_interval`.
     pub fn max_acted_on_age(&self) -> Micros {
         Micros(self.stale_limit.0.saturating_add(self.stretched(self.tick_interval).0))
     }
 
-    /// All that does not fit.
+    /// Every conflict between the settings; empty if they are usable.
     pub fn problems(&self) -> Vec<TimingProblem> {
-        let mut found = Vec::new();
+        let mut problems = Vec::new();
         if self.election_timeout.0 < 3 * self.heartbeat_interval.0 {
-            found.push(TimingProblem::Election);
+            problems.push(TimingProblem::Election);
         }
         let least = self.max_connected_age();
         if self.fresh_limit < least {
-            found.push(TimingProblem::Fresh { least });
+            problems.push(TimingProblem::Fresh { least });
         }
         if self.stale_limit <= self.fresh_limit {
-            found.push(TimingProblem::Stale);
+            problems.push(TimingProblem::Stale);
         }
-        found
+        problems
     }
 }
--- a/crates/starlinghill-failover/src/lib.rs
+++ b/crates/starlinghill-failover/src/lib.rs
@@ -1,16 +1,16 @@
-//! What the group decides in common, and what a gateway follows of it. Pure: time is an argument, there is no
-//! clock, no input or output and no randomness, so that every member comes to the same state from the same orders.
+//! The replicated state of zone failover, and how a gateway follows it. The code has no I/O, clock or randomness, and
+//! time is an argument, so that every member reaches the same state from the same orders.
 //!
-//! - [`topology`]: regions and zones, as the operators' file has them.
-//! - [`order`]: what may be ordered, as it stands in the log.
-//! - [`pacer`]: when the leader makes the next step of a ramp.
-//! - [`rejection`]: why an order is refused; all causes at once.
-//! - [`state`]: the state machine of the group.
-//! - [`staleness`]: how old a member's own knowledge is.
-//! - [`directive`]: what gateways are told of the state.
-//! - [`follower`]: what a gateway makes of what it is told, by its age.
-//! - [`bounds`]: how late and how old at the most, as functions of the settings.
-//! - [`wire`]: the versioned form of all of these. What is not known is refused, never guessed.
+//! - [`topology`]: regions and zones, from the operators' settings file.
+//! - [`order`]: the orders in the replicated log.
+//! - [`pacer`]: when the leader submits the next step of a ramp.
+//! - [`rejection`]: why an order is refused.
+//! - [`state`]: the replicated state machine.
+//! - [`staleness`]: an upper bound on how old a member's state is.
+//! - [`directive`]: the part of the state that gateways get.
+//! - [`follower`]: which directives a gateway applies, depending on their age.
+//! - [`bounds`]: upper bounds on delays and ages, computed from the settings.
+//! - [`wire`]: the versioned encoding of messages and stored data.
 
 pub mod bounds;
 pub mod directive;
@@ -23,25 +23,25 @@
 pub mod topology;
 pub mod wire;
 
-/// Parts in a thousand, as weights of zones are given.
+/// A part in thousandths.
 pub type Permille = u16;
-/// The weight of a zone that takes its whole part.
+/// The weight of a zone that takes its full share of traffic.
 pub const FULL_WEIGHT: Permille = 1_000;
 
-/// Time in microseconds on one process's own monotonic clock. Two processes' times can't be compared.
+/// Microseconds on one process's monotonic clock, as a time or a span. Times of two processes can't be compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Micros(pub u64);
 
-/// Where in the history of decisions something stands. A group that was restored after the loss of a majority has
-/// the next generation, and whatever comes from an earlier one is older, whatever its epoch.
+/// A version of the group's state. A group that was restored after the loss of its majority has the next generation.
+/// Positions compare by generation first, so that everything from before the restore is older, whatever its epoch.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, serde::Serialize, serde::Deserialize,
 )]
 #[serde(deny_unknown_fields)]
 pub struct Position {
-    /// The group's life.
+    /// Number of the group's incarnation, raised by one when the group is restored.
     pub generation: u64,
-    /// The decision in it.
+    /// Number of accepted changes in the group's history.
     pub epoch: u64,
 }
 
--- a/crates/starlinghill-failover/src/order.rs
+++ b/crates/starlinghill-failover/src/order.rs
@@ -1,18 +1,19 @@
-//! Orders, as they stand in the group's log. An order says who gives it and why, and carries an id: the same order
-//! sent again, after an answer that got lost, counts once.
+//! Orders, as they stand in the group's log. Each order names its author and reason and carries an id, so that an
+//! order sent again after a lost answer counts once.
 
 use crate::topology::Topology;
 use crate::Permille;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The most bytes of an id.
+/// The most bytes of an order's id.
 pub const MAX_ID_BYTES: usize = 64;
-/// The most bytes of an author's name or a reason.
+/// The most bytes of an author's name and of a reason.
 pub const MAX_TEXT_BYTES: usize = 256;
-/// The shortest time between steps of a ramp, in milliseconds. A gateway hears of a step in less.
+/// The shortest time between two steps of a ramp, in milliseconds. Gateways learn of a step in less, so each step takes
+/// effect before the next one.
 pub const MIN_STEP_INTERVAL_MS: u32 = 500;
-/// The longest time between steps of a ramp, in milliseconds.
+/// The longest time between two steps of a ramp, in milliseconds.
 pub const MAX_STEP_INTERVAL_MS: u32 = 3_600_000;
 
 /// How a weight changes in steps.
@@ -25,26 +26,26 @@
     pub every_ms: u32,
 }
 
-/// What is to become of a zone.
+/// A change of one zone's weight.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Change {
-    /// Give it less, in steps, down to a weight; at 0 it is out.
+    /// Lower the weight in steps. A zone that reaches 0 is out of service.
     Drain {
-        /// The weight at the end.
+        /// The weight after the last step.
         #[serde(rename = "to")]
         target_weight: Permille,
         /// The steps.
         ramp: Ramp,
     },
-    /// Give it nothing new, at once.
+    /// Set the weight to 0 at once: the zone gets no new requests.
     Out,
-    /// Give it more, in steps, until it has its whole part.
+    /// Raise the weight in steps to the full weight.
     Return {
         /// The steps.
         ramp: Ramp,
     },
-    /// Leave its weight as it is; nothing automatic moves it.
+    /// Keep the present weight. No ramp moves it until the next order.
     Hold,
 }
 
@@ -52,58 +53,58 @@
 #[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneOrder {
-    /// The zone.
+    /// The name of the zone.
     pub zone: String,
-    /// What is to become of it.
+    /// How its weight changes.
     pub change: Change,
-    /// The zone's epoch that the author saw. Where the zone has changed since, the order is refused: two who order
-    /// opposite things at once can't both have meant what comes of it.
+    /// The zone's epoch that the author saw. If the zone has changed since, the order is refused. Without this, of two
+    /// authors who order opposite things at once the later one would silently undo the other's order.
     #[serde(rename = "expect")]
     pub expected_epoch: Option<u64>,
-    /// The region that takes over, where the last zone of a region goes.
+    /// The region that takes over when the last zone of a region goes out of service.
     #[serde(rename = "next")]
     pub takeover_region: Option<String>,
-    /// Go on though another zone is not in full service.
+    /// Accept the order although other zones are not in full service. Capacity limits still apply.
     pub force: bool,
 }
 
-/// What is ordered.
+/// The content of an order.
 #[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum OrderKind {
-    /// Adopt this map. Zones that stay keep their states; new ones begin in service.
+    /// Adopt a topology. Zones that stay keep their states; new zones begin in full service.
     Adopt {
-        /// The map.
+        /// The new topology.
         #[serde(rename = "map")]
         topology: Topology,
-        /// The group's epoch that the author saw; none for the first map.
+        /// The group's epoch that the author saw. Ignored for the first topology.
         #[serde(rename = "expect")]
         expected_epoch: Option<u64>,
     },
-    /// Change a zone.
+    /// Change the weight of a zone.
     Zone(ZoneOrder),
-    /// The next step of a ramp: the leader's own, when the time between steps is over.
+    /// Make the next step of a ramp. The leader submits this itself when the time between steps is over.
     Step {
-        /// The zone.
+        /// The name of the zone.
         zone: String,
-        /// The zone's epoch that the step follows. A step proposed twice, or by a leader whose term ended, finds
-        /// another epoch and does nothing.
+        /// The zone's epoch before the step. If a step is submitted twice, or by a leader whose term has ended, the zone
+        /// has another epoch and the step is refused.
         #[serde(rename = "of")]
         zone_epoch: u64,
     },
 }
 
-/// An order with what is said of it.
+/// An order with its id, author and reason.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// Its id. Empty for steps, which their epoch tells apart.
+    /// Empty for steps, which the zone's epoch identifies.
     pub id: String,
-    /// Who gives it.
+    /// The person or program that gives the order.
     pub author: String,
-    /// Why.
+    /// Why it is given, for the log.
     pub reason: String,
-    /// When, in Unix milliseconds by the author's clock. For people to read; nothing is decided by it.
+    /// When the order was given, in Unix milliseconds by the author's clock. Only displayed; no decision depends on it.
     pub at_ms: u64,
     /// What is ordered.
     #[serde(rename = "what")]
--- a/crates/starlinghill-failover/src/pacer.rs
+++ b/crates/starlinghill-failover/src/pacer.rs
@@ -1,42 +1,43 @@
-//! When the leader makes the next step of a ramp. Only the leader's own monotonic clock counts, from when it first
-//! saw the zone's epoch: a new leader begins anew, so that a step may come late, and never early.
+//! Decides when the leader submits the next step of a ramp. The time is measured on the leader's own monotonic clock,
+//! from when it first saw the zone's epoch. A new leader starts measuring again, so a step can be late but never early.
 
 use crate::state::State;
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// A step that is due.
+/// A ramp step that is due.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Due {
-    /// The zone.
+pub struct DueStep {
+    /// The name of the zone.
     pub zone: String,
-    /// The zone's epoch that the step follows.
+    /// The zone's epoch before the step.
     pub zone_epoch: u64,
 }
 
-/// The leader's watch over ramps.
+/// The leader's timers, one for each zone with a pending step.
 #[derive(Debug, Default)]
 pub struct Pacer {
-    seen: BTreeMap<String, (u64, Micros)>,
+    /// The epoch of each zone, and when the leader first saw it or last submitted its step.
+    timers: BTreeMap<String, (u64, Micros)>,
 }
 
 impl Pacer {
-    /// The steps that are due now. One that is proposed and not carried out is due again after the same time.
-    pub fn due_steps(&mut self, now: Micros, state: &State, leading: bool) -> Vec<Due> {
+    /// The steps that are due now. A submitted step that is not carried out becomes due again after the ramp's interval.
+    pub fn due_steps(&mut self, now: Micros, state: &State, leading: bool) -> Vec<DueStep> {
         if !leading {
-            self.seen.clear();
+            self.timers.clear();
             return Vec::new();
         }
-        self.seen.retain(|zone, (epoch, _)| {
+        self.timers.retain(|zone, (epoch, _)| {
             state.zones.get(zone).is_some_and(|z| z.epoch == *epoch && z.has_pending_step())
         });
         let mut due = Vec::new();
-        for (zone, z) in state.zones.iter().filter(|(_, z)| z.has_pending_step()) {
-            let (_, since) = self.seen.entry(zone.clone()).or_insert((z.epoch, now));
-            let pace = z.ramp.map_or(0, |r| u64::from(r.every_ms) * 1_000);
-            if now.0.saturating_sub(since.0) >= pace {
+        for (zone, zone_state) in state.zones.iter().filter(|(_, z)| z.has_pending_step()) {
+            let (_, since) = self.timers.entry(zone.clone()).or_insert((zone_state.epoch, now));
+            let interval_us = zone_state.ramp.map_or(0, |r| u64::from(r.every_ms) * 1_000);
+            if now.0.saturating_sub(since.0) >= interval_us {
                 *since = now;
-                due.push(Due { zone: zone.clone(), zone_epoch: z.epoch });
+                due.push(DueStep { zone: zone.clone(), zone_epoch: zone_state.epoch });
             }
         }
         due
--- a/crates/starlinghill-failover/src/rejection.rs
+++ b/crates/starlinghill-failover/src/rejection.rs
@@ -1,4 +1,4 @@
-//! Why an order is refused. A refusal names every cause, so that an order is not mended one cause at a time.
+//! Why an order is refused. A refusal lists every cause, so that its author can correct all of them at once.
 
 use crate::order::{MAX_ID_BYTES, MAX_STEP_INTERVAL_MS, MAX_TEXT_BYTES, MIN_STEP_INTERVAL_MS};
 use crate::state::Phase;
@@ -7,109 +7,110 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One cause.
+/// One cause of a refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Cause {
-    /// The id is empty or too long.
+    /// The id is empty or too long, or a ramp step has one.
     BadId,
-    /// An order of that id was another one.
+    /// An earlier order with this id had another content.
     IdReused,
     /// The author is empty or too long.
     BadAuthor,
     /// The reason is empty or too long.
     BadReason,
-    /// The map can't be used.
+    /// The topology is invalid.
     #[serde(rename = "bad_map")]
     BadTopology {
-        /// What is wrong.
+        /// The first problems found.
         #[serde(rename = "problems")]
         topology_problems: Vec<TopologyProblem>,
     },
-    /// No map was adopted yet.
+    /// The group has not adopted a topology yet.
     #[serde(rename = "no_map")]
     NoTopology,
     /// The group's state has changed since the author saw it.
     GroupChanged {
-        /// The epoch that the author saw.
+        /// The group's epoch that the author saw.
         seen: Option<u64>,
-        /// The epoch now.
+        /// The group's epoch now.
         now: u64,
     },
-    /// A zone that is still in service would be dropped from the map.
+    /// The new topology leaves out a zone that still takes traffic.
     ZoneInService {
-        /// The zone.
+        /// The name of the zone.
         zone: String,
     },
-    /// The zone is not on the map.
+    /// The topology has no zone of this name.
     #[serde(rename = "no_zone")]
     UnknownZone {
-        /// What was named.
+        /// The name in the order.
         zone: String,
-        /// The zones that there are.
+        /// The first zones of the topology.
         known: Vec<String>,
     },
     /// The zone has changed since the author saw it.
     ZoneChanged {
-        /// The epoch that the author saw.
+        /// The zone's epoch that the author saw.
         seen: u64,
         /// The zone's epoch now.
         now: u64,
-        /// Who changed it.
+        /// The author of the last order about it.
         by: String,
-        /// What it is now.
+        /// Its phase now.
         phase: Phase,
     },
-    /// It is so already.
+    /// The order would change nothing.
     #[serde(rename = "already_so")]
     AlreadyInPhase {
-        /// What the zone is.
+        /// The zone's phase now.
         phase: Phase,
     },
-    /// The weight to drain to is not below the present one.
+    /// A drain's target weight is not below the present weight.
     #[serde(rename = "not_less")]
     TargetNotLower {
-        /// The weight wanted.
+        /// The target weight in the order.
         #[serde(rename = "to")]
         target_weight: Permille,
-        /// The weight now.
+        /// The zone's weight now.
         now: Permille,
     },
-    /// The ramp's step or pace is out of bounds.
+    /// The size of the ramp's steps, or the time between them, is out of bounds.
     BadRamp,
-    /// Other zones are not in full service.
+    /// The order lowers a zone while others are not in full service, or returns one while others return. Two such
+    /// changes at once can overload the remaining zones; `force` allows them.
     #[serde(rename = "not_alone")]
     OtherZonesNotInFullService {
-        /// These.
+        /// The first of these other zones.
         zones: Vec<String>,
     },
-    /// It would be the last zone of its region, and no region is named that takes over.
+    /// The zone is the last one of its region in service, and the order names no region that takes over.
     #[serde(rename = "last_of_region")]
     LastZoneOfRegion {
-        /// The region.
+        /// The name of the region.
         region: String,
     },
-    /// Under the new map a region would have nothing in service, and no region in service takes over.
+    /// Under the new topology a region has no zone in service, and no region in service takes over for it.
     #[serde(rename = "region_without")]
     RegionUnserved {
-        /// The region.
+        /// The name of the region.
         region: String,
     },
-    /// The region named to take over is not there, is the same, or has nothing in service.
+    /// The region named to take over is unknown, is the zone's own, or has no zone in service.
     #[serde(rename = "bad_next")]
     BadTakeoverRegion {
-        /// What was named.
+        /// The region in the order.
         #[serde(rename = "next")]
         region: String,
     },
-    /// No zone at all would be left.
+    /// No zone at all would stay in service.
     #[serde(rename = "last_of_all")]
     NoZoneLeft,
-    /// Too little would stay in service.
+    /// Less capacity than the topology's floor would stay in service.
     BelowFloor {
-        /// What would stay, in thousandths of all capacity.
+        /// The part that would stay, in thousandths of all capacity.
         left: Permille,
-        /// What has to.
+        /// The part that has to stay, in thousandths.
         floor: Permille,
     },
 }
@@ -118,12 +119,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Cause::BadId => write!(f, "the order's id must have 1 to {MAX_ID_BYTES} bytes"),
-            Cause::IdReused => f.write_str("another order had this id"),
+            Cause::IdReused => f.write_str("an earlier order with this id had another content"),
             Cause::BadAuthor => write!(f, "the author must have 1 to {MAX_TEXT_BYTES} bytes"),
             Cause::BadReason => write!(f, "the reason must have 1 to {MAX_TEXT_BYTES} bytes"),
             Cause::BadTopology { topology_problems } => {
                 let lines: Vec<String> = topology_problems.iter().map(TopologyProblem::to_string).collect();
-                write!(f, "the map can't be used: {}", lines.join("; "))
+                write!(f, "invalid map of zones: {}", lines.join("; "))
             }
             Cause::NoTopology => f.write_str("the group has no map of zones yet"),
             Cause::GroupChanged { seen, now } => {
--- a/crates/starlinghill-failover/src/state.rs
+++ b/crates/starlinghill-failover/src/state.rs
@@ -1,6 +1,6 @@
-//! The state machine: the map, a state for each zone, and what became of recent orders. Every check is made here,
-//! on the whole state, where the order is applied, not where it is given: two orders that were each right alone
-//! may not be so one after the other.
+//! The replicated state machine: the adopted topology, the state of each zone, and the outcomes of recent orders.
+//! Every check runs here, when an order is applied, not when it is submitted: two orders that are each valid alone
+//! may be invalid one after the other.
 
 use crate::order::{
     Change, Order, OrderKind, Ramp, ZoneOrder, MAX_ID_BYTES, MAX_STEP_INTERVAL_MS, MAX_TEXT_BYTES,
@@ -13,25 +13,25 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
-/// Orders whose outcomes are kept, so that one sent again counts once. An order sent again after so many others
-/// is taken for a new one; the epoch that its author saw then refuses it.
+/// Number of order outcomes that the state keeps, so that an order sent again counts once. An order sent again after
+/// this many others is treated as new. It is then refused if it names the epoch that its author saw.
 pub const MAX_RECORDED_OUTCOMES: usize = 512;
-/// The most problems of a map, or names of zones, that a refusal keeps.
-const MOST_NAMED: usize = 16;
+/// The most topology problems or zone names that one refusal lists. Bounds the size of a recorded outcome.
+const MAX_LISTED: usize = 16;
 
-/// What a zone is.
+/// The service phase of a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It takes its whole part.
+    /// The zone takes its full share of traffic.
     Serving,
-    /// It takes less, and may go on doing so in steps.
+    /// The weight was lowered and may go down further in steps.
     Draining,
-    /// It takes nothing.
+    /// The zone takes no traffic.
     Out,
-    /// It takes more with each step.
+    /// The weight goes up in steps to [`FULL_WEIGHT`].
     Returning,
-    /// It stays at its weight until somebody orders otherwise.
+    /// The weight stays as it is until the next order.
     Held,
 }
 
@@ -47,38 +47,38 @@
     }
 }
 
-/// One zone's state.
+/// The state of one zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneState {
-    /// What it is.
+    /// The service phase.
     pub phase: Phase,
-    /// The part of its work that it takes now.
+    /// The part of its full share that the zone takes now.
     pub weight: Permille,
-    /// The part that it takes when all steps are made.
+    /// The weight once all steps of the ramp are made.
     #[serde(rename = "to")]
     pub target_weight: Permille,
-    /// The steps, where it is on its way.
+    /// The steps toward `target_weight`. It stays set after the last step.
     pub ramp: Option<Ramp>,
-    /// The group's epoch at its last change.
+    /// The group's epoch at the last change of this zone.
     pub epoch: u64,
-    /// Who changed it last.
+    /// The author of the last order about this zone.
     #[serde(rename = "by")]
     pub changed_by: String,
-    /// Why.
+    /// The reason that this author gave.
     pub reason: String,
-    /// When, by the author's clock, in Unix milliseconds. For people.
+    /// When the last change was ordered, in Unix milliseconds by the author's clock. Only displayed.
     #[serde(rename = "at_ms")]
     pub changed_at_ms: u64,
 }
 
 impl ZoneState {
-    /// Whether a step is still to be made.
+    /// Whether a ramp still has steps to make.
     pub fn has_pending_step(&self) -> bool {
         self.ramp.is_some() && self.weight != self.target_weight
     }
 
-    /// What it takes at the least while what was ordered so far is carried out.
+    /// The least weight that the zone has while the current ramp runs. Capacity checks count only this.
     fn guaranteed_weight(&self) -> Permille {
         self.weight.min(self.target_weight)
     }
@@ -88,20 +88,20 @@
     }
 }
 
-/// What became of an order.
+/// The result of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Outcome {
-    /// It counts, from this position on.
+    /// The order was carried out.
     Accepted {
-        /// Where the state stands with it.
+        /// The position of the state that includes the order.
         position: Position,
     },
-    /// It changed nothing.
+    /// The order changed nothing.
     Refused {
-        /// Where the state stood.
+        /// The position of the state that the order was checked against.
         position: Position,
-        /// Every cause.
+        /// Every cause, not only the first one found.
         causes: Vec<Cause>,
     },
 }
@@ -110,24 +110,26 @@
 #[serde(deny_unknown_fields)]
 struct RecordedOutcome {
     id: String,
+    /// [`content_digest`] of the order. It tells a repeated order from another one with the same id.
     digest: u64,
     outcome: Outcome,
 }
 
-/// The state of the group.
+/// The state that all members replicate.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct State {
-    /// Where it stands.
+    /// The generation and epoch of this state.
     pub position: Position,
-    /// The map, once one was adopted.
+    /// `None` until the first topology is adopted.
     #[serde(rename = "map")]
     pub topology: Option<Topology>,
-    /// The states of the map's zones.
+    /// The zones of the topology, by name.
     pub zones: BTreeMap<String, ZoneState>,
-    /// The region that takes over, for each that has nothing in service.
+    /// For each region without a zone in service, the region that takes over its traffic.
     #[serde(rename = "next")]
     pub takeover_regions: BTreeMap<String, String>,
+    /// Oldest first, at most [`MAX_RECORDED_OUTCOMES`].
     #[serde(rename = "done")]
     recorded_outcomes: VecDeque<RecordedOutcome>,
 }
@@ -138,32 +140,35 @@
         State { position: Position { generation, epoch: 0 }, ..State::default() }
     }
 
-    /// The state as a restored group takes it on: the next generation, all else as it was. Steps wait for the new
-    /// group's leader.
+    /// The state that a restored group begins with: the next generation, everything else unchanged. Pending ramp steps
+    /// wait for the new group's leader.
     pub fn restored(mut self) -> State {
         self.position.generation += 1;
         self
     }
 
-    /// The state without the outcomes that it keeps: for those who look at it and decide nothing by it.
+    /// A copy for display. Without the recorded outcomes it is much smaller, but must not be used to apply orders.
     pub fn without_recorded_outcomes(&self) -> State {
         State { recorded_outcomes: VecDeque::new(), ..self.clone() }
     }
 
-    /// Takes an order in. The same order again gets the same outcome and changes nothing.
+    /// Checks an order and carries it out. A repeated order gets its recorded outcome and changes nothing.
     pub fn apply(&mut self, order: &Order) -> Outcome {
-        let digest = meant(order);
-        if let Some(done) = self.recorded_outcomes.iter().find(|d| !order.id.is_empty() && d.id == order.id) {
-            if done.digest == digest {
-                return done.outcome.clone();
+        let digest = content_digest(order);
+        if let Some(recorded) =
+            self.recorded_outcomes.iter().find(|r| !order.id.is_empty() && r.id == order.id)
+        {
+            if recorded.digest == digest {
+                return recorded.outcome.clone();
             }
             return Outcome::Refused { position: self.position, causes: vec![Cause::IdReused] };
         }
-        let outcome = match self.judge(order) {
+        let outcome = match self.check_and_apply(order) {
             Ok(()) => Outcome::Accepted { position: self.position },
             Err(causes) => Outcome::Refused { position: self.position, causes },
         };
-        // Steps are told apart by their epoch, and would push operators' orders out. An id too long is not kept.
+        // Ramp steps have no id: their epoch identifies them, and recording them would evict operators' orders.
+        // An id that is too long is not recorded either, to bound the size of the state.
         if !order.id.is_empty() && order.id.len() <= MAX_ID_BYTES {
             if self.recorded_outcomes.len() >= MAX_RECORDED_OUTCOMES {
                 self.recorded_outcomes.pop_front();
@@ -177,71 +182,76 @@
         outcome
     }
 
-    fn judge(&mut self, order: &Order) -> Result<(), Vec<Cause>> {
+    fn check_and_apply(&mut self, order: &Order) -> Result<(), Vec<Cause>> {
         let mut causes = Vec::new();
-        let step = matches!(order.kind, OrderKind::Step { .. });
-        if order.id.len() > MAX_ID_BYTES || order.id.is_empty() != step {
+        let is_step = matches!(order.kind, OrderKind::Step { .. });
+        if order.id.len() > MAX_ID_BYTES || order.id.is_empty() != is_step {
             causes.push(Cause::BadId);
         }
-        let words = |s: &str| !s.trim().is_empty() && s.len() <= MAX_TEXT_BYTES;
-        if !words(&order.author) {
+        let is_valid_text = |s: &str| !s.trim().is_empty() && s.len() <= MAX_TEXT_BYTES;
+        if !is_valid_text(&order.author) {
             causes.push(Cause::BadAuthor);
         }
-        if !words(&order.reason) {
+        if !is_valid_text(&order.reason) {
             causes.push(Cause::BadReason);
         }
         match &order.kind {
-            OrderKind::Adopt { topology: map, expected_epoch: expect } => {
-                self.adopt(order, map, *expect, causes)
+            OrderKind::Adopt { topology, expected_epoch } => {
+                self.adopt_topology(order, topology, *expected_epoch, causes)
             }
-            OrderKind::Zone(zone) => self.change(order, zone, causes),
-            OrderKind::Step { zone, zone_epoch: of } => self.step(order, zone, *of, causes),
+            OrderKind::Zone(zone_order) => self.change_zone(order, zone_order, causes),
+            OrderKind::Step { zone, zone_epoch } => self.make_step(order, zone, *zone_epoch, causes),
         }
     }
 
-    fn adopt(
+    fn adopt_topology(
         &mut self,
         order: &Order,
-        map: &Topology,
-        expect: Option<u64>,
+        topology: &Topology,
+        expected_epoch: Option<u64>,
         mut causes: Vec<Cause>,
     ) -> Result<(), Vec<Cause>> {
-        let mut problems = map.problems();
-        problems.truncate(MOST_NAMED);
-        if !problems.is_empty() {
-            causes.push(Cause::BadTopology { topology_problems: problems });
+        let mut topology_problems = topology.problems();
+        topology_problems.truncate(MAX_LISTED);
+        if !topology_problems.is_empty() {
+            causes.push(Cause::BadTopology { topology_problems });
         }
         let now = self.position.epoch;
-        if self.topology.is_some() && expect != Some(now) {
-            causes.push(Cause::GroupChanged { seen: expect, now });
+        if self.topology.is_some() && expected_epoch != Some(now) {
+            causes.push(Cause::GroupChanged { seen: expected_epoch, now });
         }
-        let leaving = self.zones.iter().filter(|(name, _)| !map.zones.contains_key(*name));
-        for (zone, _) in leaving.filter(|(_, z)| z.weight > 0) {
+        let removed = self.zones.iter().filter(|(name, _)| !topology.zones.contains_key(*name));
+        for (zone, _) in removed.filter(|(_, z)| z.weight > 0) {
             causes.push(Cause::ZoneInService { zone: zone.clone() });
         }
-        // Zones that were out stay out: under the new map they may have to be in service first.
+        // Existing zones keep their weight, so the new topology must be servable with the zones that are out now.
         if causes.is_empty() {
-            let sure = |name: &String| self.zones.get(name).map_or(FULL_WEIGHT, ZoneState::guaranteed_weight);
-            let left = left(map, |name| sure(name));
+            let weight_of =
+                |name: &String| self.zones.get(name).map_or(FULL_WEIGHT, ZoneState::guaranteed_weight);
+            let left = capacity_in_service(topology, |name| weight_of(name));
             if left == 0 {
                 causes.push(Cause::NoZoneLeft);
-            } else if left < map.floor {
-                causes.push(Cause::BelowFloor { left, floor: map.floor });
+            } else if left < topology.floor {
+                causes.push(Cause::BelowFloor { left, floor: topology.floor });
             }
-            // A zone that moves to another region, or leaves, may have been the last one there.
-            let served = |region: &String| map.zones.iter().any(|(n, z)| z.region == *region && sure(n) > 0);
-            let taken_over = |region: &String| {
-                self.takeover_regions.get(region).is_some_and(|n| map.regions.contains(n) && served(n))
+            // A zone that is removed or moves to another region may have been the last one in its region.
+            let is_served =
+                |region: &String| topology.zones.iter().any(|(n, z)| z.region == *region && weight_of(n) > 0);
+            let is_taken_over = |region: &String| {
+                self.takeover_regions
+                    .get(region)
+                    .is_some_and(|takeover| topology.regions.contains(takeover) && is_served(takeover))
             };
-            let without = map.regions.iter().filter(|region| !served(region) && !taken_over(region));
-            causes.extend(without.map(|region| Cause::RegionUnserved { region: region.clone() }));
+            let unserved =
+                topology.regions.iter().filter(|region| !is_served(region) && !is_taken_over(region));
+            causes.extend(unserved.map(|region| Cause::RegionUnserved { region: region.clone() }));
         }
         if !causes.is_empty() {
             return Err(causes);
         }
         self.position.epoch += 1;
-        self.zones.retain(|name, _| map.zones.contains_key(name));
-        for name in map.zones.keys() {
+        self.zones.retain(|name, _| topology.zones.contains_key(name));
+        for name in topology.zones.keys() {
             self.zones.entry(name.clone()).or_insert_with(|| ZoneState {
                 phase: Phase::Serving,
                 weight: FULL_WEIGHT,
@@ -253,109 +263,119 @@
                 changed_at_ms: order.at_ms,
             });
         }
-        self.topology = Some(map.clone());
-        self.forget_next();
+        self.topology = Some(topology.clone());
+        self.drop_unneeded_takeovers();
         Ok(())
     }
 
-    fn change(
+    fn change_zone(
         &mut self,
         order: &Order,
-        wanted: &ZoneOrder,
+        zone_order: &ZoneOrder,
         mut causes: Vec<Cause>,
     ) -> Result<(), Vec<Cause>> {
-        let Some(map) = &self.topology else {
+        let Some(topology) = &self.topology else {
             causes.push(Cause::NoTopology);
             return Err(causes);
         };
-        let (Some(place), Some(old)) = (map.zones.get(&wanted.zone), self.zones.get(&wanted.zone)) else {
-            causes.push(self.no_zone(&wanted.zone));
+        let (Some(zone), Some(old)) =
+            (topology.zones.get(&zone_order.zone), self.zones.get(&zone_order.zone))
+        else {
+            causes.push(self.unknown_zone(&zone_order.zone));
             return Err(causes);
         };
-        if let Some(seen) = wanted.expected_epoch.filter(|seen| *seen != old.epoch) {
+        if let Some(seen) = zone_order.expected_epoch.filter(|seen| *seen != old.epoch) {
             let (by, phase) = (old.changed_by.clone(), old.phase);
             causes.push(Cause::ZoneChanged { seen, now: old.epoch, by, phase });
         }
-        let (phase, weight, to, ramp) = target(old, wanted.change, &mut causes);
-        let takes_away = to < old.guaranteed_weight();
-        if takes_away {
-            self.check_rest(map, place, wanted, to, &mut causes);
+        let (phase, weight, target_weight, ramp) = apply_change(old, zone_order.change, &mut causes);
+        let lowers_weight = target_weight < old.guaranteed_weight();
+        if lowers_weight {
+            self.check_remaining_service(topology, zone, zone_order, target_weight, &mut causes);
         }
-        let beside = self.zones.iter().filter(|(name, _)| **name != wanted.zone);
-        let others: Vec<String> = match wanted.change {
+        let other_zones = self.zones.iter().filter(|(name, _)| **name != zone_order.zone);
+        let conflicting: Vec<String> = match zone_order.change {
             Change::Drain { .. } | Change::Out => {
-                beside.filter(|(_, z)| !z.is_in_full_service()).map(|(name, _)| name.clone()).collect()
-            }
-            Change::Return { .. } => {
-                beside.filter(|(_, z)| z.phase == Phase::Returning).map(|(name, _)| name.clone()).collect()
+                other_zones.filter(|(_, z)| !z.is_in_full_service()).map(|(name, _)| name.clone()).collect()
             }
+            Change::Return { .. } => other_zones
+                .filter(|(_, z)| z.phase == Phase::Returning)
+                .map(|(name, _)| name.clone())
+                .collect(),
             Change::Hold => Vec::new(),
         };
-        if !others.is_empty() && !wanted.force {
+        if !conflicting.is_empty() && !zone_order.force {
             causes.push(Cause::OtherZonesNotInFullService {
-                zones: others.into_iter().take(MOST_NAMED).collect(),
+                zones: conflicting.into_iter().take(MAX_LISTED).collect(),
             });
         }
         if !causes.is_empty() {
             return Err(causes);
         }
-        // Named without need, it was not checked either.
-        if let (Some(next), true) = (&wanted.takeover_region, takes_away) {
-            self.takeover_regions.insert(place.region.clone(), next.clone());
+        // The takeover region was only checked if the weight goes down, so it must not be stored otherwise.
+        if let (Some(takeover), true) = (&zone_order.takeover_region, lowers_weight) {
+            self.takeover_regions.insert(zone.region.clone(), takeover.clone());
         }
         self.position.epoch += 1;
         let state = ZoneState {
             phase,
             weight,
-            target_weight: to,
+            target_weight,
             ramp,
             epoch: self.position.epoch,
             changed_by: order.author.clone(),
             reason: order.reason.clone(),
             changed_at_ms: order.at_ms,
         };
-        self.zones.insert(wanted.zone.clone(), state);
-        self.forget_next();
+        self.zones.insert(zone_order.zone.clone(), state);
+        self.drop_unneeded_takeovers();
         Ok(())
     }
 
-    /// What has to stay in service beside a zone that goes down to a weight.
-    fn check_rest(
+    /// Checks what stays in service when one zone goes down to `target_weight`.
+    fn check_remaining_service(
         &self,
-        map: &Topology,
-        place: &Zone,
-        wanted: &ZoneOrder,
-        to: Permille,
+        topology: &Topology,
+        zone: &Zone,
+        zone_order: &ZoneOrder,
+        target_weight: Permille,
         causes: &mut Vec<Cause>,
     ) {
-        let sure = |name: &String| match *name == wanted.zone {
-            true => to,
+        let weight_of = |name: &String| match *name == zone_order.zone {
+            true => target_weight,
             false => self.zones.get(name).map_or(0, ZoneState::guaranteed_weight),
         };
-        let in_service = |region: &str| map.zones.iter().any(|(n, z)| z.region == region && sure(n) > 0);
-        if let Some(next) = &wanted.takeover_region {
-            if *next == place.region || !map.regions.contains(next) || !in_service(next) {
-                causes.push(Cause::BadTakeoverRegion { region: clipped(next) });
+        let is_served =
+            |region: &str| topology.zones.iter().any(|(n, z)| z.region == region && weight_of(n) > 0);
+        if let Some(takeover) = &zone_order.takeover_region {
+            if *takeover == zone.region || !topology.regions.contains(takeover) || !is_served(takeover) {
+                causes.push(Cause::BadTakeoverRegion { region: clipped(takeover) });
             }
-        } else if !in_service(&place.region) {
-            causes.push(Cause::LastZoneOfRegion { region: place.region.clone() });
+        } else if !is_served(&zone.region) {
+            causes.push(Cause::LastZoneOfRegion { region: zone.region.clone() });
         }
-        let left = left(map, sure);
+        let left = capacity_in_service(topology, weight_of);
         if left == 0 {
             causes.push(Cause::NoZoneLeft);
-        } else if left < map.floor {
-            causes.push(Cause::BelowFloor { left, floor: map.floor });
+        } else if left < topology.floor {
+            causes.push(Cause::BelowFloor { left, floor: topology.floor });
         }
     }
 
-    fn step(&mut self, order: &Order, zone: &str, of: u64, mut causes: Vec<Cause>) -> Result<(), Vec<Cause>> {
+    fn make_step(
+        &mut self,
+        order: &Order,
+        zone: &str,
+        zone_epoch: u64,
+        mut causes: Vec<Cause>,
+    ) -> Result<(), Vec<Cause>> {
         let Some(old) = self.zones.get(zone) else {
-            causes.push(self.no_zone(zone));
+            causes.push(self.unknown_zone(zone));
             return Err(causes);
         };
-        if old.epoch != of {
+        if old.epoch != zone_epoch {
             let (by, phase) = (old.changed_by.clone(), old.phase);
-            causes.push(Cause::ZoneChanged { seen: of, now: old.epoch, by, phase });
+            causes.push(Cause::ZoneChanged { seen: zone_epoch, now: old.epoch, by, phase });
         }
         let Some(ramp) = old.ramp.filter(|_| old.has_pending_step()) else {
             causes.push(Cause::AlreadyInPhase { phase: old.phase });
@@ -366,59 +386,61 @@
         }
         self.position.epoch += 1;
         let mut new = old.clone();
-        new.weight = stepped(old.weight, old.target_weight, ramp.step);
-        new.phase = arrived(old.phase, new.weight);
+        new.weight = weight_after_step(old.weight, old.target_weight, ramp.step);
+        new.phase = phase_at_weight(old.phase, new.weight);
         new.epoch = self.position.epoch;
         new.changed_at_ms = order.at_ms;
         self.zones.insert(zone.into(), new);
-        self.forget_next();
+        self.drop_unneeded_takeovers();
         Ok(())
     }
 
-    fn no_zone(&self, zone: &str) -> Cause {
-        let known = self.zones.keys().take(MOST_NAMED).cloned().collect();
+    fn unknown_zone(&self, zone: &str) -> Cause {
+        let known = self.zones.keys().take(MAX_LISTED).cloned().collect();
         Cause::UnknownZone { zone: clipped(zone), known }
     }
 
-    /// A region that has something in service again needs nobody to take over.
-    fn forget_next(&mut self) {
-        let Some(map) = &self.topology else { return };
+    /// A region that has a zone in service again, or left the topology, needs no takeover region.
+    fn drop_unneeded_takeovers(&mut self) {
+        let Some(topology) = &self.topology else { return };
         let zones = &self.zones;
-        let served = |region: &String| {
-            map.zones
-                .iter()
-                .any(|(n, z)| z.region == *region && zones.get(n).is_some_and(|s| s.guaranteed_weight() > 0))
+        let is_served = |region: &String| {
+            topology.zones.iter().any(|(n, z)| {
+                z.region == *region && zones.get(n).is_some_and(|state| state.guaranteed_weight() > 0)
+            })
         };
-        self.takeover_regions.retain(|region, _| map.regions.contains(region) && !served(region));
+        self.takeover_regions.retain(|region, _| topology.regions.contains(region) && !is_served(region));
     }
 }
 
-/// What tells one order of an id from another: not when it was sent, nor what its author saw then, which differ where
-/// somebody sends it again by hand.
-fn meant(order: &Order) -> u64 {
+/// Digest of what an order asks for. The time and the expected epoch are left out: they differ when an operator sends
+/// the same order again by hand.
+fn content_digest(order: &Order) -> u64 {
     let mut order = Order { at_ms: 0, ..order.clone() };
     match &mut order.kind {
-        OrderKind::Adopt { expected_epoch: expect, .. }
-        | OrderKind::Zone(ZoneOrder { expected_epoch: expect, .. }) => *expect = None,
+        OrderKind::Adopt { expected_epoch, .. } | OrderKind::Zone(ZoneOrder { expected_epoch, .. }) => {
+            *expected_epoch = None
+        }
         OrderKind::Step { .. } => {}
     }
     crate::wire::digest(&order)
 }
 
-/// The thousandths of all capacity that stay in service, rounded down.
-fn left(map: &Topology, sure: impl Fn(&String) -> Permille) -> Permille {
-    let sum: u64 = map.zones.iter().map(|(n, z)| u64::from(z.capacity) * u64::from(sure(n))).sum();
-    (sum / map.capacity().max(1)) as Permille
+/// The part of the topology's capacity that is in service, in thousandths, rounded down.
+fn capacity_in_service(topology: &Topology, weight_of: impl Fn(&String) -> Permille) -> Permille {
+    let sum: u64 = topology.zones.iter().map(|(n, z)| u64::from(z.capacity) * u64::from(weight_of(n))).sum();
+    (sum / topology.capacity().max(1)) as Permille
 }
 
-fn stepped(weight: Permille, to: Permille, step: Permille) -> Permille {
-    match weight > to {
-        true => weight.saturating_sub(step).max(to),
-        false => weight.saturating_add(step).min(to),
+fn weight_after_step(weight: Permille, target_weight: Permille, step: Permille) -> Permille {
+    match weight > target_weight {
+        true => weight.saturating_sub(step).max(target_weight),
+        false => weight.saturating_add(step).min(target_weight),
     }
 }
 
-fn arrived(phase: Phase, weight: Permille) -> Phase {
+/// A draining zone that reaches 0 is out; a returning zone that reaches the full weight is serving.
+fn phase_at_weight(phase: Phase, weight: Permille) -> Phase {
     match (phase, weight) {
         (Phase::Draining, 0) => Phase::Out,
         (Phase::Returning, FULL_WEIGHT) => Phase::Serving,
@@ -426,26 +448,26 @@
     }
 }
 
-/// What a change makes of a zone: phase, weight, the weight at the end, steps. The first step is made at once.
-fn target(
+/// The zone's new phase, weight, target weight and ramp. The first step of a ramp is made at once.
+fn apply_change(
     old: &ZoneState,
     change: Change,
     causes: &mut Vec<Cause>,
 ) -> (Phase, Permille, Permille, Option<Ramp>) {
-    let mut check = |ramp: Ramp| {
-        let paced = (MIN_STEP_INTERVAL_MS..=MAX_STEP_INTERVAL_MS).contains(&ramp.every_ms);
-        if !paced || ramp.step == 0 || ramp.step > FULL_WEIGHT {
+    let mut check_ramp = |ramp: Ramp| {
+        let interval_allowed = (MIN_STEP_INTERVAL_MS..=MAX_STEP_INTERVAL_MS).contains(&ramp.every_ms);
+        if !interval_allowed || ramp.step == 0 || ramp.step > FULL_WEIGHT {
             causes.push(Cause::BadRamp);
         }
     };
     match change {
-        Change::Drain { target_weight: to, ramp } => {
-            check(ramp);
-            if to >= old.weight {
-                causes.push(Cause::TargetNotLower { target_weight: to, now: old.weight });
+        Change::Drain { target_weight, ramp } => {
+            check_ramp(ramp);
+            if target_weight >= old.weight {
+                causes.push(Cause::TargetNotLower { target_weight, now: old.weight });
             }
-            let weight = stepped(old.weight, to.min(old.weight), ramp.step);
-            (arrived(Phase::Draining, weight), weight, to, Some(ramp))
+            let weight = weight_after_step(old.weight, target_weight.min(old.weight), ramp.step);
+            (phase_at_weight(Phase::Draining, weight), weight, target_weight, Some(ramp))
         }
         Change::Out => {
             if old.phase == Phase::Out {
@@ -454,14 +476,14 @@
             (Phase::Out, 0, 0, None)
         }
         Change::Return { ramp } => {
-            check(ramp);
+            check_ramp(ramp);
             if old.weight == FULL_WEIGHT && old.phase == Phase::Serving
                 || old.phase == Phase::Returning && old.ramp == Some(ramp)
             {
                 causes.push(Cause::AlreadyInPhase { phase: old.phase });
             }
-            let weight = stepped(old.weight, FULL_WEIGHT, ramp.step);
-            (arrived(Phase::Returning, weight), weight, FULL_WEIGHT, Some(ramp))
+            let weight = weight_after_step(old.weight, FULL_WEIGHT, ramp.step);
+            (phase_at_weight(Phase::Returning, weight), weight, FULL_WEIGHT, Some(ramp))
         }
         Change::Hold => {
             if old.phase == Phase::Held {
--- a/crates/starlinghill-failover/src/topology.rs
+++ b/crates/starlinghill-failover/src/topology.rs
@@ -1,80 +1,81 @@
-//! Regions and zones. The operators' file holds them; the group adopts them by an order, so that a member or a
-//! gateway whose file differs is told so instead of acting on zones that others don't have.
+//! Regions and zones. They come from the operators' settings file, and the group adopts them by an order. A member or
+//! gateway whose file differs is then told so, instead of acting on zones that the others don't have.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// The most zones of a map. Guards the size of what gateways are told.
+/// The most zones of a topology. Bounds the size of the messages to gateways.
 pub const MAX_ZONES: usize = 256;
-/// The most bytes of a name.
+/// The most bytes of a name of a zone, region, gateway or member.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The largest capacity of a zone; sums of [`MAX_ZONES`] of them stay far below 64 bits.
+/// The largest capacity of a zone. The weighted sum over [`MAX_ZONES`] zones stays far below 64 bits.
 pub const MAX_CAPACITY: u32 = 1_000_000;
 
-/// One zone.
+/// A zone of the topology.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// The region it belongs to.
+    /// The name of its region.
     pub region: String,
-    /// What it can bear against the other zones.
+    /// The load that it can take, relative to the other zones.
     pub capacity: u32,
 }
 
-/// The map.
+/// The regions and zones that the group serves.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Topology {
-    /// The regions, the most preferred first.
+    /// The names of the regions, the most preferred first.
     pub regions: Vec<String>,
     /// The zones by name.
     pub zones: BTreeMap<String, Zone>,
-    /// The least part of all capacity that has to stay in service, in thousandths.
+    /// The least part of all capacity that must stay in service, in thousandths. Orders that would go below it are
+    /// refused.
     pub floor: u16,
 }
 
-/// What somebody wrote, short enough to be kept and shown.
+/// Cuts a name from outside to [`MAX_NAME_BYTES`] characters, so that it can be stored and displayed.
 pub(crate) fn clipped(name: &str) -> String {
     name.chars().take(MAX_NAME_BYTES).collect()
 }
 
-/// What is wrong with a map.
+/// A reason why a topology is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TopologyProblem {
-    /// It has no zone.
+    /// There is no zone.
     Empty,
-    /// It has too many zones.
+    /// There are more than [`MAX_ZONES`] zones; holds their number.
     TooMany(usize),
-    /// A name can't be used.
+    /// A name that [`is_name`] does not accept.
     Name(String),
-    /// A region is named twice.
+    /// A region is listed twice.
     Twice(String),
-    /// A zone's region is not among the regions.
+    /// A zone names a region that is not listed.
     NoRegion {
-        /// The zone.
+        /// The name of the zone.
         zone: String,
-        /// What it names.
+        /// The region that it names.
         region: String,
     },
-    /// A region has no zone.
+    /// A region without a zone.
     EmptyRegion(String),
-    /// A zone's capacity is out of bounds.
+    /// A zone's capacity is 0 or above [`MAX_CAPACITY`].
     Capacity {
-        /// The zone.
+        /// The name of the zone.
         zone: String,
-        /// What was found.
+        /// Its capacity.
         found: u32,
     },
-    /// The floor is above the whole.
+    /// The floor is above 1000 thousandths.
     Floor(u16),
 }
 
 impl fmt::Display for TopologyProblem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            TopologyProblem::Empty => f.write_str("expected a zone at least, found none"),
-            TopologyProblem::TooMany(n) => write!(f, "expected {MAX_ZONES} zones at most, found {n}"),
+            TopologyProblem::Empty => f.write_str("expected at least one zone, found none"),
+            TopologyProblem::TooMany(n) => write!(f, "expected at most {MAX_ZONES} zones, found {n}"),
             TopologyProblem::Name(name) => write!(
                 f,
                 "expected a name of 1 to {MAX_NAME_BYTES} letters, digits, '-', '_' or '.', found '{}'",
@@ -85,65 +86,67 @@
                 write!(f, "zone '{zone}': expected one of the regions, found '{region}'")
             }
             TopologyProblem::EmptyRegion(name) => {
-                write!(f, "region '{name}': expected a zone at least, found none")
+                write!(f, "region '{name}': expected at least one zone, found none")
             }
             TopologyProblem::Capacity { zone, found } => {
                 write!(f, "zone '{zone}': expected a capacity from 1 to {MAX_CAPACITY}, found {found}")
             }
             TopologyProblem::Floor(found) => {
-                write!(f, "expected a floor of 1000 thousandths at most, found {found}")
+                write!(f, "expected a floor of at most 1000 thousandths, found {found}")
             }
         }
     }
 }
 impl std::error::Error for TopologyProblem {}
 
-/// Whether a name can be used: for zones, regions, gateways and members.
+/// Whether a zone, region, gateway or member may have this name: 1 to [`MAX_NAME_BYTES`] ASCII letters, digits, `-`,
+/// `_` or `.`.
 pub fn is_name(name: &str) -> bool {
-    let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(fits)
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(is_allowed)
 }
 
 impl Topology {
-    /// All that is wrong with it.
+    /// Every reason why this topology is invalid; empty if it is valid.
     pub fn problems(&self) -> Vec<TopologyProblem> {
-        let mut found = Vec::new();
+        let mut problems = Vec::new();
         if self.zones.is_empty() {
-            found.push(TopologyProblem::Empty);
+            problems.push(TopologyProblem::Empty);
         }
         if self.zones.len() > MAX_ZONES {
-            found.push(TopologyProblem::TooMany(self.zones.len()));
+            problems.push(TopologyProblem::TooMany(self.zones.len()));
         }
         let mut regions = BTreeSet::new();
         for region in &self.regions {
             if !is_name(region) {
-                found.push(TopologyProblem::Name(clipped(region)));
+                problems.push(TopologyProblem::Name(clipped(region)));
             }
             if !regions.insert(region) {
-                found.push(TopologyProblem::Twice(clipped(region)));
+                problems.push(TopologyProblem::Twice(clipped(region)));
             }
             if !self.zones.values().any(|z| z.region == *region) {
-                found.push(TopologyProblem::EmptyRegion(clipped(region)));
+                problems.push(TopologyProblem::EmptyRegion(clipped(region)));
             }
         }
         for (name, zone) in &self.zones {
             if !is_name(name) {
-                found.push(TopologyProblem::Name(clipped(name)));
+                problems.push(TopologyProblem::Name(clipped(name)));
             }
             if !regions.contains(&zone.region) {
-                found.push(TopologyProblem::NoRegion { zone: clipped(name), region: clipped(&zone.region) });
+                problems
+                    .push(TopologyProblem::NoRegion { zone: clipped(name), region: clipped(&zone.region) });
             }
             if zone.capacity == 0 || zone.capacity > MAX_CAPACITY {
-                found.push(TopologyProblem::Capacity { zone: clipped(name), found: zone.capacity });
+                problems.push(TopologyProblem::Capacity { zone: clipped(name), found: zone.capacity });
             }
         }
         if self.floor > crate::FULL_WEIGHT {
-            found.push(TopologyProblem::Floor(self.floor));
+            problems.push(TopologyProblem::Floor(self.floor));
         }
-        found
+        problems
     }
 
-    /// The sum of all capacities.
+    /// The sum of the capacities of all zones.
     pub fn capacity(&self) -> u64 {
         self.zones.values().map(|z| u64::from(z.capacity)).sum()
     }
--- a/crates/starlinghill-failover/src/wire.rs
+++ b/crates/starlinghill-failover/src/wire.rs
@@ -1,22 +1,22 @@
-//! The form on the wire and on disk: JSON, so that a log can be read by people, in an envelope that says its version
-//! and kind. A member that meets a version, a kind, a field or a variant that it doesn't know refuses the whole;
-//! to guess what an order of a later version means would be to decide otherwise than the others.
+//! The encoding on the wire and on disk: JSON, so that people can read a log, in an envelope with a version and a kind.
+//! A member refuses a message with an unknown version, kind, field or variant. If it guessed what an order of a later
+//! version means, its state could differ from that of the other members.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The version that this program writes, and the only one that it reads.
+/// The format version that this program writes, and the only one that it reads.
 pub const VERSION: u32 = 1;
-/// The most bytes of one message: a state with all outcomes that it keeps, each a refusal of many words.
+/// The most bytes of one message. A state with all its recorded outcomes fits, even if each is a long refusal.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
-/// The most bytes of an order: a map of the most zones with the longest names takes half.
+/// The most bytes of an order. A topology of the most zones with the longest names takes half of it.
 pub const MAX_ORDER_BYTES: usize = 128 << 10;
 
-/// What may stand in an envelope.
+/// A type that can be sent or stored in an envelope.
 pub trait Message: Serialize + DeserializeOwned {
-    /// Its kind.
+    /// The envelope's `kind`, which tells the message types apart.
     const KIND: &'static str;
 }
 
@@ -33,30 +33,36 @@
     const KIND: &'static str = "told";
 }
 
-/// A message that can't be used.
+/// Why a message can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WireError {
-    /// It is longer than [`MAX_MESSAGE_BYTES`].
+    /// It is longer than [`MAX_MESSAGE_BYTES`]; holds its length in bytes.
     TooLong(usize),
-    /// It is of another version.
+    /// It has another format version.
     Version(u32),
-    /// It is of another kind.
+    /// It has another kind than expected.
     Kind(String),
-    /// It can't be read, or holds what this version doesn't know.
+    /// It is not valid JSON for its type, or has a field or variant that this version doesn't know.
     Malformed(String),
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::TooLong(n) => write!(f, "a message of {n} bytes, {MAX_MESSAGE_BYTES} at most"),
+            WireError::TooLong(n) => {
+                write!(f, "a message of {n} bytes, at most {MAX_MESSAGE_BYTES} are allowed")
+            }
             WireError::Version(found) => {
-                write!(f, "a message of version {found}; this program knows version {VERSION} alone")
+                write!(f, "a message of version {found}; this program reads only version {VERSION}")
             }
             WireError::Kind(found) => {
-                write!(f, "a message of kind '{}'", found.chars().take(40).collect::<String>().escape_debug())
+                write!(
+                    f,
+                    "a message of the unexpected kind '{}'",
+                    found.chars().take(40).collect::<String>().escape_debug()
+                )
             }
-            WireError::Malformed(what) => write!(f, "a message that can't be read: {what}"),
+            WireError::Malformed(problem) => write!(f, "a malformed message: {problem}"),
         }
     }
 }
@@ -69,41 +75,42 @@
     body: &'a T,
 }
 
-/// The head is read first: what a later version's body looks like is not for this one to judge.
+/// An envelope with an undecoded body. The version is checked first, because the body of a later version may look
+/// different.
 #[derive(Deserialize)]
-struct Head {
+struct ReceivedEnvelope {
     v: u32,
     kind: String,
     body: serde_json::Value,
 }
 
-/// The bytes of a message.
+/// Encodes a message in its envelope.
 pub fn encode<T: Message>(message: &T) -> Vec<u8> {
-    text(&Envelope { v: VERSION, kind: T::KIND, body: message })
+    json_bytes(&Envelope { v: VERSION, kind: T::KIND, body: message })
 }
 
-/// The message of these bytes.
+/// Decodes a message and checks its length, version and kind.
 pub fn decode<T: Message>(bytes: &[u8]) -> Result<T, WireError> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(WireError::TooLong(bytes.len()));
     }
-    serde_json::from_slice::<Head>(bytes).map_err(malformed)?.open()
+    serde_json::from_slice::<ReceivedEnvelope>(bytes).map_err(malformed)?.decode()
 }
 
-/// An envelope as a value, for what is kept inside something else: an entry of a log.
+/// An envelope as a JSON value, to be stored inside another JSON document such as a log entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JsonEnvelope(serde_json::Value);
 
 impl JsonEnvelope {
-    /// A message in its envelope.
+    /// Wraps a message in its envelope.
     pub fn encode<T: Message>(message: &T) -> JsonEnvelope {
         let envelope = Envelope { v: VERSION, kind: T::KIND, body: message };
         JsonEnvelope(serde_json::to_value(envelope).unwrap_or_default())
     }
 
-    /// The message in it.
+    /// Decodes the message and checks its version and kind.
     pub fn decode<T: Message>(self) -> Result<T, WireError> {
-        serde_json::from_value::<Head>(self.0).map_err(malformed)?.open()
+        serde_json::from_value::<ReceivedEnvelope>(self.0).map_err(malformed)?.decode()
     }
 }
 
@@ -111,8 +118,8 @@
     WireError::Malformed(e.to_string())
 }
 
-impl Head {
-    fn open<T: Message>(self) -> Result<T, WireError> {
+impl ReceivedEnvelope {
+    fn decode<T: Message>(self) -> Result<T, WireError> {
         if self.v != VERSION {
             return Err(WireError::Version(self.v));
         }
@@ -123,12 +130,12 @@
     }
 }
 
-/// A number that differs where messages differ, the same in every process and version of the library.
+/// A hash of a value's JSON. It is stored in the replicated state, so every process and version must compute the same.
 pub fn digest<T: Serialize>(value: &T) -> u64 {
-    xxh3_64(&text(value))
+    xxh3_64(&json_bytes(value))
 }
 
-/// Plain structs with names as keys always have a text; an empty one would be refused by any reader.
-fn text<T: Serialize>(value: &T) -> Vec<u8> {
+/// The types here always serialize. If one did not, the empty result would be refused by every decoder.
+fn json_bytes<T: Serialize>(value: &T) -> Vec<u8> {
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/crates/starlinghill-failover/tests/state.rs
+++ b/crates/starlinghill-failover/tests/state.rs
@@ -1,4 +1,4 @@
-//! The group's state machine under orders of every kind.
+//! The replicated state machine under orders of every kind.
 
 use proptest::prelude::*;
 use starlinghill_failover::order::{Change, Order, OrderKind, Ramp, ZoneOrder};
@@ -10,23 +10,24 @@
 
 const RAMP: Ramp = Ramp { step: 250, every_ms: 1_000 };
 
-fn map(floor: u16) -> Topology {
+fn topology(floor: u16) -> Topology {
     let zone = |name: &str, region: &str| (name.into(), Zone { region: region.into(), capacity: 100 });
     let zones = [zone("a1", "east"), zone("a2", "east"), zone("b1", "west")].into_iter().collect();
     Topology { regions: vec!["east".into(), "west".into()], zones, floor }
 }
 
-fn order(id: &str, what: OrderKind) -> Order {
-    Order { id: id.into(), author: "eve".into(), reason: "a drill".into(), at_ms: 7, kind: what }
+fn order(id: &str, kind: OrderKind) -> Order {
+    Order { id: id.into(), author: "eve".into(), reason: "a drill".into(), at_ms: 7, kind }
 }
 
-fn about(zone: &str, change: Change) -> ZoneOrder {
+fn zone_order(zone: &str, change: Change) -> ZoneOrder {
     ZoneOrder { zone: zone.into(), change, expected_epoch: None, takeover_region: None, force: false }
 }
 
-fn settled(floor: u16) -> State {
+fn adopted_state(floor: u16) -> State {
     let mut state = State::new(1);
-    let adopted = state.apply(&order("map", OrderKind::Adopt { topology: map(floor), expected_epoch: None }));
+    let adopted =
+        state.apply(&order("map", OrderKind::Adopt { topology: topology(floor), expected_epoch: None }));
     assert_eq!(adopted, Outcome::Accepted { position: Position { generation: 1, epoch: 1 } });
     state
 }
@@ -47,55 +48,56 @@
 }
 
 #[test]
-fn the_same_order_sent_again_counts_once_and_another_of_its_id_is_refused() {
-    let mut state = settled(300);
-    let out = order("o1", OrderKind::Zone(about("a1", Change::Out)));
+fn a_repeated_order_counts_once_and_another_order_with_its_id_is_refused() {
+    let mut state = adopted_state(300);
+    let out = order("o1", OrderKind::Zone(zone_order("a1", Change::Out)));
     let first = state.apply(&out);
     let after = state.clone();
     assert_eq!(state.apply(&out), first);
     assert_eq!(state, after);
-    // Also by hand, later, by one who has looked meanwhile.
+    // An operator who sends it again by hand has another time and may name the epoch seen meanwhile.
     let again = Order {
         at_ms: 99,
-        ..order("o1", OrderKind::Zone(ZoneOrder { expected_epoch: Some(9), ..about("a1", Change::Out) }))
+        ..order("o1", OrderKind::Zone(ZoneOrder { expected_epoch: Some(9), ..zone_order("a1", Change::Out) }))
     };
     assert_eq!(state.apply(&again), first);
-    let other = order("o1", OrderKind::Zone(about("a2", Change::Hold)));
+    let other = order("o1", OrderKind::Zone(zone_order("a2", Change::Hold)));
     assert!(matches!(state.apply(&other), Outcome::Refused { causes, .. } if causes == [Cause::IdReused]));
-    // A refusal is an outcome too: that the state has changed since does not make it good.
-    let late = order("o2", OrderKind::Zone(about("a1", Change::Out)));
+    // A refusal is recorded too: the same order is refused again, although the state would allow it now.
+    let late = order("o2", OrderKind::Zone(zone_order("a1", Change::Out)));
     let refused = state.apply(&late);
     accepted(
         &mut state,
         "o3",
-        about("a1", Change::Return { ramp: Ramp { step: FULL_WEIGHT, every_ms: 1_000 } }),
+        zone_order("a1", Change::Return { ramp: Ramp { step: FULL_WEIGHT, every_ms: 1_000 } }),
     );
     assert_eq!(state.apply(&late), refused);
 }
 
 #[test]
-fn outcomes_kept_are_bounded_and_steps_push_none_out() {
-    let mut state = settled(300);
-    let hold = order("first", OrderKind::Zone(about("a1", Change::Out)));
-    let first = state.apply(&hold);
+fn recorded_outcomes_are_bounded_and_ramp_steps_evict_none() {
+    let mut state = adopted_state(300);
+    let out = order("first", OrderKind::Zone(zone_order("a1", Change::Out)));
+    let first = state.apply(&out);
     for i in 0..MAX_RECORDED_OUTCOMES + 10 {
         let step = OrderKind::Step { zone: "a1".into(), zone_epoch: i as u64 };
         let step = Order { id: String::new(), ..order("", step) };
         assert!(matches!(state.apply(&step), Outcome::Refused { .. }));
     }
-    assert_eq!(state.apply(&hold), first);
+    assert_eq!(state.apply(&out), first);
     for i in 0..MAX_RECORDED_OUTCOMES {
-        let no = order(&format!("n{i}"), OrderKind::Zone(about("nowhere", Change::Out)));
+        let no = order(&format!("n{i}"), OrderKind::Zone(zone_order("nowhere", Change::Out)));
         assert!(matches!(state.apply(&no), Outcome::Refused { .. }));
     }
-    assert_ne!(state.apply(&hold), first);
+    assert_ne!(state.apply(&out), first);
 }
 
 #[test]
-fn a_refusal_names_every_cause_at_once() {
-    let mut state = settled(700);
-    accepted(&mut state, "o1", about("a1", Change::Drain { target_weight: 500, ramp: RAMP }));
-    let mut wanted = about("b1", Change::Drain { target_weight: 0, ramp: Ramp { step: 0, every_ms: 1 } });
+fn a_refusal_lists_every_cause() {
+    let mut state = adopted_state(700);
+    accepted(&mut state, "o1", zone_order("a1", Change::Drain { target_weight: 500, ramp: RAMP }));
+    let mut wanted =
+        zone_order("b1", Change::Drain { target_weight: 0, ramp: Ramp { step: 0, every_ms: 1 } });
     wanted.expected_epoch = Some(0);
     let causes = refused(&mut state, "o2", wanted);
     let has = |wanted: fn(&Cause) -> bool| assert!(causes.iter().any(wanted), "{causes:?}");
@@ -108,9 +110,9 @@
 }
 
 #[test]
-fn the_last_zone_of_a_region_goes_only_where_another_region_takes_over() {
-    let mut state = settled(300);
-    let mut wanted = about("b1", Change::Out);
+fn the_last_zone_of_a_region_can_go_out_only_if_another_region_takes_over() {
+    let mut state = adopted_state(300);
+    let mut wanted = zone_order("b1", Change::Out);
     assert!(matches!(&refused(&mut state, "o1", wanted.clone())[..], [Cause::LastZoneOfRegion { .. }]));
     wanted.takeover_region = Some("west".into());
     assert!(matches!(&refused(&mut state, "o2", wanted.clone())[..], [Cause::BadTakeoverRegion { .. }]));
@@ -119,16 +121,16 @@
     wanted.takeover_region = Some("east".into());
     accepted(&mut state, "o4", wanted);
     assert_eq!(state.takeover_regions.get("west").map(String::as_str), Some("east"));
-    // And it is forgotten when something serves there again.
-    accepted(&mut state, "o5", about("b1", Change::Return { ramp: RAMP }));
+    // Once a zone serves in the region again, the takeover region is dropped.
+    accepted(&mut state, "o5", zone_order("b1", Change::Return { ramp: RAMP }));
     assert!(state.takeover_regions.is_empty());
 }
 
 #[test]
-fn a_second_zone_goes_only_by_force_and_the_floor_holds_all_the_same() {
-    let mut state = settled(300);
-    accepted(&mut state, "o1", about("a1", Change::Out));
-    let mut wanted = about("a2", Change::Out);
+fn a_second_zone_can_go_out_only_with_force_and_the_floor_still_applies() {
+    let mut state = adopted_state(300);
+    accepted(&mut state, "o1", zone_order("a1", Change::Out));
+    let mut wanted = zone_order("a2", Change::Out);
     wanted.takeover_region = Some("west".into());
     assert!(matches!(
         &refused(&mut state, "o2", wanted.clone())[..],
@@ -136,23 +138,23 @@
     ));
     wanted.force = true;
     accepted(&mut state, "o3", wanted);
-    let mut last = about("b1", Change::Out);
-    last.force = true;
-    last.takeover_region = Some("east".into());
-    let causes = refused(&mut state, "o4", last);
+    let mut last_zone = zone_order("b1", Change::Out);
+    last_zone.force = true;
+    last_zone.takeover_region = Some("east".into());
+    let causes = refused(&mut state, "o4", last_zone);
     assert!(causes.contains(&Cause::NoZoneLeft), "{causes:?}");
-    let mut tight = settled(700);
-    let mut forced = about("a1", Change::Out);
+    let mut high_floor = adopted_state(700);
+    let mut forced = zone_order("a1", Change::Out);
     forced.force = true;
-    let causes = refused(&mut tight, "o1", forced);
+    let causes = refused(&mut high_floor, "o1", forced);
     assert_eq!(causes, [Cause::BelowFloor { left: 666, floor: 700 }]);
 }
 
 #[test]
-fn of_two_who_order_opposite_things_at_once_one_is_told_of_the_other() {
-    let mut state = settled(300);
-    let seen = Some(state.zones["a1"].epoch);
-    let with = |change| ZoneOrder { expected_epoch: seen, ..about("a1", change) };
+fn of_two_opposite_orders_given_at_once_the_second_is_refused_and_names_the_first() {
+    let mut state = adopted_state(300);
+    let seen_epoch = Some(state.zones["a1"].epoch);
+    let with = |change| ZoneOrder { expected_epoch: seen_epoch, ..zone_order("a1", change) };
     accepted(&mut state, "ann", with(Change::Drain { target_weight: 0, ramp: RAMP }));
     let causes = refused(&mut state, "bob", with(Change::Hold));
     assert_eq!(causes, [Cause::ZoneChanged { seen: 1, now: 2, by: "eve".into(), phase: Phase::Draining }]);
@@ -160,32 +162,35 @@
 }
 
 #[test]
-fn a_ramp_makes_each_step_once_and_never_early_whoever_leads() {
-    let mut state = settled(300);
-    accepted(&mut state, "o1", about("a1", Change::Drain { target_weight: 100, ramp: RAMP }));
+fn a_ramp_makes_each_step_once_and_never_early_under_any_leader() {
+    let mut state = adopted_state(300);
+    accepted(&mut state, "o1", zone_order("a1", Change::Drain { target_weight: 100, ramp: RAMP }));
     assert_eq!(state.zones["a1"].weight, 750);
     let at = |s: f64| Micros((s * 1e6) as u64);
-    let (mut one, mut other) = (Pacer::default(), Pacer::default());
-    assert!(one.due_steps(at(0.0), &state, true).is_empty());
-    assert!(one.due_steps(at(0.9), &state, true).is_empty());
-    let due = one.due_steps(at(1.0), &state, true);
+    let (mut old_leader, mut new_leader) = (Pacer::default(), Pacer::default());
+    assert!(old_leader.due_steps(at(0.0), &state, true).is_empty());
+    assert!(old_leader.due_steps(at(0.9), &state, true).is_empty());
+    let due = old_leader.due_steps(at(1.0), &state, true);
     assert_eq!(due.len(), 1);
-    // Another leads from here on, its clock an hour ahead: it waits for the whole time again.
-    assert!(other.due_steps(at(3_600.0), &state, true).is_empty());
-    let step = |d: &starlinghill_failover::pacer::Due| Order {
+    // A new leader, whose clock is an hour ahead, waits for the full interval again.
+    assert!(new_leader.due_steps(at(3_600.0), &state, true).is_empty());
+    let step_order = |d: &starlinghill_failover::pacer::DueStep| Order {
         id: String::new(),
         ..order("", OrderKind::Step { zone: d.zone.clone(), zone_epoch: d.zone_epoch })
     };
-    assert!(matches!(state.apply(&step(&due[0])), Outcome::Accepted { .. }));
+    assert!(matches!(state.apply(&step_order(&due[0])), Outcome::Accepted { .. }));
     assert_eq!(state.zones["a1"].weight, 500);
-    // The same step proposed again, by whom its term has ended for, does nothing.
+    // A leader whose term has ended submits the same step again: it does nothing.
     let before = state.clone();
-    assert!(matches!(state.apply(&step(&due[0])), Outcome::Refused { .. }));
+    assert!(matches!(state.apply(&step_order(&due[0])), Outcome::Refused { .. }));
     assert_eq!(state, before);
-    assert!(other.due_steps(at(3_600.9), &state, true).is_empty(), "the time counts from the new epoch on");
+    assert!(
+        new_leader.due_steps(at(3_600.9), &state, true).is_empty(),
+        "the interval starts at the new epoch"
+    );
     for second in 1..10 {
-        for due in other.due_steps(at(3_601.0 + f64::from(second)), &state, true) {
-            state.apply(&step(&due));
+        for due in new_leader.due_steps(at(3_601.0 + f64::from(second)), &state, true) {
+            state.apply(&step_order(&due));
         }
     }
     assert_eq!((state.zones["a1"].weight, state.zones["a1"].phase), (100, Phase::Draining));
@@ -193,60 +198,61 @@
 }
 
 #[test]
-fn a_zone_leaves_the_map_only_when_it_is_out_and_new_ones_begin_in_service() {
-    let mut state = settled(300);
-    let mut smaller = map(300);
+fn a_zone_can_leave_the_topology_only_when_it_is_out_and_new_zones_begin_in_service() {
+    let mut state = adopted_state(300);
+    let mut smaller = topology(300);
     smaller.zones.remove("a1");
     smaller.zones.insert("b2".into(), Zone { region: "west".into(), capacity: 50 });
     let adopt = |state: &State| OrderKind::Adopt {
         topology: smaller.clone(),
         expected_epoch: Some(state.position.epoch),
     };
-    let what = adopt(&state);
-    let outcome = state.apply(&order("m1", what));
+    let kind = adopt(&state);
+    let outcome = state.apply(&order("m1", kind));
     assert!(
         matches!(&outcome, Outcome::Refused { causes, .. }
         if causes == &[Cause::ZoneInService { zone: "a1".into() }]),
         "{outcome:?}"
     );
-    accepted(&mut state, "o1", about("a1", Change::Out));
+    accepted(&mut state, "o1", zone_order("a1", Change::Out));
     let old = OrderKind::Adopt { topology: smaller.clone(), expected_epoch: Some(1) };
     assert!(
         matches!(state.apply(&order("m2", old)), Outcome::Refused { .. }),
-        "by one who saw an older state"
+        "the author saw an older epoch"
     );
-    let what = adopt(&state);
-    assert!(matches!(state.apply(&order("m3", what)), Outcome::Accepted { .. }));
+    let kind = adopt(&state);
+    assert!(matches!(state.apply(&order("m3", kind)), Outcome::Accepted { .. }));
     assert_eq!(state.zones["b2"].phase, Phase::Serving);
     assert!(!state.zones.contains_key("a1"));
 }
 
 #[test]
-fn a_new_map_leaves_no_region_without_a_zone_in_service_or_one_that_takes_over() {
-    let moved = |state: &State| {
-        let mut map = map(0);
+fn a_new_topology_must_leave_each_region_a_zone_in_service_or_a_takeover_region() {
+    let move_a2_west = |state: &State| {
+        let mut map = topology(0);
         map.zones.insert("a2".into(), Zone { region: "west".into(), capacity: 100 });
         OrderKind::Adopt { topology: map, expected_epoch: Some(state.position.epoch) }
     };
-    let mut state = settled(0);
-    accepted(&mut state, "o1", about("a1", Change::Out));
-    let what = moved(&state);
-    // "a1", which is out, would be all that "east" has.
-    let refused = state.apply(&order("m1", what));
-    let without = Cause::RegionUnserved { region: "east".into() };
-    assert!(matches!(refused, Outcome::Refused { causes, .. } if causes == [without]));
-    // With "west" named to take over for it, it may.
-    let last = ZoneOrder { takeover_region: Some("west".into()), force: true, ..about("a2", Change::Out) };
+    let mut state = adopted_state(0);
+    accepted(&mut state, "o1", zone_order("a1", Change::Out));
+    let kind = move_a2_west(&state);
+    // "east" would only have "a1", which is out.
+    let refused = state.apply(&order("m1", kind));
+    let unserved = Cause::RegionUnserved { region: "east".into() };
+    assert!(matches!(refused, Outcome::Refused { causes, .. } if causes == [unserved]));
+    // Once "west" takes over for "east", the move is allowed.
+    let last =
+        ZoneOrder { takeover_region: Some("west".into()), force: true, ..zone_order("a2", Change::Out) };
     accepted(&mut state, "o2", last);
-    let what = moved(&state);
-    let good = state.apply(&order("m2", what));
-    assert!(matches!(good, Outcome::Accepted { .. }), "{good:?}");
+    let kind = move_a2_west(&state);
+    let outcome = state.apply(&order("m2", kind));
+    assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
     assert_eq!(state.takeover_regions.get("east").map(String::as_str), Some("west"));
 }
 
 #[test]
-fn what_a_later_version_says_is_refused_whole() {
-    let good = order("o1", OrderKind::Zone(about("a1", Change::Out)));
+fn a_message_of_a_later_version_or_with_unknown_parts_is_refused() {
+    let good = order("o1", OrderKind::Zone(zone_order("a1", Change::Out)));
     let text = String::from_utf8(wire::encode(&good)).unwrap();
     assert_eq!(wire::decode::<Order>(text.as_bytes()).unwrap(), good);
     let refused = |from: &str, to: &str| {
@@ -279,7 +285,7 @@
     ]
 }
 
-fn any_what() -> impl Strategy<Value = OrderKind> {
+fn any_order_kind() -> impl Strategy<Value = OrderKind> {
     let name = prop::sample::select(vec!["a1", "a2", "b1", "c1"]);
     let next = prop::option::of(prop::sample::select(vec!["east", "west"]));
     let zone = (name.clone(), any_change(), prop::option::of(0..30u64), next, any::<bool>()).prop_map(
@@ -290,7 +296,7 @@
     );
     let step = (name, 0..30u64).prop_map(|(zone, of)| OrderKind::Step { zone: zone.into(), zone_epoch: of });
     let adopt = (0..1_001u16, 0..30u64, any::<bool>()).prop_map(|(floor, expect, less)| {
-        let mut map = map(floor);
+        let mut map = topology(floor);
         if less {
             map.zones.remove("a2");
         }
@@ -303,15 +309,15 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_is_ordered_enough_stays_in_service_and_members_agree(
+    fn after_any_orders_enough_capacity_stays_in_service_and_members_have_equal_states(
         floor in 0..900u16,
-        orders in prop::collection::vec((any_what(), 0..6u8, any::<bool>()), 1..60),
+        orders in prop::collection::vec((any_order_kind(), 0..6u8, any::<bool>()), 1..60),
     ) {
-        let mut state = settled(floor);
-        let mut other = settled(floor);
-        for (i, (what, id, fresh)) in orders.into_iter().enumerate() {
-            // Steps mostly name the epoch that there is; else few would count.
-            let what = match what {
+        let mut state = adopted_state(floor);
+        let mut other = adopted_state(floor);
+        for (i, (kind, id, fresh)) in orders.into_iter().enumerate() {
+            // Some steps name the zone's real epoch, because few random epochs would be accepted.
+            let kind = match kind {
                 OrderKind::Step { zone, zone_epoch: of } => {
                     let of = state.zones.get(&zone).filter(|_| fresh).map_or(of, |z| z.epoch);
                     OrderKind::Step { zone, zone_epoch: of }
@@ -325,18 +331,18 @@
                     OrderKind::Adopt { topology, expected_epoch: if fresh { Some(now) } else { expected_epoch } }
                 }
             };
-            let id = match (&what, fresh) {
+            let id = match (&kind, fresh) {
                 (OrderKind::Step { .. }, _) => String::new(),
                 (_, true) => format!("n{i}"),
-                // Some ids come again, with the same order or another.
+                // Some ids repeat, with the same order or another one.
                 (_, false) => format!("o{id}"),
             };
-            let order = order(&id, what);
+            let order = order(&id, kind);
             let before = state.clone();
             let outcome = state.apply(&order);
-            let heard: Order = wire::decode(&wire::encode(&order)).unwrap();
-            prop_assert_eq!(&heard, &order);
-            prop_assert_eq!(&other.apply(&heard), &outcome);
+            let decoded: Order = wire::decode(&wire::encode(&order)).unwrap();
+            prop_assert_eq!(&decoded, &order);
+            prop_assert_eq!(&other.apply(&decoded), &outcome);
             prop_assert_eq!(wire::digest(&state), wire::digest(&other));
             match &outcome {
                 Outcome::Accepted { position } if *position > before.position => {
@@ -349,11 +355,11 @@
                 }
             }
             let map = state.topology.clone().unwrap();
-            let borne: u64 = map.zones.iter().map(|(n, z)| {
+            let weighted: u64 = map.zones.iter().map(|(n, z)| {
                 u64::from(z.capacity) * u64::from(state.zones[n].weight.min(state.zones[n].target_weight))
             }).sum();
-            prop_assert!(borne > 0);
-            prop_assert!(borne / map.capacity() >= u64::from(map.floor), "{borne} of {}", map.capacity());
+            prop_assert!(weighted > 0);
+            prop_assert!(weighted / map.capacity() >= u64::from(map.floor), "{weighted} of {}", map.capacity());
             for (name, z) in &state.zones {
                 prop_assert!(z.weight <= FULL_WEIGHT && z.target_weight <= FULL_WEIGHT);
                 prop_assert_eq!(z.phase == Phase::Serving, z.weight == FULL_WEIGHT && z.target_weight == FULL_WEIGHT
