--- a/crates/starlinghill-zone-health/src/attempt_counts.rs
+++ b/crates/starlinghill-zone-health/src/attempt_counts.rs
@@ -1,104 +1,110 @@
-//! Counts of what became of attempts at one zone, and what they look like from where they were made.
+//! Counts of the results of attempts at one zone, and the health that they show as seen by the counting gateway.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::AddAssign;
 
-/// Attempts below which nothing is said: chance would speak.
-pub const FLOOR: u32 = 8;
-/// So many attempts in a row without a word, and none for a whole span, say that a zone is dark, however few they are: who
-/// loses every third answer comes to that by chance once in a hundred times.
-const MUTE: u32 = 4;
-/// The part of all attempts from which on a zone is dark, or its servers absent, and the part of answers up to which.
+/// The least number of attempts that a health can be told from. Fewer could look bad by chance.
+pub const MIN_ATTEMPTS: u32 = 8;
+/// A zone is unreachable after this many attempts in a row without any reply, if nothing came back for a whole report span
+/// either, however few attempts were made. At a loss of every third reply this happens by chance about once in a hundred
+/// runs.
+const UNREACHABLE_RUN: u32 = 4;
+/// The least part of attempts without a reply at which a zone is unreachable, or of refused connections at which nothing
+/// listens.
 const NEARLY_ALL: f64 = 0.9;
+/// The largest part of replies at which a zone still counts as unreachable.
 const NEARLY_NONE: f64 = 0.02;
-/// The part of answers that are late, and of attempts that come to nothing, from which on a zone is in trouble. Lower, chance
-/// and one bad server of a few would do; higher, a zone that loses every third answer would pass for well.
-const LATE: f64 = 0.5;
-const LOST: f64 = 0.25;
-/// The part that is turned away from which on a zone is overloaded.
-const MANY: f64 = 0.2;
-/// A zone that answers as many as this part of what it usually does is at its work, however late; it is pressed where so
-/// many times as much is asked of it. What is slow by itself is asked for no more than usual.
-const AT_WORK: f64 = 0.8;
-const PRESSED: f64 = 1.3;
+/// The part of answers that are late from which on a zone is in trouble. With a lower limit, chance or one bad server of
+/// several would be enough.
+const LATE_SHARE: f64 = 0.5;
+/// The part of attempts that fail or get no reply from which on a zone is in trouble. With a lower limit, chance or one bad
+/// server of several would be enough. With a higher one, a zone that loses every third reply would pass as healthy.
+const LOST_SHARE: f64 = 0.25;
+/// The part of attempts rejected by full servers from which on a zone is overloaded.
+const REJECTED_SHARE: f64 = 0.2;
+/// A zone that gives at least this part of its usual answers still does its work, even if they are late.
+const NORMAL_OUTPUT: f64 = 0.8;
+/// A zone is under pressure if attempts reach this multiple of its usual answers. A zone that is slow for a reason of its
+/// own gets no more attempts than usual.
+const HIGH_DEMAND: f64 = 1.3;
 
-/// What became of an attempt.
+/// The result of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptResult {
     /// Answered in time.
     Answered,
-    /// Answered, and too late.
+    /// Answered, but too late.
     Late,
-    /// Answered with an error, or the answer broke off.
+    /// Answered with an error, or the answer was cut short.
     Failed,
-    /// Turned away unseen: the server was full.
+    /// Rejected without processing, because the server was full.
     Rejected,
-    /// The connection was refused: the host is there, nothing listens.
+    /// The connection was refused: the host is up, but nothing listens on the port.
     ConnectionRefused,
-    /// No connection came about.
+    /// No connection could be made.
     ConnectFailed,
-    /// Sent, and no answer came.
+    /// Sent, but no answer came.
     Unanswered,
 }
 
-/// How many became what.
+/// The number of attempts by result.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AttemptCounts {
-    /// Answered, in time or late.
-    #[serde(skip_serializing_if = "none")]
+    /// Answers, in time or late.
+    #[serde(skip_serializing_if = "is_zero")]
     pub answered: u32,
-    /// Of these, late.
-    #[serde(skip_serializing_if = "none")]
+    /// The answers among these that were late.
+    #[serde(skip_serializing_if = "is_zero")]
     pub late: u32,
-    /// Errors and answers that broke off.
-    #[serde(skip_serializing_if = "none")]
+    /// Errors, and answers that were cut short.
+    #[serde(skip_serializing_if = "is_zero")]
     pub failed: u32,
-    /// Turned away unseen.
-    #[serde(skip_serializing_if = "none")]
+    /// Attempts rejected by a full server.
+    #[serde(skip_serializing_if = "is_zero")]
     #[serde(rename = "turned_away")]
     pub rejected: u32,
     /// Refused connections.
-    #[serde(skip_serializing_if = "none")]
+    #[serde(skip_serializing_if = "is_zero")]
     pub refused: u32,
-    /// Connections that did not come about.
-    #[serde(skip_serializing_if = "none")]
+    /// Connections that could not be made.
+    #[serde(skip_serializing_if = "is_zero")]
     #[serde(rename = "unreached")]
     pub connect_failed: u32,
-    /// Sent without an answer.
-    #[serde(skip_serializing_if = "none")]
+    /// Attempts sent without an answer.
+    #[serde(skip_serializing_if = "is_zero")]
     #[serde(rename = "silent")]
     pub unanswered: u32,
-    /// Attempts in a row that nothing came back of, up to now, where nothing has come back for a whole span.
-    #[serde(skip_serializing_if = "none")]
+    /// Attempts in a row without any reply up to now. 0 unless nothing has come back for a whole report span.
+    #[serde(skip_serializing_if = "is_zero")]
     #[serde(rename = "mute")]
     pub unanswered_run: u32,
-    /// Answers that usually come from there in as much time; 0: not known yet.
-    #[serde(skip_serializing_if = "none")]
+    /// The usual number of answers from the zone in the same time; 0 if not known yet.
+    #[serde(skip_serializing_if = "is_zero")]
     #[serde(rename = "usual")]
     pub usual_answers: u32,
 }
 
 #[expect(clippy::trivially_copy_pass_by_ref, reason = "serde passes fields by reference")]
-fn none(n: &u32) -> bool {
+fn is_zero(n: &u32) -> bool {
     *n == 0
 }
 
-/// What a zone looks like from one place.
+/// The health of a zone as one gateway sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ObservedHealth {
-    /// Too few attempts to tell.
+    /// There were too few attempts to tell.
     Unknown,
-    /// It answers.
+    /// It answers in time.
     Healthy,
-    /// Nothing comes back.
+    /// Nothing comes back from it.
     Unreachable,
-    /// Its hosts are there, and nothing listens where the list says.
+    /// Its hosts refuse connections at the listed addresses, so the server list is probably wrong.
     NotListening,
-    /// It answers, and mostly badly or late, while it does less than usual.
+    /// Many answers are late, fail or are missing, without a higher demand that would explain it.
     Degraded,
-    /// It does its work, and is asked for more.
+    /// It rejects requests, or it is in trouble while it does its usual work and gets more requests than usual.
     Overloaded,
 }
 
@@ -116,9 +122,9 @@
 }
 
 impl AttemptCounts {
-    /// Notes one attempt.
-    pub fn record(&mut self, became: AttemptResult) {
-        let count = match became {
+    /// Counts one attempt.
+    pub fn record(&mut self, result: AttemptResult) {
+        let count = match result {
             AttemptResult::Answered => &mut self.answered,
             AttemptResult::Late => {
                 self.late = self.late.saturating_add(1);
@@ -133,38 +139,42 @@
         *count = count.saturating_add(1);
     }
 
-    /// All attempts.
+    /// The number of all attempts.
     pub fn attempts(&self) -> u64 {
         let all =
             [self.answered, self.failed, self.rejected, self.refused, self.connect_failed, self.unanswered];
         all.into_iter().map(u64::from).sum()
     }
 
-    /// What it looks like.
+    /// The health that these counts show.
     pub fn observed_health(&self) -> ObservedHealth {
         let n = self.attempts() as f64;
-        if self.unanswered_run >= MUTE {
+        if self.unanswered_run >= UNREACHABLE_RUN {
             return ObservedHealth::Unreachable;
         }
-        if self.attempts() < u64::from(FLOOR) {
+        if self.attempts() < u64::from(MIN_ATTEMPTS) {
             return ObservedHealth::Unknown;
         }
-        let part = |count: u32| f64::from(count) / n;
-        let heard_of = part(self.answered) + part(self.failed) + part(self.rejected);
-        let dark = part(self.connect_failed) + part(self.unanswered);
-        if part(self.refused) >= NEARLY_ALL {
+        let share = |count: u32| f64::from(count) / n;
+        let replied = share(self.answered) + share(self.failed) + share(self.rejected);
+        let no_reply = share(self.connect_failed) + share(self.unanswered);
+        if share(self.refused) >= NEARLY_ALL {
             return ObservedHealth::NotListening;
         }
-        if dark + part(self.refused) >= NEARLY_ALL && heard_of <= NEARLY_NONE {
+        if no_reply + share(self.refused) >= NEARLY_ALL && replied <= NEARLY_NONE {
             return ObservedHealth::Unreachable;
         }
-        let late = self.answered > 0 && f64::from(self.late) >= LATE * f64::from(self.answered);
-        let trouble = late || part(self.failed) + dark + part(self.refused) >= LOST;
-        let usual = f64::from(self.usual_answers);
-        let pressed = usual > 0.0 && f64::from(self.answered) >= AT_WORK * usual && n >= PRESSED * usual;
+        let mostly_late = self.answered > 0 && f64::from(self.late) >= LATE_SHARE * f64::from(self.answered);
+        let in_trouble = mostly_late || share(self.failed) + no_reply + share(self.refused) >= LOST_SHARE;
+        let usual_answers = f64::from(self.usual_answers);
+        let under_pressure = usual_answers > 0.0
+            && f64::from(self.answered) >= NORMAL_OUTPUT * usual_answers
+            && n >= HIGH_DEMAND * usual_answers;
         match () {
-            () if part(self.rejected) >= MANY || trouble && pressed => ObservedHealth::Overloaded,
-            () if trouble => ObservedHealth::Degraded,
+            () if share(self.rejected) >= REJECTED_SHARE || in_trouble && under_pressure => {
+                ObservedHealth::Overloaded
+            }
+            () if in_trouble => ObservedHealth::Degraded,
             () => ObservedHealth::Healthy,
         }
     }
--- a/crates/starlinghill-zone-health/src/findings.rs
+++ b/crates/starlinghill-zone-health/src/findings.rs
@@ -1,9 +1,10 @@
-//! What the reports of all gateways together say of each zone. Each zone of the map has one voice on every other one,
-//! whatever the number of its gateways: the majority of those that see enough. So a finding needs most gateways of
-//! most zones, and no single gateway, broken or lying, makes one.
+//! Evaluates the reports of all gateways. Each zone has one vote on every other zone, whatever the number of its gateways:
+//! the view of the majority of those that made enough attempts. So a finding needs most gateways of most zones, and a
+//! single broken or lying gateway can't cause one.
 //!
-//! What looks alike from one place differs from several: a zone that is dark to some and well to others is not cut
-//! off, a link is; a gateway to which everything is dark is cut off itself; trouble everywhere is no zone's trouble.
+//! Several views tell cases apart that look the same from one place. If a zone is unreachable from some zones and
+//! healthy from others, a link is broken, not the zone. A gateway that reaches no zone at all is isolated itself.
+//! Trouble in all zones has a common cause.
 
 use crate::attempt_counts::ObservedHealth;
 use crate::report::Report;
@@ -11,43 +12,43 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Reports that are older say nothing of now. Three of those that come each second may get lost.
-pub const OLDEST: Micros = Micros(3_500_000);
-/// The most gateways that a reason names.
-const MOST_NAMED: usize = 8;
+/// The highest age of a report that counts. Reports come every second, so up to three in a row may be lost.
+pub const MAX_REPORT_AGE: Micros = Micros(3_500_000);
+/// The most gateways that each list in [`Findings`] names.
+const MAX_LISTED: usize = 8;
 
-/// A gateway's report as the group has it.
+/// The latest report of a gateway.
 #[derive(Debug, Clone)]
 pub struct GatewayReport {
-    /// The gateway's zone.
+    /// The zone that the gateway is in.
     pub zone: String,
-    /// How long ago it was made, at the most.
+    /// An upper bound on the time since the report was made.
     pub age: Micros,
-    /// The report.
+    /// The counts that the gateway sent.
     pub report: Report,
 }
 
-/// What is found of a zone.
+/// The health of a zone as all reports show it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Finding {
-    /// Too few see it, or they don't agree.
+    /// Too few zones have a view of it, or they disagree.
     Inconclusive,
-    /// It is well.
+    /// It is healthy from most zones and in trouble from none.
     Healthy,
-    /// It is silent to all others.
+    /// Most zones get no reply from it and none finds it healthy.
     Isolated,
-    /// Some can't reach it and others can: links are cut, not the zone.
+    /// Some zones can't reach it or see it degraded, and it works elsewhere: links are in trouble, not the zone.
     UnreachableFrom {
-        /// The zones that can't reach it.
+        /// The zones that see it unreachable or degraded.
         from: BTreeSet<String>,
     },
-    /// The list names servers that are not there.
+    /// The server list names addresses at which nothing listens.
     ServerListWrong,
-    /// It fails or is slow for all others.
+    /// It fails or is slow for most zones.
     Degraded,
-    /// It does its work and is asked for more. To send its work elsewhere would overload the rest.
+    /// It does its usual work and gets more requests than that. Moving its traffic elsewhere would overload the other zones.
     Overloaded,
-    /// It is in trouble, and so is every zone that is seen at all: what is wrong is not this zone.
+    /// It is in trouble, and so is every other zone with a finding. The cause is not this zone.
     TroubleEverywhere,
 }
 
@@ -70,27 +71,27 @@
     names.into_iter().map(String::as_str).collect::<Vec<_>>().join(", ")
 }
 
-/// What one zone's gateways say of another.
+/// The vote of one zone's gateways on a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneVote {
-    /// What most of them see.
+    /// The health that the majority of them sees.
     pub health: ObservedHealth,
-    /// How many see that.
+    /// The number of gateways that see this health.
     pub agree: usize,
-    /// How many see enough to tell.
+    /// The number of gateways with enough attempts to tell.
     pub voters: usize,
 }
 
-/// A finding with its reasons.
+/// The finding for one zone, with its reasons.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneFinding {
-    /// The finding.
+    /// The result of the votes.
     pub finding: Finding,
-    /// The voices of the other zones.
+    /// The votes of the other zones, by zone name.
     pub votes: BTreeMap<String, ZoneVote>,
-    /// That of its own gateways.
+    /// The vote of the zone's own gateways.
     pub own_vote: Option<ZoneVote>,
-    /// How many zones must say the same.
+    /// The number of equal votes that a finding needs.
     pub required_votes: usize,
 }
 
@@ -107,123 +108,125 @@
     }
 }
 
-/// All findings.
+/// The findings for all zones.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Findings {
-    /// By zone.
+    /// The findings by zone name.
     pub zones: BTreeMap<String, ZoneFinding>,
-    /// Gateways to which all zones that they see are dark: cut off themselves.
+    /// The first gateways that reach none of the zones that they tried. Their reports don't count.
     pub isolated_gateways: Vec<String>,
-    /// Gateways whose report is too old, of a zone that is not on the map, or beyond its bounds.
+    /// The first gateways with a report that is too old or invalid, or in an unknown zone. Their reports don't count.
     pub ignored_gateways: Vec<String>,
 }
 
-/// A gateway to which everything is dark has lost its own link. One that sees a single zone can't tell.
-fn is_blind(sights: &BTreeMap<&str, ObservedHealth>) -> bool {
-    let known = || sights.values().filter(|s| **s != ObservedHealth::Unknown);
+/// Whether a gateway reaches no zone that it tried, so that its own connection is probably broken. With a single tried zone
+/// it can't tell the two apart, so it counts as isolated too.
+fn is_isolated(health_by_zone: &BTreeMap<&str, ObservedHealth>) -> bool {
+    let known = || health_by_zone.values().filter(|s| **s != ObservedHealth::Unknown);
     known().next().is_some() && known().all(|s| matches!(s, ObservedHealth::Unreachable))
 }
 
-/// What all reports say of the zones of the map. Observers are named, so that each counts once.
-pub fn evaluate_reports(zones: &BTreeSet<String>, observers: &BTreeMap<String, GatewayReport>) -> Findings {
-    let mut all = Findings::default();
-    // By the observers' zone, then by the zone that they see: how many see what.
-    let mut seen: BTreeMap<&str, BTreeMap<&str, BTreeMap<ObservedHealth, usize>>> = BTreeMap::new();
-    for (name, observer) in observers {
-        let sound =
-            observer.age <= OLDEST && zones.contains(&observer.zone) && observer.report.check().is_ok();
-        if !sound {
-            all.ignored_gateways.push(name.clone());
+/// The findings for these zones. The reports are keyed by gateway name, so that each gateway counts once.
+pub fn evaluate_reports(zones: &BTreeSet<String>, reports: &BTreeMap<String, GatewayReport>) -> Findings {
+    let mut findings = Findings::default();
+    // By the zone of the gateways, then by the zone that they report on: the number of gateways for each health.
+    let mut counts: BTreeMap<&str, BTreeMap<&str, BTreeMap<ObservedHealth, usize>>> = BTreeMap::new();
+    for (name, report) in reports {
+        let is_usable =
+            report.age <= MAX_REPORT_AGE && zones.contains(&report.zone) && report.report.check().is_ok();
+        if !is_usable {
+            findings.ignored_gateways.push(name.clone());
             continue;
         }
-        let told = observer.report.zones.iter().filter(|(zone, _)| zones.contains(*zone));
-        let sights: BTreeMap<&str, ObservedHealth> =
-            told.map(|(zone, sums)| (zone.as_str(), sums.observed_health())).collect();
-        if is_blind(&sights) {
-            all.isolated_gateways.push(name.clone());
+        let known_zones = report.report.zones.iter().filter(|(zone, _)| zones.contains(*zone));
+        let health_by_zone: BTreeMap<&str, ObservedHealth> =
+            known_zones.map(|(zone, counts)| (zone.as_str(), counts.observed_health())).collect();
+        if is_isolated(&health_by_zone) {
+            findings.isolated_gateways.push(name.clone());
             continue;
         }
-        let voices = seen.entry(&observer.zone).or_default();
-        for (zone, sight) in sights.into_iter().filter(|(_, sight)| *sight != ObservedHealth::Unknown) {
-            *voices.entry(zone).or_default().entry(sight).or_default() += 1;
+        let votes = counts.entry(&report.zone).or_default();
+        for (zone, health) in
+            health_by_zone.into_iter().filter(|(_, health)| *health != ObservedHealth::Unknown)
+        {
+            *votes.entry(zone).or_default().entry(health).or_default() += 1;
         }
     }
-    all.isolated_gateways.truncate(MOST_NAMED);
-    all.ignored_gateways.truncate(MOST_NAMED);
+    findings.isolated_gateways.truncate(MAX_LISTED);
+    findings.ignored_gateways.truncate(MAX_LISTED);
     for zone in zones {
-        let voice = |of: &str| voice(seen.get(of)?.get(zone.as_str())?);
+        let vote_of = |voter: &str| majority_vote(counts.get(voter)?.get(zone.as_str())?);
         let others = zones.iter().filter(|other| *other != zone);
-        let voices = others.filter_map(|other| Some((other.clone(), voice(other)?))).collect();
-        let needs = (zones.len() - 1) / 2 + 1;
-        let mut found = ZoneFinding {
-            finding: Finding::Inconclusive,
-            votes: voices,
-            own_vote: voice(zone),
-            required_votes: needs,
-        };
-        found.finding = weigh(&found);
-        all.zones.insert(zone.clone(), found);
+        let votes = others.filter_map(|other| Some((other.clone(), vote_of(other)?))).collect();
+        let required_votes = (zones.len() - 1) / 2 + 1;
+        let mut found =
+            ZoneFinding { finding: Finding::Inconclusive, votes, own_vote: vote_of(zone), required_votes };
+        found.finding = combine_votes(&found);
+        findings.zones.insert(zone.clone(), found);
     }
-    not_everywhere(&mut all);
-    all
+    mark_common_trouble(&mut findings);
+    findings
 }
 
-/// What more than half of those that can tell see. Where they agree on trouble and not on its kind, it is the kind that
-/// moves nothing: to send the work of an overloaded zone elsewhere does more harm than to leave that of a sick one.
-fn voice(counts: &BTreeMap<ObservedHealth, usize>) -> Option<ZoneVote> {
-    let of = counts.values().sum();
-    let count = |sight: ObservedHealth| counts.get(&sight).copied().unwrap_or(0);
-    let (sight, agree) = counts.iter().max_by_key(|(_, n)| **n)?;
-    if 2 * agree > of {
-        return Some(ZoneVote { health: *sight, agree: *agree, voters: of });
+/// The health that more than half of the gateways see. If more than half see trouble but disagree on its kind, the vote is
+/// overloaded, because that keeps traffic in place: moving the traffic of an overloaded zone does more harm than leaving
+/// that of a degraded one.
+fn majority_vote(counts: &BTreeMap<ObservedHealth, usize>) -> Option<ZoneVote> {
+    let voters = counts.values().sum();
+    let count = |health: ObservedHealth| counts.get(&health).copied().unwrap_or(0);
+    let (health, agree) = counts.iter().max_by_key(|(_, n)| **n)?;
+    if 2 * agree > voters {
+        return Some(ZoneVote { health: *health, agree: *agree, voters });
     }
     let agree = count(ObservedHealth::Overloaded) + count(ObservedHealth::Degraded);
-    (2 * agree > of).then_some(ZoneVote { health: ObservedHealth::Overloaded, agree, voters: of })
+    (2 * agree > voters).then_some(ZoneVote { health: ObservedHealth::Overloaded, agree, voters })
 }
 
-fn weigh(found: &ZoneFinding) -> Finding {
-    let count = |sight: ObservedHealth| found.votes.values().filter(|v| v.health == sight).count();
-    let most = |sight: ObservedHealth| count(sight) >= found.required_votes;
-    let inside = found.own_vote.map(|v| v.health);
-    // Not to be reached from there, or badly alone: somebody who is well served shows that the zone can serve.
-    let badly = |v: &ZoneVote| matches!(v.health, ObservedHealth::Unreachable | ObservedHealth::Degraded);
-    let served = count(ObservedHealth::Healthy) > 0;
+fn combine_votes(found: &ZoneFinding) -> Finding {
+    let count = |health: ObservedHealth| found.votes.values().filter(|v| v.health == health).count();
+    let enough = |health: ObservedHealth| count(health) >= found.required_votes;
+    let own_health = found.own_vote.map(|v| v.health);
+    // A zone that sees it unreachable or degraded may only have a bad link to it. A zone that sees it healthy shows that it
+    // can serve.
+    let sees_trouble =
+        |v: &ZoneVote| matches!(v.health, ObservedHealth::Unreachable | ObservedHealth::Degraded);
+    let healthy_somewhere = count(ObservedHealth::Healthy) > 0;
     let from: BTreeSet<String> =
-        found.votes.iter().filter(|(_, v)| badly(v)).map(|(zone, _)| zone.clone()).collect();
-    // One zone of many that sees it well shows that it is not cut off. Of one that all others, and its own gateways, see sick
-    // it shows no more than chance would.
-    let few =
-        4 * count(ObservedHealth::Healthy) <= found.votes.len() && inside != Some(ObservedHealth::Healthy);
+        found.votes.iter().filter(|(_, v)| sees_trouble(v)).map(|(zone, _)| zone.clone()).collect();
+    // A single healthy vote proves that a zone is not isolated. It does not prove that a zone is not degraded if all others
+    // and its own gateways see that: one healthy view can be chance.
+    let few_healthy = 4 * count(ObservedHealth::Healthy) <= found.votes.len()
+        && own_health != Some(ObservedHealth::Healthy);
     match () {
-        () if most(ObservedHealth::Healthy) && from.is_empty() => Finding::Healthy,
-        () if few && most(ObservedHealth::Degraded) => Finding::Degraded,
-        () if served && !from.is_empty() => Finding::UnreachableFrom { from },
-        () if most(ObservedHealth::Unreachable) => Finding::Isolated,
-        () if most(ObservedHealth::NotListening) => Finding::ServerListWrong,
-        () if !most(ObservedHealth::Degraded)
+        () if enough(ObservedHealth::Healthy) && from.is_empty() => Finding::Healthy,
+        () if few_healthy && enough(ObservedHealth::Degraded) => Finding::Degraded,
+        () if healthy_somewhere && !from.is_empty() => Finding::UnreachableFrom { from },
+        () if enough(ObservedHealth::Unreachable) => Finding::Isolated,
+        () if enough(ObservedHealth::NotListening) => Finding::ServerListWrong,
+        () if !enough(ObservedHealth::Degraded)
             && count(ObservedHealth::Overloaded) + count(ObservedHealth::Degraded)
                 >= found.required_votes =>
         {
             Finding::Overloaded
         }
-        // Its own gateways are well served: what is slow or lossy is the way to it.
-        () if most(ObservedHealth::Degraded) && inside == Some(ObservedHealth::Healthy) => {
+        // Its own gateways see it healthy, so the links to it are slow or lossy.
+        () if enough(ObservedHealth::Degraded) && own_health == Some(ObservedHealth::Healthy) => {
             Finding::UnreachableFrom { from }
         }
-        () if most(ObservedHealth::Degraded) || from.len() >= found.required_votes => Finding::Degraded,
+        () if enough(ObservedHealth::Degraded) || from.len() >= found.required_votes => Finding::Degraded,
         () => Finding::Inconclusive,
     }
 }
 
-/// Trouble in every zone that anything is found of is not a zone's trouble: overload, a bad release, a plan whose
-/// requests fail. Guards against taking zones out one after the other for what they share.
-fn not_everywhere(all: &mut Findings) {
-    let troubled = |f: &Finding| matches!(f, Finding::Degraded | Finding::Overloaded | Finding::Isolated);
-    let known = || all.zones.values().filter(|found| found.finding != Finding::Inconclusive);
-    if known().count() < 2 || !known().all(|found| troubled(&found.finding)) {
+/// Replaces the findings if every zone with a finding is in trouble. The cause is then common: overload, a bad release, or
+/// failing requests of one customer plan. Otherwise operators might take out one zone after the other.
+fn mark_common_trouble(findings: &mut Findings) {
+    let in_trouble = |f: &Finding| matches!(f, Finding::Degraded | Finding::Overloaded | Finding::Isolated);
+    let known = || findings.zones.values().filter(|found| found.finding != Finding::Inconclusive);
+    if known().count() < 2 || !known().all(|found| in_trouble(&found.finding)) {
         return;
     }
-    for found in all.zones.values_mut().filter(|found| troubled(&found.finding)) {
+    for found in findings.zones.values_mut().filter(|found| in_trouble(&found.finding)) {
         found.finding = Finding::TroubleEverywhere;
     }
 }
--- a/crates/starlinghill-zone-health/src/lib.rs
+++ b/crates/starlinghill-zone-health/src/lib.rs
@@ -1,10 +1,11 @@
-//! Evidence on zones: what one gateway sees of each, in a few hundred bytes, and what the reports of all of them
-//! together say. Nothing here decides: what becomes of a finding is the group's affair. Pure: time is an argument.
+//! Health of zones. Each gateway reports what became of its attempts at each zone, in a few hundred bytes, and the
+//! reports of all gateways together yield a finding for each zone. Findings are only displayed: no order follows from
+//! them here. The code has no I/O or clock; time is an argument.
 //!
-//! - [`attempt_counts`]: counts of what became of attempts at a zone, and what they look like from one place.
+//! - [`attempt_counts`]: the results of attempts at one zone, and the health that they show.
 //! - [`attempt_window`]: one gateway's counts over the last seconds.
-//! - [`report`]: what a gateway tells, and its bounds.
-//! - [`findings`]: what all reports together say of each zone, and why.
+//! - [`report`]: the report of one gateway, and its bounds.
+//! - [`findings`]: the finding for each zone from all reports, with its reasons.
 
 pub mod attempt_counts;
 pub mod attempt_window;
--- a/crates/starlinghill-zone-health/src/report.rs
+++ b/crates/starlinghill-zone-health/src/report.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells of what it sees. Whatever a peer puts in has a bound.
+//! The report of one gateway on the zones. Every value is checked against a bound, because it comes from another process.
 
 use crate::attempt_counts::AttemptCounts;
 use serde::{Deserialize, Serialize};
@@ -7,16 +7,16 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The span that a report is of, in milliseconds.
+/// The time that a report covers, in milliseconds.
 pub const SPAN_MS: u64 = 4_000;
-/// The most that one count may be: no gateway makes a million attempts a second at a zone.
-const MOST: u32 = 4_000_000;
+/// The largest valid count. No gateway makes a million attempts per second at one zone.
+const MAX_COUNT: u32 = 4_000_000;
 
-/// Counts by zone, over the span before it was made. Zones without attempts are left out.
+/// The counts of one gateway for the last [`SPAN_MS`]. Zones without attempts are left out.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Report {
-    /// The zones.
+    /// The counts by zone name.
     pub zones: BTreeMap<String, AttemptCounts>,
 }
 
@@ -24,49 +24,49 @@
     const KIND: &'static str = "evidence";
 }
 
-/// Why a report is not used.
+/// Why a report is ignored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum InvalidReport {
-    /// It names too many zones.
+    /// It names more than [`MAX_ZONES`] zones; holds their number.
     TooManyZones(usize),
-    /// A name is none.
+    /// A zone has an invalid name; holds its first 64 characters.
     BadName(String),
-    /// A count is beyond what can be, or does not fit the others.
+    /// A zone has a count that is too large, or more late answers than answers; holds its name.
     BadCounts(String),
 }
 
 impl fmt::Display for InvalidReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            InvalidReport::TooManyZones(n) => write!(f, "{n} zones, {MAX_ZONES} at most"),
-            InvalidReport::BadName(name) => write!(f, "a zone named '{}'", name.escape_debug()),
-            InvalidReport::BadCounts(zone) => write!(f, "zone '{zone}': counts that can't be"),
+            InvalidReport::TooManyZones(n) => write!(f, "{n} zones, at most {MAX_ZONES} are allowed"),
+            InvalidReport::BadName(name) => write!(f, "invalid zone name '{}'", name.escape_debug()),
+            InvalidReport::BadCounts(zone) => write!(f, "zone '{zone}': impossible counts"),
         }
     }
 }
 
 impl Report {
-    /// Whether it keeps to the bounds.
+    /// Checks names, counts and the number of zones against their bounds.
     pub fn check(&self) -> Result<(), InvalidReport> {
         if self.zones.len() > MAX_ZONES {
             return Err(InvalidReport::TooManyZones(self.zones.len()));
         }
-        for (name, sums) in &self.zones {
+        for (name, counts) in &self.zones {
             if !is_name(name) {
                 return Err(InvalidReport::BadName(name.chars().take(64).collect()));
             }
-            let s = sums;
+            let c = counts;
             let all = [
-                s.answered,
-                s.failed,
-                s.rejected,
-                s.refused,
-                s.connect_failed,
-                s.unanswered,
-                s.unanswered_run,
-                s.usual_answers,
+                c.answered,
+                c.failed,
+                c.rejected,
+                c.refused,
+                c.connect_failed,
+                c.unanswered,
+                c.unanswered_run,
+                c.usual_answers,
             ];
-            if s.late > s.answered || all.iter().any(|n| *n > MOST) {
+            if c.late > c.answered || all.iter().any(|n| *n > MAX_COUNT) {
                 return Err(InvalidReport::BadCounts(name.clone()));
             }
         }
--- a/crates/starlinghill-zone-health/tests/findings.rs
+++ b/crates/starlinghill-zone-health/tests/findings.rs
@@ -1,14 +1,16 @@
-//! Findings in worlds with one trouble each, as many gateways see them by chance.
+//! Findings for simulated fleets with one trouble each. The counts that each gateway reports are random.
 
 use starlinghill_failover::Micros;
 use starlinghill_zone_health::attempt_counts::{AttemptCounts, AttemptResult};
-use starlinghill_zone_health::findings::{evaluate_reports, Finding, Findings, GatewayReport, OLDEST};
+use starlinghill_zone_health::findings::{
+    evaluate_reports, Finding, Findings, GatewayReport, MAX_REPORT_AGE,
+};
 use starlinghill_zone_health::report::Report;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What becomes of attempts: parts of the whole, in the order of [`KINDS`].
-type Way = [f64; 7];
-const KINDS: [AttemptResult; 7] = [
+/// The parts of attempts with each result, in the order of [`RESULTS`].
+type ResultMix = [f64; 7];
+const RESULTS: [AttemptResult; 7] = [
     AttemptResult::Answered,
     AttemptResult::Late,
     AttemptResult::Failed,
@@ -17,83 +19,85 @@
     AttemptResult::ConnectFailed,
     AttemptResult::Unanswered,
 ];
-const WELL: Way = [0.97, 0.02, 0.01, 0.0, 0.0, 0.0, 0.0];
-const CUT: Way = [0.0, 0.0, 0.0, 0.0, 0.0, 0.7, 0.3];
-const SLOW: Way = [0.2, 0.6, 0.02, 0.0, 0.0, 0.0, 0.18];
-const LOSSY: Way = [0.6, 0.02, 0.0, 0.0, 0.0, 0.03, 0.35];
-const FAILING: Way = [0.55, 0.02, 0.43, 0.0, 0.0, 0.0, 0.0];
-const FULL: Way = [0.4, 0.2, 0.0, 0.4, 0.0, 0.0, 0.0];
-/// Twice what it can do is asked of it: it does its whole work, late, and the rest waits in vain.
-const ASKED_TWICE: Way = [0.05, 0.55, 0.0, 0.05, 0.0, 0.0, 0.35];
-const EMPTY: Way = [0.0, 0.0, 0.0, 0.0, 0.97, 0.0, 0.03];
+const HEALTHY: ResultMix = [0.97, 0.02, 0.01, 0.0, 0.0, 0.0, 0.0];
+const UNREACHABLE: ResultMix = [0.0, 0.0, 0.0, 0.0, 0.0, 0.7, 0.3];
+const SLOW: ResultMix = [0.2, 0.6, 0.02, 0.0, 0.0, 0.0, 0.18];
+const LOSSY: ResultMix = [0.6, 0.02, 0.0, 0.0, 0.0, 0.03, 0.35];
+const FAILING: ResultMix = [0.55, 0.02, 0.43, 0.0, 0.0, 0.0, 0.0];
+const OVERLOADED: ResultMix = [0.4, 0.2, 0.0, 0.4, 0.0, 0.0, 0.0];
+/// The zone gets twice the requests that it can handle. It does its full work, but late, and the other requests time out.
+const TWICE_THE_DEMAND: ResultMix = [0.05, 0.55, 0.0, 0.05, 0.0, 0.0, 0.35];
+const NOT_LISTENING: ResultMix = [0.0, 0.0, 0.0, 0.0, 0.97, 0.0, 0.03];
 
-/// A fleet: zones, gateways in each, and how attempts from one zone to another go.
-struct World {
+/// A simulated fleet.
+struct Fleet {
     zones: Vec<String>,
+    /// The number of gateways in each zone.
     gateways: usize,
     rng: fastrand::Rng,
-    ways: BTreeMap<(usize, usize), Way>,
-    /// How many times the usual is asked of a zone.
-    asked: BTreeMap<usize, f64>,
+    /// The results of attempts from one zone to another; [`HEALTHY`] if not set.
+    results: BTreeMap<(usize, usize), ResultMix>,
+    /// The number of requests to a zone as a multiple of its usual answers; 1 if not set.
+    demand: BTreeMap<usize, f64>,
 }
 
-impl World {
-    fn new(seed: u64, least: usize) -> World {
+impl Fleet {
+    fn new(seed: u64, min_zones: usize) -> Fleet {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let zones = (0..rng.usize(least..=12)).map(|i| format!("z{i}")).collect();
+        let zones = (0..rng.usize(min_zones..=12)).map(|i| format!("z{i}")).collect();
         let gateways = rng.usize(2..=12);
-        World { zones, gateways, rng, ways: BTreeMap::new(), asked: BTreeMap::new() }
+        Fleet { zones, gateways, rng, results: BTreeMap::new(), demand: BTreeMap::new() }
     }
 
-    fn to(&mut self, zone: usize, way: Way, inside: bool) {
+    /// Sets the results of attempts to a zone from all others, and with `from_inside` also from its own gateways.
+    fn set_results(&mut self, zone: usize, mix: ResultMix, from_inside: bool) {
         for from in 0..self.zones.len() {
-            if inside || from != zone {
-                self.ways.insert((from, zone), way);
+            if from_inside || from != zone {
+                self.results.insert((from, zone), mix);
             }
         }
     }
 
-    fn sums(&mut self, from: usize, to: usize) -> AttemptCounts {
-        let way = self.ways.get(&(from, to)).copied().unwrap_or(WELL);
+    fn counts(&mut self, from: usize, to: usize) -> AttemptCounts {
+        let mix = self.results.get(&(from, to)).copied().unwrap_or(HEALTHY);
         let usual = self.rng.u32(30..120);
-        let asked = (f64::from(usual) * self.asked.get(&to).copied().unwrap_or(1.0)) as u32;
-        let mut sums = AttemptCounts { usual_answers: usual, ..AttemptCounts::default() };
-        for _ in 0..asked {
-            let mut draw = self.rng.f64() * way.iter().sum::<f64>();
-            let kind = way.iter().position(|part| {
+        let attempts = (f64::from(usual) * self.demand.get(&to).copied().unwrap_or(1.0)) as u32;
+        let mut counts = AttemptCounts { usual_answers: usual, ..AttemptCounts::default() };
+        for _ in 0..attempts {
+            let mut draw = self.rng.f64() * mix.iter().sum::<f64>();
+            let result = mix.iter().position(|part| {
                 draw -= part;
                 draw < 0.0
             });
-            sums.record(KINDS[kind.unwrap_or(0)]);
+            counts.record(RESULTS[result.unwrap_or(0)]);
         }
-        sums
+        counts
     }
 
-    fn observers(&mut self) -> BTreeMap<String, GatewayReport> {
+    fn reports(&mut self) -> BTreeMap<String, GatewayReport> {
         let mut all = BTreeMap::new();
         for from in 0..self.zones.len() {
             for gateway in 0..self.gateways {
                 let zones =
-                    (0..self.zones.len()).map(|to| (self.zones[to].clone(), self.sums(from, to))).collect();
+                    (0..self.zones.len()).map(|to| (self.zones[to].clone(), self.counts(from, to))).collect();
                 let age = Micros(self.rng.u64(..1_500_000));
-                let observer =
-                    GatewayReport { zone: self.zones[from].clone(), age, report: Report { zones } };
-                all.insert(format!("g{from}-{gateway}"), observer);
+                let report = GatewayReport { zone: self.zones[from].clone(), age, report: Report { zones } };
+                all.insert(format!("g{from}-{gateway}"), report);
             }
         }
         all
     }
 
-    fn find(&mut self) -> Findings {
-        let observers = self.observers();
-        self.find_by(&observers)
+    fn findings(&mut self) -> Findings {
+        let reports = self.reports();
+        self.findings_from(&reports)
     }
 
-    fn find_by(&self, observers: &BTreeMap<String, GatewayReport>) -> Findings {
-        evaluate_reports(&self.zones.iter().cloned().collect(), observers)
+    fn findings_from(&self, reports: &BTreeMap<String, GatewayReport>) -> Findings {
+        evaluate_reports(&self.zones.iter().cloned().collect(), reports)
     }
 
-    fn any(&mut self) -> usize {
+    fn random_zone(&mut self) -> usize {
         let n = self.zones.len();
         self.rng.usize(..n)
     }
@@ -101,9 +105,9 @@
 
 const SEEDS: u64 = 150;
 
-/// The finding on that zone, and that nothing else is found in trouble.
+/// Checks the finding for one zone, and that no other zone is found in trouble.
 #[track_caller]
-fn only(seed: u64, found: &Findings, zone: &str, wanted: &Finding) {
+fn assert_only_finding(seed: u64, found: &Findings, zone: &str, wanted: &Finding) {
     for (name, f) in &found.zones {
         match name == zone {
             true => assert_eq!(f.finding, *wanted, "seed {seed}, {name}: {f}"),
@@ -119,76 +123,76 @@
 }
 
 #[test]
-fn a_zone_in_trouble_is_found_with_its_kind_and_no_other_zone_is() {
-    let kinds = [
+fn the_zone_in_trouble_is_found_with_the_kind_of_trouble_and_no_other_zone_is() {
+    let cases = [
         (SLOW, true, Finding::Degraded),
         (LOSSY, true, Finding::Degraded),
         (FAILING, true, Finding::Degraded),
-        (FULL, true, Finding::Overloaded),
-        (EMPTY, true, Finding::ServerListWrong),
-        (CUT, false, Finding::Isolated),
-        (CUT, true, Finding::Isolated),
+        (OVERLOADED, true, Finding::Overloaded),
+        (NOT_LISTENING, true, Finding::ServerListWrong),
+        (UNREACHABLE, false, Finding::Isolated),
+        (UNREACHABLE, true, Finding::Isolated),
     ];
     for seed in 0..SEEDS {
-        for (way, inside, wanted) in &kinds {
-            let mut world = World::new(seed, 3);
-            let zone = world.any();
-            world.to(zone, *way, *inside);
-            let found = world.find();
-            only(seed, &found, &world.zones[zone], wanted);
+        for (mix, from_inside, wanted) in &cases {
+            let mut fleet = Fleet::new(seed, 3);
+            let zone = fleet.random_zone();
+            fleet.set_results(zone, *mix, *from_inside);
+            let found = fleet.findings();
+            assert_only_finding(seed, &found, &fleet.zones[zone], wanted);
         }
-        let mut world = World::new(seed, 3);
-        let zone = world.any();
-        world.to(zone, ASKED_TWICE, true);
-        world.asked.insert(zone, 2.0);
-        let found = world.find();
-        only(seed, &found, &world.zones[zone], &Finding::Overloaded);
-        let mut world = World::new(seed, 2);
-        assert!(world.find().zones.values().all(|f| f.finding == Finding::Healthy), "seed {seed}");
+        let mut fleet = Fleet::new(seed, 3);
+        let zone = fleet.random_zone();
+        fleet.set_results(zone, TWICE_THE_DEMAND, true);
+        fleet.demand.insert(zone, 2.0);
+        let found = fleet.findings();
+        assert_only_finding(seed, &found, &fleet.zones[zone], &Finding::Overloaded);
+        let mut fleet = Fleet::new(seed, 2);
+        assert!(fleet.findings().zones.values().all(|f| f.finding == Finding::Healthy), "seed {seed}");
     }
 }
 
 #[test]
-fn a_cut_zone_that_nobody_hears_of_any_more_is_found_by_the_others_alone() {
+fn an_isolated_zone_is_found_without_reports_from_its_own_gateways() {
     for seed in 0..SEEDS {
-        let mut world = World::new(seed, 3);
-        let zone = world.any();
-        world.to(zone, CUT, false);
-        let name = world.zones[zone].clone();
-        let mut observers = world.observers();
-        observers.retain(|_, o| o.zone != name);
-        only(seed, &world.find_by(&observers), &name, &Finding::Isolated);
+        let mut fleet = Fleet::new(seed, 3);
+        let zone = fleet.random_zone();
+        fleet.set_results(zone, UNREACHABLE, false);
+        let name = fleet.zones[zone].clone();
+        let mut reports = fleet.reports();
+        reports.retain(|_, o| o.zone != name);
+        assert_only_finding(seed, &fleet.findings_from(&reports), &name, &Finding::Isolated);
     }
 }
 
 #[test]
-fn two_zones_that_do_not_see_each_other_while_others_see_both_are_cut_from_each_other_alone() {
+fn if_two_zones_cannot_reach_each_other_but_others_reach_both_only_the_link_between_them_is_found() {
     for seed in 0..SEEDS {
         for both in [true, false] {
-            let mut world = World::new(seed, 3);
-            let (a, b) = (0, 1 + world.rng.usize(..world.zones.len() - 1));
-            world.ways.insert((a, b), CUT);
+            let mut fleet = Fleet::new(seed, 3);
+            let (a, b) = (0, 1 + fleet.rng.usize(..fleet.zones.len() - 1));
+            fleet.results.insert((a, b), UNREACHABLE);
             if both {
-                world.ways.insert((b, a), CUT);
+                fleet.results.insert((b, a), UNREACHABLE);
             }
-            let found = world.find();
-            let cut = |zone: usize| found.zones[&world.zones[zone]].finding.clone();
-            let from = |zone: usize| Finding::UnreachableFrom { from: [world.zones[zone].clone()].into() };
-            assert_eq!(cut(b), from(a), "seed {seed}");
-            assert_eq!(cut(a), if both { from(b) } else { Finding::Healthy }, "seed {seed}");
+            let found = fleet.findings();
+            let finding_of = |zone: usize| found.zones[&fleet.zones[zone]].finding.clone();
+            let from = |zone: usize| Finding::UnreachableFrom { from: [fleet.zones[zone].clone()].into() };
+            assert_eq!(finding_of(b), from(a), "seed {seed}");
+            assert_eq!(finding_of(a), if both { from(b) } else { Finding::Healthy }, "seed {seed}");
             assert!(found.isolated_gateways.is_empty());
         }
     }
 }
 
 #[test]
-fn of_two_zones_that_do_not_see_each_other_nobody_can_say_which_is_cut_off() {
+fn with_only_two_zones_that_cannot_reach_each_other_no_zone_is_singled_out() {
     for seed in 0..SEEDS {
-        let mut world = World::new(seed, 2);
-        world.zones.truncate(2);
-        world.ways.insert((0, 1), CUT);
-        world.ways.insert((1, 0), CUT);
-        let found = world.find();
+        let mut fleet = Fleet::new(seed, 2);
+        fleet.zones.truncate(2);
+        fleet.results.insert((0, 1), UNREACHABLE);
+        fleet.results.insert((1, 0), UNREACHABLE);
+        let found = fleet.findings();
         assert!(
             found.zones.values().all(|f| f.finding == Finding::TroubleEverywhere),
             "seed {seed}: {found:?}"
@@ -197,15 +201,15 @@
 }
 
 #[test]
-fn trouble_that_all_zones_share_is_no_zones() {
+fn trouble_in_all_zones_is_not_attributed_to_any_one() {
     for seed in 0..SEEDS {
-        for (way, asked) in [(FULL, 1.5), (SLOW, 1.0), (FAILING, 1.0), (ASKED_TWICE, 2.0)] {
-            let mut world = World::new(seed, 2);
-            for zone in 0..world.zones.len() {
-                world.to(zone, way, true);
-                world.asked.insert(zone, asked);
+        for (mix, demand) in [(OVERLOADED, 1.5), (SLOW, 1.0), (FAILING, 1.0), (TWICE_THE_DEMAND, 2.0)] {
+            let mut fleet = Fleet::new(seed, 2);
+            for zone in 0..fleet.zones.len() {
+                fleet.set_results(zone, mix, true);
+                fleet.demand.insert(zone, demand);
             }
-            let found = world.find();
+            let found = fleet.findings();
             assert!(
                 found.zones.values().all(|f| f.finding == Finding::TroubleEverywhere),
                 "seed {seed}: {found:?}"
@@ -215,44 +219,46 @@
 }
 
 #[test]
-fn a_gateway_that_is_cut_off_itself_says_so_and_nothing_of_any_zone() {
+fn an_isolated_gateway_is_listed_and_its_report_counts_for_no_zone() {
     for seed in 0..SEEDS {
-        let mut world = World::new(seed, 2);
-        let mut observers = world.observers();
-        let alone = world.rng.usize(..world.gateways);
-        let name = format!("g0-{alone}");
-        for (to, sums) in observers.get_mut(&name).expect("it").report.zones.values_mut().enumerate() {
-            world.ways.insert((99, to), CUT);
-            *sums = world.sums(99, to);
+        let mut fleet = Fleet::new(seed, 2);
+        let mut reports = fleet.reports();
+        let isolated = fleet.rng.usize(..fleet.gateways);
+        let name = format!("g0-{isolated}");
+        for (to, counts) in
+            reports.get_mut(&name).expect("the gateway has a report").report.zones.values_mut().enumerate()
+        {
+            fleet.results.insert((99, to), UNREACHABLE);
+            *counts = fleet.counts(99, to);
         }
-        let found = world.find_by(&observers);
+        let found = fleet.findings_from(&reports);
         assert_eq!(found.isolated_gateways, [name], "seed {seed}");
         assert!(found.zones.values().all(|f| f.finding == Finding::Healthy), "seed {seed}: {found:?}");
     }
 }
 
 #[test]
-fn three_gateways_that_lie_change_nothing_wherever_they_are() {
+fn three_lying_gateways_cannot_cause_a_finding_against_a_healthy_zone() {
     for seed in 0..SEEDS {
-        let mut world = World::new(seed, 3);
-        // One zone has but the liars' majority, where gateways are few.
-        world.gateways = world.gateways.max(3);
-        let victim = world.any();
-        let mut observers = world.observers();
-        let names: Vec<String> = observers.keys().cloned().collect();
+        let mut fleet = Fleet::new(seed, 3);
+        // With at least three gateways per zone, three liars are the majority in at most one zone.
+        fleet.gateways = fleet.gateways.max(3);
+        let victim = fleet.random_zone();
+        let mut reports = fleet.reports();
+        let names: Vec<String> = reports.keys().cloned().collect();
         let mut liars = BTreeSet::new();
         while liars.len() < 3 {
-            liars.insert(world.rng.usize(..names.len()));
+            liars.insert(fleet.rng.usize(..names.len()));
         }
-        let zone = world.zones[victim].clone();
+        let zone = fleet.zones[victim].clone();
         for liar in liars {
-            let report = &mut observers.get_mut(&names[liar]).expect("it").report;
+            let report = &mut reports.get_mut(&names[liar]).expect("the gateway has a report").report;
             report.zones.insert(
                 zone.clone(),
                 AttemptCounts { connect_failed: 1_000_000, ..AttemptCounts::default() },
             );
         }
-        let found = world.find_by(&observers);
+        let found = fleet.findings_from(&reports);
         assert!(
             matches!(
                 found.zones[&zone].finding,
@@ -265,40 +271,40 @@
 }
 
 #[test]
-fn what_is_old_absurd_or_of_no_zone_is_left_out_and_without_evidence_nothing_is_found() {
-    let mut world = World::new(1, 4);
-    world.to(1, CUT, false);
-    let fresh = world.observers();
-    let spoilt = |spoil: &dyn Fn(&mut GatewayReport)| {
-        let mut all = fresh.clone();
+fn old_invalid_and_unknown_zone_reports_are_ignored_and_without_reports_findings_are_inconclusive() {
+    let mut fleet = Fleet::new(1, 4);
+    fleet.set_results(1, UNREACHABLE, false);
+    let valid = fleet.reports();
+    let findings_after = |spoil: &dyn Fn(&mut GatewayReport)| {
+        let mut all = valid.clone();
         all.values_mut().for_each(spoil);
-        world.find_by(&all)
+        fleet.findings_from(&all)
     };
-    let old = spoilt(&|o| o.age = Micros(OLDEST.0 + 1));
-    let absurd = spoilt(&|o| {
-        let sums = AttemptCounts { answered: 5, late: 6, ..AttemptCounts::default() };
-        o.report.zones.insert("z0".into(), sums);
+    let old = findings_after(&|o| o.age = Micros(MAX_REPORT_AGE.0 + 1));
+    let invalid = findings_after(&|o| {
+        let counts = AttemptCounts { answered: 5, late: 6, ..AttemptCounts::default() };
+        o.report.zones.insert("z0".into(), counts);
     });
-    let elsewhere = spoilt(&|o| o.zone = "nowhere".into());
-    let none = world.find_by(&BTreeMap::new());
-    for found in [old, absurd, elsewhere, none] {
+    let elsewhere = findings_after(&|o| o.zone = "nowhere".into());
+    let none = fleet.findings_from(&BTreeMap::new());
+    for found in [old, invalid, elsewhere, none] {
         assert!(found.zones.values().all(|f| f.finding == Finding::Inconclusive), "{found:?}");
         assert!(found.ignored_gateways.len() <= 8);
     }
-    // Seven attempts say nothing, whatever became of them.
-    let few = spoilt(&|o| {
+    // Seven attempts are too few, whatever their results.
+    let few = findings_after(&|o| {
         o.report.zones.insert("z1".into(), AttemptCounts { unanswered: 7, ..AttemptCounts::default() });
     });
     assert_eq!(few.zones["z1"].finding, Finding::Inconclusive);
 }
 
 #[test]
-fn a_finding_says_who_sees_what() {
-    let mut world = World::new(3, 3);
-    world.zones.truncate(3);
-    world.gateways = 4;
-    world.to(2, CUT, false);
-    let found = world.find();
+fn a_finding_lists_the_votes_behind_it() {
+    let mut fleet = Fleet::new(3, 3);
+    fleet.zones.truncate(3);
+    fleet.gateways = 4;
+    fleet.set_results(2, UNREACHABLE, false);
+    let found = fleet.findings();
     let why = found.zones["z2"].to_string();
     assert_eq!(
         why,
