--- a/crates/starlinghill-failover-client/build.rs
+++ b/crates/starlinghill-failover-client/build.rs
@@ -1,4 +1,4 @@
-//! Makes the protocol's types. `protox` reads the file, so that no compiler of another project is needed.
+//! Generates the protocol's types. `protox` parses the file, so that no `protoc` binary is needed for the build.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/group.proto");
--- a/crates/starlinghill-failover-client/src/lib.rs
+++ b/crates/starlinghill-failover-client/src/lib.rs
@@ -1,12 +1,12 @@
-//! The group's protocol and its clients: [`subscription`] is how a gateway follows, [`client`] how operators give orders.
-//! Whoever links this needs nothing of the replicated log.
+//! The group's protocol and its clients. A gateway follows the group through [`subscription`], and operators submit orders
+//! through [`client`]. This package does not depend on the replicated log.
 
 pub mod client;
 pub mod report;
 pub mod subscription;
 pub mod wall_clock;
 
-/// The types of `proto/group.proto`.
+/// The types generated from `proto/group.proto`.
 #[allow(missing_docs, clippy::doc_markdown)]
 pub mod proto {
     tonic::include_proto!("starlinghill.group.v1");
@@ -15,8 +15,8 @@
 use starlinghill_failover::Position;
 
 impl From<Position> for proto::At {
-    fn from(p: Position) -> proto::At {
-        proto::At { generation: p.generation, epoch: p.epoch }
+    fn from(position: Position) -> proto::At {
+        proto::At { generation: position.generation, epoch: position.epoch }
     }
 }
 
--- a/crates/starlinghill-failover-client/src/report.rs
+++ b/crates/starlinghill-failover-client/src/report.rs
@@ -1,102 +1,102 @@
-//! What a member tells operators, and what operators may change of the group itself.
+//! The report of a member to operators, and the changes that operators can make to the group's membership.
 
 use serde::{Deserialize, Serialize};
 use starlinghill_failover::state::State;
 use starlinghill_failover::wire::Message;
 use starlinghill_failover::Position;
-use starlinghill_zone_health::report::Report as Evidence;
+use starlinghill_zone_health::report::Report as ZoneReport;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// One who follows, as the member that it is connected to knows it.
+/// A gateway that follows the group, as seen by the member that it is connected to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Subscriber {
-    /// Its name.
+    /// The gateway's name.
     pub name: String,
-    /// Its program's version.
+    /// The version of its program.
     pub program: String,
-    /// The newest that it was told.
+    /// The newest position that it got.
     pub held: Position,
-    /// What it follows.
+    /// The position of the directives that it applies.
     pub followed: Position,
-    /// How it goes by what it was told.
+    /// Its mode: `following`, `keeping` or `own sight`.
     pub mode: String,
-    /// How long ago it said so, in milliseconds.
+    /// The time since its last message, in milliseconds.
     pub heard_ms: u64,
-    /// The zone that it is in.
+    /// The zone that it is in; empty if it named none.
     pub zone: String,
-    /// What it saw of zones last, and how long ago it said that.
+    /// The milliseconds since its last report on the zones, and that report.
     #[serde(rename = "evidence")]
-    pub zone_report: Option<(u64, Evidence)>,
+    pub zone_report: Option<(u64, ZoneReport)>,
 }
 
-/// What one member knows.
+/// The knowledge of one member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Report {
-    /// The member.
+    /// The number of the member.
     pub member: u64,
     /// The group's name.
     pub group: String,
-    /// Whom it takes for the leader.
+    /// The number of the leader, if the member knows one.
     pub leader: Option<u64>,
-    /// The term that it is in.
+    /// The member's term of the replicated log.
     pub term: u64,
-    /// The newest entry that it has applied.
+    /// The index of the newest log entry that it has applied.
     pub applied: u64,
-    /// How long ago it certainly knew the newest, in milliseconds; none: never.
+    /// An upper bound on the age of its state, in milliseconds; `None` if the state was never confirmed.
     pub age_ms: Option<u64>,
-    /// The members of the group, and whether they vote.
+    /// The members by number, each with its address and whether it votes.
     pub members: BTreeMap<u64, (String, bool)>,
-    /// The state.
+    /// The replicated state that it has applied, without the recorded outcomes.
     pub state: State,
-    /// Those who follow by this member, by name; [`SUBSCRIBERS_PER_REPORT`] at most.
+    /// The gateways that follow through this member, in order of name. One page of at most [`SUBSCRIBERS_PER_REPORT`].
     pub subscribers: Vec<Subscriber>,
-    /// Whether there are more past the last of them.
+    /// Whether more gateways come after this page.
     pub more: bool,
 }
 
-/// The most followers that one report tells of. A member that may take a hundred thousand would fill a message of
-/// any size; beside a state of many zones this many are little.
+/// The most gateways in one report. A member may serve a hundred thousand of them, too many for one message. This many are
+/// small next to a state with many zones.
 pub const SUBSCRIBERS_PER_REPORT: usize = 50;
 
-/// A change of the group itself.
+/// A change of the group's membership, or of its storage.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum MembershipChange {
-    /// Begin a group of these members, all of them blank.
+    /// Start a group of these members, which must all have no data.
     Init {
-        /// Their numbers and addresses.
+        /// The addresses of the members by number.
         members: BTreeMap<u64, SocketAddr>,
-        /// What the group begins with, where it takes the place of one that has lost its majority.
+        /// The state to start with, if the group replaces one that has lost its majority.
         restored: Option<Box<State>>,
     },
-    /// Take a member in. It has to run, with an empty disk.
+    /// Add a member. It must be running, with an empty data directory.
     Add {
-        /// Its number.
+        /// The number of the member.
         id: u64,
-        /// Where it listens.
+        /// The address that it listens on.
         address: SocketAddr,
     },
-    /// Let a member go.
+    /// Remove a member.
     Remove {
-        /// Its number.
+        /// The number of the member.
         id: u64,
     },
-    /// Write a snapshot now.
+    /// Make the member write a snapshot of its state now.
     Snapshot,
 }
 
-/// What became of a change of the group.
+/// The result of a [`MembershipChange`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum MembershipResult {
-    /// It is so now.
+    /// The change is complete.
     Done,
-    /// It was not done.
+    /// The change was not made.
     Refused {
-        /// Why.
+        /// The reason, for people.
         why: String,
     },
 }
