--- a/crates/starlinghill-control/src/group_follower.rs
+++ b/crates/starlinghill-control/src/group_follower.rs
@@ -26,7 +26,7 @@
 /// Whom to follow by the operators' file, under this name, from this zone; empty: from none of them.
 pub fn settings(group: &Group, name: &str, zone: &str, seed: u64) -> Result<Settings, TopologyProblem> {
     if !is_name(name) {
-        return Err(TopologyProblem::Name(name.chars().take(64).collect()));
+        return Err(TopologyProblem::BadName(name.chars().take(64).collect()));
     }
     Ok(Settings {
         members: group.members.iter().map(|m| m.listen).collect(),
--- a/crates/starlinghill-failover/src/bounds.rs
+++ b/crates/starlinghill-failover/src/bounds.rs
@@ -53,35 +53,35 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TimingProblem {
     /// The election timeout is below three heartbeat intervals, so that a lost heartbeat could start an election.
-    Election,
+    ElectionTimeoutTooShort,
     /// A connected gateway could exceed `fresh_limit` between two answers, and would then switch members for no fault.
-    Fresh {
+    FreshLimitTooShort {
         /// The smallest allowed `fresh_limit`.
-        least: Micros,
+        minimum: Micros,
     },
     /// `stale_limit` is not above `fresh_limit`.
-    Stale,
+    StaleLimitTooShort,
 }
 
 impl std::fmt::Display for TimingProblem {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            TimingProblem::Election => {
+            TimingProblem::ElectionTimeoutTooShort => {
                 f.write_str("expected election_ms of at least three times heartbeat_ms")
             }
-            TimingProblem::Fresh { least } => write!(
+            TimingProblem::FreshLimitTooShort { minimum } => write!(
                 f,
                 "expected fresh_ms of at least {}, the highest age between two answers",
-                least.0.div_ceil(1_000)
+                minimum.0.div_ceil(1_000)
             ),
-            TimingProblem::Stale => f.write_str("expected stale_ms above fresh_ms"),
+            TimingProblem::StaleLimitTooShort => f.write_str("expected stale_ms above fresh_ms"),
         }
     }
 }
 
 impl Timing {
     /// The longest true time that a measured span can stand for, if the clock runs slow by `drift_ppm`.
-    pub fn stretched(&self, span: Micros) -> Micros {
+    pub fn max_true_span(&self, span: Micros) -> Micros {
         let rate = 1_000_000 - u128::from(self.drift_ppm.min(MAX_DRIFT_PPM));
         let longest = (u128::from(span.0) * 1_000_000).div_ceil(rate);
         Micros(u64::try_from(longest).unwrap_or(u64::MAX))
@@ -93,13 +93,15 @@
     pub fn max_connected_age(&self) -> Micros {
         let link_delays = self.max_link_delay.0 * 6;
         // Stretched once because the timers may run slow, and once because ages are measured as if the clock ran slow.
-        self.stretched(self.stretched(Micros(self.confirm_interval.0 + self.ask_interval.0 + link_delays)))
+        self.max_true_span(
+            self.max_true_span(Micros(self.confirm_interval.0 + self.ask_interval.0 + link_delays)),
+        )
     }
 
     /// The longest time from the acceptance of a change until every gateway applies it whose member is connected to the
     /// leader. The leader informs the members with its next heartbeat at the latest, and they inform the gateways.
     pub fn delivery_bound(&self) -> Micros {
-        self.stretched(Micros(self.heartbeat_interval.0 + 2 * self.max_link_delay.0))
+        self.max_true_span(Micros(self.heartbeat_interval.0 + 2 * self.max_link_delay.0))
     }
 
     /// The same bound if the gateway's member or the leader fails meanwhile. The group needs a new leader, with a second
@@ -107,7 +109,7 @@
     pub fn delivery_bound_after_failure(&self) -> Micros {
         let member_switch = self.answer_timeout.0 + self.ask_interval.0 + 4 * self.max_link_delay.0;
         let leader_election = 2 * self.election_timeout.0 + 4 * self.max_link_delay.0;
-        self.stretched(Micros(
+        self.max_true_span(Micros(
             self.delivery_bound().0 + member_switch.max(leader_election) + self.max_connected_age().0,
         ))
     }
@@ -115,21 +117,21 @@
     /// The highest age of directives that a gateway applies without reporting that it is on its own. Computed ages are
     /// never below the true ones, and the gateway checks them once per `tick_interval`.
     pub fn max_acted_on_age(&self) -> Micros {
-        Micros(self.stale_limit.0.saturating_add(self.stretched(self.tick_interval).0))
+        Micros(self.stale_limit.0.saturating_add(self.max_true_span(self.tick_interval).0))
     }
 
     /// Every conflict between the settings; empty if they are usable.
     pub fn problems(&self) -> Vec<TimingProblem> {
         let mut problems = Vec::new();
         if self.election_timeout.0 < 3 * self.heartbeat_interval.0 {
-            problems.push(TimingProblem::Election);
+            problems.push(TimingProblem::ElectionTimeoutTooShort);
         }
-        let least = self.max_connected_age();
-        if self.fresh_limit < least {
-            problems.push(TimingProblem::Fresh { least });
+        let minimum = self.max_connected_age();
+        if self.fresh_limit < minimum {
+            problems.push(TimingProblem::FreshLimitTooShort { minimum });
         }
         if self.stale_limit <= self.fresh_limit {
-            problems.push(TimingProblem::Stale);
+            problems.push(TimingProblem::StaleLimitTooShort);
         }
         problems
     }
--- a/crates/starlinghill-failover/src/follower.rs
+++ b/crates/starlinghill-failover/src/follower.rs
@@ -188,7 +188,7 @@
 
     /// An upper bound on the age of the newest directives; `None` if they were never confirmed.
     pub fn age(&self, now: Micros) -> Option<Micros> {
-        self.confirmed_at.map(|at| self.timing.stretched(Micros(now.0.saturating_sub(at.0))))
+        self.confirmed_at.map(|at| self.timing.max_true_span(Micros(now.0.saturating_sub(at.0))))
     }
 
     /// Records that the gateway has connected to a member.
--- a/crates/starlinghill-failover/src/topology.rs
+++ b/crates/starlinghill-failover/src/topology.rs
@@ -44,15 +44,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TopologyProblem {
     /// There is no zone.
-    Empty,
+    #[serde(rename = "Empty")]
+    NoZones,
     /// There are more than [`MAX_ZONES`] zones; holds their number.
-    TooMany(usize),
+    #[serde(rename = "TooMany")]
+    TooManyZones(usize),
     /// A name that [`is_name`] does not accept.
-    Name(String),
+    #[serde(rename = "Name")]
+    BadName(String),
     /// A region is listed twice.
-    Twice(String),
+    #[serde(rename = "Twice")]
+    DuplicateRegion(String),
     /// A zone names a region that is not listed.
-    NoRegion {
+    #[serde(rename = "NoRegion")]
+    UnknownRegion {
         /// The name of the zone.
         zone: String,
         /// The region that it names.
@@ -61,37 +66,42 @@
     /// A region without a zone.
     EmptyRegion(String),
     /// A zone's capacity is 0 or above [`MAX_CAPACITY`].
-    Capacity {
+    #[serde(rename = "Capacity")]
+    BadCapacity {
         /// The name of the zone.
         zone: String,
         /// Its capacity.
-        found: u32,
+        #[serde(rename = "found")]
+        capacity: u32,
     },
     /// The floor is above 1000 thousandths.
-    Floor(u16),
+    #[serde(rename = "Floor")]
+    FloorTooHigh(u16),
 }
 
 impl fmt::Display for TopologyProblem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            TopologyProblem::Empty => f.write_str("expected at least one zone, found none"),
-            TopologyProblem::TooMany(n) => write!(f, "expected at most {MAX_ZONES} zones, found {n}"),
-            TopologyProblem::Name(name) => write!(
+            TopologyProblem::NoZones => f.write_str("expected at least one zone, found none"),
+            TopologyProblem::TooManyZones(n) => write!(f, "expected at most {MAX_ZONES} zones, found {n}"),
+            TopologyProblem::BadName(name) => write!(
                 f,
                 "expected a name of 1 to {MAX_NAME_BYTES} letters, digits, '-', '_' or '.', found '{}'",
                 name.escape_debug()
             ),
-            TopologyProblem::Twice(name) => write!(f, "expected each region once, found '{name}' again"),
-            TopologyProblem::NoRegion { zone, region } => {
+            TopologyProblem::DuplicateRegion(name) => {
+                write!(f, "expected each region once, found '{name}' again")
+            }
+            TopologyProblem::UnknownRegion { zone, region } => {
                 write!(f, "zone '{zone}': expected one of the regions, found '{region}'")
             }
             TopologyProblem::EmptyRegion(name) => {
                 write!(f, "region '{name}': expected at least one zone, found none")
             }
-            TopologyProblem::Capacity { zone, found } => {
-                write!(f, "zone '{zone}': expected a capacity from 1 to {MAX_CAPACITY}, found {found}")
+            TopologyProblem::BadCapacity { zone, capacity } => {
+                write!(f, "zone '{zone}': expected a capacity from 1 to {MAX_CAPACITY}, found {capacity}")
             }
-            TopologyProblem::Floor(found) => {
+            TopologyProblem::FloorTooHigh(found) => {
                 write!(f, "expected a floor of at most 1000 thousandths, found {found}")
             }
         }
@@ -111,18 +121,18 @@
     pub fn problems(&self) -> Vec<TopologyProblem> {
         let mut problems = Vec::new();
         if self.zones.is_empty() {
-            problems.push(TopologyProblem::Empty);
+            problems.push(TopologyProblem::NoZones);
         }
         if self.zones.len() > MAX_ZONES {
-            problems.push(TopologyProblem::TooMany(self.zones.len()));
+            problems.push(TopologyProblem::TooManyZones(self.zones.len()));
         }
         let mut regions = BTreeSet::new();
         for region in &self.regions {
             if !is_name(region) {
-                problems.push(TopologyProblem::Name(clipped(region)));
+                problems.push(TopologyProblem::BadName(clipped(region)));
             }
             if !regions.insert(region) {
-                problems.push(TopologyProblem::Twice(clipped(region)));
+                problems.push(TopologyProblem::DuplicateRegion(clipped(region)));
             }
             if !self.zones.values().any(|z| z.region == *region) {
                 problems.push(TopologyProblem::EmptyRegion(clipped(region)));
@@ -130,18 +140,20 @@
         }
         for (name, zone) in &self.zones {
             if !is_name(name) {
-                problems.push(TopologyProblem::Name(clipped(name)));
+                problems.push(TopologyProblem::BadName(clipped(name)));
             }
             if !regions.contains(&zone.region) {
-                problems
-                    .push(TopologyProblem::NoRegion { zone: clipped(name), region: clipped(&zone.region) });
+                problems.push(TopologyProblem::UnknownRegion {
+                    zone: clipped(name),
+                    region: clipped(&zone.region),
+                });
             }
             if zone.capacity == 0 || zone.capacity > MAX_CAPACITY {
-                problems.push(TopologyProblem::Capacity { zone: clipped(name), found: zone.capacity });
+                problems.push(TopologyProblem::BadCapacity { zone: clipped(name), capacity: zone.capacity });
             }
         }
         if self.floor > crate::FULL_WEIGHT {
-            problems.push(TopologyProblem::Floor(self.floor));
+            problems.push(TopologyProblem::FloorTooHigh(self.floor));
         }
         problems
     }
--- a/crates/starlinghill-failover/tests/follower.rs
+++ b/crates/starlinghill-failover/tests/follower.rs
@@ -108,7 +108,7 @@
     // A member that was paused claims a current state at an older position. This confirms nothing.
     follower.handle(ms(30), answer(25, 0, old.position));
     assert_eq!(follower.held(), state.position);
-    assert_eq!(follower.age(ms(1_000)), Some(Timing::default().stretched(ms(990))));
+    assert_eq!(follower.age(ms(1_000)), Some(Timing::default().max_true_span(ms(990))));
     let actions = follower.handle(ms(600), Event::Tick);
     assert!(matches!(&actions[..], [Action::SwitchMember(SwitchReason::Behind { .. })]), "{actions:?}");
 }
--- a/crates/starlinghill-operator-config/src/group.rs
+++ b/crates/starlinghill-operator-config/src/group.rs
@@ -110,7 +110,7 @@
     let name = match raw.name {
         Some(name) if is_name(name.get_ref()) => name.into_inner(),
         Some(name) => {
-            let what = TopologyProblem::Name(name.get_ref().chars().take(64).collect()).to_string();
+            let what = TopologyProblem::BadName(name.get_ref().chars().take(64).collect()).to_string();
             c.fail(name.span(), "group.name", what);
             String::new()
         }
@@ -237,9 +237,9 @@
     };
     for misfit in timing.problems() {
         let key = match misfit {
-            TimingProblem::Election => "group.timing.election_ms",
-            TimingProblem::Fresh { .. } => "group.timing.fresh_ms",
-            TimingProblem::Stale => "group.timing.stale_ms",
+            TimingProblem::ElectionTimeoutTooShort => "group.timing.election_ms",
+            TimingProblem::FreshLimitTooShort { .. } => "group.timing.fresh_ms",
+            TimingProblem::StaleLimitTooShort => "group.timing.stale_ms",
         };
         c.fail(span.clone(), key, misfit.to_string());
     }
