--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -4,7 +4,7 @@
 use crate::group_follower::{begin, Following, Renew};
 use starlinghill_decision::api::Outcome;
 use starlinghill_failover::Micros;
-use starlinghill_gateway::attempt_events::Attempted;
+use starlinghill_gateway::attempt_events::EndedAttempt;
 use starlinghill_gateway::config::Config;
 use starlinghill_gateway::process::{self, ProcessOptions};
 use starlinghill_operator_config::Group;
@@ -37,14 +37,14 @@
 }
 
 /// What became of an attempt, as evidence on its server's zone; `None`: it says nothing of it.
-fn became(attempted: &Attempted) -> Option<AttemptResult> {
-    Some(match attempted.outcome {
-        Outcome::Ok if attempted.late => AttemptResult::Late,
+fn became(attempt: &EndedAttempt) -> Option<AttemptResult> {
+    Some(match attempt.outcome {
+        Outcome::Ok if attempt.late => AttemptResult::Late,
         Outcome::Ok => AttemptResult::Answered,
         Outcome::Error | Outcome::Reset => AttemptResult::Failed,
         Outcome::Full => AttemptResult::TurnedAway,
         Outcome::Timeout => AttemptResult::Silent,
-        Outcome::ConnectFailed if attempted.refused => AttemptResult::Refused,
+        Outcome::ConnectFailed if attempt.refused => AttemptResult::Refused,
         Outcome::ConnectFailed => AttemptResult::Unreached,
         Outcome::Cancelled | Outcome::Moot => return None,
     })
@@ -61,9 +61,9 @@
     let watch = Arc::new(Mutex::new(AttemptWindow::new(group.map.zones.keys().cloned())));
     // One thread has both; nobody waits for the other.
     let (seen, told) = (watch.clone(), watch.clone());
-    let watcher = move |attempted: &Attempted| {
-        let Some(became) = became(attempted) else { return };
-        locked(&seen).ended(now(), attempted.zone, became);
+    let watcher = move |attempt: &EndedAttempt| {
+        let Some(became) = became(attempt) else { return };
+        locked(&seen).ended(now(), attempt.zone, became);
     };
     let evidence = move || locked(&told).report(now());
     let following = begin(group, config.name(), config.zone(), Some(Arc::new(evidence)));
--- a/crates/starlinghill-gateway/src/attempt_events.rs
+++ b/crates/starlinghill-gateway/src/attempt_events.rs
@@ -5,7 +5,7 @@
 
 /// An attempt that ended.
 #[derive(Debug, Clone, Copy)]
-pub struct Attempted<'a> {
+pub struct EndedAttempt<'a> {
     /// Its server's zone.
     pub zone: &'a str,
     /// How.
@@ -17,7 +17,7 @@
 }
 
 /// Hears of each attempt that ended. It is called between two events, and must not wait.
-pub type Watcher = Box<dyn Fn(&Attempted)>;
+pub type Watcher = Box<dyn Fn(&EndedAttempt)>;
 
 /// A watcher, and the zones of the listed servers.
 pub(crate) struct Watched {
@@ -43,7 +43,7 @@
     /// An attempt ended.
     pub(crate) fn ended(&self, server: ServerId, outcome: Outcome, refused: bool, late: bool) {
         if let Some(zone) = self.zones.get(&server) {
-            (self.tell)(&Attempted { zone, outcome, refused, late });
+            (self.tell)(&EndedAttempt { zone, outcome, refused, late });
         }
     }
 }
--- a/crates/starlinghill-gateway/src/backend.rs
+++ b/crates/starlinghill-gateway/src/backend.rs
@@ -75,7 +75,7 @@
 
 /// How many connections there were, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ConnectionCounts {
     /// New ones.
     pub opened: u64,
     /// Of these, made although one was at rest, which had rested too long for what may run once.
@@ -107,7 +107,7 @@
     longest_idle: Duration,
     dialect: Rc<dyn BackendProtocol>,
     stir: Arc<Stir>,
-    counts: Cell<Counts>,
+    counts: Cell<ConnectionCounts>,
 }
 
 impl Pool {
@@ -138,11 +138,11 @@
     }
 
     /// How many connections there were.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> ConnectionCounts {
         self.counts.get()
     }
 
-    fn count(&self, note: impl FnOnce(&mut Counts)) {
+    fn count(&self, note: impl FnOnce(&mut ConnectionCounts)) {
         let mut counts = self.counts.get();
         note(&mut counts);
         self.counts.set(counts);
@@ -318,8 +318,8 @@
                 Ok(response) => {
                     rested.into_iter().for_each(|(rested, told)| backend.memory.served(rested, told));
                     let (head, body) = response.into_parts();
-                    let reading = self.dialect.read(&request.headers, &head);
-                    if !reading.own {
+                    let reading = self.dialect.classify(&request.headers, &head);
+                    if !reading.matches_request {
                         return Outcome::Reset.into();
                     }
                     let head = Head { status: head.status, headers: head.headers };
@@ -345,14 +345,14 @@
     async fn answer(
         self: &Rc<Self>,
         backend: &Rc<Backend>,
-        ResponseVerdict { outcome, pass, head: keeps_head, .. }: ResponseVerdict,
+        ResponseVerdict { outcome, keep_body, keep_head, .. }: ResponseVerdict,
         mut head: Head,
         mut body: Incoming,
         mut connection: Connection,
         place: OwnedSemaphorePermit,
     ) -> Ended {
         let length = body.size_hint().exact();
-        let head = keeps_head.then(|| {
+        let head = keep_head.then(|| {
             strip_hop_by_hop(&mut head.headers);
             Box::new(head)
         });
@@ -379,7 +379,7 @@
                     let Ok(bytes) = frame.into_data() else { continue };
                     size += bytes.len();
                     // Nobody reads an error's body, which may be as long as it likes.
-                    if pass && (outcome == Outcome::Ok || size <= MAX_BODY) {
+                    if keep_body && (outcome == Outcome::Ok || size <= MAX_BODY) {
                         held.push_back(bytes);
                     } else if size > MAX_BODY {
                         return outcome.into();
@@ -390,7 +390,7 @@
             }
         }
         self.give_back(backend, connection);
-        match pass {
+        match keep_body {
             true => Ended { body: Some(Served::Whole(joined(held, size))), head, ..outcome.into() },
             false => outcome.into(),
         }
--- a/crates/starlinghill-gateway/src/backend_protocol.rs
+++ b/crates/starlinghill-gateway/src/backend_protocol.rs
@@ -10,9 +10,9 @@
 /// A protocol that backends speak.
 pub trait BackendProtocol {
     /// Puts into a head what this backend is to be told: how many milliseconds are left, and whatever else is its own.
-    fn address(&self, headers: &mut HeaderMap, backend: &Backend, left_ms: u64);
+    fn set_headers(&self, headers: &mut HeaderMap, backend: &Backend, left_ms: u64);
     /// Reads the head of an answer to a request with these headers.
-    fn read(&self, asked: &HeaderMap, head: &Parts) -> ResponseVerdict;
+    fn classify(&self, asked: &HeaderMap, head: &Parts) -> ResponseVerdict;
 }
 
 /// What an answer's head says.
@@ -21,12 +21,12 @@
     /// How the attempt ends, if its body comes whole.
     pub outcome: Outcome,
     /// The body may be the client's: it is held, or passed on.
-    pub pass: bool,
+    pub keep_body: bool,
     /// So is its head, which is kept for that.
-    pub head: bool,
+    pub keep_head: bool,
     /// The answer belongs to this request. Guards against what a backend sends late, or twice: the connection is of no
     /// further use.
-    pub own: bool,
+    pub matches_request: bool,
 }
 
 /// How long the client waits; to a backend: how long this gateway does.
@@ -37,18 +37,23 @@
 pub struct Platform;
 
 impl BackendProtocol for Platform {
-    fn address(&self, headers: &mut HeaderMap, _: &Backend, left_ms: u64) {
+    fn set_headers(&self, headers: &mut HeaderMap, _: &Backend, left_ms: u64) {
         headers.insert(BUDGET, HeaderValue::from(left_ms));
     }
 
     /// Guards against taking a bare 503 or 504 for a turn-away: only the header proves that the request never ran.
-    fn read(&self, _: &HeaderMap, head: &Parts) -> ResponseVerdict {
+    fn classify(&self, _: &HeaderMap, head: &Parts) -> ResponseVerdict {
         let rejected = head.headers.get(REJECTED).is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match head.status {
             StatusCode::OK => Outcome::Ok,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Full,
             _ => Outcome::Error,
         };
-        ResponseVerdict { outcome, pass: outcome == Outcome::Ok, head: false, own: true }
+        ResponseVerdict {
+            outcome,
+            keep_body: outcome == Outcome::Ok,
+            keep_head: false,
+            matches_request: true,
+        }
     }
 }
--- a/crates/starlinghill-gateway/src/class_names.rs
+++ b/crates/starlinghill-gateway/src/class_names.rs
@@ -70,7 +70,7 @@
     }
 
     /// So long after SIGTERM all must be answered.
-    pub fn last_answer(&self) -> Duration {
+    pub fn shutdown_limit(&self) -> Duration {
         let longest = self.now.values().map(|class| class.deadline).max().unwrap_or_default();
         Duration::from_micros(longest.0).min(LONGEST_DEADLINE) + LAST_ANSWER
     }
--- a/crates/starlinghill-gateway/src/counter.rs
+++ b/crates/starlinghill-gateway/src/counter.rs
@@ -34,11 +34,11 @@
     /// Units of such a store were used without a word of the counter's; fewer than none where drawn ones were not used.
     fn charge(&self, _: CountName, _units: f64) {}
     /// An attempt went out to a server.
-    fn sent(&self, _: ServerId) {}
+    fn attempt_sent(&self, _: ServerId) {}
     /// It came back, after that time.
-    fn came_back(&self, _: ServerId, _: Outcome, _took: Micros) {}
+    fn attempt_ended(&self, _: ServerId, _: Outcome, _took: Micros) {}
     /// Where the counter is, where it is at an address.
-    fn at(&self) -> Option<SocketAddr> {
+    fn address(&self) -> Option<SocketAddr> {
         None
     }
 }
@@ -47,7 +47,7 @@
     fn count(self: Rc<Self>, name: CountName, amount: f64, life: Micros) -> CounterCall {
         Box::pin(async move { self.add(name, amount, life).await })
     }
-    fn at(&self) -> Option<SocketAddr> {
+    fn address(&self) -> Option<SocketAddr> {
         Some(self.address)
     }
 }
--- a/crates/starlinghill-gateway/src/driver.rs
+++ b/crates/starlinghill-gateway/src/driver.rs
@@ -8,7 +8,7 @@
 use crate::counter::{Calls, Counter, CounterCall, CounterTransport};
 use crate::forward::{Ended, Forward, Head, Served};
 use crate::handover::Handover;
-use crate::inbox::{Answer, Clock, Inbox, Input, Listing, Ordered, PeerSender, Taken};
+use crate::inbox::{Answer, BackendListing, Clock, DriverSender, Input, Ordered, PeerSender, Taken};
 use crate::maintenance_file::Orders;
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
@@ -56,7 +56,7 @@
 }
 
 /// Tells the driver of services that move.
-pub async fn follow(mut upstreams: watch::Receiver<Upstreams>, inbox: Inbox) {
+pub async fn follow(mut upstreams: watch::Receiver<Upstreams>, inbox: DriverSender) {
     while upstreams.changed().await.is_ok() {
         let counter = upstreams.borrow_and_update().counter;
         if inbox.send(Input::Counter(counter)).await.is_err() {
@@ -71,7 +71,7 @@
     site: Site,
     clock: Clock,
     tick: Duration,
-    inbox: Inbox,
+    inbox: DriverSender,
     inputs: mpsc::Receiver<Input>,
     pool: Rc<Pool>,
     counter: Option<Rc<dyn CounterTransport>>,
@@ -161,7 +161,7 @@
 
     /// A driver of a process that is told of backends, plans and classes as they come, and by itself says when it is
     /// ready.
-    pub fn hosted(
+    pub fn embedded(
         settings: Settings,
         seed: u64,
         clock: Clock,
@@ -205,7 +205,7 @@
     }
 
     /// The way in.
-    pub fn inbox(&self) -> Inbox {
+    pub fn sender(&self) -> DriverSender {
         self.inbox.clone()
     }
 
@@ -292,7 +292,7 @@
             }
             Input::Backends(scope, listings) => self.backends(scope, listings),
             Input::Counter(address) => {
-                let held = self.counter.as_ref().and_then(|counter| counter.at());
+                let held = self.counter.as_ref().and_then(|counter| counter.address());
                 if address.is_some() && address != held {
                     // Calls under way keep the old one until they end; its idle connections end with it.
                     self.counter = address.map(&self.counter_at);
@@ -300,12 +300,12 @@
             }
             Input::Post(post) => self.post = Some(post),
             Input::Rules(rules) => self.batch.push(Event::Rules(rules)),
-            Input::Alone(alone) => self.batch.push(Event::Alone(alone)),
+            Input::Isolated(alone) => self.batch.push(Event::Alone(alone)),
             Input::Zones(parts) => {
                 let parts = parts.into_iter().map(|(zone, part)| (self.site.zone(&zone), part)).collect();
                 self.batch.push(Event::Zones(parts));
             }
-            Input::Closing(by) => {
+            Input::Shutdown(by) => {
                 self.closing = true;
                 self.batch.push(Event::Closing(by));
             }
@@ -314,8 +314,8 @@
             Input::Counted(name, serial, counted) => {
                 let nth = self.calls.answered(name, serial);
                 self.batch.extend(counted.share.map(|share| Event::Share(name, share)));
-                if let Some(nth) = nth.filter(|_| !counted.rooms.is_empty()) {
-                    self.batch.push(Event::Rooms(name, nth, counted.rooms));
+                if let Some(nth) = nth.filter(|_| !counted.fastest_servers.is_empty()) {
+                    self.batch.push(Event::Rooms(name, nth, counted.fastest_servers));
                 }
                 self.batch.extend(nth.map(|nth| Event::Counted(name, nth, counted.outcome, counted.total)));
             }
@@ -338,7 +338,7 @@
                 let was_out =
                     open.attempts.get_mut(attempt).is_some_and(|a| std::mem::replace(&mut a.out, false));
                 if let Some(counter) = self.counter.as_ref().filter(|_| was_out) {
-                    counter.came_back(server, ended.outcome, took);
+                    counter.attempt_ended(server, ended.outcome, took);
                 }
                 if let Some(watched) = &self.watched {
                     let class = self.site.settings.classes.get(open.class.0);
@@ -474,9 +474,9 @@
     }
 
     /// Backends by entries of their own: who stands at an address is told apart by name.
-    fn backends(&mut self, scope: ListScope, listings: Vec<Listing>) {
+    fn backends(&mut self, scope: ListScope, listings: Vec<BackendListing>) {
         let mut entries = Vec::with_capacity(listings.len());
-        for Listing { entry, address, name } in listings {
+        for BackendListing { entry, address, name } in listings {
             let stays = |b: &Rc<Backend>| b.address == address && b.name.as_ref() == Some(&name);
             if entry.listed != Listed::InService {
                 self.backends.remove(&entry.server).into_iter().for_each(|b| self.pool.close(&b));
@@ -551,7 +551,7 @@
         };
         let (call_off, called_off) = oneshot::channel();
         open.attempts.push(Attempt { out: true, call_off: Some(call_off) });
-        self.counter.iter().for_each(|counter| counter.sent(server));
+        self.counter.iter().for_each(|counter| counter.attempt_sent(server));
         let (pool, forward, inbox) = (self.pool.clone(), open.forward.clone(), self.inbox.clone());
         let (until, clock) = (self.clock.instant(until), self.clock);
         tokio::task::spawn_local(async move {
--- a/crates/starlinghill-gateway/src/forward.rs
+++ b/crates/starlinghill-gateway/src/forward.rs
@@ -91,7 +91,7 @@
             Payload::Whole(_) => until.saturating_duration_since(Instant::now()),
             Payload::Passing { budget, .. } => *budget,
         };
-        dialect.address(request.headers_mut(), backend, left.as_millis() as u64);
+        dialect.set_headers(request.headers_mut(), backend, left.as_millis() as u64);
         Some(request)
     }
 }
--- a/crates/starlinghill-gateway/src/inbox.rs
+++ b/crates/starlinghill-gateway/src/inbox.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 /// The way to the driver.
-pub type Inbox = mpsc::Sender<Input>;
+pub type DriverSender = mpsc::Sender<Input>;
 
 /// The final answer to a client.
 pub enum Answer {
@@ -44,7 +44,7 @@
     /// News of the backends.
     Members(MemberList),
     /// News of the backends, where no list but entries come.
-    Backends(ListScope, Vec<Listing>),
+    Backends(ListScope, Vec<BackendListing>),
     /// The counter is somewhere else.
     Counter(Option<SocketAddr>),
     /// A message from another gateway, by its number.
@@ -54,11 +54,11 @@
     /// New rules for what comes from now on.
     Rules(Rules),
     /// Whether this gateway hears nobody, so that others may use its shares.
-    Alone(bool),
+    Isolated(bool),
     /// The parts that zones get from now on, by name.
     Zones(Vec<(String, ZonePart)>),
     /// All that is open must have its answer by then.
-    Closing(Micros),
+    Shutdown(Micros),
     /// Staff take a backend out, or call it back.
     Order {
         /// Its id.
@@ -81,7 +81,7 @@
 }
 
 /// A backend as it is listed.
-pub struct Listing {
+pub struct BackendListing {
     /// What the module is told.
     pub entry: ServerEntry,
     /// Where it listens.
@@ -114,7 +114,7 @@
         Clock { base: Micros(unix.as_micros() as u64), start: Instant::now() }
     }
     /// One that shows that time now, for a process that is told elsewhere what others have in common.
-    pub fn from(base: Micros) -> Clock {
+    pub fn starting_at(base: Micros) -> Clock {
         Clock { base, start: Instant::now() }
     }
     /// Now.
@@ -159,11 +159,11 @@
     /// This gateway's share of what it counts, for when the counter is silent, where it tells that.
     pub share: Option<f64>,
     /// The servers that answer soonest, and in what time, where the counter names any.
-    pub rooms: Vec<(ServerId, Micros)>,
+    pub fastest_servers: Vec<(ServerId, Micros)>,
 }
 
 impl From<Outcome> for CounterResult {
     fn from(outcome: Outcome) -> CounterResult {
-        CounterResult { outcome, total: 0.0, share: None, rooms: Vec::new() }
+        CounterResult { outcome, total: 0.0, share: None, fastest_servers: Vec::new() }
     }
 }
--- a/crates/starlinghill-gateway/src/lib.rs
+++ b/crates/starlinghill-gateway/src/lib.rs
@@ -30,7 +30,7 @@
 use class_names::Names;
 use config::{Config, ConfigError, Upstreams};
 use driver::Driver;
-use inbox::{Clock, Inbox, Input};
+use inbox::{Clock, DriverSender, Input};
 use ops::Door;
 use peers::{Peers, Socket};
 use server::{Front, RequestIntake};
@@ -121,7 +121,7 @@
     let peers = config.peers.clone();
     let follower = config.follower();
     let driver = Driver::new(config, clock, ready, follower.wait(), watcher).map_err(RunError::Config)?;
-    let inbox = driver.inbox();
+    let inbox = driver.sender();
     match peers {
         // The process that this one takes over from may have the socket.
         Some(peers) if shared => drop(spawn_local(post_later(peers, inbox.clone()))),
@@ -148,10 +148,10 @@
     let driving = spawn_local(driver.run());
     let front = Rc::new(Front {
         intake: RequestIntake {
-            inbox: inbox.clone(),
+            driver: inbox.clone(),
             clock,
-            bodies: Semaphore::new(bodies),
-            last: Default::default(),
+            body_memory: Semaphore::new(bodies),
+            last_request_id: Default::default(),
         },
         ready: is_ready.clone(),
         names: RefCell::new(Names::new(&classes)),
@@ -186,13 +186,13 @@
     listen::bind(address).await.map_err(|e| RunError::Listen(address, e))
 }
 
-async fn post_later(peers: Peers, inbox: Inbox) {
+async fn post_later(peers: Peers, inbox: DriverSender) {
     let post = Socket::open_later(&peers).await;
     post_over(post, &inbox).await;
 }
 
 /// Lets the driver send messages, and tells it what comes.
-async fn post_over(post: Socket, inbox: &Inbox) {
+async fn post_over(post: Socket, inbox: &DriverSender) {
     let post = Rc::new(post);
     spawn_local(post.clone().receive(inbox.clone()));
     // Without a driver nobody sends anything.
@@ -209,7 +209,7 @@
         let Some(new) = site.borrow_and_update().clone() else { continue };
         match classes.follow(&new) {
             Ok(rules) => {
-                if front.intake.inbox.send(Input::Rules(rules)).await.is_err() {
+                if front.intake.driver.send(Input::Rules(rules)).await.is_err() {
                     return;
                 }
                 front.names.borrow_mut().follow(&classes);
@@ -220,7 +220,7 @@
 }
 
 /// Hands on the parts that zones get.
-async fn follow_zones(mut zones: watch::Receiver<ZoneParts>, inbox: Inbox) {
+async fn follow_zones(mut zones: watch::Receiver<ZoneParts>, inbox: DriverSender) {
     loop {
         let parts = zones.borrow_and_update().clone();
         if inbox.send(Input::Zones(parts)).await.is_err() || zones.changed().await.is_err() {
@@ -232,9 +232,9 @@
 /// Tells the module by when all must be answered, once the gateway is to end.
 async fn tell_end(mut stopping: watch::Receiver<bool>, front: Rc<Front>) {
     if stopping.wait_for(|stop| *stop).await.is_ok() {
-        let left = front.names.borrow().last_answer().saturating_sub(WRITING);
+        let left = front.names.borrow().shutdown_limit().saturating_sub(WRITING);
         let by = front.intake.clock.now() + Micros(left.as_micros() as u64);
         // The driver may have ended.
-        let _ = front.intake.inbox.send(Input::Closing(by)).await;
+        let _ = front.intake.driver.send(Input::Shutdown(by)).await;
     }
 }
--- a/crates/starlinghill-gateway/src/ops.rs
+++ b/crates/starlinghill-gateway/src/ops.rs
@@ -1,7 +1,7 @@
 //! The operators' door: whether this process can serve, and backends taken out and called back.
 
-use crate::inbox::{Inbox, Input, Ordered};
-use crate::server::plain;
+use crate::inbox::{DriverSender, Input, Ordered};
+use crate::server::text_response;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -32,7 +32,7 @@
 /// What a call at the door needs.
 pub struct Door {
     /// The way to the driver.
-    pub inbox: Inbox,
+    pub inbox: DriverSender,
     /// The list of backends is in hand.
     pub ready: watch::Receiver<bool>,
     /// Set by SIGTERM.
@@ -79,39 +79,39 @@
     let out = match (request.method(), request.uri().path()) {
         (&Method::GET, "/status") => {
             return match *door.ready.borrow() && !*door.stopping.borrow() {
-                true => plain(StatusCode::OK, "ready\n"),
-                false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+                true => text_response(StatusCode::OK, "ready\n"),
+                false => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             }
         }
         (&Method::POST, "/maintenance/enter") => true,
         (&Method::POST, "/maintenance/exit") => false,
         (_, "/status" | "/maintenance/enter" | "/maintenance/exit") => {
-            return plain(StatusCode::METHOD_NOT_ALLOWED, "expected GET /status or POST\n")
+            return text_response(StatusCode::METHOD_NOT_ALLOWED, "expected GET /status or POST\n")
         }
         _ => {
-            return plain(
+            return text_response(
                 StatusCode::NOT_FOUND,
                 "expected /status, /maintenance/enter or /maintenance/exit\n",
             )
         }
     };
     let Ok(body) = Limited::new(request.into_body(), MAX_BODY).collect().await else {
-        return plain(StatusCode::BAD_REQUEST, "body: expected the id of a backend\n");
+        return text_response(StatusCode::BAD_REQUEST, "body: expected the id of a backend\n");
     };
     let body = body.to_bytes();
     let Some(id) = std::str::from_utf8(&body).ok().map(str::trim).filter(|id| !id.is_empty()) else {
-        return plain(StatusCode::BAD_REQUEST, "body: expected the id of a backend\n");
+        return text_response(StatusCode::BAD_REQUEST, "body: expected the id of a backend\n");
     };
     let (reply, ordered) = oneshot::channel();
     let told = door.inbox.send(Input::Order { id: id.to_string(), out, reply }).await.is_ok();
     let ordered = if told { ordered.await.ok() } else { None };
     info!(id, out, ?ordered, "ordered");
     match ordered {
-        Some(Ordered::Done) => plain(StatusCode::OK, if out { "out\n" } else { "back\n" }),
-        Some(Ordered::Unknown) => plain(StatusCode::NOT_FOUND, "no backend of that id\n"),
-        Some(Ordered::NotReady) | None => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+        Some(Ordered::Done) => text_response(StatusCode::OK, if out { "out\n" } else { "back\n" }),
+        Some(Ordered::Unknown) => text_response(StatusCode::NOT_FOUND, "no backend of that id\n"),
+        Some(Ordered::NotReady) | None => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         Some(Ordered::NotKept(why)) => {
-            let mut response = plain(StatusCode::INSUFFICIENT_STORAGE, "");
+            let mut response = text_response(StatusCode::INSUFFICIENT_STORAGE, "");
             *response.body_mut() = Full::new(Bytes::from(format!("not kept, so not in force: {why}\n")));
             response
         }
--- a/crates/starlinghill-gateway/src/peers.rs
+++ b/crates/starlinghill-gateway/src/peers.rs
@@ -1,6 +1,6 @@
 //! Messages between gateways: one datagram each, lost or late as it happens.
 
-use crate::inbox::{Inbox, Input, PeerSender};
+use crate::inbox::{DriverSender, Input, PeerSender};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -67,7 +67,7 @@
     }
 
     /// Tells the driver of what comes, for ever.
-    pub async fn receive(self: Rc<Socket>, inbox: Inbox) {
+    pub async fn receive(self: Rc<Socket>, inbox: DriverSender) {
         let mut buffer = [0; LONGEST + 1];
         let mut taken: VecDeque<Instant> = VecDeque::new();
         loop {
--- a/crates/starlinghill-gateway/src/server.rs
+++ b/crates/starlinghill-gateway/src/server.rs
@@ -7,7 +7,7 @@
 use crate::connections::{ConnectionHandle, Lines, Phase, ACCEPT_PAUSE, BODY_RATE, RECEIVE_TIME};
 use crate::forward::{Forward, Payload, Served};
 use crate::idle::Reuse;
-use crate::inbox::{Answer, Clock, Inbox, Input, Taken};
+use crate::inbox::{Answer, Clock, DriverSender, Input, Taken};
 use crate::request_head::{seen, Head};
 use crate::upload::{Follower, Upload, Whole, MAX_BODY, MAX_PASSING};
 use bytes::Bytes;
@@ -68,21 +68,21 @@
     /// Other processes accept from the same socket.
     fn is_shared(&self) -> bool;
     /// So long after SIGTERM new connections are taken, where no other process does.
-    fn last_call(&self) -> Duration;
+    fn accept_grace(&self) -> Duration;
     /// So long after SIGTERM all must be answered.
-    fn last_answer(&self) -> Duration;
+    fn shutdown_limit(&self) -> Duration;
 }
 
 /// What takes a request from its head to its answer.
 pub struct RequestIntake {
     /// The way to the driver.
-    pub inbox: Inbox,
+    pub driver: DriverSender,
     /// The module's clock.
     pub clock: Clock,
     /// Room for bodies, in bytes.
-    pub bodies: Semaphore,
+    pub body_memory: Semaphore,
     /// The number of the last request.
-    pub last: Cell<u64>,
+    pub last_request_id: Cell<u64>,
 }
 
 /// What all connections of the platform's clients share.
@@ -111,14 +111,14 @@
     async fn respond(&self, request: Request<Incoming>, line: &Rc<ConnectionHandle>) -> Response<AnswerBody> {
         match request.uri().path() {
             "/_health" => match *self.ready.borrow() && !self.is_stopping() {
-                true => plain(StatusCode::OK, "ready\n").map(AnswerBody::Left),
-                false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n").map(AnswerBody::Left),
+                true => text_response(StatusCode::OK, "ready\n").map(AnswerBody::Left),
+                false => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n").map(AnswerBody::Left),
             },
             "/api" => match take(request, self, line).await {
                 Ok(answer) => answer,
-                Err((status, problem)) => last(plain(status, problem).map(AnswerBody::Left)),
+                Err((status, problem)) => close_after(text_response(status, problem).map(AnswerBody::Left)),
             },
-            _ => last(plain(StatusCode::NOT_FOUND, "no such path\n").map(AnswerBody::Left)),
+            _ => close_after(text_response(StatusCode::NOT_FOUND, "no such path\n").map(AnswerBody::Left)),
         }
     }
     fn stopping(&self) -> watch::Receiver<bool> {
@@ -130,11 +130,11 @@
     fn is_shared(&self) -> bool {
         self.shared
     }
-    fn last_call(&self) -> Duration {
+    fn accept_grace(&self) -> Duration {
         LAST_CALL
     }
-    fn last_answer(&self) -> Duration {
-        self.names.borrow().last_answer()
+    fn shutdown_limit(&self) -> Duration {
+        self.names.borrow().shutdown_limit()
     }
 }
 
@@ -142,12 +142,12 @@
 pub async fn serve<D: RequestHandler + 'static>(listener: TcpListener, front: Rc<D>, connections: usize) {
     let lines = Rc::new(Lines { open: RefCell::default(), most: connections, ended: Notify::new() });
     let (mut stopping, shared) = (front.stopping(), front.is_shared());
-    let mut last_call: Option<Instant> = None;
+    let mut accept_grace: Option<Instant> = None;
     let mut sweep = interval(SWEEP_EVERY);
     let mut waiting = None;
     let mut serial = 0;
-    let last_answer = front.last_answer();
-    let last_use = if shared { last_answer.saturating_sub(LAST_USE) } else { front.last_call() };
+    let shutdown_limit = front.shutdown_limit();
+    let last_use = if shared { shutdown_limit.saturating_sub(LAST_USE) } else { front.accept_grace() };
     loop {
         tokio::select! {
             biased;
@@ -165,12 +165,12 @@
                     lines.ended.notify_one();
                 });
             }
-            stream = accept(&listener), if waiting.is_none() && last_call.is_none_or(|_| !shared) => {
+            stream = accept(&listener), if waiting.is_none() && accept_grace.is_none_or(|_| !shared) => {
                 waiting = Some(stream);
             }
             _ = sweep.tick() => lines.sweep(),
-            Ok(_) = stopping.wait_for(|stop| *stop), if last_call.is_none() => {
-                last_call = Some(Instant::now());
+            Ok(_) = stopping.wait_for(|stop| *stop), if accept_grace.is_none() => {
+                accept_grace = Some(Instant::now());
                 // New connections are still taken, so a client whose request crosses the closing comes back
                 // on one of them. What is being received is answered and then closed.
                 // Where other processes accept, each ends with the next answer on it instead: guards against a request
@@ -178,13 +178,13 @@
                 let past = |line: &Rc<ConnectionHandle>| line.phase.get() != Phase::Receiving && !shared;
                 lines.all().into_iter().filter(past).for_each(|line| line.close());
             }
-            () = sleep_until(last_call.unwrap_or_else(Instant::now) + last_use), if last_call.is_some() => break,
-            () = lines.ended.notified(), if last_call.is_some() && shared && lines.open.borrow().is_empty() => break,
+            () = sleep_until(accept_grace.unwrap_or_else(Instant::now) + last_use), if accept_grace.is_some() => break,
+            () = lines.ended.notified(), if accept_grace.is_some() && shared && lines.open.borrow().is_empty() => break,
         }
     }
     drop(listener);
     lines.all().into_iter().for_each(|line| line.close());
-    let left = last_answer.saturating_sub(last_call.map_or(Duration::ZERO, |at| at.elapsed()));
+    let left = shutdown_limit.saturating_sub(accept_grace.map_or(Duration::ZERO, |at| at.elapsed()));
     let all_ended = async {
         while !lines.open.borrow().is_empty() {
             tokio::select! {
@@ -251,7 +251,7 @@
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
     let mut response = front.respond(request, line).await;
     if front.is_stopping() || chunked {
-        response = last(response);
+        response = close_after(response);
     }
     if line.phase.get() != Phase::Passing {
         line.turn(Phase::Idle);
@@ -262,24 +262,24 @@
 
 /// Ends the connection with this answer. Guards against what follows a request that can't be believed, such as
 /// a body of 60 MB, which then is not read.
-pub fn last(mut response: Response<AnswerBody>) -> Response<AnswerBody> {
+pub fn close_after(mut response: Response<AnswerBody>) -> Response<AnswerBody> {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
 /// A short answer of our own.
-pub fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+pub fn text_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
 /// Why a request is not taken.
-pub type Malformed = (StatusCode, &'static str);
+pub type RequestError = (StatusCode, &'static str);
 
 /// Tells the driver that the client is gone, unless it was answered.
 struct Watch<'a> {
-    inbox: &'a Inbox,
+    inbox: &'a DriverSender,
     id: RequestId,
     answered: bool,
 }
@@ -306,7 +306,7 @@
 }
 
 impl OpenCall<'_> {
-    fn new(calls: &RefCell<HashSet<HeaderValue>>, call: HeaderValue) -> Result<OpenCall<'_>, Malformed> {
+    fn new(calls: &RefCell<HashSet<HeaderValue>>, call: HeaderValue) -> Result<OpenCall<'_>, RequestError> {
         match calls.borrow_mut().insert(call.clone()) {
             true => Ok(OpenCall { calls, call }),
             false => Err((StatusCode::CONFLICT, "X-Call-Id: a request of that name is open\n")),
@@ -331,7 +331,7 @@
     Passing(VecDeque<Bytes>, Incoming),
 }
 
-async fn receive(mut body: Incoming, line: &Rc<ConnectionHandle>) -> Result<Received, Malformed> {
+async fn receive(mut body: Incoming, line: &Rc<ConnectionHandle>) -> Result<Received, RequestError> {
     let (mut held, mut size) = (VecDeque::new(), 0);
     while size <= MAX_BODY {
         line.waits(true);
@@ -350,7 +350,7 @@
 }
 
 /// What a request's head has come to.
-pub struct Wanted {
+pub struct ValidatedRequest {
     /// What the module is told of it.
     pub arrival: Arrival,
     /// How long the client waits.
@@ -368,17 +368,17 @@
         &self,
         (method, uri): (Method, Uri),
         body: Incoming,
-        wanted: Wanted,
+        wanted: ValidatedRequest,
         line: &Rc<ConnectionHandle>,
-        read: impl FnOnce() -> Result<T, Malformed>,
-    ) -> Result<Answer, Malformed> {
+        read: impl FnOnce() -> Result<T, RequestError>,
+    ) -> Result<Answer, RequestError> {
         // Guards memory: where its length is known, that is before any of it is read.
         let length = body.size_hint().exact();
         if length.is_some_and(|length| length > MAX_PASSING) {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is longer than 32 MiB\n"));
         }
         let most = length.map_or(MAX_BODY, |length| length.min(MAX_BODY as u64) as usize);
-        let Ok(_room) = self.bodies.try_acquire_many(most as u32) else {
+        let Ok(_room) = self.body_memory.try_acquire_many(most as u32) else {
             return Err((StatusCode::SERVICE_UNAVAILABLE, "no room for the body\n"));
         };
         let received = receive(body, line).await?;
@@ -399,14 +399,14 @@
         };
         // The request's time runs from its last byte.
         let deadline = self.clock.now() + Micros(upload.as_micros() as u64) + wanted.budget;
-        let id = RequestId(self.last.replace(self.last.get() + 1) + 1);
+        let id = RequestId(self.last_request_id.replace(self.last_request_id.get() + 1) + 1);
         // Only path and query are the request's own; the rest of an absolute form names this gateway.
         let uri = uri.path_and_query().cloned().map(Uri::from).unwrap_or(uri);
         let forward = Forward { method, uri, headers, body, reuse: wanted.reuse };
         let (reply, answer) = oneshot::channel();
         let taken = Taken { arrival: Arrival { id, deadline, once, ..wanted.arrival }, forward, reply };
-        let mut watch = Watch { inbox: &self.inbox, id, answered: false };
-        let told = self.inbox.send(Input::Taken(Box::new(taken))).await.is_ok();
+        let mut watch = Watch { inbox: &self.driver, id, answered: false };
+        let told = self.driver.send(Input::Taken(Box::new(taken))).await.is_ok();
         let answer = if told { answer.await.unwrap_or(Answer::Failed) } else { Answer::Failed };
         watch.answered = true;
         Ok(answer)
@@ -414,21 +414,21 @@
 }
 
 /// Says when to come back.
-pub fn come_back(headers: &mut HeaderMap, wait: Option<Micros>) {
+pub fn set_retry_after(headers: &mut HeaderMap, wait: Option<Micros>) {
     let wait = wait.and_then(|w| HeaderValue::from_str(&format!("{:.3}", w.secs())).ok());
     wait.into_iter().for_each(|w| drop(headers.insert(header::RETRY_AFTER, w)));
 }
 
 /// Answered before its body was read to the end: what still comes of it is nobody's.
-pub fn unless_read(response: Response<AnswerBody>, line: &Rc<ConnectionHandle>) -> Response<AnswerBody> {
+pub fn close_if_unread(response: Response<AnswerBody>, line: &Rc<ConnectionHandle>) -> Response<AnswerBody> {
     if line.phase.get() == Phase::Receiving {
-        return last(response);
+        return close_after(response);
     }
     response
 }
 
 /// The body that a client gets.
-pub fn body_of(served: Served, line: &Rc<ConnectionHandle>) -> AnswerBody {
+pub fn response_body(served: Served, line: &Rc<ConnectionHandle>) -> AnswerBody {
     match served {
         Served::Whole(body) => AnswerBody::Left(Full::new(body)),
         Served::Passing(download) => AnswerBody::Right(Passing::new(download, line.clone())),
@@ -439,22 +439,23 @@
     request: Request<Incoming>,
     front: &Front,
     line: &Rc<ConnectionHandle>,
-) -> Result<Response<AnswerBody>, Malformed> {
+) -> Result<Response<AnswerBody>, RequestError> {
     let (head, body) = request.into_parts();
     let asked = Asked::read(&head.method, head.uri.query(), &head.headers, front, &line.head)?;
     let (arrival, budget, headers) = (asked.arrival, asked.budget, head.headers);
-    let wanted = Wanted { arrival, budget, headers, reuse: Reuse::Any };
+    let wanted = ValidatedRequest { arrival, budget, headers, reuse: Reuse::Any };
     let open = || OpenCall::new(&front.open, asked.call);
     let response = match front.intake.take((head.method, head.uri), body, wanted, line, open).await? {
-        Answer::Served(served, _) => Response::new(body_of(served, line)),
+        Answer::Served(served, _) => Response::new(response_body(served, line)),
         Answer::Refused(wait) => {
-            let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused\n").map(AnswerBody::Left);
-            come_back(response.headers_mut(), wait);
+            let mut response =
+                text_response(StatusCode::TOO_MANY_REQUESTS, "refused\n").map(AnswerBody::Left);
+            set_retry_after(response.headers_mut(), wait);
             response
         }
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed\n").map(AnswerBody::Left),
+        Answer::Failed => text_response(StatusCode::BAD_GATEWAY, "failed\n").map(AnswerBody::Left),
     };
-    Ok(unless_read(response, line))
+    Ok(close_if_unread(response, line))
 }
 
 /// What a request's head says of it.
@@ -472,7 +473,7 @@
         headers: &HeaderMap,
         front: &Front,
         seen: &Head,
-    ) -> Result<Asked, Malformed> {
+    ) -> Result<Asked, RequestError> {
         let bad = |problem| (StatusCode::BAD_REQUEST, problem);
         if headers.contains_key(header::TRANSFER_ENCODING) && seen.may_have_length() {
             return Err(bad("Transfer-Encoding: expected no Content-Length beside it\n"));
--- a/crates/starlinghill-proxy/src/backend_protocol.rs
+++ b/crates/starlinghill-proxy/src/backend_protocol.rs
@@ -22,14 +22,14 @@
 pub struct System;
 
 impl BackendProtocol for System {
-    fn address(&self, headers: &mut HeaderMap, backend: &Backend, left_ms: u64) {
+    fn set_headers(&self, headers: &mut HeaderMap, backend: &Backend, left_ms: u64) {
         headers.insert(TIME_LEFT, HeaderValue::from(left_ms));
         if let Some(name) = &backend.name {
             headers.insert(TARGET, name.clone());
         }
     }
 
-    fn read(&self, asked: &HeaderMap, head: &Parts) -> ResponseVerdict {
+    fn classify(&self, asked: &HeaderMap, head: &Parts) -> ResponseVerdict {
         let (told, refused) = (head.headers.get(ATTEMPT), head.headers.contains_key(NOT_RUN));
         let refused = refused || head.status == StatusCode::MISDIRECTED_REQUEST;
         // A surplus answer stands where the next one is due: only the id tells. A turn-away may come without.
@@ -40,12 +40,17 @@
             // Another one has the address: this backend is not there any more.
             let elsewhere = head.status == StatusCode::MISDIRECTED_REQUEST;
             let outcome = if elsewhere { Outcome::ConnectFailed } else { Outcome::Full };
-            return ResponseVerdict { outcome, pass: false, head: false, own };
+            return ResponseVerdict { outcome, keep_body: false, keep_head: false, matches_request: own };
         }
         // A success without its stamp, or encoded, is not what the backend made.
         let sound = head.headers.contains_key(SEAL) && !head.headers.contains_key(CONTENT_ENCODING);
         let success = head.status.is_success();
         let outcome = if head.status.is_server_error() { Outcome::Error } else { Outcome::Ok };
-        ResponseVerdict { outcome, pass: true, head: true, own: own && (sound || !success) }
+        ResponseVerdict {
+            outcome,
+            keep_body: true,
+            keep_head: true,
+            matches_request: own && (sound || !success),
+        }
     }
 }
--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -10,7 +10,7 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_config_model::RoutingTable;
 use starlinghill_decision::api::Micros;
-use starlinghill_gateway::backend::{Counts, Pool};
+use starlinghill_gateway::backend::{ConnectionCounts, Pool};
 use starlinghill_gateway::config::ConfigError;
 use starlinghill_gateway::driver::Driver;
 use starlinghill_gateway::inbox::{Clock, Input};
@@ -90,12 +90,12 @@
 
 /// Tells the log, now and then, how many connections to backends there were since the start.
 async fn tell_connections(pool: Rc<Pool>) {
-    let mut told = Counts::default();
+    let mut told = ConnectionCounts::default();
     loop {
         tokio::time::sleep(TELL_CONNECTIONS).await;
         let counts = pool.counts();
         if std::mem::replace(&mut told, counts) != counts {
-            let Counts { opened, passed_over, reused, broke, died } = counts;
+            let ConnectionCounts { opened, passed_over, reused, broke, died } = counts;
             log::info!(
                 "event=connections opened={opened} passed_over={passed_over} reused={reused} broke={broke} died={died}"
             );
@@ -140,12 +140,12 @@
     let (holder, held) = registry_client::nowhere();
     let (essentials, mut first_end) = EssentialTasks::new();
     let counter = Counter::start(net.clone(), life, held, &essentials);
-    let clock = Clock::from(BEGINNING);
+    let clock = Clock::starting_at(BEGINNING);
     let sockets = node.open_files.saturating_sub(OTHERS).max(16) as usize;
     let pool = Pool::new(sockets / 3, DIAL, KEPT, Rc::new(System));
     let settings = decision_settings::settings(registry_client::zone(&node.zone), &node.bounds);
-    let driver = Driver::hosted(settings, life, clock, pool, counter.clone()).context(ModuleSnafu)?;
-    let inbox = driver.inbox();
+    let driver = Driver::embedded(settings, life, clock, pool, counter.clone()).context(ModuleSnafu)?;
+    let inbox = driver.sender();
     spawn_local(tell_connections(driver.pool()));
     spawn_local(tell_draws(counter.clone()));
     let refusals = Rc::new(Refusals::default());
@@ -159,21 +159,21 @@
     essentials.spawn("ready", crate::readiness::serve(asked, shared.clone()));
     let bodies = (node.memory_mb << 20) / BODIES_PART;
     let intake = RequestIntake {
-        inbox: inbox.clone(),
+        driver: inbox.clone(),
         clock,
-        bodies: Semaphore::new(bodies as usize),
-        last: Default::default(),
+        body_memory: Semaphore::new(bodies as usize),
+        last_request_id: Default::default(),
     };
     let draw = RefCell::new(fastrand::Rng::with_seed(life));
     let front = Rc::new(Front { intake, shared, grace: node.bounds.grace, draw, refusals });
-    let last_answer = front.last_answer();
+    let shutdown_limit = front.shutdown_limit();
     spawn_local(async move {
         signals.end().await;
         // It may have ended by itself.
         let _ = stop.send(true);
-        let left = last_answer.saturating_sub(GIVE_UP);
+        let left = shutdown_limit.saturating_sub(GIVE_UP);
         let by = clock.now() + Micros(left.as_micros() as u64);
-        let _ = inbox.send(Input::Closing(by)).await;
+        let _ = inbox.send(Input::Shutdown(by)).await;
         std::future::pending::<()>().await;
     });
     essentials.spawn("driver", driver.run());
--- a/crates/starlinghill-proxy/src/quota_client.rs
+++ b/crates/starlinghill-proxy/src/quota_client.rs
@@ -351,7 +351,7 @@
         let rooms = self.beside(draw.service).unwrap_or_else(named);
         let asked = call.reply.is_some();
         let (outcome, total, share) = (Outcome::Ok, level.level, Some(level.share));
-        let waited = call.answer(CounterResult { outcome, total, share, rooms });
+        let waited = call.answer(CounterResult { outcome, total, share, fastest_servers: rooms });
         if asked {
             self.count_answer(waited, granted);
         }
@@ -460,12 +460,12 @@
         self.new_words.notify_one();
     }
 
-    fn sent(&self, server: ServerId) {
+    fn attempt_sent(&self, server: ServerId) {
         self.count_draws(|counts| counts.attempts += 1);
         self.note(server, |word| word.out = word.out.saturating_add(1));
     }
 
-    fn came_back(&self, server: ServerId, outcome: Outcome, took: Micros) {
+    fn attempt_ended(&self, server: ServerId, outcome: Outcome, took: Micros) {
         self.note(server, |word| {
             word.out = word.out.saturating_sub(1);
             match outcome {
--- a/crates/starlinghill-proxy/src/readiness.rs
+++ b/crates/starlinghill-proxy/src/readiness.rs
@@ -5,7 +5,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use starlinghill_gateway::server::plain;
+use starlinghill_gateway::server::text_response;
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
                     "/api/ready" => StatusCode::SERVICE_UNAVAILABLE,
                     _ => StatusCode::NOT_FOUND,
                 };
-                async move { Ok::<_, Infallible>(plain(status, "")) }
+                async move { Ok::<_, Infallible>(text_response(status, "")) }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
--- a/crates/starlinghill-proxy/src/registry_client.rs
+++ b/crates/starlinghill-proxy/src/registry_client.rs
@@ -11,7 +11,7 @@
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::*;
 use starlinghill_decision::store_name;
-use starlinghill_gateway::inbox::{Clock, Inbox, Input, Listing};
+use starlinghill_gateway::inbox::{BackendListing, Clock, DriverSender, Input};
 use starlinghill_lease::contact::{LastQuorumContact, StalenessBudget};
 use starlinghill_registry::wire::{KnownState, RegistryRequest, RegistryResponse, RegistryUpdate};
 use starlinghill_runtime::essential_tasks::EssentialTasks;
@@ -74,7 +74,7 @@
     /// Where registries are reached.
     pub net: NetworkHandle,
     /// To the driver.
-    pub driver: Inbox,
+    pub driver: DriverSender,
     /// The module's clock.
     pub clock: Clock,
     /// The count, which hears of time and quotas.
@@ -242,7 +242,7 @@
     racks: Racks,
     node: NodeSettings,
     shared: Rc<Shared>,
-    driver: Inbox,
+    driver: DriverSender,
     clock: Clock,
     counter: Rc<Counter>,
     holder: watch::Sender<Holder>,
@@ -407,7 +407,7 @@
                 weight: f64::from(instance.capacity),
                 started,
             };
-            Some(Listing {
+            Some(BackendListing {
                 entry,
                 address: instance.address,
                 name: HeaderValue::from_str(&instance.id).ok()?,
@@ -437,7 +437,7 @@
         let alone = self.ring.is_alone() && !self.counter.is_reached();
         if std::mem::replace(&mut self.alone, alone) != alone {
             log::warn!("event=alone alone={alone}");
-            let _ = self.driver.send(Input::Alone(alone)).await;
+            let _ = self.driver.send(Input::Isolated(alone)).await;
         }
     }
 
--- a/crates/starlinghill-proxy/src/request_handler.rs
+++ b/crates/starlinghill-proxy/src/request_handler.rs
@@ -15,7 +15,8 @@
 use starlinghill_gateway::idle::Reuse;
 use starlinghill_gateway::inbox::Answer;
 use starlinghill_gateway::server::{
-    body_of, come_back, last, plain, unless_read, Malformed, RequestHandler, RequestIntake, Wanted,
+    close_after, close_if_unread, response_body, set_retry_after, text_response, RequestError,
+    RequestHandler, RequestIntake, ValidatedRequest,
 };
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -49,7 +50,7 @@
 }
 
 struct Taken {
-    wanted: Wanted,
+    wanted: ValidatedRequest,
 }
 
 impl Front {
@@ -57,7 +58,7 @@
         &self,
         head: &hyper::http::request::Parts,
         line: &Rc<ConnectionHandle>,
-    ) -> Result<Taken, Malformed> {
+    ) -> Result<Taken, RequestError> {
         let bad = |problem| Err((StatusCode::BAD_REQUEST, problem));
         // Guards against a 404 or 401 of a process that knows no routes yet: clients come to one that is not ready, too, and
         // go nowhere else after that.
@@ -121,7 +122,9 @@
             headers.insert(CUSTOMER, name);
         }
         let reuse = if route.safe { Reuse::Repeatable } else { Reuse::Once };
-        Ok(Taken { wanted: Wanted { arrival, budget: left.min(timeout) - ON_THE_WAY, headers, reuse } })
+        Ok(Taken {
+            wanted: ValidatedRequest { arrival, budget: left.min(timeout) - ON_THE_WAY, headers, reuse },
+        })
     }
 
     /// One of a route's services, by their weights.
@@ -144,18 +147,22 @@
         let taken = match self.read(&head, line) {
             Ok(taken) => taken,
             Err((status, problem)) => {
-                let mut response = plain(status, problem).map(AnswerBody::Left);
+                let mut response = text_response(status, problem).map(AnswerBody::Left);
                 if status == StatusCode::SERVICE_UNAVAILABLE {
-                    come_back(response.headers_mut(), Some(STARTED));
+                    set_retry_after(response.headers_mut(), Some(STARTED));
                 }
                 // What stands in its body is nobody's.
-                return if hyper::body::Body::is_end_stream(&body) { response } else { last(response) };
+                return if hyper::body::Body::is_end_stream(&body) {
+                    response
+                } else {
+                    close_after(response)
+                };
             }
         };
         let answer = self.intake.take((head.method, head.uri), body, taken.wanted, line, || Ok(())).await;
         let response = match answer {
             Ok(Answer::Served(served, Some(head))) => {
-                let mut response = Response::new(body_of(served, line));
+                let mut response = Response::new(response_body(served, line));
                 *response.status_mut() = head.status;
                 *response.headers_mut() = own(head.headers);
                 response
@@ -166,17 +173,19 @@
                     None => (StatusCode::SERVICE_UNAVAILABLE, Cause::NoRoom),
                 };
                 self.refusals.note(cause);
-                let mut response = plain(status, "refused\n").map(AnswerBody::Left);
-                come_back(response.headers_mut(), wait.or(Some(SOON)));
+                let mut response = text_response(status, "refused\n").map(AnswerBody::Left);
+                set_retry_after(response.headers_mut(), wait.or(Some(SOON)));
                 response
             }
             Ok(Answer::Served(_, None) | Answer::Failed) => {
                 self.refusals.note(Cause::Failed);
-                plain(StatusCode::BAD_GATEWAY, "failed\n").map(AnswerBody::Left)
+                text_response(StatusCode::BAD_GATEWAY, "failed\n").map(AnswerBody::Left)
+            }
+            Err((status, problem)) => {
+                return close_after(text_response(status, problem).map(AnswerBody::Left))
             }
-            Err((status, problem)) => return last(plain(status, problem).map(AnswerBody::Left)),
         };
-        unless_read(response, line)
+        close_if_unread(response, line)
     }
     fn stopping(&self) -> watch::Receiver<bool> {
         self.shared.stopping.clone()
@@ -187,10 +196,10 @@
     fn is_shared(&self) -> bool {
         false
     }
-    fn last_call(&self) -> Duration {
+    fn accept_grace(&self) -> Duration {
         LAST_CALL
     }
-    fn last_answer(&self) -> Duration {
+    fn shutdown_limit(&self) -> Duration {
         self.grace.saturating_sub(WRITING)
     }
 }
--- a/crates/starlinghill-proxy/tests/backend_protocol.rs
+++ b/crates/starlinghill-proxy/tests/backend_protocol.rs
@@ -31,6 +31,6 @@
     }
     let mut asked = HeaderMap::new();
     asked.insert("attempt-id", "a".parse().expect("an id"));
-    let reading = System.read(&asked, &response.into_parts().0);
-    assert_eq!((reading.outcome, reading.pass, reading.own), (outcome, pass, own));
+    let reading = System.classify(&asked, &response.into_parts().0);
+    assert_eq!((reading.outcome, reading.keep_body, reading.matches_request), (outcome, pass, own));
 }
--- a/crates/starlinghill-proxy/tests/quota_client.rs
+++ b/crates/starlinghill-proxy/tests/quota_client.rs
@@ -145,7 +145,8 @@
     let named = |part| {
         let unknown = UnknownBackends { part, backends: vec![7, 8, 9, 10] };
         let played = counted(names_one, Duration::from_millis(1_500), Duration::ZERO, Some(unknown));
-        let first: Vec<_> = played.ends.iter().filter_map(|counted| counted.rooms.first().copied()).collect();
+        let first: Vec<_> =
+            played.ends.iter().filter_map(|counted| counted.fastest_servers.first().copied()).collect();
         assert!(first.len() > 20, "{}", first.len());
         let beside = first.iter().filter(|(id, takes)| *id != ServerId(1) && *takes == Micros(0)).count();
         beside as f64 / first.len() as f64
--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -8,7 +8,7 @@
 use starlinghill_decision::api::{CustomerId, Listed, Micros, Outcome, ServiceId};
 use starlinghill_decision::store_name;
 use starlinghill_gateway::counter::CounterTransport;
-use starlinghill_gateway::inbox::{Clock, Input, Listing};
+use starlinghill_gateway::inbox::{BackendListing, Clock, Input};
 use starlinghill_runtime::essential_tasks::EssentialTasks;
 use starlinghill_runtime::net::NetworkHandle;
 use starlinghill_runtime::settings::{Bounds, NodeSettings};
@@ -359,14 +359,14 @@
             let counter = Counter::start(net.clone(), life, held, &essentials);
             // What the module would hear of it.
             let (driver, mut inputs) = mpsc::channel(64);
-            let clock = Clock::from(Micros(100_000_000));
+            let clock = Clock::starting_at(Micros(100_000_000));
             let ring = Rc::new(Ring::new(node.port(node.ip, PROXY_PORT_OFFSET), life));
             spawn_local(draw(counter.clone(), granted, begun));
             let ways = Ways { net, driver, clock, counter, holder, ring };
             registry_client::start(&node, shared, ways, life, &essentials);
             while let Some(input) = inputs.recv().await {
                 let Input::Backends(_, listings) = input else { continue };
-                for Listing { entry, name, .. } in listings {
+                for BackendListing { entry, name, .. } in listings {
                     let id = name.to_str().unwrap_or_default().to_string();
                     match entry.listed {
                         Listed::InService => listed.borrow_mut().insert(id),
