--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -61,7 +61,7 @@
     let watch = Arc::new(Mutex::new(AttemptWindow::new(group.map.zones.keys().cloned())));
     // One thread has both; nobody waits for the other.
     let (seen, told) = (watch.clone(), watch.clone());
-    let watcher = move |attempt: &EndedAttempt| {
+    let observer = move |attempt: &EndedAttempt| {
         let Some(became) = became(attempt) else { return };
         locked(&seen).ended(now(), attempt.zone, became);
     };
@@ -69,7 +69,7 @@
     let following = begin(group, config.name(), config.zone(), Some(Arc::new(evidence)));
     let Following { parts, renew } = following.map_err(|e| format!("NODE_NAME: {e}"))?;
     tokio::spawn(read_again(file.to_path_buf(), hang_up, renew, watch));
-    Ok(ProcessOptions { zones: parts, watcher: Box::new(watcher) })
+    Ok(ProcessOptions { zones: parts, observer: Box::new(observer) })
 }
 
 /// Runs the gateway until SIGTERM.
--- a/crates/starlinghill-gateway/src/answer.rs
+++ b/crates/starlinghill-gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! What goes back to a client: held whole, or passed on as it comes.
+//! The body of a response to a client: buffered or streamed.
 
 use crate::connections::ConnectionHandle;
 use crate::download::Download;
@@ -10,30 +10,30 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// The body of an answer.
-pub type AnswerBody = Either<Full<Bytes>, Passing>;
+/// The body of a response to a client.
+pub type AnswerBody = Either<Full<Bytes>, StreamingBody>;
 
-/// An answer that is passed on keeps its connection busy until its last byte.
-pub struct Passing {
+/// A streamed response body. It keeps the client's connection in the streaming state until the last byte.
+pub struct StreamingBody {
     download: Box<Download>,
-    line: Rc<ConnectionHandle>,
+    connection: Rc<ConnectionHandle>,
 }
 
-impl Passing {
-    /// On that client's connection.
-    pub fn new(download: Box<Download>, line: Rc<ConnectionHandle>) -> Passing {
-        line.passes();
-        Passing { download, line }
+impl StreamingBody {
+    /// Starts to stream on this client's connection.
+    pub fn new(download: Box<Download>, connection: Rc<ConnectionHandle>) -> StreamingBody {
+        connection.mark_streaming();
+        StreamingBody { download, connection }
     }
 }
 
-impl Drop for Passing {
+impl Drop for StreamingBody {
     fn drop(&mut self) {
-        self.line.is_between();
+        self.connection.mark_idle();
     }
 }
 
-impl Body for Passing {
+impl Body for StreamingBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -41,8 +41,8 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        // Whoever is asked for more has a client that reads.
-        self.line.passes();
+        // A poll means that the client reads.
+        self.connection.mark_streaming();
         Pin::new(&mut *self.download).poll_frame(cx)
     }
     fn is_end_stream(&self) -> bool {
--- a/crates/starlinghill-gateway/src/attempt_events.rs
+++ b/crates/starlinghill-gateway/src/attempt_events.rs
@@ -1,49 +1,49 @@
-//! What becomes of attempts, by the servers' zones, for whoever wants to know. It changes nothing.
+//! Reports the ends of attempts, with their servers' zones, to an observer. It has no effect on requests.
 
 use starlinghill_decision::api::{Outcome, ServerId};
 use std::collections::HashMap;
 
-/// An attempt that ended.
 #[derive(Debug, Clone, Copy)]
+/// An attempt that ended.
 pub struct EndedAttempt<'a> {
-    /// Its server's zone.
+    /// The zone of its server.
     pub zone: &'a str,
-    /// How.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The connection was refused: nothing listens there.
+    /// The connection was refused: no process listens at the address.
     pub refused: bool,
-    /// It took longer than its class aims at.
+    /// The attempt took longer than the target time of its class.
     pub late: bool,
 }
 
-/// Hears of each attempt that ended. It is called between two events, and must not wait.
-pub type Watcher = Box<dyn Fn(&EndedAttempt)>;
+/// Called for each attempt that ends. It runs on the driver's task and must not block.
+pub type AttemptObserver = Box<dyn Fn(&EndedAttempt)>;
 
-/// A watcher, and the zones of the listed servers.
-pub(crate) struct Watched {
-    tell: Watcher,
+/// An observer, and the zones of the listed servers.
+pub(crate) struct AttemptReporter {
+    observer: AttemptObserver,
     zones: HashMap<ServerId, String>,
 }
 
-impl Watched {
-    pub(crate) fn new(tell: Watcher) -> Watched {
-        Watched { tell, zones: HashMap::new() }
+impl AttemptReporter {
+    pub(crate) fn new(observer: AttemptObserver) -> AttemptReporter {
+        AttemptReporter { observer, zones: HashMap::new() }
     }
 
-    /// A server is listed.
-    pub(crate) fn listed(&mut self, server: ServerId, zone: &str) {
+    /// Records the zone of a listed server.
+    pub(crate) fn set_zone(&mut self, server: ServerId, zone: &str) {
         self.zones.insert(server, zone.into());
     }
 
-    /// Only these are listed still. Guards against growing with every server there ever was.
-    pub(crate) fn keep(&mut self, mut listed: impl FnMut(&ServerId) -> bool) {
+    /// Forgets servers that are no longer listed, which would otherwise accumulate.
+    pub(crate) fn retain(&mut self, mut listed: impl FnMut(&ServerId) -> bool) {
         self.zones.retain(|server, _| listed(server));
     }
 
-    /// An attempt ended.
-    pub(crate) fn ended(&self, server: ServerId, outcome: Outcome, refused: bool, late: bool) {
+    /// Reports the end of an attempt.
+    pub(crate) fn attempt_ended(&self, server: ServerId, outcome: Outcome, refused: bool, late: bool) {
         if let Some(zone) = self.zones.get(&server) {
-            (self.tell)(&EndedAttempt { zone, outcome, refused, late });
+            (self.observer)(&EndedAttempt { zone, outcome, refused, late });
         }
     }
 }
--- a/crates/starlinghill-gateway/src/backend.rs
+++ b/crates/starlinghill-gateway/src/backend.rs
@@ -1,11 +1,12 @@
-//! Attempts at backends: a pool of connections, and the outcome of each attempt by what was written.
+//! Sends requests to backends over pooled connections. The outcome of an attempt depends on whether any of
+//! the request was written.
 
 use crate::backend_protocol::{BackendProtocol, ResponseVerdict};
 use crate::download::{Download, GiveBack};
-use crate::forward::{Ended, Forward, Head, Payload, Served};
+use crate::forward::{AttemptResult, ForwardedRequest, Payload, ResponseHead, ServedBody};
 use crate::http::{CallError, Connection};
-use crate::idle::{Memory, Reuse};
-use crate::upload::{MAX_BODY, MAX_PASSING};
+use crate::idle::{IdleHistory, Reuse};
+use crate::upload::{MAX_BUFFERED_BYTES, MAX_STREAMED_BYTES};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -20,7 +21,8 @@
 use tokio::sync::{oneshot, Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 
-/// Removes what holds for one connection alone; framing is the next connection's own.
+/// Removes the headers that apply to one connection only. The framing headers are set anew for the next
+/// connection.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     const NAMES: [HeaderName; 7] = [
         header::CONNECTION,
@@ -35,138 +37,143 @@
     headers.remove("keep-alive");
 }
 
-/// The pause after an answer before its connection is used again. Guards against bytes right behind an answer
-/// that come after the look at the socket and would pass for the answer to the next request.
-const SETTLE: Duration = Duration::from_millis(5);
+/// How long a connection rests after a response before it is used again. Bytes that a backend sends right
+/// after a response could otherwise pass for the response to the next request.
+const REUSE_DELAY: Duration = Duration::from_millis(5);
 
-/// How often connections at rest are looked at, besides when one stirs.
-const RETIRE_EVERY: Duration = Duration::from_secs(1);
-/// Connections at rest that end together, as when their backend does, are looked at together.
-const TOGETHER: Duration = Duration::from_millis(5);
+/// Interval between checks of idle connections; they are also checked when one of them receives something.
+const RETIRE_INTERVAL: Duration = Duration::from_secs(1);
+/// Idle connections that end together, as when their backend ends, are checked together after this pause.
+const WATCH_PAUSE: Duration = Duration::from_millis(5);
 
-/// How long the beginning of an answer of unknown length is held back, so that a short one is whole and one that breaks off
-/// early can be tried elsewhere.
-const HELD_BACK: Duration = Duration::from_millis(300);
+/// How long the start of a response of unknown length is held back. A short response is complete by then, and
+/// one that breaks off early can be retried at another backend.
+const BUFFER_TIME: Duration = Duration::from_millis(300);
 
-/// One backend as the list has it now. Guards against giving a connection to who stands at the same address
-/// later: connections are this backend's alone, by its number.
+/// One backend as the list has it now. Its connections are pooled under its serial number, so that another
+/// backend that later uses the same address gets none of them.
 #[derive(Debug)]
 pub struct Backend {
-    /// The pool's number for it.
+    /// A number that the pool gives to each backend.
     serial: u64,
-    /// Where it listens.
+    /// The address on which it accepts connections.
     pub address: SocketAddr,
-    /// When it last started, as told; a change means that old connections are dead.
+    /// When it last started, in Unix milliseconds, as discovery reports it. A change means that its old
+    /// connections are dead.
     pub up_since_ms: u64,
-    /// What it calls itself, where it is to be told whom a request is for.
+    /// The backend's own name, sent along where the protocol names the backend that a request is for.
     pub name: Option<HeaderValue>,
-    /// Cleared when the list says that it drains or is gone.
+    /// False once the list says that the backend drains or is gone.
     pub open: Cell<bool>,
-    /// How soon it forgets connections at rest.
-    memory: Rc<Memory>,
+    /// How long this backend keeps idle connections, as far as it is known.
+    history: Rc<IdleHistory>,
 }
 
-/// A connection at rest.
-struct Resting {
+/// An idle connection in the pool.
+struct IdleConnection {
     connection: Connection,
-    /// What its end would tell of its backend.
-    memory: Rc<Memory>,
+    /// The history of its backend, which is updated when the connection ends.
+    history: Rc<IdleHistory>,
 }
 
-/// How many connections there were, since the start.
+/// Counts of connections and their uses since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// New ones.
+    /// Connections opened.
     pub opened: u64,
-    /// Of these, made although one was at rest, which had rested too long for what may run once.
+    /// Connections opened although one was idle, because it had been idle too long for a request that must
+    /// run at most once.
     pub passed_over: u64,
-    /// Sends on one that was kept.
+    /// Requests sent on a pooled connection.
     pub reused: u64,
-    /// Kept ones that ended under a request.
+    /// Pooled connections that ended while they carried a request.
     pub broke: u64,
-    /// Kept ones that ended at rest.
+    /// Pooled connections that ended while idle.
     pub died: u64,
 }
 
-/// Wakes who watches the connections at rest.
+/// Wakes the task that watches idle connections.
 #[derive(Default)]
-struct Stir(Notify);
+struct IdleWaker(Notify);
 
-impl Wake for Stir {
+impl Wake for IdleWaker {
     fn wake(self: Arc<Self>) {
         self.0.notify_one();
     }
 }
 
-/// The connections to all backends.
+/// The connections to all backends, limited in number.
 pub struct Pool {
-    idle: RefCell<HashMap<u64, Vec<Resting>>>,
-    backends: Cell<u64>,
-    places: Arc<Semaphore>,
+    idle: RefCell<HashMap<u64, Vec<IdleConnection>>>,
+    next_serial: Cell<u64>,
+    permits: Arc<Semaphore>,
     dial_timeout: Duration,
-    longest_idle: Duration,
-    dialect: Rc<dyn BackendProtocol>,
-    stir: Arc<Stir>,
+    max_idle: Duration,
+    protocol: Rc<dyn BackendProtocol>,
+    idle_waker: Arc<IdleWaker>,
     counts: Cell<ConnectionCounts>,
 }
 
 impl Pool {
-    /// A pool that holds at most so many connections, those in use included.
+    /// Creates a pool of at most `max_connections`, including those in use. `dial_timeout` limits the opening
+    /// of one; `conn_idle` is how long backends keep idle ones.
     pub fn new(
-        connections: usize,
+        max_connections: usize,
         dial_timeout: Duration,
         conn_idle: Duration,
-        dialect: Rc<dyn BackendProtocol>,
+        protocol: Rc<dyn BackendProtocol>,
     ) -> Pool {
         Pool {
             idle: RefCell::default(),
-            backends: Cell::new(0),
-            places: Arc::new(Semaphore::new(connections)),
+            next_serial: Cell::new(0),
+            permits: Arc::new(Semaphore::new(max_connections)),
             dial_timeout,
-            // Guards against writing to a connection that its backend is about to close: half the time is left.
-            longest_idle: conn_idle / 2,
-            dialect,
-            stir: Arc::default(),
+            // Half the time is left unused, so that no request goes out on a connection that its backend is
+            // about to close.
+            max_idle: conn_idle / 2,
+            protocol,
+            idle_waker: Arc::default(),
             counts: Cell::default(),
         }
     }
 
-    /// A backend that takes work.
+    /// Registers a backend that accepts requests.
     pub fn backend(&self, address: SocketAddr, up_since_ms: u64, name: Option<HeaderValue>) -> Backend {
-        let serial = self.backends.replace(self.backends.get() + 1);
-        Backend { serial, address, up_since_ms, name, open: Cell::new(true), memory: Rc::default() }
+        let serial = self.next_serial.replace(self.next_serial.get() + 1);
+        Backend { serial, address, up_since_ms, name, open: Cell::new(true), history: Rc::default() }
     }
 
-    /// How many connections there were.
+    /// The counts since the start.
     pub fn counts(&self) -> ConnectionCounts {
         self.counts.get()
     }
 
-    fn count(&self, note: impl FnOnce(&mut ConnectionCounts)) {
+    fn count(&self, change: impl FnOnce(&mut ConnectionCounts)) {
         let mut counts = self.counts.get();
-        note(&mut counts);
+        change(&mut counts);
         self.counts.set(counts);
     }
 
-    /// The connection used last is taken first, so that those not needed age and are retired; but what may be repeated
-    /// leaves the young ones to what may not.
+    /// Takes an idle connection for a request. The one used last comes first, so that surplus ones grow old
+    /// and are closed. A request that may be repeated takes an old one instead, and leaves the young ones to
+    /// requests that may not.
     fn take(&self, backend: &Backend, reuse: Reuse) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let stack = idle.get_mut(&backend.serial)?;
-        let settled = |c: &Connection| c.idle_since.elapsed() >= SETTLE;
-        let surely = |c: &Connection| c.idle_since.elapsed() < backend.memory.surely(c.kept_for);
+        let settled = |c: &Connection| c.idle_since.elapsed() >= REUSE_DELAY;
+        let is_safe = |c: &Connection| c.idle_since.elapsed() < backend.history.safe_idle_time(c.keep_alive);
         loop {
             let last = stack.iter().rposition(|r| settled(&r.connection))?;
-            let place = match reuse {
+            let index = match reuse {
                 Reuse::Any => last,
-                Reuse::Repeatable => stack.iter().rposition(|r| !surely(&r.connection)).unwrap_or(last),
-                Reuse::Once if surely(&stack[last].connection) => last,
+                Reuse::Repeatable => stack.iter().rposition(|r| !is_safe(&r.connection)).unwrap_or(last),
+                Reuse::Once if is_safe(&stack[last].connection) => last,
                 Reuse::Once => {
                     self.count(|counts| counts.passed_over += 1);
                     return None;
                 }
             };
-            let mut connection = stack.remove(place).connection;
+            let mut connection = stack.remove(index).connection;
             if !self.is_young(&connection) {
                 continue;
             }
@@ -174,72 +181,75 @@
                 self.count(|counts| counts.reused += 1);
                 return Some(connection);
             }
-            self.died(&backend.memory, &connection);
+            self.record_idle_end(&backend.history, &connection);
         }
     }
 
-    fn died(&self, memory: &Memory, connection: &Connection) {
-        memory.died(connection.idle_since.elapsed());
+    fn record_idle_end(&self, history: &IdleHistory, connection: &Connection) {
+        history.closed_after(connection.idle_since.elapsed());
         self.count(|counts| counts.died += 1);
     }
 
-    /// Half of the time that the backend keeps it, as it said itself, is left.
+    /// Whether the connection has been idle for less than half of the time that the backend keeps it, by its
+    /// own word or by the configuration.
     fn is_young(&self, connection: &Connection) -> bool {
-        let longest = connection.kept_for.map_or(self.longest_idle, |kept| self.longest_idle.min(kept / 2));
-        connection.idle_since.elapsed() < longest
+        let limit =
+            connection.keep_alive.map_or(self.max_idle, |keep_alive| self.max_idle.min(keep_alive / 2));
+        connection.idle_since.elapsed() < limit
     }
 
     pub(crate) fn give_back(&self, backend: &Backend, mut connection: Connection) {
-        let waker = self.stir.clone().into();
-        if backend.open.get() && connection.rests(&mut Context::from_waker(&waker)) {
+        let waker = self.idle_waker.clone().into();
+        if backend.open.get() && connection.is_idle(&mut Context::from_waker(&waker)) {
             connection.idle_since = Instant::now();
-            let resting = Resting { connection, memory: backend.memory.clone() };
-            self.idle.borrow_mut().entry(backend.serial).or_default().push(resting);
+            let idle = IdleConnection { connection, history: backend.history.clone() };
+            self.idle.borrow_mut().entry(backend.serial).or_default().push(idle);
         }
     }
 
-    /// Closes idle connections that are old or were closed by the other side.
+    /// Closes idle connections that are too old or that the backend has closed.
     pub fn retire(&self) {
-        let waker = self.stir.clone().into();
+        let waker = self.idle_waker.clone().into();
         let mut cx = Context::from_waker(&waker);
         self.idle.borrow_mut().retain(|_, stack| {
-            stack.retain_mut(|resting| {
-                let connection = &mut resting.connection;
+            stack.retain_mut(|idle| {
+                let connection = &mut idle.connection;
                 if !self.is_young(connection) {
                     return false;
                 }
-                let rests = connection.rests(&mut cx);
-                if !rests {
-                    self.died(&resting.memory, connection);
+                let is_idle = connection.is_idle(&mut cx);
+                if !is_idle {
+                    self.record_idle_end(&idle.history, connection);
                 }
-                rests
+                is_idle
             });
             !stack.is_empty()
         });
     }
 
-    /// Watches connections at rest for ever, so that the end of one is known at once, and how long it had rested.
+    /// Watches the idle connections forever, so that the end of one is noticed at once and its idle time is
+    /// recorded.
     pub async fn watch(&self) {
-        let mut pace = interval(RETIRE_EVERY);
-        pace.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut timer = interval(RETIRE_INTERVAL);
+        timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = pace.tick() => {}
-                () = self.stir.0.notified() => {}
+                _ = timer.tick() => {}
+                () = self.idle_waker.0.notified() => {}
             }
             self.retire();
-            sleep(TOGETHER).await;
+            sleep(WATCH_PAUSE).await;
         }
     }
 
-    /// Ends a backend that moved, restarted, drains or is gone: it gets nothing new, also of what still waits
-    /// for a connection, and its idle connections are closed.
+    /// Stops using a backend that moved, restarted, drains or is gone: requests that still wait for a
+    /// connection to it are not sent, and its idle connections are closed.
     pub fn close(&self, backend: &Backend) {
         backend.open.set(false);
         self.idle.borrow_mut().remove(&backend.serial);
     }
 
-    /// Closes one idle connection to make room for another.
+    /// Closes one idle connection, of the backend that has the most, to make room for another.
     fn evict(&self) {
         let mut idle = self.idle.borrow_mut();
         if let Some(stack) = idle.values_mut().filter(|s| !s.is_empty()).max_by_key(|s| s.len()) {
@@ -247,51 +257,51 @@
         }
     }
 
-    fn held(&self) -> usize {
+    fn idle_count(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// Makes one attempt and returns how it ended, its connection closed or back in the pool. It ends by
-    /// `until`, or when called off.
+    /// Makes one attempt and returns its result, with its connection closed or back in the pool. It ends by
+    /// `until`, or when cancelled.
     pub async fn attempt(
         self: &Rc<Self>,
         backend: &Rc<Backend>,
-        request: &Forward,
+        request: &ForwardedRequest,
         until: Instant,
-        called_off: oneshot::Receiver<()>,
-    ) -> Ended {
-        // Guards the limit on descriptors: an attempt without a place was never sent.
-        let Ok(place) = self.places.clone().try_acquire_owned() else { return Outcome::Moot.into() };
-        while self.held() > self.places.available_permits() {
+        cancelled: oneshot::Receiver<()>,
+    ) -> AttemptResult {
+        // An attempt for which no connection is free is not sent.
+        let Ok(permit) = self.permits.clone().try_acquire_owned() else { return Outcome::Moot.into() };
+        while self.idle_count() > self.permits.available_permits() {
             self.evict();
         }
         let wrote = Cell::new(false);
         tokio::select! {
             biased;
-            _ = called_off => Outcome::Cancelled.into(),
-            () = request.over(until) => match wrote.get() {
+            _ = cancelled => Outcome::Cancelled.into(),
+            () = request.wait_deadline(until) => match wrote.get() {
                 true => Outcome::Timeout.into(),
                 false => Outcome::ConnectFailed.into(),
             },
-            ended = self.exchange(backend, request, until, &wrote, place) => ended,
+            ended = self.exchange(backend, request, until, &wrote, permit) => ended,
         }
     }
 
     async fn exchange(
         self: &Rc<Self>,
         backend: &Rc<Backend>,
-        request: &Forward,
+        request: &ForwardedRequest,
         until: Instant,
         wrote: &Cell<bool>,
-        place: OwnedSemaphorePermit,
-    ) -> Ended {
-        // What can go out once must not meet a kept connection that has just been closed.
-        let once = matches!(request.body, Payload::Passing { .. });
+        permit: OwnedSemaphorePermit,
+    ) -> AttemptResult {
+        // A body that can be sent only once must not meet a pooled connection that has just been closed.
+        let single_use = matches!(request.body, Payload::Streaming { .. });
         loop {
-            let kept = if once { None } else { self.take(backend, request.reuse) };
-            // How long it had rested, and how long its backend said that it keeps it.
-            let rested = kept.as_ref().map(|kept| (kept.idle_since.elapsed(), kept.kept_for));
-            let mut connection = match kept {
+            let pooled = if single_use { None } else { self.take(backend, request.reuse) };
+            // How long the connection was idle, and how long its backend says it keeps idle ones.
+            let reused = pooled.as_ref().map(|pooled| (pooled.idle_since.elapsed(), pooled.keep_alive));
+            let mut connection = match pooled {
                 Some(connection) => connection,
                 None => match timeout(self.dial_timeout, Connection::open(backend.address)).await {
                     Ok(Ok(connection)) => {
@@ -300,39 +310,43 @@
                     }
                     Ok(Err(e)) => {
                         let refused = e.kind() == std::io::ErrorKind::ConnectionRefused;
-                        return Ended { refused, ..Outcome::ConnectFailed.into() };
+                        return AttemptResult { refused, ..Outcome::ConnectFailed.into() };
                     }
                     Err(_) => return Outcome::ConnectFailed.into(),
                 },
             };
-            // Guards against sending to a backend that began to drain while the connection came up.
+            // The backend may have begun to drain while the connection was opened.
             if !backend.open.get() {
                 return Outcome::Moot.into();
             }
-            let Some(message) = request.request(until, &*self.dialect, backend) else {
+            let Some(message) = request.request(until, &*self.protocol, backend) else {
                 return Outcome::Moot.into();
             };
-            // From here on the attempt may have run, for all that a caller who stops waiting can know.
+            // From here on the backend may have run the request, as far as a caller that stops waiting can
+            // know.
             wrote.set(true);
-            match connection.begin(message, MAX_PASSING).await {
+            match connection.begin(message, MAX_STREAMED_BYTES).await {
                 Ok(response) => {
-                    rested.into_iter().for_each(|(rested, told)| backend.memory.served(rested, told));
+                    reused.into_iter().for_each(|(idle_time, keep_alive)| {
+                        backend.history.served_after(idle_time, keep_alive)
+                    });
                     let (head, body) = response.into_parts();
-                    let reading = self.dialect.classify(&request.headers, &head);
-                    if !reading.matches_request {
+                    let verdict = self.protocol.classify(&request.headers, &head);
+                    if !verdict.matches_request {
                         return Outcome::Reset.into();
                     }
-                    let head = Head { status: head.status, headers: head.headers };
-                    return self.answer(backend, reading, head, body, connection, place).await;
+                    let head = ResponseHead { status: head.status, headers: head.headers };
+                    return self.read_body(backend, verdict, head, body, connection, permit).await;
                 }
                 Err(error) => {
-                    if let Some((rested, _)) = rested {
-                        backend.memory.died(rested);
+                    if let Some((idle_time, _)) = reused {
+                        backend.history.closed_after(idle_time);
                         self.count(|counts| counts.broke += 1);
                     }
                     match error {
-                        // Guards against a pooled connection that was closed just before it was written to.
-                        CallError::NotSent if rested.is_some() => wrote.set(false),
+                        // The backend closed the pooled connection just before the request was written, so it
+                        // is safe to use another one.
+                        CallError::NotSent if reused.is_some() => wrote.set(false),
                         CallError::NotSent => return Outcome::ConnectFailed.into(),
                         CallError::Broken => return Outcome::Reset.into(),
                     }
@@ -341,47 +355,48 @@
         }
     }
 
-    /// Reads an answer's body: whole where it is short and comes soon, else its first part.
-    async fn answer(
+    /// Reads the body of a response: all of it if it is short and comes soon, otherwise only the first part.
+    async fn read_body(
         self: &Rc<Self>,
         backend: &Rc<Backend>,
         ResponseVerdict { outcome, keep_body, keep_head, .. }: ResponseVerdict,
-        mut head: Head,
+        mut head: ResponseHead,
         mut body: Incoming,
         mut connection: Connection,
-        place: OwnedSemaphorePermit,
-    ) -> Ended {
+        permit: OwnedSemaphorePermit,
+    ) -> AttemptResult {
         let length = body.size_hint().exact();
         let head = keep_head.then(|| {
             strip_hop_by_hop(&mut head.headers);
             Box::new(head)
         });
-        let (mut held, mut size) = (VecDeque::new(), 0);
-        let soon = sleep(HELD_BACK);
-        tokio::pin!(soon);
+        let (mut parts, mut size) = (VecDeque::new(), 0);
+        let buffer_time = sleep(BUFFER_TIME);
+        tokio::pin!(buffer_time);
         loop {
-            let passing =
-                size > MAX_BODY || size > 0 && length.is_some_and(|length| length > MAX_BODY as u64);
-            if outcome == Outcome::Ok && (passing || soon.is_elapsed() && size > 0) {
-                let (pool, own) = (self.clone(), backend.clone());
-                let give_back: GiveBack = Box::new(move |connection| pool.give_back(&own, connection));
-                let download = Download::new(held, body, connection, length, give_back, place);
-                let body = Some(Served::Passing(Box::new(download)));
-                return Ended { outcome, body, head, refused: false };
+            let too_long = size > MAX_BUFFERED_BYTES
+                || size > 0 && length.is_some_and(|length| length > MAX_BUFFERED_BYTES as u64);
+            if outcome == Outcome::Ok && (too_long || buffer_time.is_elapsed() && size > 0) {
+                let (pool, backend) = (self.clone(), backend.clone());
+                let give_back: GiveBack = Box::new(move |connection| pool.give_back(&backend, connection));
+                let download = Download::new(parts, body, connection, length, give_back, permit);
+                let body = Some(ServedBody::Streaming(Box::new(download)));
+                return AttemptResult { outcome, body, head, refused: false };
             }
             let frame = tokio::select! {
                 biased;
                 frame = connection.frame(&mut body) => frame,
-                () = &mut soon, if !soon.is_elapsed() => continue,
+                () = &mut buffer_time, if !buffer_time.is_elapsed() => continue,
             };
             match frame {
                 Some(Ok(frame)) => {
                     let Ok(bytes) = frame.into_data() else { continue };
                     size += bytes.len();
-                    // Nobody reads an error's body, which may be as long as it likes.
-                    if keep_body && (outcome == Outcome::Ok || size <= MAX_BODY) {
-                        held.push_back(bytes);
-                    } else if size > MAX_BODY {
+                    // The body of an error that the client does not get is discarded, so a long one may end
+                    // the read.
+                    if keep_body && (outcome == Outcome::Ok || size <= MAX_BUFFERED_BYTES) {
+                        parts.push_back(bytes);
+                    } else if size > MAX_BUFFERED_BYTES {
                         return outcome.into();
                     }
                 }
@@ -391,18 +406,22 @@
         }
         self.give_back(backend, connection);
         match keep_body {
-            true => Ended { body: Some(Served::Whole(joined(held, size))), head, ..outcome.into() },
+            true => AttemptResult {
+                body: Some(ServedBody::Buffered(joined(parts, size))),
+                head,
+                ..outcome.into()
+            },
             false => outcome.into(),
         }
     }
 }
 
-/// The parts of a body as one.
+/// Joins the parts of a body.
 pub(crate) fn joined(mut parts: VecDeque<Bytes>, size: usize) -> Bytes {
     if parts.len() == 1 {
         return parts.pop_front().unwrap_or_default();
     }
-    let mut whole = BytesMut::with_capacity(size);
-    parts.iter().for_each(|part| whole.extend_from_slice(part));
-    whole.freeze()
+    let mut body = BytesMut::with_capacity(size);
+    parts.iter().for_each(|part| body.extend_from_slice(part));
+    body.freeze()
 }
--- a/crates/starlinghill-gateway/src/backend_protocol.rs
+++ b/crates/starlinghill-gateway/src/backend_protocol.rs
@@ -1,5 +1,5 @@
-//! What differs between the protocols that backends speak: the platform's, and that of the whole system. Everything else
-//! about an attempt is the same.
+//! The differences between the protocols of backends: the platform's and that of the whole system. All other
+//! handling of an attempt is the same.
 
 use crate::backend::Backend;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -7,33 +7,35 @@
 use hyper::StatusCode;
 use starlinghill_decision::api::Outcome;
 
-/// A protocol that backends speak.
+/// The parts of HTTP that backends of a kind use in their own way.
 pub trait BackendProtocol {
-    /// Puts into a head what this backend is to be told: how many milliseconds are left, and whatever else is its own.
+    /// Adds the headers for this backend: how many milliseconds are left, and whatever else the protocol
+    /// requires.
     fn set_headers(&self, headers: &mut HeaderMap, backend: &Backend, left_ms: u64);
-    /// Reads the head of an answer to a request with these headers.
+    /// Classifies a response by its head and the headers of the request.
     fn classify(&self, asked: &HeaderMap, head: &Parts) -> ResponseVerdict;
 }
 
-/// What an answer's head says.
+/// What the head of a response determines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResponseVerdict {
-    /// How the attempt ends, if its body comes whole.
+    /// The outcome of the attempt if the body arrives complete.
     pub outcome: Outcome,
-    /// The body may be the client's: it is held, or passed on.
+    /// The client may get the body, so it is buffered or streamed.
     pub keep_body: bool,
-    /// So is its head, which is kept for that.
+    /// The client gets the head too, so it is kept.
     pub keep_head: bool,
-    /// The answer belongs to this request. Guards against what a backend sends late, or twice: the connection is of no
-    /// further use.
+    /// The response belongs to this request. If it is false, the backend sent a response late or twice, and
+    /// the connection can't be used any more.
     pub matches_request: bool,
 }
 
-/// How long the client waits; to a backend: how long this gateway does.
+/// The header with the remaining time in milliseconds: from a client, how long it waits; to a backend, how
+/// long this gateway waits.
 pub const BUDGET: HeaderName = HeaderName::from_static("x-budget-ms");
 const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
 
-/// The platform's.
+/// The platform's protocol.
 pub struct Platform;
 
 impl BackendProtocol for Platform {
@@ -41,7 +43,7 @@
         headers.insert(BUDGET, HeaderValue::from(left_ms));
     }
 
-    /// Guards against taking a bare 503 or 504 for a turn-away: only the header proves that the request never ran.
+    /// A 503 or 504 counts as a rejection only with the header: without it the request may have run.
     fn classify(&self, _: &HeaderMap, head: &Parts) -> ResponseVerdict {
         let rejected = head.headers.get(REJECTED).is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match head.status {
--- a/crates/starlinghill-gateway/src/class_names.rs
+++ b/crates/starlinghill-gateway/src/class_names.rs
@@ -1,4 +1,4 @@
-//! Classes by the names that clients write, while they change.
+//! Request classes by the names that clients use, while the settings change.
 
 use hyper::Method;
 use starlinghill_decision::api::{ClassId, Effect, Micros};
@@ -7,78 +7,81 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// For so long a class that was dropped or changed is still taken as it was: clients follow 1.2 s later, and what they
-/// wrote before may be on its way.
-const FOLLOW: Duration = Duration::from_secs(2);
-/// The platform kills a process that was told to end after the longest deadline, counted as this where it is longer,
-const LONGEST_DEADLINE: Duration = Duration::from_secs(3);
-/// and 0.7 s, of which the last part is left for writing.
-const LAST_ANSWER: Duration = Duration::from_millis(500);
+/// How long a class that was removed or changed is still accepted as it was. Clients follow new settings
+/// after 1.2 s, and requests may be on their way.
+const OLD_CLASS_GRACE: Duration = Duration::from_secs(2);
+/// The platform kills a process once the longest deadline of its classes and another 0.7 s have passed since
+/// SIGTERM. A longer deadline than this counts as this.
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
+/// The part of these 0.7 s in which requests may still be answered. The rest is for writing the answers.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
 
-/// A class as a request's head is held to it.
+/// What the check of a request needs to know of its class.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Named {
-    /// Its place in the module.
+pub struct NamedClass {
+    /// Its index in the decision module.
     pub id: ClassId,
-    /// What it may do.
+    /// The side effects of its requests.
     pub effect: Effect,
-    /// The longest wait.
+    /// The longest time that a client may wait.
     pub deadline: Micros,
 }
 
-impl Named {
-    /// Whether it is asked for in this way.
-    pub fn fits(&self, method: &Method) -> bool {
+impl NamedClass {
+    /// Whether this is the method for the class: GET for safe requests, POST otherwise.
+    pub fn matches(&self, method: &Method) -> bool {
         *method == if self.effect == Effect::Safe { Method::GET } else { Method::POST }
     }
 }
 
-/// Classes by name.
-pub struct Names {
-    now: HashMap<String, Named>,
-    /// As they were, and until when that counts.
-    before: HashMap<String, (Named, Instant)>,
+/// The classes by name.
+pub struct ClassNames {
+    current: HashMap<String, NamedClass>,
+    /// Removed and changed classes, each with the time until which it is accepted.
+    former: HashMap<String, (NamedClass, Instant)>,
 }
 
-impl Names {
-    /// The names at the start.
-    pub fn new(classes: &Classes) -> Names {
-        Names { now: named(classes), before: HashMap::new() }
+impl ClassNames {
+    /// The names of the initial classes.
+    pub fn new(classes: &Classes) -> ClassNames {
+        ClassNames { current: by_name(classes), former: HashMap::new() }
     }
 
-    /// Follows new settings.
-    pub fn follow(&mut self, classes: &Classes) {
-        let old = std::mem::replace(&mut self.now, named(classes));
+    /// Applies new settings.
+    pub fn update(&mut self, classes: &Classes) {
+        let old = std::mem::replace(&mut self.current, by_name(classes));
         let now = Instant::now();
-        self.before.retain(|_, (_, until)| now < *until);
+        self.former.retain(|_, (_, until)| now < *until);
         for (name, class) in old {
-            if self.now.get(&name) != Some(&class) {
-                self.before.insert(name, (class, now + FOLLOW));
+            if self.current.get(&name) != Some(&class) {
+                self.former.insert(name, (class, now + OLD_CLASS_GRACE));
             }
         }
     }
 
-    /// The class of that name: as it is, or as it was if that was a moment ago and only that fits the request.
-    pub fn get(&self, name: &str, method: &Method) -> Option<Named> {
-        let before =
-            || self.before.get(name).filter(|(_, until)| Instant::now() < *until).map(|(class, _)| *class);
-        let now = self.now.get(name).copied();
-        now.filter(|class| class.fits(method))
-            .or_else(|| before().filter(|class| class.fits(method)))
-            .or(now)
-            .or_else(before)
+    /// Finds a class by name. A former version, while still accepted, is used only if the current one does
+    /// not match the request's method.
+    pub fn get(&self, name: &str, method: &Method) -> Option<NamedClass> {
+        let former =
+            || self.former.get(name).filter(|(_, until)| Instant::now() < *until).map(|(class, _)| *class);
+        let current = self.current.get(name).copied();
+        current
+            .filter(|class| class.matches(method))
+            .or_else(|| former().filter(|class| class.matches(method)))
+            .or(current)
+            .or_else(former)
     }
 
-    /// So long after SIGTERM all must be answered.
+    /// How long after SIGTERM all requests must be answered.
     pub fn shutdown_limit(&self) -> Duration {
-        let longest = self.now.values().map(|class| class.deadline).max().unwrap_or_default();
-        Duration::from_micros(longest.0).min(LONGEST_DEADLINE) + LAST_ANSWER
+        let longest = self.current.values().map(|class| class.deadline).max().unwrap_or_default();
+        Duration::from_micros(longest.0).min(MAX_DEADLINE) + SHUTDOWN_MARGIN
     }
 }
 
-fn named(classes: &Classes) -> HashMap<String, Named> {
-    let one = |(name, id, class): (&str, ClassId, &starlinghill_decision::api::Class)| {
-        (name.to_string(), Named { id, effect: class.effect, deadline: class.deadline })
+fn by_name(classes: &Classes) -> HashMap<String, NamedClass> {
+    let entry = |(name, id, class): (&str, ClassId, &starlinghill_decision::api::Class)| {
+        (name.to_string(), NamedClass { id, effect: class.effect, deadline: class.deadline })
     };
-    classes.by_name().map(one).collect()
+    classes.by_name().map(entry).collect()
 }
--- a/crates/starlinghill-gateway/src/config.rs
+++ b/crates/starlinghill-gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a gateway: the environment and the configuration file.
+//! The configuration of a gateway, from the environment and a JSON file.
 
 use crate::peers::Peers;
 use serde::Deserialize;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A configuration that a gateway can't start with; one plain line.
+/// A one-line description of why a configuration can't be used.
 #[derive(Debug)]
 pub struct ConfigError(String);
 
@@ -28,6 +28,7 @@
     }
 }
 
+/// The configuration file. Its fields are the keys of the file.
 #[derive(Deserialize)]
 struct Document {
     listen: Option<SocketAddr>,
@@ -45,6 +46,7 @@
     settings: serde_json::Value,
 }
 
+/// Limits of the process: file descriptors and memory in MiB.
 #[derive(Deserialize)]
 struct Limits {
     sockets: usize,
@@ -52,6 +54,7 @@
     memory_mb: usize,
 }
 
+/// The default of `memory_mb`, in MiB.
 fn enough() -> usize {
     192
 }
@@ -62,12 +65,12 @@
     }
 }
 
-/// The services that a gateway calls, which a new configuration may move.
+/// The addresses of the services that a gateway calls. A new configuration may change them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Upstreams {
-    /// Discovery.
+    /// The service that lists the backends.
     pub discovery: SocketAddr,
-    /// The shared counter.
+    /// The counter that all gateways share.
     pub counter: Option<SocketAddr>,
 }
 
@@ -78,17 +81,17 @@
     }
 }
 
-/// The keys that a configuration has, with items of a list counted as one. Guards against taking a file that was cut short
-/// or lost a key for one that sets less.
+/// The set of keys in a configuration file; all items of a list count as one. A file that lost keys, for
+/// instance because it was cut short, is rejected on reload.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Shape(BTreeSet<String>);
+pub struct ConfigKeys(BTreeSet<String>);
 
-impl Shape {
-    /// Of a list's items only the keys that all of them have.
-    fn of(document: &serde_json::Value) -> Shape {
+impl ConfigKeys {
+    /// Collects the keys of a document. Of the items of a list only the keys that all of them have count.
+    fn of(document: &serde_json::Value) -> ConfigKeys {
         let mut keys = BTreeSet::new();
-        Shape::walk("", document, &mut keys);
-        Shape(keys)
+        ConfigKeys::walk("", document, &mut keys);
+        ConfigKeys(keys)
     }
 
     fn walk(prefix: &str, value: &serde_json::Value, keys: &mut BTreeSet<String>) {
@@ -96,61 +99,62 @@
         match value {
             Value::Object(fields) => {
                 for (name, value) in fields {
-                    // What is known of the backends may well be less than before.
+                    // The list of known backends may be shorter than before.
                     if prefix.is_empty() && name == "known" {
                         continue;
                     }
                     let key = if prefix.is_empty() { name.clone() } else { format!("{prefix}.{name}") };
-                    Shape::walk(&key, value, keys);
+                    ConfigKeys::walk(&key, value, keys);
                     keys.insert(key);
                 }
             }
             Value::Array(items) if items.iter().all(Value::is_object) => {
-                let all = items.iter().map(|item| {
+                let per_item = items.iter().map(|item| {
                     let mut keys = BTreeSet::new();
-                    Shape::walk(&format!("{prefix}[]"), item, &mut keys);
+                    ConfigKeys::walk(&format!("{prefix}[]"), item, &mut keys);
                     keys
                 });
-                keys.extend(all.reduce(|some, more| &some & &more).unwrap_or_default());
+                keys.extend(per_item.reduce(|common, keys| &common & &keys).unwrap_or_default());
             }
             _ => {}
         }
     }
 
-    /// The first key that is missing in another.
-    fn missing_in<'a>(&'a self, other: &'a Shape) -> Option<&'a str> {
+    /// The first key that is missing in `other`.
+    fn missing_in<'a>(&'a self, other: &'a ConfigKeys) -> Option<&'a str> {
         self.0.difference(&other.0).map(String::as_str).next()
     }
 }
 
-/// What a configuration that was read again changes.
+/// The parts of a reloaded configuration that take effect at once.
 pub struct Reloaded {
-    /// The services.
+    /// The addresses of discovery and the counter.
     pub upstreams: Upstreams,
-    /// The settings, of which classes and attempts are followed.
+    /// The settings, of which only classes and attempt limits are applied.
     pub site: Site,
 }
 
 impl Reloaded {
-    /// Reads the configuration's file again, whole or not at all. It goes before the environment, which is as it was at the
-    /// start; but for services, classes and attempts, what it says takes effect with the next start only.
-    pub fn from_file(shape: &Shape) -> Result<Reloaded, ConfigError> {
-        let (path, text) = file()?;
-        let named = |e: ConfigError| ConfigError(format!("{path}: {e}"));
-        Reloaded::parse(&text, from_environment("NODE_LISTEN")?, shape).map_err(named)
+    /// Reads the configuration file again, completely or not at all. Addresses in the file take precedence
+    /// over the environment, which can't change after the start. Everything but services, classes and attempt
+    /// limits takes effect at the next start only.
+    pub fn from_file(keys: &ConfigKeys) -> Result<Reloaded, ConfigError> {
+        let (path, text) = read_file()?;
+        let with_path = |e: ConfigError| ConfigError(format!("{path}: {e}"));
+        Reloaded::parse(&text, from_environment("NODE_LISTEN")?, keys).map_err(with_path)
     }
 
-    fn parse(text: &str, listen: Option<SocketAddr>, shape: &Shape) -> Result<Reloaded, ConfigError> {
+    fn parse(text: &str, listen: Option<SocketAddr>, keys: &ConfigKeys) -> Result<Reloaded, ConfigError> {
         let config = Config::parse(text, listen, None)?;
-        if let Some(key) = shape.missing_in(&config.shape) {
+        if let Some(key) = keys.missing_in(&config.keys) {
             return Err(ConfigError(format!("{key}: expected as at the start, found nothing")));
         }
         Ok(Reloaded { upstreams: config.upstreams(), site: config.site })
     }
 }
 
-/// The configuration's path and text.
-fn file() -> Result<(String, String), ConfigError> {
+/// Returns the path and the text of the configuration file.
+fn read_file() -> Result<(String, String), ConfigError> {
     let path = env::var("NODE_CONFIG").map_err(|_| ConfigError("NODE_CONFIG is not set".into()))?;
     let text = std::fs::read_to_string(&path).map_err(|e| ConfigError(format!("{path}: {e}")))?;
     Ok((path, text))
@@ -158,66 +162,67 @@
 
 fn from_environment(name: &str) -> Result<Option<SocketAddr>, ConfigError> {
     let Ok(text) = env::var(name) else { return Ok(None) };
-    let wrong = |_| ConfigError(format!("{name}: expected an address and a port, found '{text}'"));
-    text.parse().map(Some).map_err(wrong)
+    let invalid = |_| ConfigError(format!("{name}: expected an address and a port, found '{text}'"));
+    text.parse().map(Some).map_err(invalid)
 }
 
-/// All that a gateway is told at its start.
+/// The configuration of a gateway.
 pub struct Config {
     pub(crate) name: String,
     pub(crate) listen: SocketAddr,
     pub(crate) discovery: SocketAddr,
     pub(crate) counter: Option<SocketAddr>,
-    /// The other gateways, where they may be told something.
+    /// The addresses of the other gateways, if messages to them are enabled.
     pub(crate) peers: Option<Peers>,
     pub(crate) seed: u64,
     pub(crate) known: MemberList,
     pub(crate) site: Site,
-    pub(crate) shape: Shape,
-    /// The operators' door.
+    pub(crate) keys: ConfigKeys,
+    /// The address of the operators' HTTP port.
     pub(crate) ops: Option<SocketAddr>,
-    /// The number of the inherited socket for clients, which other processes of this gateway have as well.
+    /// The descriptor number of the inherited client socket, which other processes of this gateway have as
+    /// well.
     pub(crate) inherited: Option<u32>,
     /// A folder that the processes of this gateway share.
     pub(crate) folder: Option<PathBuf>,
     pub(crate) sockets: SocketLimits,
-    /// In bytes.
+    /// The memory that the process may use, in bytes.
     pub(crate) memory: usize,
-    /// An attempt's connection must be made within this.
+    /// Time limit for opening a connection to a backend.
     pub(crate) dial_timeout: std::time::Duration,
-    /// A backend closes a connection that stood idle for this long.
+    /// Backends close connections that were idle for this long.
     pub(crate) conn_idle: std::time::Duration,
 }
 
-/// How the descriptors are shared out, so that no kind of connection can starve another.
+/// The limits on connections of each kind, so that no kind can use up the file descriptors of another.
 #[derive(Debug, Clone, Copy)]
 pub struct SocketLimits {
-    /// From clients.
+    /// Connections from clients.
     pub clients: usize,
-    /// To backends.
+    /// Connections to backends.
     pub backends: usize,
-    /// To the counter, which resets more than 32.
+    /// Connections to the counter, which resets connections beyond 32.
     pub counter: usize,
 }
 
 impl SocketLimits {
     fn of(sockets: usize) -> SocketLimits {
-        // The rest, at least a sixteenth, is for standard streams, the listener, epoll and discovery.
+        // At least a sixteenth is left for the standard streams, the listener, epoll and discovery.
         let counter = (sockets / 16).clamp(1, 32);
         SocketLimits { clients: (sockets / 2).max(1), backends: (sockets / 4).max(1), counter }
     }
 }
 
 impl Config {
-    /// Reads the environment and the file that it names.
+    /// Reads the environment and the file that `NODE_CONFIG` names.
     pub fn from_environment() -> Result<Config, ConfigError> {
-        let (path, text) = file()?;
+        let (path, text) = read_file()?;
         Config::parse(&text, from_environment("NODE_LISTEN")?, from_environment("NODE_DISCOVERY")?)
-            .and_then(|c| c.under_environment())
+            .and_then(|c| c.apply_environment())
             .map_err(|e| ConfigError(format!("{path}: {e}")))
     }
 
-    fn under_environment(self) -> Result<Config, ConfigError> {
+    fn apply_environment(self) -> Result<Config, ConfigError> {
         let inherited = match env::var("NODE_ACCEPT_FD") {
             Ok(text) => {
                 Some(text.parse::<u32>().ok().filter(|fd| (3..1 << 20).contains(fd)).ok_or_else(|| {
@@ -231,32 +236,32 @@
         Ok(Config { name, inherited, folder, ops: from_environment("NODE_OPS")?.or(self.ops), ..self })
     }
 
-    /// The gateway's name.
+    /// The name of this gateway; empty if the platform names none.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The zone that the gateway is in; empty where the platform names none.
+    /// The zone of this gateway; empty if the platform names none.
     pub fn zone(&self) -> &str {
         self.site.zone_name(self.site.settings.zone).unwrap_or_default()
     }
 
-    /// The keys that it has.
-    pub fn shape(&self) -> &Shape {
-        &self.shape
+    /// The keys in the configuration file.
+    pub fn keys(&self) -> &ConfigKeys {
+        &self.keys
     }
 
-    /// The settings and their names.
+    /// The settings, with the names that they define.
     pub fn site(&self) -> &Site {
         &self.site
     }
 
-    /// The seed for random numbers.
+    /// The seed of the random numbers.
     pub fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// How it follows the list of backends: from what it knows, if that is a list.
+    /// The follower of the backend list. It starts from the known list in the configuration, if there is one.
     pub fn follower(&self) -> Follower {
         let known = (!self.known.members.is_empty()).then_some(self.known.revision);
         let settings = &self.site.settings;
@@ -264,42 +269,46 @@
         Follower::new(self.seed, source, settings.gateways, known)
     }
 
-    /// The services that it names.
+    /// The addresses of discovery and the counter.
     pub fn upstreams(&self) -> Upstreams {
         Upstreams { discovery: self.discovery, counter: self.counter }
     }
 
-    /// Reads a configuration; addresses from the environment go before its own.
+    /// Parses a configuration file. `listen` and `discovery` from the environment take precedence over its
+    /// own.
     pub fn parse(
         text: &str,
         listen: Option<SocketAddr>,
         discovery: Option<SocketAddr>,
     ) -> Result<Config, ConfigError> {
-        let plain = |e: serde_json::Error| ConfigError(e.to_string());
-        let document: serde_json::Value = serde_json::from_str(text).map_err(plain)?;
-        let shape = Shape::of(&document);
-        let document: Document = serde_json::from_str(text).map_err(plain)?;
+        let json_error = |e: serde_json::Error| ConfigError(e.to_string());
+        let document: serde_json::Value = serde_json::from_str(text).map_err(json_error)?;
+        let keys = ConfigKeys::of(&document);
+        let document: Document = serde_json::from_str(text).map_err(json_error)?;
         let seed = u64::from_str_radix(&document.seed, 16)
             .map_err(|_| ConfigError(format!("seed: expected 16 hex digits, found '{}'", document.seed)))?;
         let mut names = BTreeMap::new();
         flatten("", &document.settings, &mut names);
         let pairs = names.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
         let fields = Fields { place: "settings".into(), message: "settings", pairs };
-        let plain = |e: starlinghill_settings::FieldError| ConfigError(e.0);
-        let mut site = Site::read(&fields).map_err(plain)?;
+        let field_error = |e: starlinghill_settings::FieldError| ConfigError(e.0);
+        let mut site = Site::read(&fields).map_err(field_error)?;
         site.settings.check()?;
-        let span = |name, default| {
-            fields.micros_or(name, default).map(|m| std::time::Duration::from_micros(m.0)).map_err(plain)
+        let duration = |name, default| {
+            fields
+                .micros_or(name, default)
+                .map(|m| std::time::Duration::from_micros(m.0))
+                .map_err(field_error)
         };
-        let missing = |what: &str| ConfigError(format!("{what}: expected an address, found nothing"));
+        let missing = |key: &str| ConfigError(format!("{key}: expected an address, found nothing"));
         if site.settings.counter && document.counter.is_none() {
             return Err(missing("counter"));
         }
-        let (per_s, me) = (site.settings.peers_per_s, site.settings.me as usize);
+        let (per_s, own_number) = (site.settings.peers_per_s, site.settings.me as usize);
         let gateways = site.settings.gateways as usize;
         let peers = match document.peer_listen.filter(|_| per_s > 0.0) {
             Some(listen) if document.peers.len() == gateways => {
-                Some(Peers { listen, all: document.peers, me, per_s })
+                Some(Peers { listen, all: document.peers, own_number, per_s })
             }
             Some(_) => {
                 let found = document.peers.len();
@@ -309,10 +318,10 @@
             }
             None => None,
         };
-        // Without a way to the others nothing is to be said to them.
+        // Without addresses of the others there is nobody to send messages to.
         site.settings.peers_per_s = peers.as_ref().map_or(0.0, |_| per_s);
         Ok(Config {
-            shape,
+            keys,
             ops: document.ops,
             inherited: None,
             folder: None,
@@ -323,8 +332,8 @@
             counter: document.counter,
             seed,
             known: document.known,
-            dial_timeout: span("bounds.dial_timeout", 250_000)?,
-            conn_idle: span("bounds.conn_idle", 15_000_000)?,
+            dial_timeout: duration("bounds.dial_timeout", 250_000)?,
+            conn_idle: duration("bounds.conn_idle", 15_000_000)?,
             site,
             sockets: SocketLimits::of(document.limits.sockets),
             memory: document.limits.memory_mb.saturating_mul(1 << 20).min(1 << 32),
--- a/crates/starlinghill-gateway/src/connections.rs
+++ b/crates/starlinghill-gateway/src/connections.rs
@@ -1,7 +1,8 @@
-//! Clients' connections as those see them who may close them, a bounded number.
+//! The open connections of clients: their state, the time limits that close them, and the limit on their
+//! number.
 
-use crate::request_head::Head;
-use crate::upload::Follower;
+use crate::request_head::RequestHead;
+use crate::upload::UploadObserver;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -9,85 +10,92 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// A request's head, and a first byte of its body, must have come so long after its connection was opened, or after the
-/// answer before it on a connection that is being closed. Clients may need 2 s; 3 s are owed to who sends none.
-pub(crate) const RECEIVE_TIME: Duration = Duration::from_millis(2500);
-/// A body that comes must bring something more in this time,
-pub(crate) const BODY_STALL: Duration = Duration::from_millis(1500);
-/// and so many bytes a second on the whole; clients may send 64 kB.
-pub(crate) const BODY_RATE: u64 = 40_000;
-/// A client that reads nothing of its answer for so long is not waited for.
-pub(crate) const READ_STALL: Duration = Duration::from_secs(10);
-/// A connection is closed when no request was open on it for so long.
-pub(crate) const LONGEST_IDLE: Duration = Duration::from_secs(15);
-/// A new connection on which nothing came for so long gives way to newer ones; usual clients send at once.
-pub(crate) const SILENT: Duration = Duration::from_millis(250);
-/// The pause after an accept that failed, which it does at once while descriptors are short, and between two
-/// looks for a connection that could give way.
+/// How long a client may take to send a request's head and the first byte of its body, counted from the
+/// opening of the connection, or from the previous answer on a connection that is being closed. Clients may
+/// need 2 s, and a client that sends nothing must be closed within 3 s.
+pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Longest pause between two parts of a request body.
+pub(crate) const BODY_STALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Lowest average rate of a request body, in bytes per second. Clients may send as slowly as 64 kB/s.
+pub(crate) const MIN_BODY_BYTES_PER_S: u64 = 40_000;
+/// How long a client may read nothing of its response before its connection is aborted.
+pub(crate) const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a connection may be without an open request.
+pub(crate) const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// A connection that has been quiet for this long may be closed to make room for a newer one. Normal clients
+/// send at once.
+pub(crate) const QUIET_TIME: Duration = Duration::from_millis(250);
+/// Pause after a failed accept, which fails at once while file descriptors are short, and between two
+/// searches for a connection that can be closed.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What a client's connection is at.
+/// The state of a client's connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It is new, or a request's head has come, but no request whole.
+    /// The connection is new, or a request is incomplete.
     Receiving,
-    /// A request was taken and is not answered.
+    /// A complete request waits for its answer.
     Busy,
-    /// Its answer is on its way.
-    Passing,
-    /// Between requests.
+    /// A response is being streamed to the client.
+    Streaming,
+    /// No request is open.
     Idle,
 }
 
-/// A client's connection as those see it who may close it.
+/// The state of a client's connection, shared between the task that serves it and the code that may close it.
 pub struct ConnectionHandle {
     pub(crate) phase: Cell<Phase>,
+    /// When the phase began, the client last read a part of its response, or the close was requested.
     pub(crate) since: Cell<Instant>,
-    /// Of the body that is being received: how many bytes came, and since when its client is waited for.
-    pub(crate) came: Cell<u64>,
-    pub(crate) waits_since: Cell<Option<Instant>>,
-    /// What the present head said of its body's length.
-    pub head: Rc<Head>,
-    /// It is to end with the answer to what it is at.
+    /// Bytes received of the current request body.
+    pub(crate) body_bytes: Cell<u64>,
+    /// Since when the gateway has been waiting for the client to send more of the body.
+    pub(crate) waiting_since: Cell<Option<Instant>>,
+    /// The bytes of the current request's head.
+    pub head: Rc<RequestHead>,
+    /// The connection closes after the current answer.
     pub(crate) closing: Cell<bool>,
-    /// It is to end at once.
-    pub(crate) cut: Cell<bool>,
-    pub(crate) told: Notify,
+    /// The connection closes at once.
+    pub(crate) aborted: Cell<bool>,
+    /// Wakes the task that serves the connection when it must close.
+    pub(crate) notify: Notify,
 }
 
 impl ConnectionHandle {
     pub(crate) fn new() -> ConnectionHandle {
         let (phase, since) = (Cell::new(Phase::Receiving), Cell::new(Instant::now()));
-        let (came, waits_since, head) = (Cell::new(0), Cell::new(None), Rc::new(Head::default()));
-        let (closing, cut, told) = (Cell::new(false), Cell::new(false), Notify::new());
-        ConnectionHandle { phase, since, came, waits_since, head, closing, cut, told }
+        let (body_bytes, waiting_since, head) =
+            (Cell::new(0), Cell::new(None), Rc::new(RequestHead::default()));
+        let (closing, aborted, notify) = (Cell::new(false), Cell::new(false), Notify::new());
+        ConnectionHandle { phase, since, body_bytes, waiting_since, head, closing, aborted, notify }
     }
-    /// Its answer moves.
-    pub(crate) fn passes(&self) {
-        self.phase.set(Phase::Passing);
+    /// Notes that the client took a part of a streamed response.
+    pub(crate) fn mark_streaming(&self) {
+        self.phase.set(Phase::Streaming);
         self.since.set(Instant::now());
     }
-    /// It is between requests.
-    pub(crate) fn is_between(&self) {
-        self.turn(Phase::Idle);
+    pub(crate) fn mark_idle(&self) {
+        self.set_phase(Phase::Idle);
     }
-    /// What is being received takes too long, or comes to a halt.
-    pub(crate) fn dawdles(&self) -> bool {
+    /// Whether the request that is being received exceeds a time limit.
+    pub(crate) fn is_too_slow(&self) -> bool {
         if self.phase.get() != Phase::Receiving {
             return false;
         }
-        let allowed = Duration::from_millis(self.came.get().saturating_mul(1000) / BODY_RATE);
-        // What waits for a backend to take it in is not the client's fault.
-        let waits = |since: Instant| {
-            since.elapsed() > BODY_STALL || self.since.get().elapsed() > RECEIVE_TIME + allowed
+        let allowed =
+            Duration::from_millis(self.body_bytes.get().saturating_mul(1000) / MIN_BODY_BYTES_PER_S);
+        // Time in which the backend does not take the body is not counted against the client.
+        let too_slow = |waiting: Instant| {
+            waiting.elapsed() > BODY_STALL_TIMEOUT || self.since.get().elapsed() > REQUEST_TIMEOUT + allowed
         };
-        match self.waits_since.get() {
-            Some(since) => waits(since),
-            None => self.came.get() == 0 && self.since.get().elapsed() > RECEIVE_TIME,
+        match self.waiting_since.get() {
+            Some(since) => too_slow(since),
+            None => self.body_bytes.get() == 0 && self.since.get().elapsed() > REQUEST_TIMEOUT,
         }
     }
-    /// A first request's time runs from the opening.
-    pub(crate) fn turn(&self, phase: Phase) {
+    /// Enters a state. Entering the current state again does not restart its time, so the time of a first
+    /// request counts from the opening of the connection.
+    pub(crate) fn set_phase(&self, phase: Phase) {
         if self.phase.replace(phase) != phase {
             self.since.set(Instant::now());
         }
@@ -95,83 +103,92 @@
     pub(crate) fn close(&self) {
         if !self.closing.replace(true) {
             self.since.set(Instant::now());
-            self.told.notify_one();
+            self.notify.notify_one();
         }
     }
-    pub(crate) fn cut(&self) {
-        self.cut.set(true);
-        self.told.notify_one();
+    pub(crate) fn abort(&self) {
+        self.aborted.set(true);
+        self.notify.notify_one();
     }
-    pub(crate) fn is(&self, phase: Phase, longer_than: Duration) -> bool {
-        self.phase.get() == phase && self.since.get().elapsed() > longer_than
+    pub(crate) fn in_phase_longer_than(&self, phase: Phase, limit: Duration) -> bool {
+        self.phase.get() == phase && self.since.get().elapsed() > limit
     }
 }
 
-/// The open connections of clients, a bounded number.
-pub(crate) struct Lines {
+/// The open connections of clients, limited in number.
+pub(crate) struct ClientConnections {
     pub(crate) open: RefCell<HashMap<u64, Rc<ConnectionHandle>>>,
-    pub(crate) most: usize,
-    /// One has ended.
+    pub(crate) limit: usize,
+    /// Notified when a connection has ended.
     pub(crate) ended: Notify,
 }
 
-impl Lines {
+impl ClientConnections {
     pub(crate) fn all(&self) -> Vec<Rc<ConnectionHandle>> {
         self.open.borrow().values().cloned().collect()
     }
 
-    /// Closes what takes too long. Guards against clients that keep a connection and say nothing, send half a
-    /// request, or do not read their answer.
+    /// Closes connections over their time limits: clients that send nothing or half a request, or do not read
+    /// their answer.
     pub(crate) fn sweep(&self) {
-        for line in self.open.borrow().values() {
-            let unread = line.closing.get() && line.is(Phase::Idle, RECEIVE_TIME)
-                || line.is(Phase::Passing, READ_STALL);
-            if line.dawdles() || unread {
-                line.cut();
-            } else if line.is(Phase::Idle, LONGEST_IDLE) {
-                line.close();
+        for connection in self.open.borrow().values() {
+            let stalled = connection.closing.get()
+                && connection.in_phase_longer_than(Phase::Idle, REQUEST_TIMEOUT)
+                || connection.in_phase_longer_than(Phase::Streaming, RESPONSE_STALL_TIMEOUT);
+            if connection.is_too_slow() || stalled {
+                connection.abort();
+            } else if connection.in_phase_longer_than(Phase::Idle, IDLE_TIMEOUT) {
+                connection.close();
             }
         }
-        self.thin_out();
+        self.close_excess_idle();
     }
 
-    /// Closes those idle longest while more than half of the places are taken. Guards against clients that are
-    /// held to a number of connections of their own, which those kept for good fill, so that nothing new comes
-    /// in; covers floods and crowds that ask once as well. May hurt where more clients than places come back
-    /// after a pause: each then pays for a new connection.
-    pub(crate) fn thin_out(&self) {
+    /// Closes the connections idle longest while more than half of the limit is in use. Otherwise clients
+    /// that keep connections for good could fill the limit, and new ones could not get in. Where more clients
+    /// than the limit allows return after a pause, each pays for a new connection.
+    /// The same limits floods and many clients that send a single request each.
+    pub(crate) fn close_excess_idle(&self) {
         let mut idle = self.all();
-        idle.retain(|line| !line.closing.get() && line.is(Phase::Idle, SILENT));
-        idle.sort_by_key(|line| line.since.get());
-        let excess = self.open.borrow().len().saturating_sub(self.most / 2);
-        idle.iter().take(excess).for_each(|line| line.close());
+        idle.retain(|connection| {
+            !connection.closing.get() && connection.in_phase_longer_than(Phase::Idle, QUIET_TIME)
+        });
+        idle.sort_by_key(|connection| connection.since.get());
+        let excess = self.open.borrow().len().saturating_sub(self.limit / 2);
+        idle.iter().take(excess).for_each(|connection| connection.close());
     }
 
-    /// Waits for a place for one more connection. Guards against clients that keep theirs for good and so
-    /// shut others out: the one silent longest gives way, else the one idle longest.
-    pub(crate) async fn place(&self) {
-        while self.open.borrow().len() >= self.most {
-            let mut lines = self.all();
-            lines.retain(|line| !line.closing.get());
-            let longest =
-                |phase, over| lines.iter().filter(|l| l.is(phase, over)).min_by_key(|l| l.since.get());
-            let gives = longest(Phase::Receiving, SILENT).or_else(|| longest(Phase::Idle, Duration::ZERO));
-            gives.into_iter().for_each(|line| line.close());
-            // It may have been one that has a request after all: look again then.
+    /// Waits until one more connection is allowed. Closes the new connection silent longest, or else the one
+    /// idle longest, so that clients that keep connections for good do not shut out others.
+    pub(crate) async fn wait_for_place(&self) {
+        while self.open.borrow().len() >= self.limit {
+            let mut connections = self.all();
+            connections.retain(|connection| !connection.closing.get());
+            let longest = |phase, over| {
+                connections
+                    .iter()
+                    .filter(|connection| connection.in_phase_longer_than(phase, over))
+                    .min_by_key(|connection| connection.since.get())
+            };
+            let victim =
+                longest(Phase::Receiving, QUIET_TIME).or_else(|| longest(Phase::Idle, Duration::ZERO));
+            victim.into_iter().for_each(|connection| connection.close());
+            // The chosen connection may have received a request in the meantime, so search again after a
+            // pause.
             let _ = timeout(ACCEPT_PAUSE, self.ended.notified()).await;
         }
     }
 }
 
-impl Follower for ConnectionHandle {
-    fn came(&self, bytes: usize) {
-        self.came.set(self.came.get() + bytes as u64);
+impl UploadObserver for ConnectionHandle {
+    fn received(&self, bytes: usize) {
+        self.body_bytes.set(self.body_bytes.get() + bytes as u64);
     }
-    fn waits(&self, for_client: bool) {
-        let since = self.waits_since.get().unwrap_or_else(Instant::now);
-        self.waits_since.set(for_client.then_some(since));
+    fn waiting_for_client(&self, waiting: bool) {
+        let since = self.waiting_since.get().unwrap_or_else(Instant::now);
+        self.waiting_since.set(waiting.then_some(since));
     }
-    fn whole(&self) {
-        self.turn(Phase::Busy);
+    fn complete(&self) {
+        self.set_phase(Phase::Busy);
     }
 }
--- a/crates/starlinghill-gateway/src/counter.rs
+++ b/crates/starlinghill-gateway/src/counter.rs
@@ -1,4 +1,4 @@
-//! The shared counter: calls over a few connections, each made once, their answers told as they come.
+//! Calls to the shared counter over a few connections. Each call is made once.
 
 use crate::http::{CallError, Connection};
 use crate::inbox::CounterResult;
@@ -17,27 +17,28 @@
 use tokio::time::{timeout, Instant};
 use tracing::warn;
 
-/// An idle connection is closed after this; the counter closes it after 10 s or less.
-const LONGEST_IDLE: Duration = Duration::from_secs(4);
+/// Idle connections are closed after this; the counter closes its side after 10 s or less.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A call that is under way.
+/// A counter call in flight.
 pub type CounterCall = Pin<Box<dyn Future<Output = CounterResult>>>;
 
-/// A way to the counter, wherever that is.
+/// A connection to a counter of some kind.
 pub trait CounterTransport {
-    /// Makes one call; it ends by itself.
+    /// Adds `amount` to a count that is kept for `life`. The call has its own time limit.
     fn count(self: Rc<Self>, name: CountName, amount: f64, life: Micros) -> CounterCall;
-    /// Draws from a store that the counter keeps; it ends by itself. The platform's counter keeps none.
+    /// Draws units from a quota that the counter keeps, for a service and within a time. The call has its own
+    /// time limit. The platform's counter keeps no such quotas.
     fn draw(self: Rc<Self>, _: CountName, _units: f64, _: (ServiceId, Micros)) -> CounterCall {
         Box::pin(async { Outcome::Moot.into() })
     }
-    /// Units of such a store were used without a word of the counter's; fewer than none where drawn ones were not used.
+    /// Reports units that were used without asking the counter; negative for units drawn but not used.
     fn charge(&self, _: CountName, _units: f64) {}
-    /// An attempt went out to a server.
+    /// An attempt was sent to a server.
     fn attempt_sent(&self, _: ServerId) {}
-    /// It came back, after that time.
+    /// An attempt at a server ended after that time.
     fn attempt_ended(&self, _: ServerId, _: Outcome, _took: Micros) {}
-    /// Where the counter is, where it is at an address.
+    /// The counter's address, where it has one.
     fn address(&self) -> Option<SocketAddr> {
         None
     }
@@ -52,25 +53,26 @@
     }
 }
 
-/// The way to the platform's counter.
+/// A client of the platform's counter.
 pub struct Counter {
     address: SocketAddr,
     timeout: Duration,
     idle: RefCell<Vec<Connection>>,
-    lines: Semaphore,
+    permits: Semaphore,
 }
 
 impl Counter {
-    /// Calls go over at most so many connections and are given up after `timeout`.
+    /// Calls use at most `connections` connections and are given up after `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration, connections: usize) -> Counter {
-        Counter { address, timeout, idle: RefCell::default(), lines: Semaphore::new(connections) }
+        Counter { address, timeout, idle: RefCell::default(), permits: Semaphore::new(connections) }
     }
 
-    /// Makes one call. An unanswered one closes its connection, so that a late answer meets no later call.
+    /// Makes one call. A call without a response closes its connection, so that a late response can't pass
+    /// for that to a later call.
     pub async fn add(&self, name: CountName, amount: f64, life: Micros) -> CounterResult {
         let wrote = Cell::new(false);
         match timeout(self.timeout, self.exchange(name, amount, life, &wrote)).await {
-            Ok(counted) => counted,
+            Ok(result) => result,
             Err(_) if wrote.get() => Outcome::Timeout.into(),
             Err(_) => Outcome::ConnectFailed.into(),
         }
@@ -83,8 +85,8 @@
         life: Micros,
         wrote: &Cell<bool>,
     ) -> CounterResult {
-        // The semaphore is never closed.
-        let Ok(_line) = self.lines.acquire().await else { return Outcome::Moot.into() };
+        // The semaphore is never closed, so this does not fail.
+        let Ok(_permit) = self.permits.acquire().await else { return Outcome::Moot.into() };
         loop {
             let (mut connection, reused) = match self.take() {
                 Some(connection) => (connection, true),
@@ -96,13 +98,13 @@
             wrote.set(true);
             match connection.call(self.request(name, amount, life)).await {
                 Ok(response) => {
-                    let counted = reading(response.status(), response.body());
-                    // Guards against waiting on a connection whose answers can't be read any more.
-                    if counted.outcome != Outcome::Error && connection.is_usable() {
+                    let result = parse_response(response.status(), response.body());
+                    // A connection whose response could not be parsed is closed.
+                    if result.outcome != Outcome::Error && connection.is_usable() {
                         connection.idle_since = Instant::now();
                         self.idle.borrow_mut().push(connection);
                     }
-                    return counted;
+                    return result;
                 }
                 Err(CallError::NotSent) if reused => wrote.set(false),
                 Err(CallError::NotSent) => return Outcome::ConnectFailed.into(),
@@ -114,7 +116,7 @@
     fn take(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(mut connection) = idle.pop() {
-            if connection.idle_since.elapsed() < LONGEST_IDLE && connection.is_usable() {
+            if connection.idle_since.elapsed() < IDLE_TIMEOUT && connection.is_usable() {
                 return Some(connection);
             }
         }
@@ -125,7 +127,7 @@
         let life_ms = (life.0 / 1000).max(1);
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.method_mut() = Method::POST;
-        // Digits and signs alone: always a valid URI.
+        // Digits and signs only, so this is always a valid URI.
         if let Ok(uri) = format!("/v1/count/{}?add={amount}&ttl_ms={life_ms}", name.0).parse() {
             *request.uri_mut() = uri;
         }
@@ -136,7 +138,7 @@
     }
 }
 
-fn reading(status: StatusCode, body: &Bytes) -> CounterResult {
+fn parse_response(status: StatusCode, body: &Bytes) -> CounterResult {
     match status {
         StatusCode::OK => {
             let text = std::str::from_utf8(body).unwrap_or("").trim();
@@ -149,40 +151,41 @@
             }
         }
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Full.into(),
-        // No such call: nothing was added.
+        // The counter rejected the call, so nothing was added.
         StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Outcome::Moot.into(),
         status => {
-            warn!(%status, "the counter answered what it should not");
+            warn!(%status, "the counter answered with an unexpected status");
             Outcome::Error.into()
         }
     }
 }
 
-/// The calls that are out, by name, in the order in which they were made. Their answers come over several connections, so
-/// in any order, and each is told at once: a slow one holds back none. What their totals say of one another is for the
-/// module to judge.
+/// The counter calls in flight, by count, in the order in which they were made. Their answers come over
+/// several connections in any order and are passed on at once, so that a slow call delays no other. The
+/// decision module compares their totals.
 #[derive(Default)]
-pub struct Calls {
+pub struct PendingCalls {
     serial: u64,
-    out: HashMap<CountName, VecDeque<u64>>,
+    in_flight: HashMap<CountName, VecDeque<u64>>,
 }
 
-impl Calls {
-    /// Notes a call and gives the number by which its answer is told.
-    pub fn made(&mut self, name: CountName) -> u64 {
+impl PendingCalls {
+    /// Records a new call and returns its number.
+    pub fn start(&mut self, name: CountName) -> u64 {
         self.serial += 1;
-        self.out.entry(name).or_default().push_back(self.serial);
+        self.in_flight.entry(name).or_default().push_back(self.serial);
         self.serial
     }
 
-    /// Takes an answer; returns the call's place among those out for its name, once.
-    pub fn answered(&mut self, name: CountName, serial: u64) -> Option<usize> {
-        let queue = self.out.get_mut(&name)?;
-        let nth = queue.iter().position(|call| *call == serial)?;
-        queue.remove(nth);
+    /// Removes a call that ended. Returns its position among the calls in flight for its count, or `None` if
+    /// it had ended before.
+    pub fn finish(&mut self, name: CountName, serial: u64) -> Option<usize> {
+        let queue = self.in_flight.get_mut(&name)?;
+        let position = queue.iter().position(|call| *call == serial)?;
+        queue.remove(position);
         if queue.is_empty() {
-            self.out.remove(&name);
+            self.in_flight.remove(&name);
         }
-        Some(nth)
+        Some(position)
     }
 }
--- a/crates/starlinghill-gateway/src/discovery.rs
+++ b/crates/starlinghill-gateway/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of backends: a watch on discovery that never stops.
+//! Watches the list of backends at discovery.
 
 use crate::config::Upstreams;
 use crate::http::Connection;
@@ -14,12 +14,12 @@
 use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 
-/// How long a watch waits for news.
-const HOLD: Duration = Duration::from_secs(20);
-/// How long an answer may take beyond what it was asked to wait.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long discovery may hold a call while there is no news.
+const HOLD_TIME: Duration = Duration::from_secs(20);
+/// How long a response may take beyond the time that discovery may hold the call.
+const RESPONSE_MARGIN: Duration = Duration::from_secs(2);
 
-/// Watches the list for ever, telling whoever owns the inbox what is new.
+/// Watches the list forever and sends what is new to `inbox`.
 pub async fn watch<T: From<MemberList>>(
     mut upstreams: watch::Receiver<Upstreams>,
     mut follower: Follower,
@@ -28,30 +28,30 @@
     let mut address = upstreams.borrow_and_update().discovery;
     let mut connection = None;
     let mut silent = false;
-    let mut confused = false;
+    let mut out_of_order = false;
     loop {
         let call = follower.next();
-        let told = tokio::select! {
+        let result = tokio::select! {
             biased;
-            // Moves at once, though the old address may hold a watch for long. The new one may number its
-            // versions anew: its whole list is asked for.
+            // Switches to a new address at once, though the old one may hold a call for long. The new one may
+            // number its revisions differently, so its whole list is requested.
             Ok(()) = upstreams.changed() => {
-                let moved = upstreams.borrow_and_update().discovery;
-                if moved != address {
-                    (address, connection) = (moved, None);
+                let new_address = upstreams.borrow_and_update().discovery;
+                if new_address != address {
+                    (address, connection) = (new_address, None);
                     follower.moved();
                 }
                 continue;
             }
-            told = make(call, address, &mut connection) => told,
+            result = fetch(call, address, &mut connection) => result,
         };
-        match told {
+        match result {
             Ok(list) => {
                 if std::mem::take(&mut silent) {
                     info!("discovery answers again");
                 }
                 if follower.answered(list.revision, list.complete) == Verdict::Drop {
-                    if !std::mem::replace(&mut confused, true) {
+                    if !std::mem::replace(&mut out_of_order, true) {
                         warn!(
                             revision = list.revision,
                             "discovery told what does not follow; asking for all"
@@ -59,7 +59,7 @@
                     }
                     continue;
                 }
-                confused = false;
+                out_of_order = false;
                 if inbox.send(list.into()).await.is_err() {
                     return;
                 }
@@ -75,34 +75,34 @@
     }
 }
 
-async fn make(
+async fn fetch(
     call: Call,
     address: SocketAddr,
     connection: &mut Option<Connection>,
 ) -> Result<MemberList, &'static str> {
-    // A watch that goes on is not put off: it is over 200 ms after its last answer.
+    // A call that continues a watch has no delay: discovery ends a watch 200 ms after its last response.
     if !call.after.is_zero() {
         sleep(call.after).await;
     }
     let path = match call.since {
         None => "/catalog/members".to_string(),
-        Some(revision) => format!("/catalog/members?from={revision}&hold_ms={}", HOLD.as_millis()),
+        Some(revision) => format!("/catalog/members?from={revision}&hold_ms={}", HOLD_TIME.as_millis()),
     };
     let mut request = Request::new(Full::new(Bytes::new()));
-    *request.uri_mut() = path.parse().map_err(|_| "no such path")?;
+    *request.uri_mut() = path.parse().map_err(|_| "invalid path")?;
     if let Ok(host) = address.to_string().parse() {
         request.headers_mut().insert(header::HOST, host);
     }
     if connection.as_mut().is_none_or(|c| !c.is_usable()) {
-        let opened = timeout(PATIENCE, Connection::open(address)).await;
-        *connection = Some(opened.map_err(|_| "no connection in time")?.map_err(|_| "no connection")?);
+        let opened = timeout(RESPONSE_MARGIN, Connection::open(address)).await;
+        *connection = Some(opened.map_err(|_| "the connection timed out")?.map_err(|_| "could not connect")?);
     }
-    let Some(line) = connection.as_mut() else { return Err("no connection") };
-    let hold = if call.since.is_some() { HOLD } else { Duration::ZERO };
-    let answer = timeout(hold + PATIENCE, line.call(request)).await;
-    let answer = answer.map_err(|_| "no answer in time")?.map_err(|_| "the connection broke")?;
+    let Some(connection) = connection.as_mut() else { return Err("could not connect") };
+    let hold = if call.since.is_some() { HOLD_TIME } else { Duration::ZERO };
+    let answer = timeout(hold + RESPONSE_MARGIN, connection.call(request)).await;
+    let answer = answer.map_err(|_| "the response timed out")?.map_err(|_| "the connection broke")?;
     if answer.status() != StatusCode::OK {
-        return Err("not answered with 200");
+        return Err("the status is not 200");
     }
-    serde_json::from_slice(answer.body()).map_err(|_| "not a list of members")
+    serde_json::from_slice(answer.body()).map_err(|_| "the response is not a list of members")
 }
--- a/crates/starlinghill-gateway/src/download.rs
+++ b/crates/starlinghill-gateway/src/download.rs
@@ -1,8 +1,8 @@
-//! A backend's answer that is too large to hold, or comes slowly: passed on as it comes, with what stands around it (the
-//! place at the backend, the time, the end) kept for as long as it takes.
+//! Streams a backend's response that is too large or too slow to buffer, and holds its connection until it
+//! ends.
 
 use crate::http::Connection;
-use crate::upload::{BodyError, MAX_PASSING};
+use crate::upload::{BodyError, MAX_STREAMED_BYTES};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use starlinghill_decision::api::Outcome;
@@ -14,54 +14,56 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// A backend that has begun an answer and then says nothing for so long has broken off.
-const STALL: Duration = Duration::from_secs(10);
+/// A backend that sends nothing for this long in the middle of a response has failed.
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Takes a connection back that can be used again.
+/// Takes back a connection that can be used again.
 pub type GiveBack = Box<dyn FnOnce(Connection)>;
 
-/// A backend's answer on its way to a client. While it lasts the attempt is out; its end is told once.
+/// A backend's response on its way to a client. Its end is reported once.
 pub struct Download {
-    held: VecDeque<Bytes>,
+    buffered: VecDeque<Bytes>,
     body: Incoming,
-    /// Gone once the answer is whole, or broke off.
+    /// `None` once the response is complete or broke off.
     connection: Option<Connection>,
+    /// The length of the whole body in bytes, where the head states it.
     length: Option<u64>,
-    passed: u64,
+    /// Bytes passed on so far.
+    sent: u64,
     stall: Pin<Box<Sleep>>,
-    /// Takes the connection back once the answer is whole.
+    /// Called with the connection once the response is complete.
     give_back: Option<GiveBack>,
-    _place: OwnedSemaphorePermit,
-    ended: Option<Box<dyn FnOnce(Outcome)>>,
+    _permit: OwnedSemaphorePermit,
+    on_end: Option<Box<dyn FnOnce(Outcome)>>,
 }
 
 impl Download {
-    /// What was held of it goes first. `length` is that of all, where the head tells.
+    /// `buffered` is sent first. `length` is the length of the whole body in bytes, where the head states it.
     pub fn new(
-        held: VecDeque<Bytes>,
+        buffered: VecDeque<Bytes>,
         body: Incoming,
         connection: Connection,
         length: Option<u64>,
         give_back: GiveBack,
-        place: OwnedSemaphorePermit,
+        permit: OwnedSemaphorePermit,
     ) -> Download {
-        let (connection, stall) = (Some(connection), Box::pin(sleep(STALL)));
+        let (connection, stall) = (Some(connection), Box::pin(sleep(STALL_TIMEOUT)));
         Download {
-            held,
+            buffered,
             body,
             connection,
             length,
-            passed: 0,
+            sent: 0,
             stall,
             give_back: Some(give_back),
-            _place: place,
-            ended: None,
+            _permit: permit,
+            on_end: None,
         }
     }
 
-    /// Who is told of the attempt's end.
-    pub fn when_ended(&mut self, tell: impl FnOnce(Outcome) + 'static) {
-        self.ended = Some(Box::new(tell));
+    /// Sets the function that is called when the response ends.
+    pub fn when_ended(&mut self, callback: impl FnOnce(Outcome) + 'static) {
+        self.on_end = Some(Box::new(callback));
     }
 
     fn end(&mut self, outcome: Outcome) {
@@ -70,23 +72,23 @@
         if let (Outcome::Ok, Some(connection), Some(give_back)) = (outcome, connection, give_back) {
             give_back(connection);
         }
-        if let Some(tell) = self.ended.take() {
-            tell(outcome);
+        if let Some(on_end) = self.on_end.take() {
+            on_end(outcome);
         }
     }
 
-    fn fail(&mut self, outcome: Outcome, why: &str) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    fn fail(&mut self, outcome: Outcome, reason: &str) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         self.end(outcome);
-        Poll::Ready(Some(Err(why.into())))
+        Poll::Ready(Some(Err(reason.into())))
     }
 
-    fn passes(&mut self, bytes: Bytes) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        self.passed += bytes.len() as u64;
-        if self.passed > MAX_PASSING {
-            return self.fail(Outcome::Error, "the answer is longer than 32 MiB");
+    fn send(&mut self, bytes: Bytes) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        self.sent += bytes.len() as u64;
+        if self.sent > MAX_STREAMED_BYTES {
+            return self.fail(Outcome::Error, "the response is longer than 32 MiB");
         }
-        // With its length told, nobody asks for more than that.
-        if self.length == Some(self.passed) {
+        // A reader that knows the length does not ask for the end.
+        if self.length == Some(self.sent) {
             self.end(Outcome::Ok);
         }
         Poll::Ready(Some(Ok(Frame::data(bytes))))
@@ -102,38 +104,40 @@
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = &mut *self;
-        if let Some(bytes) = this.held.pop_front() {
-            return this.passes(bytes);
+        if let Some(bytes) = this.buffered.pop_front() {
+            return this.send(bytes);
         }
         loop {
             let Some(connection) = &mut this.connection else { return Poll::Ready(None) };
             match connection.poll_frame(cx, &mut this.body) {
                 Poll::Pending if this.stall.as_mut().poll(cx).is_ready() => {
-                    return this.fail(Outcome::Timeout, "the backend stopped in the middle of its answer")
+                    return this.fail(Outcome::Timeout, "the backend stalled in the middle of its response")
                 }
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(None) => {
                     this.end(Outcome::Ok);
                     return Poll::Ready(None);
                 }
-                Poll::Ready(Some(Err(_))) => return this.fail(Outcome::Reset, "the answer broke off"),
+                Poll::Ready(Some(Err(_))) => {
+                    return this.fail(Outcome::Reset, "the connection broke in the middle of the response")
+                }
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(bytes) = frame.into_data() else { continue };
-                    this.stall.as_mut().reset(Instant::now() + STALL);
-                    return this.passes(bytes);
+                    this.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
+                    return this.send(bytes);
                 }
             }
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.length.map_or_else(SizeHint::default, |all| SizeHint::with_exact(all - self.passed))
+        self.length.map_or_else(SizeHint::default, |length| SizeHint::with_exact(length - self.sent))
     }
 }
 
 impl Drop for Download {
     fn drop(&mut self) {
-        // The client went before the end.
+        // The client left before the end.
         self.end(Outcome::Cancelled);
     }
 }
--- a/crates/starlinghill-gateway/src/forward.rs
+++ b/crates/starlinghill-gateway/src/forward.rs
@@ -1,11 +1,11 @@
-//! A client's request as it goes on to backends, and what comes of an attempt.
+//! A client's request on its way to backends, and the result of an attempt.
 
 use crate::backend::Backend;
 use crate::backend_protocol::BackendProtocol;
 use crate::download::Download;
 use crate::http::Outgoing;
 use crate::idle::Reuse;
-use crate::upload::{Upload, Whole};
+use crate::upload::{Upload, UploadCompletion};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::HeaderMap;
@@ -16,117 +16,118 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// A client's body as it goes on to backends.
+/// The body of a client's request.
 pub enum Payload {
-    /// Held whole, so that it can go out again.
-    Whole(Bytes),
-    /// Passed on as it comes, which it can be once. Its time is `budget` from its last byte on.
-    Passing {
+    /// Complete, so that it can be sent again.
+    Buffered(Bytes),
+    /// Streamed, so that it can be sent only once. The client's time limit, `budget`, starts at its last
+    /// byte.
+    Streaming {
         /// Taken by the attempt that sends it.
         upload: RefCell<Option<Upload>>,
-        /// When its last byte came.
-        whole: Rc<Whole>,
-        /// How long the client waits from then on.
+        /// Completed at the last byte.
+        completion: Rc<UploadCompletion>,
+        /// How long the client waits after the last byte.
         budget: Duration,
     },
 }
 
-/// A client's request as it goes on to backends.
-pub struct Forward {
-    /// Its method.
+/// A client's request as it goes to backends.
+pub struct ForwardedRequest {
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query; no scheme or host.
     pub uri: Uri,
-    /// Its headers, without those that hold for the client's connection alone.
+    /// The headers, without those that apply to the client's connection only.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body, buffered or streamed.
     pub body: Payload,
-    /// Which kept connections it may go out on.
+    /// Which pooled connections the request may use.
     pub reuse: Reuse,
 }
 
-impl Forward {
-    /// Where its body is passed on: when that is whole.
-    pub fn whole(&self) -> Option<&Whole> {
+impl ForwardedRequest {
+    /// The completion of the body, if that is streamed.
+    pub fn upload_completion(&self) -> Option<&UploadCompletion> {
         match &self.body {
-            Payload::Whole(_) => None,
-            Payload::Passing { whole, .. } => Some(whole),
+            Payload::Buffered(_) => None,
+            Payload::Streaming { completion, .. } => Some(completion),
         }
     }
 
-    /// When its time began, where that was after the attempt went out.
-    pub fn whole_at(&self) -> Option<Instant> {
-        self.whole().and_then(Whole::at)
+    /// When the client's time limit started, if the body is streamed and complete.
+    pub fn upload_completed_at(&self) -> Option<Instant> {
+        self.upload_completion().and_then(UploadCompletion::at)
     }
 
-    /// Waits until the attempt's time is over.
-    pub(crate) async fn over(&self, until: Instant) {
+    /// Waits until the time of an attempt is over.
+    pub(crate) async fn wait_deadline(&self, until: Instant) {
         match &self.body {
-            Payload::Whole(_) => sleep_until(until).await,
-            Payload::Passing { whole, budget, .. } => {
+            Payload::Buffered(_) => sleep_until(until).await,
+            Payload::Streaming { completion, budget, .. } => {
                 tokio::select! {
-                    at = whole.wait() => sleep_until(until.min(at + *budget)).await,
+                    at = completion.wait() => sleep_until(until.min(at + *budget)).await,
                     () = sleep_until(until) => {}
                 }
             }
         }
     }
 
-    /// `None` where its body went out before.
+    /// Builds the request for one attempt; `None` if the body was sent already.
     pub(crate) fn request(
         &self,
         until: Instant,
-        dialect: &dyn BackendProtocol,
+        protocol: &dyn BackendProtocol,
         backend: &Backend,
     ) -> Option<Request<Outgoing>> {
         let body = match &self.body {
-            Payload::Whole(body) => Outgoing::Left(Full::new(body.clone())),
-            Payload::Passing { upload, .. } => Outgoing::Right(upload.take()?),
+            Payload::Buffered(body) => Outgoing::Left(Full::new(body.clone())),
+            Payload::Streaming { upload, .. } => Outgoing::Right(upload.take()?),
         };
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        let left = match &self.body {
-            Payload::Whole(_) => until.saturating_duration_since(Instant::now()),
-            Payload::Passing { budget, .. } => *budget,
+        let remaining = match &self.body {
+            Payload::Buffered(_) => until.saturating_duration_since(Instant::now()),
+            Payload::Streaming { budget, .. } => *budget,
         };
-        dialect.set_headers(request.headers_mut(), backend, left.as_millis() as u64);
+        protocol.set_headers(request.headers_mut(), backend, remaining.as_millis() as u64);
         Some(request)
     }
 }
 
-/// The head of a backend's answer, where that is the client's as well.
+/// The head of a backend's response, kept where the client gets it.
 #[derive(Debug, Clone)]
-pub struct Head {
-    /// Its status.
+pub struct ResponseHead {
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Its headers, without those that hold for the backend's connection alone.
+    /// The headers, without those that apply to the backend's connection only.
     pub headers: HeaderMap,
 }
 
-/// The body of an answer that is the client's.
-pub enum Served {
-    /// Whole.
-    Whole(Bytes),
-    /// It is too large to hold, or comes slowly: the attempt ends with it.
-    Passing(Box<Download>),
+/// The body of a response for the client.
+pub enum ServedBody {
+    /// Complete.
+    Buffered(Bytes),
+    /// Streamed, because it is long or slow. The attempt ends with it.
+    Streaming(Box<Download>),
 }
 
-/// How an attempt ended, with the body where it was served.
-pub struct Ended {
-    /// The outcome.
+/// How an attempt ended, and its response where there is one for the client.
+pub struct AttemptResult {
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The body, where it may be the client's.
-    pub body: Option<Served>,
-    /// The answer's head, likewise.
-    pub head: Option<Box<Head>>,
-    /// The connection was refused: nothing listens there.
+    /// The body, if the client may get it.
+    pub body: Option<ServedBody>,
+    /// The head, if the client may get it.
+    pub head: Option<Box<ResponseHead>>,
+    /// The connection was refused: no process listens at the address.
     pub refused: bool,
 }
 
-impl From<Outcome> for Ended {
-    fn from(outcome: Outcome) -> Ended {
-        Ended { outcome, body: None, head: None, refused: false }
+impl From<Outcome> for AttemptResult {
+    fn from(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, body: None, head: None, refused: false }
     }
 }
--- a/crates/starlinghill-gateway/src/inbox.rs
+++ b/crates/starlinghill-gateway/src/inbox.rs
@@ -1,8 +1,8 @@
-//! What passes to and from the driver: inputs, answers, the clock they are told by. It knows none of those who speak
-//! through it, so that each of them can stand beside the others.
+//! The messages that other tasks send to the driver, the answers they get, and the clock that timestamps
+//! them. This module depends on none of the tasks that send.
 
 use crate::download::Download;
-use crate::forward::{Ended, Forward, Head, Served};
+use crate::forward::{AttemptResult, ForwardedRequest, ResponseHead, ServedBody};
 use hyper::header::HeaderValue;
 use starlinghill_decision::api::*;
 use starlinghill_settings::members::MemberList;
@@ -12,81 +12,85 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// The way to the driver.
+/// Sends input to the driver.
 pub type DriverSender = mpsc::Sender<Input>;
 
-/// The final answer to a client.
+/// The final answer to a request.
 pub enum Answer {
-    /// A backend's answer, with its head where that is the client's as well.
-    Served(Served, Option<Box<Head>>),
-    /// Refused: trying again is harmless, best after this time.
+    /// A backend's response. The head is `None` where the client gets a head of the gateway's own.
+    Served(ServedBody, Option<Box<ResponseHead>>),
+    /// Refused. The request never ran or may run twice, so a retry is harmless; the time is how long to wait
+    /// before it.
     Refused(Option<Micros>),
-    /// Failed, with no promise.
+    /// Failed. The request may have run.
     Failed,
 }
 
-/// A request that a client has sent whole.
-pub struct Taken {
-    /// What the module is told of it. Its id is new, whatever the client called it.
+/// A client's request, as it enters the driver.
+pub struct NewRequest {
+    /// The request as the decision module sees it. Its id is unique within this process and independent of
+    /// the client's own id.
     pub arrival: Arrival,
-    /// What goes on to backends.
-    pub forward: Forward,
-    /// Where the answer goes.
+    /// The request to send to backends.
+    pub forward: ForwardedRequest,
+    /// Receives the final answer.
     pub reply: oneshot::Sender<Answer>,
 }
 
-/// What the driver hears.
+/// A message to the driver.
 pub enum Input {
-    /// A request.
-    Taken(Box<Taken>),
-    /// The client of a request closed its connection.
-    Gone(RequestId),
-    /// News of the backends.
+    /// A new request.
+    Request(Box<NewRequest>),
+    /// The client closed its connection before its request was answered.
+    ClientGone(RequestId),
+    /// A list of backends, complete or of changes only, from discovery.
     Members(MemberList),
-    /// News of the backends, where no list but entries come.
+    /// Single entries of backends, from a source that sends no lists.
     Backends(ListScope, Vec<BackendListing>),
-    /// The counter is somewhere else.
-    Counter(Option<SocketAddr>),
-    /// A message from another gateway, by its number.
-    Peer(u32, Vec<u8>),
-    /// Other gateways can be reached from now on.
-    Post(Rc<dyn PeerSender>),
-    /// New rules for what comes from now on.
+    /// The counter moved to this address.
+    CounterMoved(Option<SocketAddr>),
+    /// A message from the gateway with this number.
+    PeerMessage(u32, Vec<u8>),
+    /// The socket to the other gateways is open.
+    PeersReachable(Rc<dyn PeerSender>),
+    /// New rules for requests and attempts that start from now on.
     Rules(Rules),
-    /// Whether this gateway hears nobody, so that others may use its shares.
+    /// Whether this gateway hears no other gateway. The others may then use its shares of quotas.
     Isolated(bool),
-    /// The parts that zones get from now on, by name.
+    /// How much work each zone gets from now on, by zone name.
     Zones(Vec<(String, ZonePart)>),
-    /// All that is open must have its answer by then.
+    /// The gateway shuts down: every open request must be answered by this time.
     Shutdown(Micros),
-    /// Staff take a backend out, or call it back.
-    Order {
-        /// Its id.
+    /// An operator takes a backend out of service or puts it back.
+    Maintenance {
+        /// The id of the backend.
         id: String,
-        /// Out, or back.
+        /// True to take the backend out of service, false to put it back.
         out: bool,
-        /// What came of it.
-        reply: oneshot::Sender<Ordered>,
+        /// Receives the result.
+        reply: oneshot::Sender<MaintenanceResult>,
     },
-    /// A call to the counter ended.
-    Counted(CountName, u64, CounterResult),
-    /// An attempt's answer has begun and goes on: its request, number and backend, and how long it took to begin.
-    Began(RequestId, usize, ServerId, Box<Download>, Option<Box<Head>>, Micros),
-    /// The last byte came of a request whose body is passed on.
-    Whole(RequestId),
-    /// An answer that had begun broke off at this backend.
-    Broke(ServerId),
-    /// An attempt ended: its request, number and backend, how, and how long it was out.
-    Ended(RequestId, usize, ServerId, Ended, Micros),
+    /// A counter call ended: the name of the count, the number of the call, and the result.
+    CounterAnswered(CountName, u64, CounterResult),
+    /// An attempt's response has started and is streamed to the client: request, index of the attempt,
+    /// backend, response body and head, and the time until the response started.
+    ResponseStarted(RequestId, usize, ServerId, Box<Download>, Option<Box<ResponseHead>>, Micros),
+    /// The last byte of a streamed request body arrived.
+    UploadComplete(RequestId),
+    /// A streamed response from this backend broke off.
+    ResponseBroken(ServerId),
+    /// An attempt ended: request, index of the attempt, backend, result, and how long the attempt was in
+    /// flight.
+    AttemptEnded(RequestId, usize, ServerId, AttemptResult, Micros),
 }
 
-/// A backend as it is listed.
+/// One entry of a source that sends single backends instead of lists.
 pub struct BackendListing {
-    /// What the module is told.
+    /// The entry for the decision module.
     pub entry: ServerEntry,
-    /// Where it listens.
+    /// The address on which it accepts connections.
     pub address: SocketAddr,
-    /// What it calls itself.
+    /// The backend's own name, which requests to it carry.
     pub name: HeaderValue,
 }
 
@@ -96,7 +100,7 @@
     }
 }
 
-/// The clock of the module: Unix time, which all gateways share, but never going back.
+/// The clock of the decision module, in Unix time, which all gateways share. It never goes back.
 #[derive(Clone, Copy)]
 pub struct Clock {
     base: Micros,
@@ -104,7 +108,7 @@
 }
 
 impl Clock {
-    /// Reads the system's clock once; from then on the monotonic one counts.
+    /// Reads the system clock once and advances with the monotonic clock from then on.
     #[expect(
         clippy::disallowed_methods,
         reason = "servers' starts and windows of counts are told in Unix time"
@@ -113,15 +117,15 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { base: Micros(unix.as_micros() as u64), start: Instant::now() }
     }
-    /// One that shows that time now, for a process that is told elsewhere what others have in common.
+    /// A clock that shows `base` now, for a process that gets the common time from elsewhere.
     pub fn starting_at(base: Micros) -> Clock {
         Clock { base, start: Instant::now() }
     }
-    /// Now.
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.at(Instant::now())
     }
-    /// The time on this clock.
+    /// The time that this clock shows at an instant.
     pub fn at(&self, instant: Instant) -> Micros {
         self.base + Micros(instant.saturating_duration_since(self.start).as_micros() as u64)
     }
@@ -130,35 +134,36 @@
     }
 }
 
-/// A way to the other gateways.
+/// Sends messages to other gateways.
 pub trait PeerSender {
-    /// Sends a message, if it can go now: it may be lost anyway.
+    /// Sends a message to the gateway with this number if the socket can take it now. Messages may be lost.
     fn send(&self, to: u32, message: &[u8]);
 }
 
-/// What came of an order.
+/// The result of a maintenance order. Log lines print the variants' names.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ordered {
-    /// It is in force, and kept where processes share a folder.
+pub enum MaintenanceResult {
+    /// The order is in force, and saved where processes share a folder.
     Done,
-    /// Nobody has a backend of that id.
+    /// No backend has this id.
     Unknown,
-    /// There is no list yet by which to tell.
+    /// There is no list of backends yet to check the id against.
     NotReady,
-    /// It could not be kept, and is not in force.
+    /// The order could not be saved and is not in force; the text is the reason.
     NotKept(String),
 }
 
-/// How one call ended, and the total where it was answered.
+/// The result of one counter call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CounterResult {
-    /// The outcome.
+    /// How the call ended.
     pub outcome: Outcome,
-    /// The total after this call.
+    /// The count after this call; 0 unless the outcome is `Ok`.
     pub total: f64,
-    /// This gateway's share of what it counts, for when the counter is silent, where it tells that.
+    /// The share of the quota that this gateway may use while the counter is silent, where the counter sends
+    /// one.
     pub share: Option<f64>,
-    /// The servers that answer soonest, and in what time, where the counter names any.
+    /// The servers with the shortest expected response times, where the counter names any.
     pub fastest_servers: Vec<(ServerId, Micros)>,
 }
 
--- a/crates/starlinghill-gateway/src/inherited_socket.rs
+++ b/crates/starlinghill-gateway/src/inherited_socket.rs
@@ -1,11 +1,13 @@
-//! The listening socket for clients, where the platform holds it: every process of this gateway inherits it.
+//! The listening socket for clients where the platform opens it and every process of this gateway inherits
+//! it.
 
 use std::io;
 use std::net::TcpListener;
 
-/// Takes the socket that was inherited under this number. To be called once, before anything else is opened.
+/// Takes the inherited socket with this descriptor number. Must be called once, before anything else is
+/// opened.
 pub fn listener(number: u32) -> io::Result<TcpListener> {
-    // `listenfd` reads the usual form, of which this platform names one number only.
+    // `listenfd` expects the usual `LISTEN_*` variables; this platform sets only `NODE_ACCEPT_FD`.
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", number.to_string());
     std::env::remove_var("LISTEN_PID");
--- a/crates/starlinghill-gateway/src/lib.rs
+++ b/crates/starlinghill-gateway/src/lib.rs
@@ -1,4 +1,5 @@
-//! The real gateway: the decision module on sockets.
+//! A gateway that forwards clients' requests to backends: the decision module with its sockets, files and
+//! timers.
 
 pub mod answer;
 pub mod attempt_events;
@@ -26,14 +27,14 @@
 pub mod server;
 pub mod upload;
 
-use attempt_events::Watcher;
-use class_names::Names;
+use attempt_events::AttemptObserver;
+use class_names::ClassNames;
 use config::{Config, ConfigError, Upstreams};
 use driver::Driver;
 use inbox::{Clock, DriverSender, Input};
-use ops::Door;
-use peers::{Peers, Socket};
-use server::{Front, RequestIntake};
+use ops::OperatorApi;
+use peers::{PeerSocket, Peers};
+use server::{PlatformHandler, RequestIntake};
 use starlinghill_decision::api::{Micros, PlanId, ZonePart};
 use starlinghill_settings::classes::Classes;
 use starlinghill_settings::Site;
@@ -46,23 +47,24 @@
 use tokio::task::spawn_local;
 use tracing::{info, warn};
 
-/// The part of the memory that clients' bodies may fill.
-const BODIES_PART: usize = 8;
-/// So long before the last answer of a gateway that ends, the module gives up what is open: the rest is for writing.
-const WRITING: Duration = Duration::from_millis(150);
+/// Request bodies may use one part in this many of the configured memory.
+const BODY_MEMORY_DIVISOR: usize = 8;
+/// The decision module must end all open requests this long before the shutdown limit. The rest is for
+/// writing the answers.
+const WRITE_MARGIN: Duration = Duration::from_millis(150);
 
-/// Why a gateway could not start or go on.
+/// Why a gateway could not start, or ended.
 #[derive(Debug)]
 pub enum RunError {
-    /// Its configuration makes no sense.
+    /// The configuration is not valid.
     Config(ConfigError),
-    /// It could not listen.
+    /// It could not listen on this address.
     Listen(SocketAddr, std::io::Error),
-    /// The socket that it should have inherited.
+    /// The inherited descriptor with this number can't be used as the client socket.
     Inherit(u32, std::io::Error),
-    /// It could not open its socket for messages between gateways.
+    /// It could not open the socket for messages from other gateways.
     Peers(SocketAddr, std::io::Error),
-    /// Its driver ended.
+    /// The driver task ended.
     Driver,
 }
 
@@ -74,41 +76,44 @@
             RunError::Inherit(number, e) => {
                 write!(f, "NODE_ACCEPT_FD: expected a listening TCP socket as descriptor {number}: {e}")
             }
-            RunError::Peers(address, e) => write!(f, "can't take messages on {address}: {e}"),
+            RunError::Peers(address, e) => {
+                write!(f, "can't receive messages from other gateways on {address}: {e}")
+            }
             RunError::Driver => f.write_str("the driver ended"),
         }
     }
 }
 impl std::error::Error for RunError {}
 
-/// What may come from outside while a gateway runs.
-pub struct Control {
-    /// The services, when they move.
+/// What the surrounding program may change while a gateway runs.
+pub struct GatewayInputs {
+    /// The addresses of discovery and the counter.
     pub upstreams: watch::Receiver<Upstreams>,
-    /// The settings, when they change.
+    /// The settings, when the configuration was read again.
     pub site: watch::Receiver<Option<Rc<Site>>>,
-    /// The parts of their work that zones get by order, where there is a group that orders.
+    /// How much work each zone gets, where a group of members orders it.
     pub zones: Option<watch::Receiver<ZoneParts>>,
-    /// Hears of each attempt that ends, where somebody wants to know.
-    pub watcher: Option<Watcher>,
-    /// It is to end.
+    /// Called for each attempt that ends.
+    pub observer: Option<AttemptObserver>,
+    /// Becomes true when the gateway must shut down.
     pub stopping: watch::Receiver<bool>,
 }
 
-/// The parts of zones, by name.
+/// How much work each zone gets, by zone name.
 pub type ZoneParts = Vec<(String, ZonePart)>;
 
-/// Runs a gateway until it is to end and all that it took is answered.
-pub async fn run(config: Config, control: Control) -> Result<(), RunError> {
-    let Control { upstreams, site, zones, watcher, stopping } = control;
+/// Runs a gateway until it must shut down and all requests received are answered.
+pub async fn run(config: Config, inputs: GatewayInputs) -> Result<(), RunError> {
+    let GatewayInputs { upstreams, site, zones, observer, stopping } = inputs;
     let clock = Clock::start();
     let (ready, is_ready) = watch::channel(false);
     let (listen, ops, sockets, shared) =
         (config.listen, config.ops, config.sockets, config.inherited.is_some());
-    // Before anything else is opened, so that the number means what it meant when the process started.
+    // Must come before anything else is opened, so that the inherited descriptor number can't have been
+    // reused.
     let listener = match config.inherited {
         Some(number) => inherited_socket::listener(number)
-            .inspect(listen::send_at_once)
+            .inspect(listen::set_nodelay)
             .and_then(TcpListener::from_std)
             .map_err(|e| RunError::Inherit(number, e))?,
         None => bind(listen).await?,
@@ -116,56 +121,57 @@
     let classes = Classes::new(&config.site);
     let plans = config.site.plans.iter().map(|(name, &i)| (name.clone(), PlanId(i))).collect();
     let name = config.name.clone();
-    let (most_units, gateways) = (config.site.settings.most_units, config.site.settings.gateways);
-    let bodies = config.memory / BODIES_PART;
+    let (max_units, gateways) = (config.site.settings.most_units, config.site.settings.gateways);
+    let bodies = config.memory / BODY_MEMORY_DIVISOR;
     let peers = config.peers.clone();
     let follower = config.follower();
-    let driver = Driver::new(config, clock, ready, follower.wait(), watcher).map_err(RunError::Config)?;
-    let inbox = driver.sender();
+    let driver = Driver::new(config, clock, ready, follower.wait(), observer).map_err(RunError::Config)?;
+    let driver_sender = driver.sender();
     match peers {
-        // The process that this one takes over from may have the socket.
-        Some(peers) if shared => drop(spawn_local(post_later(peers, inbox.clone()))),
+        // The process that this one replaces may still hold the socket.
+        Some(peers) if shared => drop(spawn_local(open_peer_socket_later(peers, driver_sender.clone()))),
         Some(peers) => {
-            let post = Socket::open(&peers).await.map_err(|e| RunError::Peers(peers.listen, e))?;
-            post_over(post, &inbox).await;
+            let socket = PeerSocket::open(&peers).await.map_err(|e| RunError::Peers(peers.listen, e))?;
+            use_peer_socket(socket, &driver_sender).await;
         }
         None => {}
     }
     let address = listener.local_addr().map_err(|e| RunError::Listen(listen, e))?;
     if let Some(ops) = ops {
-        let door = bind(ops).await?;
-        let address = door.local_addr().map_err(|e| RunError::Listen(ops, e))?;
-        info!(door = %address, "operators are heard");
-        let (inbox, ready, stopping) = (inbox.clone(), is_ready.clone(), stopping.clone());
-        spawn_local(ops::serve(door, Rc::new(Door { inbox, ready, stopping })));
+        let listener = bind(ops).await?;
+        let address = listener.local_addr().map_err(|e| RunError::Listen(ops, e))?;
+        info!(door = %address, "listening for operators");
+        let (driver, ready, stopping) = (driver_sender.clone(), is_ready.clone(), stopping.clone());
+        spawn_local(ops::serve(listener, Rc::new(OperatorApi { driver, ready, stopping })));
     }
     info!(name, %address, "listening");
-    spawn_local(discovery::watch(upstreams.clone(), follower, inbox.clone()));
-    spawn_local(driver::follow(upstreams, inbox.clone()));
+    spawn_local(discovery::watch(upstreams.clone(), follower, driver_sender.clone()));
+    spawn_local(driver::follow_upstreams(upstreams, driver_sender.clone()));
     if let Some(zones) = zones {
-        spawn_local(follow_zones(zones, inbox.clone()));
+        spawn_local(follow_zones(zones, driver_sender.clone()));
     }
     let driving = spawn_local(driver.run());
-    let front = Rc::new(Front {
+    let handler = Rc::new(PlatformHandler {
         intake: RequestIntake {
-            driver: inbox.clone(),
+            driver: driver_sender.clone(),
             clock,
             body_memory: Semaphore::new(bodies),
             last_request_id: Default::default(),
         },
         ready: is_ready.clone(),
-        names: RefCell::new(Names::new(&classes)),
+        classes: RefCell::new(ClassNames::new(&classes)),
         plans,
-        most_units,
+        max_units,
         gateways,
-        open: Default::default(),
+        open_calls: Default::default(),
         stopping: stopping.clone(),
         shared,
     });
-    spawn_local(follow_settings(site, classes, front.clone()));
-    spawn_local(tell_end(stopping.clone(), front.clone()));
+    spawn_local(follow_settings(site, classes, handler.clone()));
+    spawn_local(announce_shutdown(stopping.clone(), handler.clone()));
     let serving = async move {
-        // Another process serves meanwhile: what this one accepted it could not answer yet.
+        // Another process serves meanwhile. This one must not accept connections before it is ready to
+        // answer.
         if shared {
             let (mut is_ready, mut stopping) = (is_ready, stopping);
             tokio::select! {
@@ -173,9 +179,9 @@
                 _ = stopping.wait_for(|stop| *stop) => {}
             }
         }
-        server::serve(listener, front, sockets.clients).await;
+        server::serve(listener, handler, sockets.clients).await;
     };
-    // Guards against living on without a driver, taking requests that nobody decides.
+    // Without a driver nothing answers requests, so the gateway must end.
     tokio::select! {
         () = serving => Ok(()),
         _ = driving => Err(RunError::Driver),
@@ -186,55 +192,55 @@
     listen::bind(address).await.map_err(|e| RunError::Listen(address, e))
 }
 
-async fn post_later(peers: Peers, inbox: DriverSender) {
-    let post = Socket::open_later(&peers).await;
-    post_over(post, &inbox).await;
+async fn open_peer_socket_later(peers: Peers, driver_sender: DriverSender) {
+    let socket = PeerSocket::open_later(&peers).await;
+    use_peer_socket(socket, &driver_sender).await;
 }
 
-/// Lets the driver send messages, and tells it what comes.
-async fn post_over(post: Socket, inbox: &DriverSender) {
-    let post = Rc::new(post);
-    spawn_local(post.clone().receive(inbox.clone()));
-    // Without a driver nobody sends anything.
-    let _ = inbox.send(Input::Post(post)).await;
+/// Gives the driver the socket for messages to other gateways, and passes it the messages received.
+async fn use_peer_socket(socket: PeerSocket, driver_sender: &DriverSender) {
+    let socket = Rc::new(socket);
+    spawn_local(socket.clone().receive(driver_sender.clone()));
+    // If the driver has ended, no messages are sent.
+    let _ = driver_sender.send(Input::PeersReachable(socket)).await;
 }
 
-/// Hands on classes and attempts that change. The module is told before a request can come under the new ones.
+/// Applies changed classes and attempt limits. The module gets the new rules before a request can use them.
 async fn follow_settings(
     mut site: watch::Receiver<Option<Rc<Site>>>,
     mut classes: Classes,
-    front: Rc<Front>,
+    handler: Rc<PlatformHandler>,
 ) {
     while site.changed().await.is_ok() {
         let Some(new) = site.borrow_and_update().clone() else { continue };
         match classes.follow(&new) {
             Ok(rules) => {
-                if front.intake.driver.send(Input::Rules(rules)).await.is_err() {
+                if handler.intake.driver.send(Input::Rules(rules)).await.is_err() {
                     return;
                 }
-                front.names.borrow_mut().follow(&classes);
+                handler.classes.borrow_mut().update(&classes);
             }
-            Err(problem) => warn!(%problem, "new settings are not usable; the old ones stay"),
+            Err(problem) => warn!(%problem, "new settings are not usable; keeping the old ones"),
         }
     }
 }
 
-/// Hands on the parts that zones get.
-async fn follow_zones(mut zones: watch::Receiver<ZoneParts>, inbox: DriverSender) {
+/// Passes the zones' parts of the work to the driver.
+async fn follow_zones(mut zones: watch::Receiver<ZoneParts>, driver_sender: DriverSender) {
     loop {
         let parts = zones.borrow_and_update().clone();
-        if inbox.send(Input::Zones(parts)).await.is_err() || zones.changed().await.is_err() {
+        if driver_sender.send(Input::Zones(parts)).await.is_err() || zones.changed().await.is_err() {
             return;
         }
     }
 }
 
-/// Tells the module by when all must be answered, once the gateway is to end.
-async fn tell_end(mut stopping: watch::Receiver<bool>, front: Rc<Front>) {
+/// At shutdown, tells the module by when every request must be answered.
+async fn announce_shutdown(mut stopping: watch::Receiver<bool>, handler: Rc<PlatformHandler>) {
     if stopping.wait_for(|stop| *stop).await.is_ok() {
-        let left = front.names.borrow().shutdown_limit().saturating_sub(WRITING);
-        let by = front.intake.clock.now() + Micros(left.as_micros() as u64);
-        // The driver may have ended.
-        let _ = front.intake.driver.send(Input::Shutdown(by)).await;
+        let remaining = handler.classes.borrow().shutdown_limit().saturating_sub(WRITE_MARGIN);
+        let by = handler.intake.clock.now() + Micros(remaining.as_micros() as u64);
+        // The driver may have ended already.
+        let _ = handler.intake.driver.send(Input::Shutdown(by)).await;
     }
 }
--- a/crates/starlinghill-gateway/src/main.rs
+++ b/crates/starlinghill-gateway/src/main.rs
@@ -1,11 +1,11 @@
-//! One real gateway, as the platform runs it.
+//! The gateway program, as the platform starts it.
 
 use starlinghill_gateway::process;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     tracing_subscriber::fmt().with_ansi(false).with_writer(std::io::stderr).init();
-    // The platform has no group that orders.
+    // The platform has no group of members that orders the zones' parts of the work.
     match process::run(|_| Ok(None)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
--- a/crates/starlinghill-gateway/src/maintenance_file.rs
+++ b/crates/starlinghill-gateway/src/maintenance_file.rs
@@ -1,4 +1,4 @@
-//! The file of orders that the processes of one gateway share.
+//! The file of maintenance orders that the processes of one gateway share.
 
 use crate::handover::file_name;
 use starlinghill_maintenance::Book;
@@ -8,47 +8,48 @@
 use std::time::{Duration, SystemTime};
 use tracing::warn;
 
-/// How often the lock is tried for, a millisecond apart. It is held for one write of a small file; one who stands still while
-/// holding it must not stop the others.
-const TRIES: u32 = 20;
-/// The longest file that is read. Guards memory against a file that is none of ours.
-const LONGEST: u64 = 1 << 20;
+/// How often the lock is tried, at intervals of 1 ms. It is held while one small file is written. A process
+/// that stops while it holds the lock must not block the others.
+const LOCK_TRIES: u32 = 20;
+/// Longest file that is read, in bytes. It bounds the memory that a file of another origin can take up.
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// The file, and how it looked when it was read last.
-pub struct Orders {
+/// The file of orders, and its state when it was last read.
+pub struct MaintenanceFile {
     path: PathBuf,
     lock: PathBuf,
-    seen: Option<Look>,
+    last_read: Option<FileVersion>,
 }
 
-/// Changes with every file that is put in its place.
-type Look = (SystemTime, u64, u64);
+/// Modification time, inode and length, which change with every replacement of the file.
+type FileVersion = (SystemTime, u64, u64);
 
-impl Orders {
+impl MaintenanceFile {
     /// The file of this gateway in a folder that outlives its processes.
-    pub fn at(folder: &Path, gateway: &str) -> Orders {
+    pub fn at(folder: &Path, gateway: &str) -> MaintenanceFile {
         let path = folder.join(file_name(gateway, "orders"));
-        Orders { lock: path.with_extension("lock"), path, seen: None }
+        MaintenanceFile { lock: path.with_extension("lock"), path, last_read: None }
     }
 
-    /// The book, if the file was changed since it was read last.
-    pub fn news(&mut self) -> Option<Book> {
-        let look = self.look()?;
-        if self.seen == Some(look) {
+    /// Reads the orders if the file changed since it was last read.
+    pub fn read_if_changed(&mut self) -> Option<Book> {
+        let version = self.version()?;
+        if self.last_read == Some(version) {
             return None;
         }
-        self.seen = Some(look);
+        self.last_read = Some(version);
         match self.read() {
             Ok(book) => Some(book),
             Err(problem) => {
-                // What is known already stays in force.
+                // The orders known before stay in force.
                 warn!(file = %self.path.display(), %problem, "the file of orders can't be used");
                 None
             }
         }
     }
 
-    /// Writes the book with what others have written since merged into it by `change`, which returns the new one.
+    /// Replaces the file. `change` gets the orders in it, which other processes may have written, and returns
+    /// the new ones.
     pub fn replace(&mut self, change: impl FnOnce(Book) -> Book) -> io::Result<()> {
         let lock = File::create(&self.lock)?;
         let mut tries = 0;
@@ -56,7 +57,7 @@
             match lock.try_lock() {
                 Ok(()) => break,
                 Err(TryLockError::Error(problem)) => return Err(problem),
-                Err(TryLockError::WouldBlock) if tries == TRIES => {
+                Err(TryLockError::WouldBlock) if tries == LOCK_TRIES => {
                     return Err(io::Error::other("the lock is held"))
                 }
                 Err(TryLockError::WouldBlock) => {
@@ -65,29 +66,29 @@
                 }
             }
         }
-        let held = match self.read() {
+        let current = match self.read() {
             Err(problem) if problem.kind() == io::ErrorKind::NotFound => Book::default(),
-            held => held?,
+            current => current?,
         };
-        let text = change(held).write();
+        let text = change(current).write();
         let new = self.path.with_extension("new");
         fs::write(&new, text)?;
-        // Whoever reads sees the one before or this one, and nothing between, also after a kill.
+        // Readers see the old file or the new one, complete, also after a kill.
         fs::rename(&new, &self.path)?;
-        self.seen = self.look();
+        self.last_read = self.version();
         Ok(())
     }
 
-    fn look(&self) -> Option<Look> {
+    fn version(&self) -> Option<FileVersion> {
         use std::os::unix::fs::MetadataExt;
-        let about = fs::metadata(&self.path).ok()?;
-        Some((about.modified().ok()?, about.ino(), about.len()))
+        let metadata = fs::metadata(&self.path).ok()?;
+        Some((metadata.modified().ok()?, metadata.ino(), metadata.len()))
     }
 
     fn read(&self) -> io::Result<Book> {
         let length = fs::metadata(&self.path)?.len();
-        if length > LONGEST {
-            return Err(io::Error::other(format!("expected at most {LONGEST} bytes, found {length}")));
+        if length > MAX_FILE_BYTES {
+            return Err(io::Error::other(format!("expected at most {MAX_FILE_BYTES} bytes, found {length}")));
         }
         Book::read(&fs::read_to_string(&self.path)?).map_err(io::Error::other)
     }
--- a/crates/starlinghill-gateway/src/ops.rs
+++ b/crates/starlinghill-gateway/src/ops.rs
@@ -1,6 +1,7 @@
-//! The operators' door: whether this process can serve, and backends taken out and called back.
+//! The operators' HTTP port: reports whether this process serves, and takes backends out of service and puts
+//! them back.
 
-use crate::inbox::{DriverSender, Input, Ordered};
+use crate::inbox::{DriverSender, Input, MaintenanceResult};
 use crate::server::text_response;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -20,65 +21,65 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info, warn};
 
-/// The most callers at once. One more takes the place of the one that came first: usual ones are done in a moment.
-const PLACES: usize = 16;
-/// A call that has not come whole and been answered by then is given up.
-const CALL_TIME: Duration = Duration::from_secs(3);
-/// The longest body of a call: an id.
-const MAX_BODY: usize = 1024;
-/// The pause after an accept that failed.
-const PAUSE: Duration = Duration::from_millis(20);
+/// The most calls at once. A further one replaces the oldest, as normal calls end in a moment.
+const MAX_CALLS: usize = 16;
+/// Time limit for receiving and answering a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Longest body of a call, in bytes. It holds the id of a backend.
+const MAX_BODY_BYTES: usize = 1024;
+/// Pause after a failed accept.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What a call at the door needs.
-pub struct Door {
-    /// The way to the driver.
-    pub inbox: DriverSender,
-    /// The list of backends is in hand.
+/// What calls need access to.
+pub struct OperatorApi {
+    /// Sends orders to the driver.
+    pub driver: DriverSender,
+    /// True once there is a list of backends.
     pub ready: watch::Receiver<bool>,
-    /// Set by SIGTERM.
+    /// Becomes true at SIGTERM.
     pub stopping: watch::Receiver<bool>,
 }
 
-/// Answers callers for ever.
-pub async fn serve(listener: TcpListener, door: Rc<Door>) {
-    // Those that came first in front; the handles of those that ended go when they are looked at.
-    let callers: RefCell<VecDeque<AbortHandle>> = RefCell::default();
+/// Serves calls forever.
+pub async fn serve(listener: TcpListener, api: Rc<OperatorApi>) {
+    // The calls in progress, oldest first.
+    let calls: RefCell<VecDeque<AbortHandle>> = RefCell::default();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let mut callers = callers.borrow_mut();
-                callers.retain(|caller| !caller.is_finished());
-                // Guards the door against callers who connect and say nothing.
-                if callers.len() >= PLACES {
-                    callers.pop_front().into_iter().for_each(|first| first.abort());
+                let mut calls = calls.borrow_mut();
+                calls.retain(|call| !call.is_finished());
+                // Callers that connect and send nothing must not keep others out.
+                if calls.len() >= MAX_CALLS {
+                    calls.pop_front().into_iter().for_each(|oldest| oldest.abort());
                 }
-                callers.push_back(tokio::task::spawn_local(call(stream, door.clone())).abort_handle());
+                calls.push_back(tokio::task::spawn_local(serve_call(stream, api.clone())).abort_handle());
             }
             Err(error) => {
-                warn!(%error, "accept failed at the operators' door");
-                sleep(PAUSE).await;
+                warn!(%error, "could not accept an operator's connection; retrying");
+                sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-async fn call(stream: TcpStream, door: Rc<Door>) {
+async fn serve_call(stream: TcpStream, api: Rc<OperatorApi>) {
     let service = service_fn(|request| {
-        let door = door.clone();
-        async move { Ok::<_, Infallible>(answer(request, &door).await) }
+        let api = api.clone();
+        async move { Ok::<_, Infallible>(answer(request, &api).await) }
     });
     let serving = http1::Builder::new().keep_alive(false).serve_connection(TokioIo::new(stream), service);
-    match timeout(CALL_TIME, serving).await {
+    match timeout(CALL_TIMEOUT, serving).await {
         Ok(Ok(())) => {}
-        Ok(Err(error)) => debug!(%error, "a call at the door ended"),
-        Err(_) => debug!("a call at the door took too long"),
+        Ok(Err(error)) => debug!(%error, "an operator's call ended with an error"),
+        Err(_) => debug!("an operator's call exceeded its time limit"),
     }
 }
 
-async fn answer(request: Request<Incoming>, door: &Door) -> Response<Full<Bytes>> {
+async fn answer(request: Request<Incoming>, api: &OperatorApi) -> Response<Full<Bytes>> {
     let out = match (request.method(), request.uri().path()) {
         (&Method::GET, "/status") => {
-            return match *door.ready.borrow() && !*door.stopping.borrow() {
+            return match *api.ready.borrow() && !*api.stopping.borrow() {
                 true => text_response(StatusCode::OK, "ready\n"),
                 false => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             }
@@ -95,7 +96,7 @@
             )
         }
     };
-    let Ok(body) = Limited::new(request.into_body(), MAX_BODY).collect().await else {
+    let Ok(body) = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await else {
         return text_response(StatusCode::BAD_REQUEST, "body: expected the id of a backend\n");
     };
     let body = body.to_bytes();
@@ -103,16 +104,18 @@
         return text_response(StatusCode::BAD_REQUEST, "body: expected the id of a backend\n");
     };
     let (reply, ordered) = oneshot::channel();
-    let told = door.inbox.send(Input::Order { id: id.to_string(), out, reply }).await.is_ok();
-    let ordered = if told { ordered.await.ok() } else { None };
-    info!(id, out, ?ordered, "ordered");
+    let sent = api.driver.send(Input::Maintenance { id: id.to_string(), out, reply }).await.is_ok();
+    let ordered = if sent { ordered.await.ok() } else { None };
+    info!(id, out, ?ordered, "handled a maintenance order");
     match ordered {
-        Some(Ordered::Done) => text_response(StatusCode::OK, if out { "out\n" } else { "back\n" }),
-        Some(Ordered::Unknown) => text_response(StatusCode::NOT_FOUND, "no backend of that id\n"),
-        Some(Ordered::NotReady) | None => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-        Some(Ordered::NotKept(why)) => {
+        Some(MaintenanceResult::Done) => text_response(StatusCode::OK, if out { "out\n" } else { "back\n" }),
+        Some(MaintenanceResult::Unknown) => text_response(StatusCode::NOT_FOUND, "no backend of that id\n"),
+        Some(MaintenanceResult::NotReady) | None => {
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
+        }
+        Some(MaintenanceResult::NotKept(reason)) => {
             let mut response = text_response(StatusCode::INSUFFICIENT_STORAGE, "");
-            *response.body_mut() = Full::new(Bytes::from(format!("not kept, so not in force: {why}\n")));
+            *response.body_mut() = Full::new(Bytes::from(format!("not kept, so not in force: {reason}\n")));
             response
         }
     }
--- a/crates/starlinghill-gateway/src/process.rs
+++ b/crates/starlinghill-gateway/src/process.rs
@@ -1,9 +1,8 @@
-//! A gateway as a process: it is told where and how by the environment, reads its configuration again at SIGHUP, and
-//! ends at SIGTERM.
+//! Runs a gateway as a process: configured by the environment, reloaded at SIGHUP, shut down at SIGTERM.
 
-use crate::attempt_events::Watcher;
+use crate::attempt_events::AttemptObserver;
 use crate::config::{Config, Reloaded};
-use crate::{Control, ZoneParts};
+use crate::{GatewayInputs, ZoneParts};
 use starlinghill_signals::{SignalEvent, Signals};
 use std::error::Error;
 use std::rc::Rc;
@@ -11,48 +10,48 @@
 use tokio::task::LocalSet;
 use tracing::{info, warn};
 
-/// What stands beside a gateway.
+/// What a program adds to the gateway that it runs.
 pub struct ProcessOptions {
-    /// Tells the parts that zones get.
+    /// How much work each zone gets.
     pub zones: watch::Receiver<ZoneParts>,
-    /// Hears of each attempt that ends.
-    pub watcher: Watcher,
+    /// Called for each attempt that ends.
+    pub observer: AttemptObserver,
 }
 
-/// Runs until SIGTERM and until all that was taken is answered. `beside` is called once the runtime runs, with the
-/// configuration.
+/// Runs until SIGTERM and until all requests received are answered. `options` is called with the
+/// configuration once the runtime runs.
 pub fn run(
-    beside: impl FnOnce(&Config) -> Result<Option<ProcessOptions>, Box<dyn Error>>,
+    options: impl FnOnce(&Config) -> Result<Option<ProcessOptions>, Box<dyn Error>>,
 ) -> Result<(), Box<dyn Error>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
     local.block_on(&runtime, async {
-        // From the first moment on: by themselves they would end the process.
+        // Signals are handled before anything else: by default they would end the process.
         let mut signals = Signals::listen()?;
         let config = Config::from_environment()?;
-        let (stop, stopping) = watch::channel(false);
-        let (reload, upstreams) = watch::channel(config.upstreams());
-        let (retune, site) = watch::channel(None);
-        let shape = config.shape().clone();
+        let (stop_sender, stopping) = watch::channel(false);
+        let (upstreams_sender, upstreams) = watch::channel(config.upstreams());
+        let (site_sender, site) = watch::channel(None);
+        let keys = config.keys().clone();
         tokio::task::spawn_local(async move {
             loop {
                 if signals.next().await == SignalEvent::End {
-                    info!("stopping");
-                    // The gateway may have ended by itself.
-                    let _ = stop.send(true);
+                    info!("stopping at SIGTERM");
+                    // The gateway may have ended already.
+                    let _ = stop_sender.send(true);
                     continue;
                 }
-                match Reloaded::from_file(&shape) {
+                match Reloaded::from_file(&keys) {
                     Ok(Reloaded { upstreams, site }) => {
                         info!(%upstreams, "configuration read again");
-                        reload.send_replace(upstreams);
-                        retune.send_replace(Some(Rc::new(site)));
+                        upstreams_sender.send_replace(upstreams);
+                        site_sender.send_replace(Some(Rc::new(site)));
                     }
-                    Err(problem) => warn!(%problem, "configuration not usable; the old one stays"),
+                    Err(problem) => warn!(%problem, "configuration not usable; keeping the old one"),
                 }
             }
         });
-        let (zones, watcher) = beside(&config)?.map(|beside| (beside.zones, beside.watcher)).unzip();
-        Ok(crate::run(config, Control { upstreams, site, zones, watcher, stopping }).await?)
+        let (zones, observer) = options(&config)?.map(|options| (options.zones, options.observer)).unzip();
+        Ok(crate::run(config, GatewayInputs { upstreams, site, zones, observer, stopping }).await?)
     })
 }
--- a/crates/starlinghill-gateway/src/server.rs
+++ b/crates/starlinghill-gateway/src/server.rs
@@ -1,15 +1,17 @@
-//! Clients: taking their requests, answering them, and `/_health`.
+//! Accepts clients' connections, reads and validates their requests, answers them, and serves `/_health`.
 
-use crate::answer::{AnswerBody, Passing};
+use crate::answer::{AnswerBody, StreamingBody};
 use crate::backend::{joined, strip_hop_by_hop};
 use crate::backend_protocol::BUDGET;
-use crate::class_names::Names;
-use crate::connections::{ConnectionHandle, Lines, Phase, ACCEPT_PAUSE, BODY_RATE, RECEIVE_TIME};
-use crate::forward::{Forward, Payload, Served};
+use crate::class_names::ClassNames;
+use crate::connections::{
+    ClientConnections, ConnectionHandle, Phase, ACCEPT_PAUSE, MIN_BODY_BYTES_PER_S, REQUEST_TIMEOUT,
+};
+use crate::forward::{ForwardedRequest, Payload, ServedBody};
 use crate::idle::Reuse;
-use crate::inbox::{Answer, Clock, DriverSender, Input, Taken};
-use crate::request_head::{seen, Head};
-use crate::upload::{Follower, Upload, Whole, MAX_BODY, MAX_PASSING};
+use crate::inbox::{Answer, Clock, DriverSender, Input, NewRequest};
+use crate::request_head::{record_head, RequestHead};
+use crate::upload::{Upload, UploadCompletion, UploadObserver, MAX_BUFFERED_BYTES, MAX_STREAMED_BYTES};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
@@ -30,14 +32,14 @@
 use tokio::time::{interval, sleep, sleep_until, timeout, Instant};
 use tracing::{debug, warn};
 
-/// How often connections are looked at for these limits.
-const SWEEP_EVERY: Duration = Duration::from_millis(250);
-/// The longest head. Guards memory against heads without end.
-const MAX_HEAD: usize = 16 * 1024;
-/// Customers have numbers below this.
-const CUSTOMERS: u64 = 1 << 33;
-/// Headers that a request has once.
-const ONCE: [&str; 9] = [
+/// Interval between checks of the connections' time limits.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Longest head of a request, in bytes. It bounds the memory that a client can take up.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Customer numbers are below this.
+const CUSTOMER_LIMIT: u64 = 1 << 33;
+/// Headers that may appear only once in a request.
+const SINGLE_HEADERS: [&str; 9] = [
     "content-length",
     "host",
     "idempotency-key",
@@ -48,73 +50,78 @@
     "x-plan",
     "x-quota",
 ];
-/// How long after SIGTERM new connections are taken; they go on coming for 0.4 s.
-const LAST_CALL: Duration = Duration::from_millis(600);
-/// Where other processes accept, a connection that was not used since SIGTERM is closed so long before the end.
-const LAST_USE: Duration = Duration::from_millis(800);
+/// How long new connections are accepted after SIGTERM. The platform sends new ones for another 0.4 s.
+const ACCEPT_GRACE: Duration = Duration::from_millis(600);
+/// Where other processes accept from the same socket, connections unused since SIGTERM are closed this long
+/// before the shutdown limit.
+const UNUSED_CLOSE_MARGIN: Duration = Duration::from_millis(800);
 
-/// Who answers clients: what differs between the platform's protocol and that of the whole system.
+/// What differs between the platform's protocol and that of the whole system in serving clients.
 pub trait RequestHandler {
     /// Answers one request.
     fn respond(
         &self,
         request: Request<Incoming>,
-        line: &Rc<ConnectionHandle>,
+        connection: &Rc<ConnectionHandle>,
     ) -> impl Future<Output = Response<AnswerBody>>;
-    /// Set by SIGTERM.
+    /// Becomes true at SIGTERM.
     fn stopping(&self) -> watch::Receiver<bool>;
-    /// It is set.
+    /// Whether SIGTERM was received.
     fn is_stopping(&self) -> bool;
-    /// Other processes accept from the same socket.
+    /// Whether other processes accept from the same socket.
     fn is_shared(&self) -> bool;
-    /// So long after SIGTERM new connections are taken, where no other process does.
+    /// How long new connections are accepted after SIGTERM, where no other process accepts.
     fn accept_grace(&self) -> Duration;
-    /// So long after SIGTERM all must be answered.
+    /// How long after SIGTERM all requests must be answered.
     fn shutdown_limit(&self) -> Duration;
 }
 
-/// What takes a request from its head to its answer.
+/// Reads the bodies of requests and passes the requests to the driver.
 pub struct RequestIntake {
-    /// The way to the driver.
+    /// Sends requests to the driver.
     pub driver: DriverSender,
-    /// The module's clock.
+    /// The clock of the decision module.
     pub clock: Clock,
-    /// Room for bodies, in bytes.
+    /// Memory for request bodies; one permit is one byte.
     pub body_memory: Semaphore,
-    /// The number of the last request.
+    /// The id given to the latest request.
     pub last_request_id: Cell<u64>,
 }
 
-/// What all connections of the platform's clients share.
-pub struct Front {
-    /// What takes their requests.
+/// The platform's protocol for clients, shared by all their connections.
+pub struct PlatformHandler {
+    /// Passes requests to the driver.
     pub intake: RequestIntake,
-    /// The list of backends is in hand.
+    /// True once there is a list of backends.
     pub ready: watch::Receiver<bool>,
-    /// The names of classes.
-    pub names: RefCell<Names>,
-    /// The names of plans.
+    /// The classes of requests, by name.
+    pub classes: RefCell<ClassNames>,
+    /// The plans of customers, by name.
     pub plans: HashMap<String, PlanId>,
-    /// The most units that a request may take.
-    pub most_units: f64,
-    /// How many gateways there are.
+    /// The largest number of quota units that one request may take.
+    pub max_units: f64,
+    /// The number of gateways.
     pub gateways: u32,
-    /// What the clients call the requests that are open here.
-    pub open: RefCell<HashSet<HeaderValue>>,
-    /// Set by SIGTERM.
+    /// The clients' own ids of the requests that are open in this process.
+    pub open_calls: RefCell<HashSet<HeaderValue>>,
+    /// Becomes true at SIGTERM.
     pub stopping: watch::Receiver<bool>,
-    /// Other processes accept from the same socket.
+    /// Whether other processes accept from the same socket.
     pub shared: bool,
 }
 
-impl RequestHandler for Front {
-    async fn respond(&self, request: Request<Incoming>, line: &Rc<ConnectionHandle>) -> Response<AnswerBody> {
+impl RequestHandler for PlatformHandler {
+    async fn respond(
+        &self,
+        request: Request<Incoming>,
+        connection: &Rc<ConnectionHandle>,
+    ) -> Response<AnswerBody> {
         match request.uri().path() {
             "/_health" => match *self.ready.borrow() && !self.is_stopping() {
                 true => text_response(StatusCode::OK, "ready\n").map(AnswerBody::Left),
                 false => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n").map(AnswerBody::Left),
             },
-            "/api" => match take(request, self, line).await {
+            "/api" => match handle_api(request, self, connection).await {
                 Ok(answer) => answer,
                 Err((status, problem)) => close_after(text_response(status, problem).map(AnswerBody::Left)),
             },
@@ -131,175 +138,190 @@
         self.shared
     }
     fn accept_grace(&self) -> Duration {
-        LAST_CALL
+        ACCEPT_GRACE
     }
     fn shutdown_limit(&self) -> Duration {
-        self.names.borrow().shutdown_limit()
+        self.classes.borrow().shutdown_limit()
     }
 }
 
-/// Takes clients until SIGTERM, answers what was taken, and returns.
-pub async fn serve<D: RequestHandler + 'static>(listener: TcpListener, front: Rc<D>, connections: usize) {
-    let lines = Rc::new(Lines { open: RefCell::default(), most: connections, ended: Notify::new() });
-    let (mut stopping, shared) = (front.stopping(), front.is_shared());
-    let mut accept_grace: Option<Instant> = None;
-    let mut sweep = interval(SWEEP_EVERY);
-    let mut waiting = None;
+/// Accepts clients until SIGTERM, answers the requests received, and returns. `max_connections` limits the
+/// open connections.
+pub async fn serve<H: RequestHandler + 'static>(
+    listener: TcpListener,
+    handler: Rc<H>,
+    max_connections: usize,
+) {
+    let connections =
+        Rc::new(ClientConnections { open: RefCell::default(), limit: max_connections, ended: Notify::new() });
+    let (mut stopping, shared) = (handler.stopping(), handler.is_shared());
+    let mut stopped_at: Option<Instant> = None;
+    let mut sweep = interval(SWEEP_INTERVAL);
+    let mut accepted = None;
     let mut serial = 0;
-    let shutdown_limit = front.shutdown_limit();
-    let last_use = if shared { shutdown_limit.saturating_sub(LAST_USE) } else { front.accept_grace() };
+    let shutdown_limit = handler.shutdown_limit();
+    let accept_until =
+        if shared { shutdown_limit.saturating_sub(UNUSED_CLOSE_MARGIN) } else { handler.accept_grace() };
     loop {
         tokio::select! {
             biased;
-            // Guards the limit on descriptors: one at a time is accepted and then waits for its place.
-            () = lines.place(), if waiting.is_some() => {
-                let line = Rc::new(ConnectionHandle::new());
+            // One connection at a time is accepted and then waits for its place. More would exceed the limit
+            // on file descriptors.
+            () = connections.wait_for_place(), if accepted.is_some() => {
+                let connection = Rc::new(ConnectionHandle::new());
                 serial += 1;
-                lines.open.borrow_mut().insert(serial, line.clone());
-                let (stream, front, lines) = (waiting.take(), front.clone(), lines.clone());
+                connections.open.borrow_mut().insert(serial, connection.clone());
+                let (stream, handler, connections) = (accepted.take(), handler.clone(), connections.clone());
                 tokio::task::spawn_local(async move {
                     if let Some(stream) = stream {
-                        connection(stream, &line, front).await;
+                        serve_connection(stream, &connection, handler).await;
                     }
-                    lines.open.borrow_mut().remove(&serial);
-                    lines.ended.notify_one();
+                    connections.open.borrow_mut().remove(&serial);
+                    connections.ended.notify_one();
                 });
             }
-            stream = accept(&listener), if waiting.is_none() && accept_grace.is_none_or(|_| !shared) => {
-                waiting = Some(stream);
+            stream = accept(&listener), if accepted.is_none() && stopped_at.is_none_or(|_| !shared) => {
+                accepted = Some(stream);
             }
-            _ = sweep.tick() => lines.sweep(),
-            Ok(_) = stopping.wait_for(|stop| *stop), if accept_grace.is_none() => {
-                accept_grace = Some(Instant::now());
-                // New connections are still taken, so a client whose request crosses the closing comes back
-                // on one of them. What is being received is answered and then closed.
-                // Where other processes accept, each ends with the next answer on it instead: guards against a request
-                // that crosses the closing, which then nobody reads.
-                let past = |line: &Rc<ConnectionHandle>| line.phase.get() != Phase::Receiving && !shared;
-                lines.all().into_iter().filter(past).for_each(|line| line.close());
+            _ = sweep.tick() => connections.sweep(),
+            Ok(_) = stopping.wait_for(|stop| *stop), if stopped_at.is_none() => {
+                stopped_at = Some(Instant::now());
+                // New connections are still accepted, so that a client whose request arrives just as its
+                // connection closes can send it again. Requests that are being received are answered before
+                // their connections close. Where other processes accept from the same socket, an open
+                // connection closes only after its next answer: closing it now would lose a request that is
+                // on its way.
+                let not_receiving = |connection: &Rc<ConnectionHandle>| connection.phase.get() != Phase::Receiving && !shared;
+                connections.all().into_iter().filter(not_receiving).for_each(|connection| connection.close());
             }
-            () = sleep_until(accept_grace.unwrap_or_else(Instant::now) + last_use), if accept_grace.is_some() => break,
-            () = lines.ended.notified(), if accept_grace.is_some() && shared && lines.open.borrow().is_empty() => break,
+            () = sleep_until(stopped_at.unwrap_or_else(Instant::now) + accept_until), if stopped_at.is_some() => break,
+            () = connections.ended.notified(), if stopped_at.is_some() && shared && connections.open.borrow().is_empty() => break,
         }
     }
     drop(listener);
-    lines.all().into_iter().for_each(|line| line.close());
-    let left = shutdown_limit.saturating_sub(accept_grace.map_or(Duration::ZERO, |at| at.elapsed()));
+    connections.all().into_iter().for_each(|connection| connection.close());
+    let remaining = shutdown_limit.saturating_sub(stopped_at.map_or(Duration::ZERO, |at| at.elapsed()));
     let all_ended = async {
-        while !lines.open.borrow().is_empty() {
+        while !connections.open.borrow().is_empty() {
             tokio::select! {
-                () = lines.ended.notified() => {}
-                _ = sweep.tick() => lines.sweep(),
+                () = connections.ended.notified() => {}
+                _ = sweep.tick() => connections.sweep(),
             }
         }
     };
-    if timeout(left, all_ended).await.is_err() {
-        warn!("some connections were still open at the end");
+    if timeout(remaining, all_ended).await.is_err() {
+        warn!("some connections were still open at the shutdown limit");
     }
 }
 
-/// The next connection; waits where accepting fails, as it does while descriptors are short.
+/// Accepts the next connection. Retries after a pause while accepting fails, as it does while file
+/// descriptors are short.
 async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
             Err(error) => {
-                warn!(%error, "accept failed");
+                warn!(%error, "could not accept a client's connection; retrying");
                 sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-/// Serves one connection to its end.
-async fn connection<D: RequestHandler>(stream: TcpStream, line: &Rc<ConnectionHandle>, front: Rc<D>) {
+async fn serve_connection<H: RequestHandler>(
+    stream: TcpStream,
+    connection: &Rc<ConnectionHandle>,
+    handler: Rc<H>,
+) {
     let service = service_fn(|request| {
-        let (front, line) = (front.clone(), line.clone());
-        async move { Ok::<_, Infallible>(respond(request, &*front, &line).await) }
+        let (handler, connection) = (handler.clone(), connection.clone());
+        async move { Ok::<_, Infallible>(respond(request, &*handler, &connection).await) }
     });
-    let seen = seen(stream, line.head.clone());
-    let connection =
-        http1::Builder::new().max_buf_size(MAX_HEAD).serve_connection(TokioIo::new(seen), service);
-    let mut connection = std::pin::pin!(connection);
+    let stream = record_head(stream, connection.head.clone());
+    let serving =
+        http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(TokioIo::new(stream), service);
+    let mut serving = std::pin::pin!(serving);
     let done = loop {
         tokio::select! {
             biased;
-            done = connection.as_mut() => break done,
-            () = line.told.notified() => {
-                if line.cut.get() {
+            done = serving.as_mut() => break done,
+            () = connection.notify.notified() => {
+                if connection.aborted.get() {
                     return;
                 }
-                // It carries on with what it is at.
-                connection.as_mut().graceful_shutdown();
+                // hyper finishes the current request before it closes.
+                serving.as_mut().graceful_shutdown();
             }
         }
     };
     if let Err(error) = done {
-        debug!(%error, "a client's connection ended");
+        debug!(%error, "a client's connection ended with an error");
     }
 }
 
-async fn respond<D: RequestHandler>(
+async fn respond<H: RequestHandler>(
     request: Request<Incoming>,
-    front: &D,
-    line: &Rc<ConnectionHandle>,
+    handler: &H,
+    connection: &Rc<ConnectionHandle>,
 ) -> Response<AnswerBody> {
-    line.turn(Phase::Receiving);
-    line.came.set(0);
-    line.waits_since.set(None);
-    // Guards against what stands behind a body of which there may be two readings.
+    connection.set_phase(Phase::Receiving);
+    connection.body_bytes.set(0);
+    connection.waiting_since.set(None);
+    // Never reads on after a chunked body: other software may see the body's end elsewhere, and a second
+    // request could hide behind it.
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
-    let mut response = front.respond(request, line).await;
-    if front.is_stopping() || chunked {
+    let mut response = handler.respond(request, connection).await;
+    if handler.is_stopping() || chunked {
         response = close_after(response);
     }
-    if line.phase.get() != Phase::Passing {
-        line.turn(Phase::Idle);
+    if connection.phase.get() != Phase::Streaming {
+        connection.set_phase(Phase::Idle);
     }
-    line.head.begin();
+    connection.head.begin();
     response
 }
 
-/// Ends the connection with this answer. Guards against what follows a request that can't be believed, such as
-/// a body of 60 MB, which then is not read.
+/// Closes the connection after this answer. The bytes that follow an invalid request, such as a body of 60
+/// MB, are then not read.
 pub fn close_after(mut response: Response<AnswerBody>) -> Response<AnswerBody> {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-/// A short answer of our own.
+/// A response of the gateway's own with a text body.
 pub fn text_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-/// Why a request is not taken.
+/// The status and text of the answer to a request that is not accepted.
 pub type RequestError = (StatusCode, &'static str);
 
-/// Tells the driver that the client is gone, unless it was answered.
-struct Watch<'a> {
-    inbox: &'a DriverSender,
+/// Tells the driver when it is dropped before the request was answered, which happens when the client is
+/// gone.
+struct ClientWatch<'a> {
+    driver: &'a DriverSender,
     id: RequestId,
     answered: bool,
 }
 
-impl Drop for Watch<'_> {
+impl Drop for ClientWatch<'_> {
     fn drop(&mut self) {
         if self.answered {
             return;
         }
         if let Err(tokio::sync::mpsc::error::TrySendError::Full(input)) =
-            self.inbox.try_send(Input::Gone(self.id))
+            self.driver.try_send(Input::ClientGone(self.id))
         {
-            let inbox = self.inbox.clone();
-            tokio::task::spawn_local(async move { inbox.send(input).await });
+            let driver = self.driver.clone();
+            tokio::task::spawn_local(async move { driver.send(input).await });
         }
     }
 }
 
-/// A client's name for a request that is open. Guards against two requests of one name at the backends, which
-/// take the second for a copy of the first.
+/// Reserves a client's id while its request is open. Backends would take a second request with the same id
+/// for a copy of the first.
 struct OpenCall<'a> {
     calls: &'a RefCell<HashSet<HeaderValue>>,
     call: HeaderValue,
@@ -320,192 +342,215 @@
     }
 }
 
-/// The longest that a body of this length, or of any, may take to come.
-fn longest_upload(length: Option<u64>) -> Duration {
-    RECEIVE_TIME + Duration::from_millis(length.unwrap_or(MAX_PASSING).saturating_mul(1000) / BODY_RATE)
+/// How long a request body of this length, or of unknown length, may take to arrive.
+fn upload_timeout(length: Option<u64>) -> Duration {
+    REQUEST_TIMEOUT
+        + Duration::from_millis(
+            length.unwrap_or(MAX_STREAMED_BYTES).saturating_mul(1000) / MIN_BODY_BYTES_PER_S,
+        )
 }
 
-/// A client's body: whole where it is short, else its first part, with the rest to come.
+/// A request body: complete if it is short, otherwise its first part and the rest to come.
 enum Received {
-    Whole(Bytes),
-    Passing(VecDeque<Bytes>, Incoming),
+    Complete(Bytes),
+    Streaming(VecDeque<Bytes>, Incoming),
 }
 
-async fn receive(mut body: Incoming, line: &Rc<ConnectionHandle>) -> Result<Received, RequestError> {
-    let (mut held, mut size) = (VecDeque::new(), 0);
-    while size <= MAX_BODY {
-        line.waits(true);
+async fn receive(mut body: Incoming, connection: &Rc<ConnectionHandle>) -> Result<Received, RequestError> {
+    let (mut parts, mut size) = (VecDeque::new(), 0);
+    while size <= MAX_BUFFERED_BYTES {
+        connection.waiting_for_client(true);
         let Some(frame) = body.frame().await else {
-            return Ok(Received::Whole(joined(held, size)));
+            return Ok(Received::Complete(joined(parts, size)));
         };
-        line.waits(false);
+        connection.waiting_for_client(false);
         let frame = frame.map_err(|_| (StatusCode::BAD_REQUEST, "the body broke off\n"))?;
-        // Trailers hold for this connection alone.
+        // Trailers apply to this connection only.
         let Ok(bytes) = frame.into_data() else { continue };
-        line.came(bytes.len());
+        connection.received(bytes.len());
         size += bytes.len();
-        held.push_back(bytes);
+        parts.push_back(bytes);
     }
-    Ok(Received::Passing(held, body))
+    Ok(Received::Streaming(parts, body))
 }
 
-/// What a request's head has come to.
+/// A request whose head was accepted.
 pub struct ValidatedRequest {
-    /// What the module is told of it.
+    /// The request as the decision module sees it.
     pub arrival: Arrival,
     /// How long the client waits.
     pub budget: Micros,
-    /// Its headers, as they go on.
+    /// The headers to send to backends.
     pub headers: HeaderMap,
-    /// Which kept connections it may go out on.
+    /// Which pooled connections the request may use.
     pub reuse: Reuse,
 }
 
 impl RequestIntake {
-    /// Reads a body to its end, or its first part, and has the request decided and made. `read` is called once the body is
-    /// there: what it returns lives as long as the request.
-    pub async fn take<T>(
+    /// Reads the body, or its first part if it is long, passes the request to the driver, and waits for the
+    /// answer. `reserve` is called once the body is there; what it returns is dropped when the request is
+    /// answered.
+    pub async fn handle<T>(
         &self,
         (method, uri): (Method, Uri),
         body: Incoming,
-        wanted: ValidatedRequest,
-        line: &Rc<ConnectionHandle>,
-        read: impl FnOnce() -> Result<T, RequestError>,
+        request: ValidatedRequest,
+        connection: &Rc<ConnectionHandle>,
+        reserve: impl FnOnce() -> Result<T, RequestError>,
     ) -> Result<Answer, RequestError> {
-        // Guards memory: where its length is known, that is before any of it is read.
+        // The memory for the body is reserved before any of it is read if its length is known.
         let length = body.size_hint().exact();
-        if length.is_some_and(|length| length > MAX_PASSING) {
+        if length.is_some_and(|length| length > MAX_STREAMED_BYTES) {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is longer than 32 MiB\n"));
         }
-        let most = length.map_or(MAX_BODY, |length| length.min(MAX_BODY as u64) as usize);
-        let Ok(_room) = self.body_memory.try_acquire_many(most as u32) else {
+        let reserved_bytes =
+            length.map_or(MAX_BUFFERED_BYTES, |length| length.min(MAX_BUFFERED_BYTES as u64) as usize);
+        let Ok(_memory) = self.body_memory.try_acquire_many(reserved_bytes as u32) else {
             return Err((StatusCode::SERVICE_UNAVAILABLE, "no room for the body\n"));
         };
-        let received = receive(body, line).await?;
-        let _open = read()?;
-        let mut headers = wanted.headers;
+        let received = receive(body, connection).await?;
+        let _reserved = reserve()?;
+        let mut headers = request.headers;
         strip_hop_by_hop(&mut headers);
-        let budget = Duration::from_micros(wanted.budget.0);
-        let (body, once, upload) = match received {
-            Received::Whole(body) => {
-                line.turn(Phase::Busy);
-                (Payload::Whole(body), false, Duration::ZERO)
+        let budget = Duration::from_micros(request.budget.0);
+        let (body, single_use, upload_time) = match received {
+            Received::Complete(body) => {
+                connection.set_phase(Phase::Busy);
+                (Payload::Buffered(body), false, Duration::ZERO)
             }
-            Received::Passing(held, rest) => {
-                let whole = Rc::new(Whole::default());
-                let upload = RefCell::new(Some(Upload::new(held, rest, length, line.clone(), whole.clone())));
-                (Payload::Passing { upload, whole, budget }, true, longest_upload(length))
+            Received::Streaming(parts, rest) => {
+                let completion = Rc::new(UploadCompletion::default());
+                let upload = RefCell::new(Some(Upload::new(
+                    parts,
+                    rest,
+                    length,
+                    connection.clone(),
+                    completion.clone(),
+                )));
+                (Payload::Streaming { upload, completion, budget }, true, upload_timeout(length))
             }
         };
-        // The request's time runs from its last byte.
-        let deadline = self.clock.now() + Micros(upload.as_micros() as u64) + wanted.budget;
+        // The client's time limit starts at the last byte of its request.
+        let deadline = self.clock.now() + Micros(upload_time.as_micros() as u64) + request.budget;
         let id = RequestId(self.last_request_id.replace(self.last_request_id.get() + 1) + 1);
-        // Only path and query are the request's own; the rest of an absolute form names this gateway.
+        // Of a URI in absolute form, only path and query go on; the rest names this gateway.
         let uri = uri.path_and_query().cloned().map(Uri::from).unwrap_or(uri);
-        let forward = Forward { method, uri, headers, body, reuse: wanted.reuse };
+        let forward = ForwardedRequest { method, uri, headers, body, reuse: request.reuse };
         let (reply, answer) = oneshot::channel();
-        let taken = Taken { arrival: Arrival { id, deadline, once, ..wanted.arrival }, forward, reply };
-        let mut watch = Watch { inbox: &self.driver, id, answered: false };
-        let told = self.driver.send(Input::Taken(Box::new(taken))).await.is_ok();
-        let answer = if told { answer.await.unwrap_or(Answer::Failed) } else { Answer::Failed };
-        watch.answered = true;
+        let new_request = NewRequest {
+            arrival: Arrival { id, deadline, once: single_use, ..request.arrival },
+            forward,
+            reply,
+        };
+        let mut client_watch = ClientWatch { driver: &self.driver, id, answered: false };
+        let sent = self.driver.send(Input::Request(Box::new(new_request))).await.is_ok();
+        let answer = if sent { answer.await.unwrap_or(Answer::Failed) } else { Answer::Failed };
+        client_watch.answered = true;
         Ok(answer)
     }
 }
 
-/// Says when to come back.
+/// Sets `Retry-After`, in seconds, if there is a time to wait.
 pub fn set_retry_after(headers: &mut HeaderMap, wait: Option<Micros>) {
     let wait = wait.and_then(|w| HeaderValue::from_str(&format!("{:.3}", w.secs())).ok());
     wait.into_iter().for_each(|w| drop(headers.insert(header::RETRY_AFTER, w)));
 }
 
-/// Answered before its body was read to the end: what still comes of it is nobody's.
-pub fn close_if_unread(response: Response<AnswerBody>, line: &Rc<ConnectionHandle>) -> Response<AnswerBody> {
-    if line.phase.get() == Phase::Receiving {
+/// Closes the connection after this answer if the request's body was not read to its end.
+pub fn close_if_unread(
+    response: Response<AnswerBody>,
+    connection: &Rc<ConnectionHandle>,
+) -> Response<AnswerBody> {
+    if connection.phase.get() == Phase::Receiving {
         return close_after(response);
     }
     response
 }
 
-/// The body that a client gets.
-pub fn response_body(served: Served, line: &Rc<ConnectionHandle>) -> AnswerBody {
+/// The body of the client's response, which marks the connection as streaming while it lasts.
+pub fn response_body(served: ServedBody, connection: &Rc<ConnectionHandle>) -> AnswerBody {
     match served {
-        Served::Whole(body) => AnswerBody::Left(Full::new(body)),
-        Served::Passing(download) => AnswerBody::Right(Passing::new(download, line.clone())),
+        ServedBody::Buffered(body) => AnswerBody::Left(Full::new(body)),
+        ServedBody::Streaming(download) => {
+            AnswerBody::Right(StreamingBody::new(download, connection.clone()))
+        }
     }
 }
 
-async fn take(
+async fn handle_api(
     request: Request<Incoming>,
-    front: &Front,
-    line: &Rc<ConnectionHandle>,
+    handler: &PlatformHandler,
+    connection: &Rc<ConnectionHandle>,
 ) -> Result<Response<AnswerBody>, RequestError> {
     let (head, body) = request.into_parts();
-    let asked = Asked::read(&head.method, head.uri.query(), &head.headers, front, &line.head)?;
-    let (arrival, budget, headers) = (asked.arrival, asked.budget, head.headers);
-    let wanted = ValidatedRequest { arrival, budget, headers, reuse: Reuse::Any };
-    let open = || OpenCall::new(&front.open, asked.call);
-    let response = match front.intake.take((head.method, head.uri), body, wanted, line, open).await? {
-        Answer::Served(served, _) => Response::new(response_body(served, line)),
-        Answer::Refused(wait) => {
-            let mut response =
-                text_response(StatusCode::TOO_MANY_REQUESTS, "refused\n").map(AnswerBody::Left);
-            set_retry_after(response.headers_mut(), wait);
-            response
-        }
-        Answer::Failed => text_response(StatusCode::BAD_GATEWAY, "failed\n").map(AnswerBody::Left),
-    };
-    Ok(close_if_unread(response, line))
+    let parsed =
+        PlatformRequest::read(&head.method, head.uri.query(), &head.headers, handler, &connection.head)?;
+    let (arrival, budget, headers) = (parsed.arrival, parsed.budget, head.headers);
+    let request = ValidatedRequest { arrival, budget, headers, reuse: Reuse::Any };
+    let reserve = || OpenCall::new(&handler.open_calls, parsed.call);
+    let response =
+        match handler.intake.handle((head.method, head.uri), body, request, connection, reserve).await? {
+            Answer::Served(served, _) => Response::new(response_body(served, connection)),
+            Answer::Refused(wait) => {
+                let mut response =
+                    text_response(StatusCode::TOO_MANY_REQUESTS, "refused\n").map(AnswerBody::Left);
+                set_retry_after(response.headers_mut(), wait);
+                response
+            }
+            Answer::Failed => text_response(StatusCode::BAD_GATEWAY, "failed\n").map(AnswerBody::Left),
+        };
+    Ok(close_if_unread(response, connection))
 }
 
-/// What a request's head says of it.
-struct Asked {
+/// What the platform's headers say about a request.
+struct PlatformRequest {
     arrival: Arrival,
-    /// What the client calls it.
+    /// The client's own id of the request.
     call: HeaderValue,
     budget: Micros,
 }
 
-impl Asked {
+impl PlatformRequest {
     fn read(
         method: &Method,
         query: Option<&str>,
         headers: &HeaderMap,
-        front: &Front,
-        seen: &Head,
-    ) -> Result<Asked, RequestError> {
-        let bad = |problem| (StatusCode::BAD_REQUEST, problem);
-        if headers.contains_key(header::TRANSFER_ENCODING) && seen.may_have_length() {
-            return Err(bad("Transfer-Encoding: expected no Content-Length beside it\n"));
+        handler: &PlatformHandler,
+        recorded_head: &RequestHead,
+    ) -> Result<PlatformRequest, RequestError> {
+        let bad_request = |problem| (StatusCode::BAD_REQUEST, problem);
+        if headers.contains_key(header::TRANSFER_ENCODING) && recorded_head.may_have_length() {
+            return Err(bad_request("Transfer-Encoding: expected no Content-Length beside it\n"));
         }
-        // Guards against two readings of one request: which of two values counts, nobody says.
-        let twice = |name: &HeaderName| headers.get_all(name).iter().nth(1).is_some();
+        // A header that appears twice could be read differently by other software.
+        let repeated = |name: &HeaderName| headers.get_all(name).iter().nth(1).is_some();
         if headers.keys_len() < headers.len()
-            && headers.keys().any(|name| ONCE.contains(&name.as_str()) && twice(name))
+            && headers.keys().any(|name| SINGLE_HEADERS.contains(&name.as_str()) && repeated(name))
         {
-            return Err(bad("a header stands twice\n"));
+            return Err(bad_request("a header stands twice\n"));
         }
         let text = |name: HeaderName| headers.get(name).and_then(|v| v.to_str().ok());
-        let named = |name| text(HeaderName::from_static(name));
-        let names = front.names.borrow();
-        let class = named("x-call-class").and_then(|class| names.get(class, method));
-        let class = class.ok_or_else(|| bad("X-Call-Class: expected a known class\n"))?;
-        let plan = named("x-plan").and_then(|plan| front.plans.get(plan));
-        let plan = plan.ok_or_else(|| bad("X-Plan: expected a known plan\n"))?;
-        let customer = query.and_then(customer).ok_or_else(|| bad("customer: expected 16 hex digits\n"))?;
+        let header_text = |name| text(HeaderName::from_static(name));
+        let classes = handler.classes.borrow();
+        let class = header_text("x-call-class").and_then(|class| classes.get(class, method));
+        let class = class.ok_or_else(|| bad_request("X-Call-Class: expected a known class\n"))?;
+        let plan = header_text("x-plan").and_then(|plan| handler.plans.get(plan));
+        let plan = plan.ok_or_else(|| bad_request("X-Plan: expected a known plan\n"))?;
+        let customer =
+            query.and_then(customer).ok_or_else(|| bad_request("customer: expected 16 hex digits\n"))?;
         let budget = text(BUDGET).and_then(|v| v.parse::<u64>().ok());
-        let budget = budget.ok_or_else(|| bad("X-Budget-Ms: expected whole milliseconds\n"))?;
-        let (units, spread, first) = named("x-quota")
-            .and_then(|value| quota(value, front.most_units, front.gateways))
-            .ok_or_else(|| bad("X-Quota: expected units, spread and first in their ranges\n"))?;
+        let budget = budget.ok_or_else(|| bad_request("X-Budget-Ms: expected whole milliseconds\n"))?;
+        let (units, spread, first) = header_text("x-quota")
+            .and_then(|value| quota(value, handler.max_units, handler.gateways))
+            .ok_or_else(|| bad_request("X-Quota: expected units, spread and first in their ranges\n"))?;
         let call = headers.get("x-call-id").filter(|id| !id.is_empty()).cloned();
-        let call = call.ok_or_else(|| bad("X-Call-Id: expected an id\n"))?;
+        let call = call.ok_or_else(|| bad_request("X-Call-Id: expected an id\n"))?;
         let keyed = class.effect == Effect::Keyed;
-        if !class.fits(method) {
+        if !class.matches(method) {
             return Err((StatusCode::METHOD_NOT_ALLOWED, "not this class's method\n"));
         }
         if keyed && headers.get("idempotency-key").is_none_or(|key| key.is_empty()) {
-            return Err(bad("Idempotency-Key: expected a key\n"));
+            return Err(bad_request("Idempotency-Key: expected a key\n"));
         }
         let arrival = Arrival {
             class: class.id,
@@ -514,30 +559,30 @@
             spread,
             first,
             units,
-            resent: named("x-again") == Some("1"),
+            resent: header_text("x-again") == Some("1"),
             ..Arrival::default()
         };
-        // No client waits longer than its class says.
+        // The wait is at most the deadline of its class.
         let budget = Micros(budget.saturating_mul(1000)).min(class.deadline);
-        Ok(Asked { arrival, call, budget })
+        Ok(PlatformRequest { arrival, call, budget })
     }
 }
 
 fn customer(query: &str) -> Option<CustomerId> {
-    let mut named = query.split('&').filter_map(|pair| pair.strip_prefix("customer="));
-    let digits = named.next()?;
-    let hex = digits.len() == 16 && digits.bytes().all(|b| b.is_ascii_hexdigit()) && named.next().is_none();
-    u64::from_str_radix(digits, 16).ok().filter(|id| hex && *id < CUSTOMERS).map(CustomerId)
+    let mut values = query.split('&').filter_map(|pair| pair.strip_prefix("customer="));
+    let digits = values.next()?;
+    let hex = digits.len() == 16 && digits.bytes().all(|b| b.is_ascii_hexdigit()) && values.next().is_none();
+    u64::from_str_radix(digits, 16).ok().filter(|id| hex && *id < CUSTOMER_LIMIT).map(CustomerId)
 }
 
-/// Units, spread and first. Guards against what no class asks for and no tier has, which would be charged to a
-/// customer by whoever writes its name.
-fn quota(value: &str, most_units: f64, gateways: u32) -> Option<(f64, u32, u32)> {
+/// Parses `X-Quota`: units, spread and first gateway. Values outside the configured ranges are rejected,
+/// since anyone can write a customer's name and have them charged to that customer.
+fn quota(value: &str, max_units: f64, gateways: u32) -> Option<(f64, u32, u32)> {
     let (mut units, mut spread, mut first) = (None, None, None);
     for part in value.split(',') {
         let unset = match part.trim().split_once('=')? {
             ("units", v) => {
-                units.replace(v.parse::<f64>().ok().filter(|u| *u > 0.0 && *u <= most_units)?).is_none()
+                units.replace(v.parse::<f64>().ok().filter(|u| *u > 0.0 && *u <= max_units)?).is_none()
             }
             ("spread", v) => {
                 spread.replace(v.parse::<u32>().ok().filter(|s| (1..=gateways).contains(s))?).is_none()
--- a/crates/starlinghill-gateway/src/upload.rs
+++ b/crates/starlinghill-gateway/src/upload.rs
@@ -1,5 +1,5 @@
-//! A client's body that is too large to hold: passed on as it comes. What ends a body before its time, and how long any
-//! may be, stands here as well.
+//! Streams a client's request body that is too large to buffer. The limits on the lengths of all bodies are
+//! defined here too.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -13,86 +13,90 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// The longest body of any message that is held whole.
-pub const MAX_BODY: usize = 64 * 1024;
-/// The longest body that is passed on, either way: 32 MiB, and what is held at first. Guards against bodies that never end.
-pub const MAX_PASSING: u64 = 32 * 1024 * 1024 + MAX_BODY as u64;
-/// What is read of a body that nobody wants must go on coming, and at so many bytes a second on the whole.
-const READ_ON_STALL: Duration = Duration::from_secs(2);
-const READ_ON_RATE: u64 = 40_000;
+/// Longest body that is buffered, in bytes.
+pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+/// Longest body that is streamed in either direction, in bytes: 32 MiB and the buffered start. It ends bodies
+/// that would never end.
+pub const MAX_STREAMED_BYTES: u64 = 32 * 1024 * 1024 + MAX_BUFFERED_BYTES as u64;
+/// Longest pause in a body that is read only to be discarded.
+const DISCARD_STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Lowest average rate of such a body, in bytes per second.
+const MIN_DISCARD_BYTES_PER_S: u64 = 40_000;
 
-/// What ends a body before its time.
+/// Why a body ended early.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Who has to know how a client's body comes along.
-pub trait Follower {
-    /// So many bytes came.
-    fn came(&self, bytes: usize);
-    /// The client is waited for; else what came waits for the backend.
-    fn waits(&self, for_client: bool);
-    /// The last byte came.
-    fn whole(&self);
+/// Observes the progress of a client's body.
+pub trait UploadObserver {
+    /// This many bytes arrived.
+    fn received(&self, bytes: usize);
+    /// Whether the gateway waits for the client to send; otherwise the backend is slow to take what arrived.
+    fn waiting_for_client(&self, waiting: bool);
+    /// The last byte arrived.
+    fn complete(&self);
 }
 
-/// When a body that is passed on was whole, which is when the request's time begins.
+/// The time when a streamed body was complete, which is when the client's time limit starts.
 #[derive(Default)]
-pub struct Whole {
+pub struct UploadCompletion {
     at: Cell<Option<Instant>>,
-    told: Notify,
+    notify: Notify,
 }
 
-impl Whole {
-    /// It is, now.
-    pub fn tell(&self) {
+impl UploadCompletion {
+    /// Marks the body as complete now.
+    pub fn complete(&self) {
         self.at.set(Some(Instant::now()));
-        self.told.notify_waiters();
+        self.notify.notify_waiters();
     }
-    /// When it was.
+    /// When the body was complete.
     pub fn at(&self) -> Option<Instant> {
         self.at.get()
     }
-    /// Waits until it is.
+    /// Waits until the body is complete.
     pub async fn wait(&self) -> Instant {
         loop {
-            // Made before the look, so that what is told in between is not missed.
-            let told = self.told.notified();
+            // Created before the check, so that a notification in between is not missed.
+            let notified = self.notify.notified();
             match self.at.get() {
                 Some(at) => return at,
-                None => told.await,
+                None => notified.await,
             }
         }
     }
 }
 
-/// A client's body on its way to a backend: what was held, then what still comes.
+/// A client's body on its way to a backend: the buffered start, then the rest as it arrives.
 pub struct Upload {
-    held: VecDeque<Bytes>,
+    buffered: VecDeque<Bytes>,
     rest: Option<Incoming>,
+    /// The length of the whole body in bytes, where it is known.
     length: Option<u64>,
-    passed: u64,
+    /// Bytes passed on so far.
+    sent: u64,
     ended: bool,
-    follower: Rc<dyn Follower>,
-    whole: Rc<Whole>,
+    observer: Rc<dyn UploadObserver>,
+    completion: Rc<UploadCompletion>,
 }
 
 impl Upload {
-    /// `length` is that of all, where it is known.
+    /// `length` is the length of the whole body in bytes, where it is known.
     pub fn new(
-        held: VecDeque<Bytes>,
+        buffered: VecDeque<Bytes>,
         rest: Incoming,
         length: Option<u64>,
-        follower: Rc<dyn Follower>,
-        whole: Rc<Whole>,
+        observer: Rc<dyn UploadObserver>,
+        completion: Rc<UploadCompletion>,
     ) -> Upload {
-        Upload { held, rest: Some(rest), length, passed: 0, ended: false, follower, whole }
+        Upload { buffered, rest: Some(rest), length, sent: 0, ended: false, observer, completion }
     }
 
-    fn passes(&mut self, bytes: Bytes) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        self.passed += bytes.len() as u64;
-        if self.passed > MAX_PASSING {
-            return Poll::Ready(Some(Err("the body is longer than 32 MiB".into())));
+    fn send(&mut self, bytes: Bytes) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        self.sent += bytes.len() as u64;
+        if self.sent > MAX_STREAMED_BYTES {
+            return Poll::Ready(Some(Err("the request body is longer than 32 MiB".into())));
         }
-        if self.length == Some(self.passed) {
+        if self.length == Some(self.sent) {
             self.end();
         }
         Poll::Ready(Some(Ok(Frame::data(bytes))))
@@ -100,8 +104,8 @@
 
     fn end(&mut self) {
         if !std::mem::replace(&mut self.ended, true) {
-            self.follower.whole();
-            self.whole.tell();
+            self.observer.complete();
+            self.completion.complete();
         }
     }
 }
@@ -114,14 +118,14 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        if let Some(bytes) = self.held.pop_front() {
-            return self.passes(bytes);
+        if let Some(bytes) = self.buffered.pop_front() {
+            return self.send(bytes);
         }
         loop {
             let Some(rest) = &mut self.rest else { return Poll::Ready(None) };
             match Pin::new(rest).poll_frame(cx) {
                 Poll::Pending => {
-                    self.follower.waits(true);
+                    self.observer.waiting_for_client(true);
                     return Poll::Pending;
                 }
                 Poll::Ready(None) => {
@@ -129,41 +133,42 @@
                     return Poll::Ready(None);
                 }
                 Poll::Ready(Some(Err(error))) => return Poll::Ready(Some(Err(error.into()))),
-                // Trailers hold for the client's connection.
+                // Trailers apply to the client's connection only.
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(bytes) = frame.into_data() else { continue };
-                    self.follower.came(bytes.len());
-                    self.follower.waits(false);
-                    return self.passes(bytes);
+                    self.observer.received(bytes.len());
+                    self.observer.waiting_for_client(false);
+                    return self.send(bytes);
                 }
             }
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.length.map_or_else(SizeHint::default, |all| SizeHint::with_exact(all - self.passed))
+        self.length.map_or_else(SizeHint::default, |length| SizeHint::with_exact(length - self.sent))
     }
 }
 
 impl Drop for Upload {
-    /// Reads on what nobody wants any more. Guards an answer that comes before the last byte, such as a refusal: a
-    /// connection that is closed with bytes unread is reset, and the client loses the answer with it.
+    /// Reads and discards the rest of a body that was not sent in full, as when the request is refused early.
+    /// Closing a connection with unread bytes resets it, and the client would lose the answer.
     fn drop(&mut self) {
         if let Some(rest) = self.rest.take().filter(|_| !self.ended) {
-            tokio::task::spawn_local(read_on(rest, MAX_PASSING.saturating_sub(self.passed)));
+            tokio::task::spawn_local(discard(rest, MAX_STREAMED_BYTES.saturating_sub(self.sent)));
         }
     }
 }
 
-async fn read_on(mut rest: Incoming, most: u64) {
-    let begun = Instant::now();
+async fn discard(mut rest: Incoming, limit: u64) {
+    let start = Instant::now();
     let mut read = 0;
-    while read <= most {
-        let Ok(Some(Ok(frame))) = timeout(READ_ON_STALL, rest.frame()).await else { return };
+    while read <= limit {
+        let Ok(Some(Ok(frame))) = timeout(DISCARD_STALL_TIMEOUT, rest.frame()).await else { return };
         read += frame.into_data().map_or(0, |bytes| bytes.len() as u64);
-        // Guards against one that sends a byte now and then for ever.
-        let allowed = READ_ON_STALL + Duration::from_millis(read.saturating_mul(1000) / READ_ON_RATE);
-        if begun.elapsed() > allowed {
+        // Ends the connection of a client that sends a byte now and then forever.
+        let allowed = DISCARD_STALL_TIMEOUT
+            + Duration::from_millis(read.saturating_mul(1000) / MIN_DISCARD_BYTES_PER_S);
+        if start.elapsed() > allowed {
             return;
         }
     }
--- a/crates/starlinghill-gateway/tests/idle.rs
+++ b/crates/starlinghill-gateway/tests/idle.rs
@@ -1,6 +1,6 @@
-//! How long a connection may have rested for what may run once, by what became of others.
+//! How long a connection may have been idle to be used for a request that must run at most once.
 
-use starlinghill_gateway::idle::Memory;
+use starlinghill_gateway::idle::IdleHistory;
 use std::time::Duration;
 
 fn ms(ms: u64) -> Duration {
@@ -8,33 +8,37 @@
 }
 
 #[test]
-fn the_soonest_end_at_rest_counts_until_one_that_rested_longer_serves() {
-    let memory = Memory::default();
-    assert_eq!(memory.surely(Some(ms(4_000))), ms(4_000), "as it says, while nothing speaks against it");
-    memory.died(ms(320));
-    memory.died(ms(1_200));
-    assert_eq!(memory.surely(Some(ms(4_000))), ms(240));
-    memory.served(ms(200), Some(ms(4_000)));
-    assert_eq!(memory.surely(Some(ms(4_000))), ms(240));
-    memory.served(ms(400), Some(ms(4_000)));
-    assert_eq!(memory.surely(Some(ms(4_000))), ms(4_000));
+fn the_shortest_idle_time_before_a_close_limits_reuse_until_a_request_succeeds_after_a_longer_one() {
+    let history = IdleHistory::default();
+    assert_eq!(
+        history.safe_idle_time(Some(ms(4_000))),
+        ms(4_000),
+        "the announced time, while no connection ended sooner"
+    );
+    history.closed_after(ms(320));
+    history.closed_after(ms(1_200));
+    assert_eq!(history.safe_idle_time(Some(ms(4_000))), ms(240));
+    history.served_after(ms(200), Some(ms(4_000)));
+    assert_eq!(history.safe_idle_time(Some(ms(4_000))), ms(240));
+    history.served_after(ms(400), Some(ms(4_000)));
+    assert_eq!(history.safe_idle_time(Some(ms(4_000))), ms(4_000));
 }
 
 #[test]
-fn a_backend_that_ends_does_not_pass_for_one_that_forgets_at_once() {
-    let memory = Memory::default();
-    (0..20).for_each(|rested| memory.died(ms(rested)));
-    assert_eq!(memory.surely(Some(ms(4_000))), ms(4_000));
+fn connections_that_end_with_their_backend_do_not_shorten_the_safe_idle_time() {
+    let history = IdleHistory::default();
+    (0..20).for_each(|idle_ms| history.closed_after(ms(idle_ms)));
+    assert_eq!(history.safe_idle_time(Some(ms(4_000))), ms(4_000));
 }
 
 #[test]
-fn where_nothing_is_said_connections_are_used_as_long_as_others_were() {
-    let memory = Memory::default();
-    assert_eq!(memory.surely(None), ms(100));
-    memory.served(ms(3_000), Some(ms(4_000)));
-    assert_eq!(memory.surely(None), ms(100), "that was while it said so");
-    memory.served(ms(700), None);
-    assert_eq!(memory.surely(None), ms(700));
-    memory.died(ms(600));
-    assert_eq!(memory.surely(None), ms(450));
+fn without_an_announced_time_connections_are_reused_after_idle_times_that_worked_before() {
+    let history = IdleHistory::default();
+    assert_eq!(history.safe_idle_time(None), ms(100));
+    history.served_after(ms(3_000), Some(ms(4_000)));
+    assert_eq!(history.safe_idle_time(None), ms(100), "that connection had an announced keep-alive time");
+    history.served_after(ms(700), None);
+    assert_eq!(history.safe_idle_time(None), ms(700));
+    history.closed_after(ms(600));
+    assert_eq!(history.safe_idle_time(None), ms(450));
 }
