--- a/crates/starlinghill-gateway/tests/listen.rs
+++ b/crates/starlinghill-gateway/tests/listen.rs
@@ -1,11 +1,11 @@
-//! The listening sockets: what they hand on to what they accept, and what they do where they can't.
+//! The options of the listening sockets, inherited by accepted sockets, and sockets that do not support them.
 
 use starlinghill_gateway::listen;
 use std::os::unix::net::UnixDatagram;
 use tokio::net::TcpStream;
 
 #[tokio::test]
-async fn what_is_accepted_sends_small_answers_at_once() {
+async fn accepted_sockets_inherit_tcp_nodelay() {
     let listener = listen::bind("127.0.0.1:0".parse().expect("an address")).await.expect("free");
     let address = listener.local_addr().expect("bound");
     let (client, accepted) = tokio::join!(TcpStream::connect(address), listener.accept());
@@ -14,8 +14,8 @@
 }
 
 #[test]
-fn a_socket_that_takes_no_such_option_is_used_as_it_is() {
+fn a_socket_without_tcp_nodelay_still_works() {
     let (socket, _other) = UnixDatagram::pair().expect("a pair");
-    listen::send_at_once(&socket);
+    listen::set_nodelay(&socket);
     assert!(socket.send(b"still open").is_ok());
 }
--- a/crates/starlinghill-gateway/tests/outage.rs
+++ b/crates/starlinghill-gateway/tests/outage.rs
@@ -1,24 +1,24 @@
-//! Short fleets of real gateways round a counter in trouble. How much is refused depends on the machine and is measured by the
-//! example `outage`; what must never happen is tested here.
+//! Short runs of several gateway processes with a counter that fails. How much is refused depends on the
+//! machine and is measured by the example `outage`; these tests check that quotas are never exceeded.
 
 use starlinghill_testkit::counter::Mode;
 use starlinghill_testkit::outage::{play, Fault, Scenario};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_starlinghill");
 
-fn fleet(scenario: Scenario, messages: bool) {
+fn check_quota_ceilings(scenario: Scenario, messages: bool) {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let outcomes = runtime.expect("a runtime").block_on(play(PROGRAM, &scenario, 8, messages));
     assert_eq!(outcomes.len(), 8, "{} seed {}", scenario.name, scenario.seed);
-    for o in &outcomes {
-        let at = format!("{}, seed {}, messages {messages}: {o:?}", scenario.name, scenario.seed);
-        assert!(o.sent > 0.0 && o.sent <= o.asked, "{at}");
-        assert!(o.past_ceiling <= 0.0, "{at}");
+    for outcome in &outcomes {
+        let at = format!("{}, seed {}, messages {messages}: {outcome:?}", scenario.name, scenario.seed);
+        assert!(outcome.sent > 0.0 && outcome.sent <= outcome.asked, "{at}");
+        assert!(outcome.past_ceiling <= 0.0, "{at}");
     }
 }
 
 #[test]
-fn no_ceiling_is_passed_while_the_counter_comes_goes_and_forgets_and_gateways_die() {
+fn no_quota_is_exceeded_while_the_counter_fails_or_loses_its_state_and_gateways_are_killed() {
     let faults = vec![
         (0.8, Fault::Behave(Mode::Refuse)),
         (1.6, Fault::Kill(1)),
@@ -31,8 +31,8 @@
     ];
     for messages in [false, true] {
         let faults = faults.clone();
-        fleet(
-            Scenario { name: "all of it", seed: 4, gateways: 3, seconds: 6.0, moves: 1.0, faults },
+        check_quota_ceilings(
+            Scenario { name: "all faults", seed: 4, gateways: 3, seconds: 6.0, moves: 1.0, faults },
             messages,
         );
     }
--- a/crates/starlinghill-proxy/src/request_handler.rs
+++ b/crates/starlinghill-proxy/src/request_handler.rs
@@ -159,7 +159,7 @@
                 };
             }
         };
-        let answer = self.intake.take((head.method, head.uri), body, taken.wanted, line, || Ok(())).await;
+        let answer = self.intake.handle((head.method, head.uri), body, taken.wanted, line, || Ok(())).await;
         let response = match answer {
             Ok(Answer::Served(served, Some(head))) => {
                 let mut response = Response::new(response_body(served, line));
