--- a/crates/starlinghill-gateway/src/backend.rs
+++ b/crates/starlinghill-gateway/src/backend.rs
@@ -271,7 +271,7 @@
         cancelled: oneshot::Receiver<()>,
     ) -> AttemptResult {
         // An attempt for which no connection is free is not sent.
-        let Ok(permit) = self.permits.clone().try_acquire_owned() else { return Outcome::Moot.into() };
+        let Ok(permit) = self.permits.clone().try_acquire_owned() else { return Outcome::NotSent.into() };
         while self.idle_count() > self.permits.available_permits() {
             self.evict();
         }
@@ -317,10 +317,10 @@
             };
             // The backend may have begun to drain while the connection was opened.
             if !backend.open.get() {
-                return Outcome::Moot.into();
+                return Outcome::NotSent.into();
             }
             let Some(message) = request.request(until, &*self.protocol, backend) else {
-                return Outcome::Moot.into();
+                return Outcome::NotSent.into();
             };
             // From here on the backend may have run the request, as far as a caller that stops waiting can
             // know.
--- a/crates/starlinghill-gateway/src/config.rs
+++ b/crates/starlinghill-gateway/src/config.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use starlinghill_discovery::{Follower, Source};
 use starlinghill_settings::members::MemberList;
-use starlinghill_settings::{flatten, Fields, Site};
+use starlinghill_settings::{flatten, Fields, NamedSettings};
 use std::collections::{BTreeMap, BTreeSet};
 use std::env;
 use std::fmt;
@@ -131,7 +131,7 @@
     /// The addresses of discovery and the counter.
     pub upstreams: Upstreams,
     /// The settings, of which only classes and attempt limits are applied.
-    pub site: Site,
+    pub site: NamedSettings,
 }
 
 impl Reloaded {
@@ -176,7 +176,7 @@
     pub(crate) peers: Option<Peers>,
     pub(crate) seed: u64,
     pub(crate) known: MemberList,
-    pub(crate) site: Site,
+    pub(crate) site: NamedSettings,
     pub(crate) keys: ConfigKeys,
     /// The address of the operators' HTTP port.
     pub(crate) ops: Option<SocketAddr>,
@@ -252,7 +252,7 @@
     }
 
     /// The settings, with the names that they define.
-    pub fn site(&self) -> &Site {
+    pub fn site(&self) -> &NamedSettings {
         &self.site
     }
 
@@ -292,7 +292,7 @@
         let pairs = names.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
         let fields = Fields { place: "settings".into(), message: "settings", pairs };
         let field_error = |e: starlinghill_settings::FieldError| ConfigError(e.0);
-        let mut site = Site::read(&fields).map_err(field_error)?;
+        let mut site = NamedSettings::from_fields(&fields).map_err(field_error)?;
         site.settings.check()?;
         let duration = |name, default| {
             fields
--- a/crates/starlinghill-gateway/src/counter.rs
+++ b/crates/starlinghill-gateway/src/counter.rs
@@ -30,7 +30,7 @@
     /// Draws units from a quota that the counter keeps, for a service and within a time. The call has its own
     /// time limit. The platform's counter keeps no such quotas.
     fn draw(self: Rc<Self>, _: CountName, _units: f64, _: (ServiceId, Micros)) -> CounterCall {
-        Box::pin(async { Outcome::Moot.into() })
+        Box::pin(async { Outcome::NotSent.into() })
     }
     /// Reports units that were used without asking the counter; negative for units drawn but not used.
     fn charge(&self, _: CountName, _units: f64) {}
@@ -86,7 +86,7 @@
         wrote: &Cell<bool>,
     ) -> CounterResult {
         // The semaphore is never closed, so this does not fail.
-        let Ok(_permit) = self.permits.acquire().await else { return Outcome::Moot.into() };
+        let Ok(_permit) = self.permits.acquire().await else { return Outcome::NotSent.into() };
         loop {
             let (mut connection, reused) = match self.take() {
                 Some(connection) => (connection, true),
@@ -150,9 +150,9 @@
                 }
             }
         }
-        StatusCode::SERVICE_UNAVAILABLE => Outcome::Full.into(),
+        StatusCode::SERVICE_UNAVAILABLE => Outcome::Rejected.into(),
         // The counter rejected the call, so nothing was added.
-        StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Outcome::Moot.into(),
+        StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Outcome::NotSent.into(),
         status => {
             warn!(%status, "the counter answered with an unexpected status");
             Outcome::Error.into()
--- a/crates/starlinghill-gateway/src/driver.rs
+++ b/crates/starlinghill-gateway/src/driver.rs
@@ -17,7 +17,7 @@
 use starlinghill_decision::Gateway;
 use starlinghill_maintenance::{Book, Roster};
 use starlinghill_settings::members::{MemberList, Phase};
-use starlinghill_settings::Site;
+use starlinghill_settings::NamedSettings;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
 /// Owns the decision module, the request table and the timers of one gateway.
 pub struct Driver {
     gateway: Gateway,
-    site: Site,
+    site: NamedSettings,
     clock: Clock,
     tick: Duration,
     input_sender: DriverSender,
@@ -180,7 +180,7 @@
             gateway,
             clock,
             tick: duration(settings.tick).max(Duration::from_millis(1)),
-            site: Site::of(settings),
+            site: NamedSettings::unnamed(settings),
             input_sender,
             inputs,
             pool: Rc::new(pool),
@@ -312,14 +312,14 @@
             }
             Input::PeersReachable(sender) => self.peer_sender = Some(sender),
             Input::Rules(rules) => self.pending_events.push(Event::Rules(rules)),
-            Input::Isolated(alone) => self.pending_events.push(Event::Alone(alone)),
+            Input::Isolated(alone) => self.pending_events.push(Event::Isolated(alone)),
             Input::Zones(parts) => {
                 let parts = parts.into_iter().map(|(zone, part)| (self.site.zone(&zone), part)).collect();
-                self.pending_events.push(Event::Zones(parts));
+                self.pending_events.push(Event::ZoneShares(parts));
             }
             Input::Shutdown(by) => {
                 self.shutting_down = true;
-                self.pending_events.push(Event::Closing(by));
+                self.pending_events.push(Event::ShutDown(by));
             }
             Input::Maintenance { id, out, reply } => drop(reply.send(self.apply_maintenance(&id, out))),
             Input::PeerMessage(from, message) => self.pending_events.push(Event::Peer(from, message)),
@@ -327,7 +327,7 @@
                 let position = self.pending_calls.finish(name, serial);
                 self.pending_events.extend(counted.share.map(|share| Event::Share(name, share)));
                 if let Some(position) = position.filter(|_| !counted.fastest_servers.is_empty()) {
-                    self.pending_events.push(Event::Rooms(name, position, counted.fastest_servers));
+                    self.pending_events.push(Event::FastestServers(name, position, counted.fastest_servers));
                 }
                 self.pending_events.extend(
                     position.map(|position| Event::Counted(name, position, counted.outcome, counted.total)),
@@ -348,8 +348,8 @@
                     AttemptResult { body: Some(ServedBody::Streaming(download)), head, ..Outcome::Ok.into() };
                 self.handle_input(Input::AttemptEnded(id, attempt, server, ended, took));
             }
-            Input::UploadComplete(id) => self.pending_events.push(Event::Whole(id)),
-            Input::ResponseBroken(server) => self.pending_events.push(Event::Broke(server)),
+            Input::UploadComplete(id) => self.pending_events.push(Event::BodyComplete(id)),
+            Input::ResponseBroken(server) => self.pending_events.push(Event::ResponseBroken(server)),
             Input::AttemptEnded(id, attempt, server, ended, took) => {
                 let Some(open) = self.requests.get_mut(&id) else { return };
                 let was_in_flight = open
@@ -365,7 +365,7 @@
                         server,
                         ended.outcome,
                         ended.refused,
-                        class.is_some_and(|c| took > c.aim),
+                        class.is_some_and(|c| took > c.target),
                     );
                 }
                 // The first success goes to the client at once and ends the request; the module is told
@@ -394,8 +394,8 @@
         took: Micros,
     ) {
         let ended = self.requests.get(&id).is_none_or(|open| open.reply.is_none());
-        let (settled, report) = (None, Report::default());
-        let end = AttemptEnd { id, attempt, server, outcome, took, ended, settled, report };
+        let (actual_units, report) = (None, Report::default());
+        let end = AttemptEnd { id, attempt, server, outcome, took, ended, actual_units, report };
         self.pending_events.push(Event::AttemptEnded(end));
     }
 
@@ -440,7 +440,7 @@
 
     /// Writes what the module learned about servers for the process that takes over.
     fn write_handover(&mut self) {
-        let (Some(handover), learned) = (&self.handover, self.gateway.learned()) else { return };
+        let (Some(handover), learned) = (&self.handover, self.gateway.learned_state()) else { return };
         // A process that has learned nothing yet must not overwrite the file.
         if learned.per_weight > 0.0 && !self.shutting_down {
             if let Err(problem) = handover.write(&learned) {
@@ -463,7 +463,7 @@
     }
 
     fn queue_members(&mut self, list: MemberList) {
-        let scope = if list.complete { ListScope::Whole } else { ListScope::Changes };
+        let scope = if list.complete { ListScope::Complete } else { ListScope::Changes };
         debug!(
             revision = list.revision,
             complete = list.complete,
@@ -593,7 +593,7 @@
         let Some(backend) = backend else {
             // The client left or the list changed after the module was last told.
             open.attempts.push(Attempt { in_flight: false, cancel: None });
-            return self.queue_attempt_end(id, attempt, server, Outcome::Moot, Micros(0));
+            return self.queue_attempt_end(id, attempt, server, Outcome::NotSent, Micros(0));
         };
         let (cancel, cancelled) = oneshot::channel();
         open.attempts.push(Attempt { in_flight: true, cancel: Some(cancel) });
--- a/crates/starlinghill-gateway/src/handover.rs
+++ b/crates/starlinghill-gateway/src/handover.rs
@@ -2,7 +2,7 @@
 //! it.
 
 use serde::{Deserialize, Serialize};
-use starlinghill_decision::api::{Learned, Micros, ServerId};
+use starlinghill_decision::api::{LearnedState, Micros, ServerId};
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -43,19 +43,19 @@
 
     /// Reads what an earlier process left. Returns `None` if the file is missing or can't be read, as it only
     /// saves time.
-    pub fn read(&self) -> Option<Learned> {
+    pub fn read(&self) -> Option<LearnedState> {
         if fs::metadata(&self.path).ok()?.len() > MAX_FILE_BYTES {
             return None;
         }
         let file: HandoverFile = serde_json::from_str(&fs::read_to_string(&self.path).ok()?).ok()?;
         let servers = file.servers.into_iter().take(MAX_SERVERS);
         let servers = servers.map(|(id, limit, latency)| (ServerId(id), limit, latency)).collect();
-        Some(Learned { at: Micros(file.at_us), per_weight: file.per_weight, servers })
+        Some(LearnedState { at: Micros(file.at_us), per_weight: file.per_weight, servers })
             .filter(|_| file.version == 1)
     }
 
     /// Writes the file, completely or not at all.
-    pub fn write(&self, learned: &Learned) -> io::Result<()> {
+    pub fn write(&self, learned: &LearnedState) -> io::Result<()> {
         let servers = learned.servers.iter().take(MAX_SERVERS);
         let servers = servers.map(|&(id, limit, latency)| (id.0, limit, latency)).collect();
         let file = HandoverFile { version: 1, at_us: learned.at.0, per_weight: learned.per_weight, servers };
--- a/crates/starlinghill-gateway/src/inbox.rs
+++ b/crates/starlinghill-gateway/src/inbox.rs
@@ -58,7 +58,7 @@
     /// Whether this gateway hears no other gateway. The others may then use its shares of quotas.
     Isolated(bool),
     /// How much work each zone gets from now on, by zone name.
-    Zones(Vec<(String, ZonePart)>),
+    Zones(Vec<(String, ZoneShare)>),
     /// The gateway shuts down: every open request must be answered by this time.
     Shutdown(Micros),
     /// An operator takes a backend out of service or puts it back.
--- a/crates/starlinghill-gateway/src/lib.rs
+++ b/crates/starlinghill-gateway/src/lib.rs
@@ -35,9 +35,9 @@
 use ops::OperatorApi;
 use peers::{PeerSocket, Peers};
 use server::{PlatformHandler, RequestIntake};
-use starlinghill_decision::api::{Micros, PlanId, ZonePart};
+use starlinghill_decision::api::{Micros, PlanId, ZoneShare};
 use starlinghill_settings::classes::Classes;
-use starlinghill_settings::Site;
+use starlinghill_settings::NamedSettings;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -90,7 +90,7 @@
     /// The addresses of discovery and the counter.
     pub upstreams: watch::Receiver<Upstreams>,
     /// The settings, when the configuration was read again.
-    pub site: watch::Receiver<Option<Rc<Site>>>,
+    pub site: watch::Receiver<Option<Rc<NamedSettings>>>,
     /// How much work each zone gets, where a group of members orders it.
     pub zones: Option<watch::Receiver<ZoneParts>>,
     /// Called for each attempt that ends.
@@ -100,7 +100,7 @@
 }
 
 /// How much work each zone gets, by zone name.
-pub type ZoneParts = Vec<(String, ZonePart)>;
+pub type ZoneParts = Vec<(String, ZoneShare)>;
 
 /// Runs a gateway until it must shut down and all requests received are answered.
 pub async fn run(config: Config, inputs: GatewayInputs) -> Result<(), RunError> {
@@ -207,13 +207,13 @@
 
 /// Applies changed classes and attempt limits. The module gets the new rules before a request can use them.
 async fn follow_settings(
-    mut site: watch::Receiver<Option<Rc<Site>>>,
+    mut site: watch::Receiver<Option<Rc<NamedSettings>>>,
     mut classes: Classes,
     handler: Rc<PlatformHandler>,
 ) {
     while site.changed().await.is_ok() {
         let Some(new) = site.borrow_and_update().clone() else { continue };
-        match classes.follow(&new) {
+        match classes.update(&new) {
             Ok(rules) => {
                 if handler.intake.driver.send(Input::Rules(rules)).await.is_err() {
                     return;
--- a/crates/starlinghill-gateway/src/ops.rs
+++ b/crates/starlinghill-gateway/src/ops.rs
@@ -106,7 +106,7 @@
     let (reply, ordered) = oneshot::channel();
     let sent = api.driver.send(Input::Maintenance { id: id.to_string(), out, reply }).await.is_ok();
     let ordered = if sent { ordered.await.ok() } else { None };
-    info!(id, out, ?ordered, "handled a maintenance order");
+    info!(id, out, ?ordered, "ordered");
     match ordered {
         Some(MaintenanceResult::Done) => text_response(StatusCode::OK, if out { "out\n" } else { "back\n" }),
         Some(MaintenanceResult::Unknown) => text_response(StatusCode::NOT_FOUND, "no backend of that id\n"),
--- a/crates/starlinghill-proxy/src/readiness.rs
+++ b/crates/starlinghill-proxy/src/readiness.rs
@@ -1,6 +1,6 @@
-//! Where the platform asks whether this gateway is ready.
+//! The readiness endpoint, which the platform polls to decide whether this gateway gets connections.
 
-use crate::registry_client::Shared;
+use crate::registry_client::ProxyState;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Request, StatusCode};
@@ -12,11 +12,11 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// One that asks and does not go on is not waited for.
-const SLOW: Duration = Duration::from_secs(5);
+/// Timeout for a request's headers.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers for ever.
-pub async fn serve(listener: TcpListener, shared: Rc<Shared>) {
+/// Serves readiness checks until the process ends.
+pub async fn serve(listener: TcpListener, shared: Rc<ProxyState>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -35,9 +35,9 @@
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(SLOW)
+                .header_read_timeout(HEADER_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
-            // How the one who asked ends is its own affair.
+            // An error here concerns only this caller.
             let _ = connection.await;
         });
     }
--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -6,7 +6,7 @@
 use crate::processes::{mount, Platter, Process};
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::{CustomerId, Listed, Micros, Outcome, ServiceId};
-use starlinghill_decision::store_name;
+use starlinghill_decision::bucket_name;
 use starlinghill_gateway::counter::CounterTransport;
 use starlinghill_gateway::inbox::{BackendListing, Clock, Input};
 use starlinghill_runtime::essential_tasks::EssentialTasks;
@@ -15,12 +15,12 @@
 use starlinghill_runtime::{CONFIG_STORE_PORT_OFFSET, PROXY_PORT_OFFSET, REGISTRY_PORT_OFFSET};
 
 use starlinghill_config_model::RoutingTable;
-use starlinghill_config_store::program::store;
-use starlinghill_proxy::decision_settings::Places;
-use starlinghill_proxy::heartbeat::Ring;
-use starlinghill_proxy::quota_client::Counter;
-use starlinghill_proxy::registry_client::{self, Shared, View, Ways};
-use starlinghill_registry::program::registry;
+use starlinghill_config_store::program::run_store;
+use starlinghill_proxy::decision_settings::DecisionIndex;
+use starlinghill_proxy::heartbeat::HeartbeatRing;
+use starlinghill_proxy::quota_client::CounterClient;
+use starlinghill_proxy::registry_client::{self, ProxyState, RegistryClientContext, RoutingView};
+use starlinghill_registry::program::run_registry;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -68,7 +68,7 @@
     pub process: RefCell<Process>,
     /// In which life.
     pub life: Cell<u64>,
-    shared: Rc<RefCell<Option<Rc<Shared>>>>,
+    shared: Rc<RefCell<Option<Rc<ProxyState>>>>,
     /// The backends that it may send work to, by their ids.
     listed: Rc<RefCell<BTreeSet<String>>>,
 }
@@ -205,7 +205,7 @@
         let run = async move {
             // Nobody sends it SIGHUP.
             let (_told, reread) = watch::channel(None);
-            store(&node, &net, reread, found, mount(disk), async move { drop(ends.await) }).await
+            run_store(&node, &net, reread, found, mount(disk), async move { drop(ends.await) }).await
         };
         *core.store.borrow_mut() = self.watched(format!("store {i}"), run);
     }
@@ -221,7 +221,7 @@
         core.ends.borrow_mut()[1] = Some(end);
         let run = async move {
             let ended = async move { drop(ends.await) };
-            registry(&node, &net, ended).await
+            run_registry(&node, &net, ended).await
         };
         *core.registry.borrow_mut() = self.watched(format!("registry {i}"), run);
     }
@@ -289,7 +289,7 @@
             && core.registry.borrow().is_awake()
             && !disk.is_stalled()
             && !disk.refuses
-            && disk.kept().is_some_and(|kept| kept.members.has(kept.me))
+            && disk.kept().is_some_and(|kept| kept.members.contains(kept.me))
     }
 
     /// The newest members of which a disk says that they were agreed on.
@@ -307,7 +307,7 @@
 
     /// Of these members a disk is there.
     fn has_disk(&self, members: &Members, i: usize) -> bool {
-        self.cores[i].disk.borrow().kept().is_some_and(|kept| members.has(kept.me))
+        self.cores[i].disk.borrow().kept().is_some_and(|kept| members.contains(kept.me))
     }
 
     /// All disks hold what their members promised, and a majority knows that they are members: one more may be lost.
@@ -321,7 +321,7 @@
         disks == voters && know > voters / 2
     }
 
-    /// Messages pass both ways.
+    /// Messages pass both context.
     pub fn linked(&self, a: IpAddr, b: IpAddr) -> bool {
         self.fabric.is_up(a, b) && self.fabric.is_up(b, a)
     }
@@ -350,20 +350,21 @@
         let (granted, begun, ended) = (self.granted.clone(), self.begun, self.ended.clone());
         *gateway.process.borrow_mut() = Process::begin(async move {
             let (_stop, stopping) = watch::channel(false);
-            let view = View { table: RoutingTable::default(), places: Places::default(), gateways: 1 };
+            let view =
+                RoutingView { table: RoutingTable::default(), index: DecisionIndex::default(), gateways: 1 };
             let shared =
-                Rc::new(Shared { view: RefCell::new(view), ready: watch::channel(false).0, stopping });
+                Rc::new(ProxyState { view: RefCell::new(view), ready: watch::channel(false).0, stopping });
             *slot.borrow_mut() = Some(shared.clone());
-            let (holder, held) = registry_client::nowhere();
+            let (holder, held) = registry_client::no_holder();
             let essentials = EssentialTasks::default();
-            let counter = Counter::start(net.clone(), life, held, &essentials);
+            let counter = CounterClient::start(net.clone(), life, held, &essentials);
             // What the module would hear of it.
             let (driver, mut inputs) = mpsc::channel(64);
             let clock = Clock::starting_at(Micros(100_000_000));
-            let ring = Rc::new(Ring::new(node.port(node.ip, PROXY_PORT_OFFSET), life));
+            let ring = Rc::new(HeartbeatRing::new(node.internal_address(node.ip, PROXY_PORT_OFFSET), life));
             spawn_local(draw(counter.clone(), granted, begun));
-            let ways = Ways { net, driver, clock, counter, holder, ring };
-            registry_client::start(&node, shared, ways, life, &essentials);
+            let context = RegistryClientContext { net, driver, clock, counter, holder, ring };
+            registry_client::start(&node, shared, context, life, &essentials);
             while let Some(input) = inputs.recv().await {
                 let Input::Backends(_, listings) = input else { continue };
                 for BackendListing { entry, name, .. } in listings {
@@ -411,8 +412,8 @@
 }
 
 /// Draws from the tenant with a quota as often as clients who want far more, one draw after the other.
-async fn draw(counter: Rc<Counter>, granted: Rc<RefCell<Vec<Duration>>>, begun: Instant) {
-    let name = store_name(CustomerId(xxh3_64(RATIONED.as_bytes())));
+async fn draw(counter: Rc<CounterClient>, granted: Rc<RefCell<Vec<Duration>>>, begun: Instant) {
+    let name = bucket_name(CustomerId(xxh3_64(RATIONED.as_bytes())));
     loop {
         sleep(Duration::from_millis(fastrand::u64(1..=DRAWS_MS))).await;
         let counted = counter.clone().draw(name, 1.0, (ServiceId(0), Micros(1_000_000))).await;
