--- a/crates/starlinghill-control/src/group_follower.rs
+++ b/crates/starlinghill-control/src/group_follower.rs
@@ -1,5 +1,5 @@
-//! What follows the group inside this program: gateways, and the control service for other proxies. Both are told the
-//! parts of their work that zones get.
+//! Subscribes to the failover group on behalf of a gateway or the control service, which both need each zone's share of
+//! their work.
 
 use starlinghill_decision::api::ZoneShare;
 use starlinghill_failover::follower::View;
@@ -11,16 +11,21 @@
 use tokio::sync::watch;
 use tracing::{info, warn};
 
-/// What is told of a view: zones with their whole part need no word.
-fn parts(view: &View) -> ZoneParts {
-    let less = view.zones.iter().filter(|(_, z)| z.weight < FULL_WEIGHT);
-    less.map(|(name, z)| {
-        (name.clone(), ZoneShare { weight: f64::from(z.weight) / f64::from(FULL_WEIGHT), yields: z.yields })
-    })
-    .collect()
+/// The shares of the zones with less than their full weight. Zones that are not listed have their full share.
+fn reduced_parts(view: &View) -> ZoneParts {
+    let reduced = view.zones.iter().filter(|(_, z)| z.weight < FULL_WEIGHT);
+    reduced
+        .map(|(name, z)| {
+            (
+                name.clone(),
+                ZoneShare { weight: f64::from(z.weight) / f64::from(FULL_WEIGHT), yields: z.yields },
+            )
+        })
+        .collect()
 }
 
-/// Whom to follow by the operators' file, under this name, from this zone; empty: from none of them.
+/// Subscription settings from the operators' file, for a follower of this name in this zone. `zone` is empty for a
+/// follower outside all zones. Fails if the name is invalid.
 pub fn settings(group: &Group, name: &str, zone: &str, seed: u64) -> Result<Settings, TopologyProblem> {
     if !is_name(name) {
         return Err(TopologyProblem::Name(name.chars().take(64).collect()));
@@ -36,55 +41,58 @@
     })
 }
 
-/// One who follows.
-pub struct Following {
-    /// The parts of zones.
+/// A running subscription to the group.
+pub struct GroupSubscription {
+    /// The shares of zones with less than their full weight; updated when they change.
     pub parts: watch::Receiver<ZoneParts>,
-    /// Told when the operators' file was read again.
-    pub renew: Renew,
+    /// Passes a reloaded `[group]` section to the subscription.
+    pub updater: SettingsUpdater,
 }
 
-/// Takes on the group's section, read again.
-pub struct Renew(watch::Sender<Settings>);
+/// Changes the settings of a running subscription.
+pub struct SettingsUpdater(watch::Sender<Settings>);
 
-impl Renew {
-    /// From now on the group is followed by this. Without a section it is followed as before: zones that are out by
-    /// order would come back by an edit of a file.
-    pub fn renew(&self, group: Option<&Group>) {
+impl SettingsUpdater {
+    /// Continues with the settings of this section. If the section is absent or unusable, the subscription goes on
+    /// unchanged; otherwise zones that are ordered out of service would return because a file was edited.
+    pub fn update(&self, group: Option<&Group>) {
         let Some(group) = group else {
-            warn!(key = "group", "gone, and waits for the next start; the group is followed as before");
+            warn!(key = "group", "removed; takes effect at the next start, the group is followed as before");
             return;
         };
         let old = self.0.borrow().clone();
         match settings(group, &old.name, &old.zone, old.seed) {
             Ok(new) => drop(self.0.send_replace(new)),
-            Err(problem) => warn!(%problem, "not usable; the group is followed as before"),
+            Err(problem) => {
+                warn!(%problem, "the new group settings are not usable; the group is followed as before")
+            }
         }
     }
 }
 
-/// Begins to follow on the present runtime, under this name, until the receiver is dropped.
-pub fn begin(
+/// Subscribes to the group on the current Tokio runtime, until the receiver of `parts` is dropped. `evidence` supplies
+/// what this follower observes of the zones' health, if it observes any.
+pub fn subscribe(
     group: &Group,
     name: &str,
     zone: &str,
     evidence: Option<Evidence>,
-) -> Result<Following, TopologyProblem> {
+) -> Result<GroupSubscription, TopologyProblem> {
     let settings = settings(group, name, zone, fastrand::u64(..))?;
     info!(members = settings.members.len(), "follows the group");
-    let (renew, changes) = watch::channel(settings);
-    let (views, mut seen) = watch::channel(View::of_own_sight());
-    let (tell, told) = watch::channel(ZoneParts::new());
-    tokio::spawn(follow(changes, views, evidence));
+    let (settings_sender, settings_changes) = watch::channel(settings);
+    let (view_sender, mut views) = watch::channel(View::of_own_sight());
+    let (parts_sender, parts) = watch::channel(ZoneParts::new());
+    tokio::spawn(follow(settings_changes, view_sender, evidence));
     tokio::spawn(async move {
         loop {
             tokio::select! {
-                changed = seen.changed() => if changed.is_err() { return },
-                () = tell.closed() => return,
+                changed = views.changed() => if changed.is_err() { return },
+                () = parts_sender.closed() => return,
             }
-            let new = parts(&seen.borrow_and_update());
-            tell.send_if_modified(|old| std::mem::replace(old, new.clone()) != new);
+            let new = reduced_parts(&views.borrow_and_update());
+            parts_sender.send_if_modified(|old| std::mem::replace(old, new.clone()) != new);
         }
     });
-    Ok(Following { parts: told, renew: Renew(renew) })
+    Ok(GroupSubscription { parts, updater: SettingsUpdater(settings_sender) })
 }
--- a/crates/starlinghill-control/src/lib.rs
+++ b/crates/starlinghill-control/src/lib.rs
@@ -1,5 +1,5 @@
-//! The control service, to be run by its program or inside a test: it follows discovery, keeps the picture of the
-//! fleet, and tells proxies over xDS.
+//! The control service, run by the operators' program or inside a test. It follows discovery, keeps the state of the
+//! fleet, and configures proxies over xDS.
 
 pub mod group_follower;
 pub mod program;
@@ -29,17 +29,17 @@
 /// Why the service could not start.
 #[derive(Debug)]
 pub enum StartError {
-    /// The operators' file, or what it names, can't be used.
+    /// The operators' file, or a file that it names, is invalid.
     Problems(Vec<Problem>),
-    /// The platform's settings make no sense.
+    /// The platform's settings are inconsistent.
     Settings(SettingsError),
-    /// It could not listen.
+    /// It can't listen on its address.
     Listen(SocketAddr, std::io::Error),
-    /// The group can't be followed.
+    /// The name under which to follow the group is invalid.
     Group(TopologyProblem),
-    /// Encryption could not be set up.
+    /// TLS can't be set up.
     Tls(tonic::transport::Error),
-    /// A thread could not be started.
+    /// The discovery thread can't be started.
     Thread(std::io::Error),
 }
 
@@ -60,13 +60,13 @@
 }
 impl std::error::Error for StartError {}
 
-/// All that the service is told at its start, checked as far as it can be without starting.
+/// The service's configuration, validated as far as possible without starting the service.
 pub struct Prepared {
-    /// The operators' section.
+    /// The section `[control]` of the operators' file.
     pub control: Control,
-    /// The platform's settings with their names.
-    pub site: NamedSettings,
-    /// Discovery.
+    /// The platform's settings, with the names of classes and plans.
+    pub platform_settings: NamedSettings,
+    /// Where the platform's configuration finds discovery.
     pub upstreams: Upstreams,
     seed: u64,
     plans: BTreeSet<PlanId>,
@@ -74,31 +74,32 @@
     group: Option<Group>,
 }
 
-/// Reads and checks the operators' file and what it names.
+/// Reads and validates the operators' file and the files that it names.
 pub fn prepare(path: &Path) -> Result<Prepared, Vec<Problem>> {
     let file = path.display().to_string();
-    let problem = |line, key: &str, what: String| Problem { file: file.clone(), line, key: key.into(), what };
+    let problem =
+        |line, key: &str, message: String| Problem { file: file.clone(), line, key: key.into(), message };
     let operators = starlinghill_operator_config::read(path)?;
     let Some(control) = operators.control else {
         return Err(vec![problem(0, "control", "expected a section [control], found nothing".into())]);
     };
     let mut problems = Vec::new();
     let platform =
-        platform(&control.platform).map_err(|what| problems.push(problem(0, "control.platform", what)));
-    let tls = tls(&control).map_err(|(key, what)| problems.push(problem(0, key, what)));
-    let (Ok((site, upstreams, seed)), Ok(tls)) = (platform, tls) else { return Err(problems) };
-    let mut plans: BTreeSet<PlanId> = site.plans.values().map(|&i| PlanId(i)).collect();
+        read_platform(&control.platform).map_err(|e| problems.push(problem(0, "control.platform", e)));
+    let tls = read_tls(&control).map_err(|(key, e)| problems.push(problem(0, key, e)));
+    let (Ok((platform_settings, upstreams, seed)), Ok(tls)) = (platform, tls) else { return Err(problems) };
+    let mut plans: BTreeSet<PlanId> = platform_settings.plans.values().map(|&i| PlanId(i)).collect();
     if let Some(named) = control.quotas.as_ref().and_then(|q| q.plans.as_ref()) {
         plans.clear();
         for (name, line) in named {
-            match site.plans.get(name) {
+            match platform_settings.plans.get(name) {
                 Some(&i) => drop(plans.insert(PlanId(i))),
                 None => {
-                    let mut known: Vec<&str> = site.plans.keys().map(String::as_str).collect();
+                    let mut known: Vec<&str> = platform_settings.plans.keys().map(String::as_str).collect();
                     known.sort_unstable();
-                    let what =
+                    let message =
                         format!("expected plans of the platform ({}), found '{name}'", known.join(", "));
-                    problems.push(problem(*line, "control.quotas.plans", what));
+                    problems.push(problem(*line, "control.quotas.plans", message));
                 }
             }
         }
@@ -106,19 +107,20 @@
     if !problems.is_empty() {
         return Err(problems);
     }
-    Ok(Prepared { control, site, upstreams, seed, plans, tls, group: operators.group })
+    Ok(Prepared { control, platform_settings, upstreams, seed, plans, tls, group: operators.group })
 }
 
-fn platform(path: &Path) -> Result<(NamedSettings, Upstreams, u64), String> {
+/// Reads the platform's settings, the place of discovery and the random seed.
+fn read_platform(path: &Path) -> Result<(NamedSettings, Upstreams, u64), String> {
     let name = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
-    // The address for clients is a gateway's; this service has its own.
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-    let config = Config::parse(&text, Some(nowhere), None).map_err(|e| format!("{name}: {e}"))?;
+    // The parser requires a listening address, which only gateways use.
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 0));
+    let config = Config::parse(&text, Some(unused_address), None).map_err(|e| format!("{name}: {e}"))?;
     Ok((config.site().clone(), config.upstreams(), config.seed()))
 }
 
-fn tls(control: &Control) -> Result<Option<ServerTlsConfig>, (&'static str, String)> {
+fn read_tls(control: &Control) -> Result<Option<ServerTlsConfig>, (&'static str, String)> {
     let Some(tls) = &control.tls else { return Ok(None) };
     let read = |key, path: &Path| std::fs::read(path).map_err(|e| (key, format!("{}: {e}", path.display())));
     let certificate = read("control.tls.certificate", &tls.certificate)?;
@@ -134,8 +136,8 @@
     Micros(span.as_micros() as u64)
 }
 
-/// What the hub is told of the operators' section.
-pub fn plan(control: &Control, group: Option<&Group>) -> hub::Plan {
+/// Builds the hub's configuration: the proxies, their connection settings, and the regions of zones.
+pub fn hub_plan(control: &Control, group: Option<&Group>) -> hub::Plan {
     let quotas = |q: &Quotas| QuotaWiring {
         cluster: q.cluster.clone(),
         customer_header: q.customer_header.clone(),
@@ -146,16 +148,16 @@
     let proxy = |p: &starlinghill_operator_config::Proxy| hub::Proxy { id: p.id.clone(), listen: p.listen };
     let rank =
         |map: &Topology, region: &String| map.regions.iter().position(|r| r == region).unwrap_or(0) as u32;
-    let places = group.map(|group| {
+    let locations = group.map(|group| {
         let zones = group.map.zones.iter();
-        let place = |zone: &Zone| EndpointLocation {
+        let location = |zone: &Zone| EndpointLocation {
             region: zone.region.clone(),
             rank: rank(&group.map, &zone.region),
         };
-        zones.map(|(name, zone)| (name.clone(), place(zone))).collect()
+        zones.map(|(name, zone)| (name.clone(), location(zone))).collect()
     });
     hub::Plan {
-        places: places.unwrap_or_default(),
+        places: locations.unwrap_or_default(),
         proxies: control.proxies.iter().map(proxy).collect(),
         wiring: Wiring {
             connect_timeout: micros(control.connect_timeout),
@@ -165,7 +167,8 @@
     }
 }
 
-fn lease(control: &Control) -> LedgerSettings {
+/// Settings of the quota ledger. Without `[control.quotas]` no proxy uses quotas and the default times have no effect.
+fn ledger_settings(control: &Control) -> LedgerSettings {
     let quotas = control.quotas.as_ref();
     let (customers, buckets) = (control.limits.customers, control.limits.buckets);
     LedgerSettings {
@@ -178,54 +181,64 @@
 
 /// A running service.
 pub struct Running {
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// Its hub.
+    /// The hub, which publishes the fleet's state to the proxies' streams.
     pub hub: Hub,
     control: Control,
     stop: watch::Sender<bool>,
     upstreams: watch::Sender<Upstreams>,
-    renew: Option<group_follower::Renew>,
-    serving: JoinHandle<Result<(), tonic::transport::Error>>,
-    running: JoinHandle<()>,
+    group_updater: Option<group_follower::SettingsUpdater>,
+    server_task: JoinHandle<Result<(), tonic::transport::Error>>,
+    hub_task: JoinHandle<()>,
 }
 
-/// Starts the service on the present runtime.
+/// Starts the service on the current Tokio runtime.
 pub async fn start(prepared: Prepared) -> Result<Running, StartError> {
-    let Prepared { control, site, upstreams, seed, plans, tls, group } = prepared;
-    let at = control.listen;
-    let listener = TcpListener::bind(at).await.map_err(|e| StartError::Listen(at, e))?;
-    let address = listener.local_addr().map_err(|e| StartError::Listen(at, e))?;
-    let (runner, hub) = hub::new(seed, site, plan(&control, group.as_ref()), lease(&control), plans)
-        .map_err(StartError::Settings)?;
-    let (upstreams, followed) = watch::channel(upstreams);
-    follow(followed, hub.news.clone()).map_err(StartError::Thread)?;
-    let mut renew = None;
+    let Prepared { control, platform_settings, upstreams, seed, plans, tls, group } = prepared;
+    let listen = control.listen;
+    let listener = TcpListener::bind(listen).await.map_err(|e| StartError::Listen(listen, e))?;
+    let address = listener.local_addr().map_err(|e| StartError::Listen(listen, e))?;
+    let (runner, hub) = hub::new(
+        seed,
+        platform_settings,
+        hub_plan(&control, group.as_ref()),
+        ledger_settings(&control),
+        plans,
+    )
+    .map_err(StartError::Settings)?;
+    let (upstreams, upstream_changes) = watch::channel(upstreams);
+    follow_discovery(upstream_changes, hub.news.clone()).map_err(StartError::Thread)?;
+    let mut group_updater = None;
     if let Some(group) = group {
         let name = format!("control-{}", address.port());
-        let following = group_follower::begin(&group, &name, "", None).map_err(StartError::Group)?;
-        tokio::spawn(tell_zones(following.parts, hub.news.clone()));
-        renew = Some(following.renew);
+        let subscription = group_follower::subscribe(&group, &name, "", None).map_err(StartError::Group)?;
+        tokio::spawn(forward_zone_parts(subscription.parts, hub.news.clone()));
+        group_updater = Some(subscription.updater);
     }
-    let running = tokio::spawn(runner.run());
+    let hub_task = tokio::spawn(runner.run());
     let (stop, stopping) = watch::channel(false);
-    let l = control.limits;
-    let limits =
-        Limits { connections: l.connections, streams: l.streams, names: l.names, message: l.message };
+    let limits = control.limits;
+    let limits = Limits {
+        connections: limits.connections,
+        streams: limits.streams,
+        names: limits.names,
+        message: limits.message,
+    };
     let service = Service::new(hub.clone(), limits, seed, stopping);
-    let serving = tokio::spawn(service.serve(listener, tls));
+    let server_task = tokio::spawn(service.serve(listener, tls));
     info!(proxies = control.proxies.len(), %address, "listening");
-    Ok(Running { address, hub, control, stop, upstreams, renew, serving, running })
+    Ok(Running { address, hub, control, stop, upstreams, group_updater, server_task, hub_task })
 }
 
-/// Tells the hub the parts of zones, as gateways are told them.
-async fn tell_zones(
+/// Forwards the share of work of each zone to the hub, at the start and at each change.
+async fn forward_zone_parts(
     mut parts: watch::Receiver<starlinghill_gateway::ZoneParts>,
     news: tokio::sync::mpsc::Sender<News>,
 ) {
     loop {
-        let now = parts.borrow_and_update().clone();
-        if news.send(News::Zones(now)).await.is_err() {
+        let current = parts.borrow_and_update().clone();
+        if news.send(News::Zones(current)).await.is_err() {
             return;
         }
         tokio::select! {
@@ -235,8 +248,8 @@
     }
 }
 
-/// Follows discovery on a thread of its own: the gateway's client of it is made for one thread.
-fn follow(
+/// Follows discovery on a separate thread, because the gateway's discovery client needs a single-threaded runtime.
+fn follow_discovery(
     upstreams: watch::Receiver<Upstreams>,
     news: tokio::sync::mpsc::Sender<News>,
 ) -> std::io::Result<()> {
@@ -246,7 +259,7 @@
             let mut closed = upstreams.clone();
             tokio::select! {
                 () = discovery::watch(upstreams, Follower::new(0, Source::Agent, 1, None), news) => {}
-                // The service is gone.
+                // The service was stopped and has dropped the sender.
                 () = async { while closed.changed().await.is_ok() {} } => {}
             }
         });
@@ -255,45 +268,46 @@
 }
 
 impl Running {
-    /// Takes on what can change while proxies are served: who they are, how they are wired, where discovery is.
+    /// Applies the settings that can change without a restart: the list of proxies, their connection settings, and the
+    /// place of discovery. Other changes are logged and take effect at the next start.
     pub async fn reload(&mut self, prepared: Prepared) {
         let new = prepared.control;
-        let waits = [
+        let needs_restart = [
             ("control.listen", new.listen != self.control.listen),
             ("control.tls", new.tls != self.control.tls),
             ("control.limits", new.limits != self.control.limits),
-            ("control.quotas (times, plans)", lease(&new) != lease(&self.control)),
+            ("control.quotas (times, plans)", ledger_settings(&new) != ledger_settings(&self.control)),
         ];
-        for (key, _) in waits.into_iter().filter(|(_, changed)| *changed) {
-            warn!(key, "changed, and waits for the next start");
+        for (key, _) in needs_restart.into_iter().filter(|(_, changed)| *changed) {
+            warn!(key, "changed; takes effect at the next start");
         }
-        match &self.renew {
-            Some(renew) => renew.renew(prepared.group.as_ref()),
-            None if prepared.group.is_some() => warn!(key = "group", "new, and waits for the next start"),
+        match &self.group_updater {
+            Some(updater) => updater.update(prepared.group.as_ref()),
+            None if prepared.group.is_some() => warn!(key = "group", "added; takes effect at the next start"),
             None => {}
         }
         self.upstreams.send_replace(prepared.upstreams);
-        if self.hub.news.send(News::Plan(plan(&new, prepared.group.as_ref()))).await.is_ok() {
-            info!(proxies = new.proxies.len(), "the operators' file was read again");
+        if self.hub.news.send(News::Plan(hub_plan(&new, prepared.group.as_ref()))).await.is_ok() {
+            info!(proxies = new.proxies.len(), "reloaded the operators' file");
         }
         self.control = new;
     }
 
-    /// Ends it: streams end with UNAVAILABLE, at which proxies keep what they have.
+    /// Stops the service. Streams end with UNAVAILABLE, and proxies keep their last configuration.
     pub async fn stop(self) {
         self.stop.send_replace(true);
-        match tokio::time::timeout(Duration::from_secs(10), self.serving).await {
+        match tokio::time::timeout(Duration::from_secs(10), self.server_task).await {
             Ok(Ok(Ok(()))) => {}
-            Ok(Ok(Err(error))) => warn!(%error, "serving failed"),
-            Ok(Err(error)) => warn!(%error, "serving broke off"),
-            Err(_) => warn!("some connections were still open at the end"),
+            Ok(Ok(Err(error))) => warn!(%error, "the server failed"),
+            Ok(Err(error)) => warn!(%error, "the server task panicked or was cancelled"),
+            Err(_) => warn!("stopped the server while some connections were still open"),
         }
-        self.running.abort();
+        self.hub_task.abort();
     }
 
-    /// Ends it at once, as a kill would.
+    /// Aborts the service at once, like a killed process.
     pub fn kill(self) {
-        self.serving.abort();
-        self.running.abort();
+        self.server_task.abort();
+        self.hub_task.abort();
     }
 }
--- a/crates/starlinghill-control/src/main.rs
+++ b/crates/starlinghill-control/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' program.
+//! The binary of the operators' program; see `starlinghill_control::program`.
 
 use std::process::ExitCode;
 
--- a/crates/starlinghill-control/src/program.rs
+++ b/crates/starlinghill-control/src/program.rs
@@ -1,14 +1,15 @@
-//! The operators' program: the control service for proxies that others build, members of the group that decides in
-//! common, gateways that follow it, and orders to it. SIGTERM ends a service, SIGHUP makes it read its file again.
+//! The operators' program. It runs the xDS control service for third-party proxies, members of the failover group and
+//! gateways that follow the group, and it sends orders to the group. SIGTERM stops a service; SIGHUP makes it reload its
+//! file.
 //!
-//! It stands in the library so that a demo can run it as processes of its own without a second build.
+//! The program is part of the library so that an example can start it as child processes without a second build.
 
 mod explain;
 mod group;
 mod node;
 mod zones;
 
-use crate::{plan, prepare, start, Prepared};
+use crate::{hub_plan, prepare, start, Prepared};
 use clap::{Parser, Subcommand};
 use serde_json::json;
 use starlinghill_control_state::fleet::{EndpointUse, Fleet};
@@ -33,10 +34,10 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// How long `dump` waits for the list of servers.
-const LIST_WAIT: Duration = Duration::from_secs(5);
+/// How long `dump` waits for discovery to send the list of servers.
+const MEMBER_LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs what a fleet of gateways has in common, and gives orders to it.
+/// Runs the shared services of a fleet of gateways, and sends orders to them.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -46,17 +47,17 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Tell other proxies, over xDS, what the gateways decide, until SIGTERM.
+    /// Run the xDS control service for other proxies, until SIGTERM.
     Run {
         /// The operators' file.
         file: PathBuf,
     },
-    /// Say what is wrong with the operators' file, one line each.
+    /// Check the operators' file and print one line for each error.
     Check {
         /// The operators' file.
         file: PathBuf,
     },
-    /// Print what a proxy would get now, as JSON.
+    /// Print the configuration that a proxy would get now, as JSON.
     Dump {
         /// The operators' file.
         file: PathBuf,
@@ -64,33 +65,35 @@
         #[arg(long)]
         node: String,
     },
-    /// Run a gateway that follows the group of the operators' file; the rest is told by its environment.
+    /// Run a gateway that follows the group of the operators' file. Its other settings come from the environment.
     Gateway {
         /// The operators' file.
         file: PathBuf,
     },
-    /// Be a member of the group that decides in common, until SIGTERM; or change the group.
+    /// Run a member of the failover group, until SIGTERM; or change the group.
     Group(group::Args),
-    /// Show the zones: state, epoch, who, why, and which gateways follow.
+    /// Show each zone's state, epoch, author and reason, and which gateways follow.
     Zones(zones::ListArgs),
-    /// Say what is found of the zones by what all gateways see, and who sees what.
+    /// Show the health of the zones as found from the reports of all gateways.
     Why(explain::Args),
-    /// Order something about a zone.
+    /// Order a change of a zone.
     #[command(subcommand)]
     Zone(zones::ZoneCommand),
 }
 
-fn told(problems: Vec<Problem>) -> Box<dyn Error> {
+/// One error of all problems, a line each.
+fn problems_error(problems: Vec<Problem>) -> Box<dyn Error> {
     let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
     lines.join("\n").into()
 }
 
+/// Runs the control service until SIGTERM.
 fn run(file: &Path) -> Result<(), Box<dyn Error>> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
-        // From the first moment on: by themselves they would end the process.
+        // Installed first: until then these signals would end the process.
         let mut signals = Signals::listen()?;
-        let prepared = prepare(file).map_err(told)?;
+        let prepared = prepare(file).map_err(problems_error)?;
         let mut running = start(prepared).await?;
         while signals.next().await == SignalEvent::Reload {
             match prepare(file) {
@@ -107,30 +110,34 @@
     })
 }
 
-async fn list(upstreams: Upstreams) -> Option<MemberList> {
-    let (_keep, upstreams) = watch::channel(upstreams);
+/// The list of servers as discovery sends it first; `None` if it doesn't come in time.
+async fn fetch_member_list(upstreams: Upstreams) -> Option<MemberList> {
+    let (_sender, upstreams) = watch::channel(upstreams);
     let (tx, mut rx) = mpsc::channel::<MemberList>(1);
     tokio::select! {
         () = discovery::watch(upstreams, Follower::new(0, Source::Agent, 1, None), tx) => None,
-        list = tokio::time::timeout(LIST_WAIT, rx.recv()) => list.ok().flatten(),
+        list = tokio::time::timeout(MEMBER_LIST_TIMEOUT, rx.recv()) => list.ok().flatten(),
     }
 }
 
+/// Prints what the proxy `node` would get now, without connecting any proxy.
 fn dump(file: &Path, node: &str) -> Result<(), Box<dyn Error>> {
-    let Prepared { control, site, upstreams, group, .. } = prepare(file).map_err(told)?;
+    let Prepared { control, platform_settings, upstreams, group, .. } =
+        prepare(file).map_err(problems_error)?;
     if !control.proxies.iter().any(|p| p.id == node) {
         return Err(format!("{}: control.proxies: expected '{node}' among the ids", file.display()).into());
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let list =
-        runtime.block_on(list(upstreams)).ok_or("discovery did not tell the list of servers in time")?;
+    let list = runtime
+        .block_on(fetch_member_list(upstreams))
+        .ok_or("discovery did not tell the list of servers in time")?;
     let now = Clock::start().now();
-    let mut fleet = Fleet::new(0, site.clone())?;
+    let mut fleet = Fleet::new(0, platform_settings.clone())?;
     fleet.list(now, list)?;
     let picture = fleet.picture(now).ok_or("discovery told only changes of the list")?;
-    let routes = routes(&site);
+    let routes = routes(&platform_settings);
     let tables = Arc::new(route_tables(&routes));
-    let published = publish(picture.clone(), &plan(&control, group.as_ref()), &tables, None, true);
+    let published = publish(picture.clone(), &hub_plan(&control, group.as_ref()), &tables, None, true);
     let set = published.sets.get(node).ok_or("no resources for this node")?;
     let endpoints = picture.endpoints.iter().map(|e| {
         let usage = match e.usage {
@@ -148,51 +155,57 @@
     let resources = contents(set).into_iter().map(|(kind, name, version, bytes)| {
         json!({"kind": kind.to_string(), "name": name, "version": version, "bytes": bytes})
     });
-    let all = json!({
+    let output = json!({
         "node": node,
         "drop_per_10000": picture.drop,
         "endpoints": endpoints.collect::<Vec<_>>(),
         "routes": routes.collect::<Vec<_>>(),
         "resources": resources.collect::<Vec<_>>(),
     });
-    println!("{}", serde_json::to_string_pretty(&all)?);
+    println!("{}", serde_json::to_string_pretty(&output)?);
     Ok(())
 }
 
-/// Checks each section that there is, and prints the bounds that follow from the group's times.
+/// Validates the sections of the file and prints the time bounds that follow from the group's settings.
 fn check(file: &Path) -> Result<(), Box<dyn Error>> {
-    let operators = starlinghill_operator_config::read(file).map_err(told)?;
+    let operators = starlinghill_operator_config::read(file).map_err(problems_error)?;
     if operators.control.is_some() || operators.group.is_none() {
-        prepare(file).map_err(told)?;
+        prepare(file).map_err(problems_error)?;
     }
     println!("{}: good", file.display());
     if let Some(group) = operators.group {
-        let ms = |m: starlinghill_failover::Micros| m.0.div_ceil(1_000);
-        let t = group.timing;
-        println!("a change reaches every connected gateway within {} ms", ms(t.reaches_within()));
-        println!("the same where a member dies meanwhile: {} ms", ms(t.reaches_within_after_a_death()));
-        println!("no gateway acts on what is older than {} ms without saying so", ms(t.never_older_than()));
+        let millis = |m: starlinghill_failover::Micros| m.0.div_ceil(1_000);
+        let timing = group.timing;
+        println!("a change reaches every connected gateway within {} ms", millis(timing.reaches_within()));
+        println!(
+            "the same where a member dies meanwhile: {} ms",
+            millis(timing.reaches_within_after_a_death())
+        );
+        println!(
+            "no gateway acts on what is older than {} ms without saying so",
+            millis(timing.never_older_than())
+        );
     }
     Ok(())
 }
 
-/// Runs the program with the process's own arguments.
+/// Runs the program with the arguments of this process.
 pub fn main() -> ExitCode {
-    // The replicated log's library tells of each vote and each append; what it warns of is for operators.
+    // openraft logs each vote and append at INFO; only its warnings are of use to operators.
     let levels = Targets::new().with_default(LevelFilter::INFO).with_target("openraft", LevelFilter::WARN);
-    let lines = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(std::io::stderr);
-    tracing_subscriber::registry().with(lines).with(levels).init();
-    let done = match Cli::parse().command {
+    let stderr_layer = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(std::io::stderr);
+    tracing_subscriber::registry().with(stderr_layer).with(levels).init();
+    let result = match Cli::parse().command {
         Command::Run { file } => run(&file),
         Command::Check { file } => check(&file),
         Command::Dump { file, node } => dump(&file, &node),
         Command::Gateway { file } => return node::run(&file),
         Command::Group(args) => return group::main(args),
         Command::Zones(args) => return zones::list(&args),
-        Command::Zone(command) => return zones::order(command),
+        Command::Zone(command) => return zones::run_order(command),
         Command::Why(args) => return explain::main(&args),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("{e}");
--- a/crates/starlinghill-control/src/program/explain.rs
+++ b/crates/starlinghill-control/src/program/explain.rs
@@ -1,7 +1,7 @@
-//! `why`: what is found of zones, by what all gateways see, and who sees what.
+//! The command `why`: the health of zones as found from the reports of all gateways, and these reports.
 
 use super::group::{addresses, read};
-use super::zones::{newest, print_json, runtime, usage, Exit};
+use super::zones::{newest_report, print_json, runtime, usage_error, CommandError};
 use serde_json::json;
 use starlinghill_failover::Micros;
 use starlinghill_zone_health::findings::{find, Found, Observer};
@@ -9,51 +9,54 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// `why`.
+/// Arguments of `why`.
 #[derive(clap::Args)]
 pub struct Args {
     /// The operators' file.
     file: PathBuf,
-    /// This zone alone.
+    /// Show only this zone.
     zone: Option<String>,
-    /// As JSON.
+    /// Print JSON.
     #[arg(long)]
     json: bool,
 }
 
-/// Carries the command out.
+/// Runs the command.
 pub fn main(args: &Args) -> ExitCode {
-    show(args).map_or_else(Exit::tell, |()| ExitCode::SUCCESS)
+    show(args).map_or_else(CommandError::report_and_exit, |()| ExitCode::SUCCESS)
 }
 
-fn show(args: &Args) -> Result<(), Exit> {
-    let group = read(&args.file).map_err(usage)?;
-    let (report, followers) = runtime()?.block_on(newest(&addresses(&group)))?;
+fn show(args: &Args) -> Result<(), CommandError> {
+    let group = read(&args.file).map_err(usage_error)?;
+    let (report, followers) = runtime()?.block_on(newest_report(&addresses(&group)))?;
     let zones: BTreeSet<String> = report.state.zones.keys().cloned().collect();
     if let Some(zone) = args.zone.as_ref().filter(|zone| !zones.contains(*zone)) {
         let known: Vec<&str> = zones.iter().map(String::as_str).collect();
-        return Err(usage(format!("expected one of the zones {}, found '{zone}'", known.join(", "))));
+        return Err(usage_error(format!("expected one of the zones {}, found '{zone}'", known.join(", "))));
     }
     let observers: BTreeMap<String, Observer> = followers
         .values()
         .filter_map(|s| {
-            let (age_ms, seen) = s.evidence.clone()?;
+            let (age_ms, evidence) = s.evidence.clone()?;
             let age = Micros(age_ms.saturating_mul(1_000));
-            Some((s.name.clone(), Observer { zone: s.zone.clone(), age, report: seen }))
+            Some((s.name.clone(), Observer { zone: s.zone.clone(), age, report: evidence }))
         })
         .collect();
     let found = find(&zones, &observers);
-    let wanted = |zone: &String| args.zone.as_ref().is_none_or(|wanted| wanted == zone);
-    let shown: Vec<(&String, &Found)> = found.zones.iter().filter(|(zone, _)| wanted(zone)).collect();
+    let is_selected = |zone: &String| args.zone.as_ref().is_none_or(|selected| selected == zone);
+    let shown: Vec<(&String, &Found)> = found.zones.iter().filter(|(zone, _)| is_selected(zone)).collect();
     if args.json {
         let zones: BTreeMap<&String, serde_json::Value> = shown
             .into_iter()
             .map(|(zone, found)| {
-                let seen: BTreeMap<&String, _> = observers
+                let reports: BTreeMap<&String, _> = observers
                     .iter()
                     .filter_map(|(name, o)| Some((name, o.report.zones.get(zone)?)))
                     .collect();
-                (zone, json!({"finding": found.finding.to_string(), "why": found.to_string(), "seen": seen}))
+                (
+                    zone,
+                    json!({"finding": found.finding.to_string(), "why": found.to_string(), "seen": reports}),
+                )
             })
             .collect();
         return print_json(&json!({"zones": zones, "blind": found.blind, "left_out": found.left_out}));
--- a/crates/starlinghill-control/src/program/node.rs
+++ b/crates/starlinghill-control/src/program/node.rs
@@ -1,7 +1,7 @@
-//! `gateway`: a gateway that follows the group. It is told the rest by its environment, as the platform's own is. At
-//! SIGHUP it reads the operators' file again, beside the platform's settings.
+//! The command `gateway`: a gateway that follows the failover group. Its other settings come from the environment, as for
+//! the platform's own gateway. At SIGHUP it reloads the operators' file as well as the platform's settings.
 
-use crate::group_follower::{begin, Following, Renew};
+use crate::group_follower::{subscribe, GroupSubscription, SettingsUpdater};
 use starlinghill_decision::api::Outcome;
 use starlinghill_failover::Micros;
 use starlinghill_gateway::attempt_events::EndedAttempt;
@@ -19,13 +19,19 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tracing::warn;
 
-async fn read_again(file: PathBuf, mut hang_up: Signal, renew: Renew, watch: Arc<Mutex<AttemptWindow>>) {
-    while hang_up.recv().await.is_some() {
+/// Reloads the operators' file at each SIGHUP and applies its group section. An invalid file changes nothing.
+async fn reload_on_hangup(
+    file: PathBuf,
+    mut hangups: Signal,
+    updater: SettingsUpdater,
+    attempts: Arc<Mutex<AttemptWindow>>,
+) {
+    while hangups.recv().await.is_some() {
         match starlinghill_operator_config::read(&file) {
             Ok(operators) => {
-                renew.renew(operators.group.as_ref());
+                updater.update(operators.group.as_ref());
                 let zones = operators.group.map(|group| group.map.zones.into_keys());
-                zones.into_iter().for_each(|zones| locked(&watch).follow(zones));
+                zones.into_iter().for_each(|zones| lock(&attempts).follow(zones));
             }
             Err(problems) => {
                 for problem in problems {
@@ -36,8 +42,9 @@
     }
 }
 
-/// What became of an attempt, as evidence on its server's zone; `None`: it says nothing of it.
-fn became(attempt: &EndedAttempt) -> Option<AttemptResult> {
+/// Classifies an attempt as evidence on the health of its server's zone, or returns `None` if the gateway itself ended
+/// the attempt, which says nothing about the zone.
+fn attempt_result(attempt: &EndedAttempt) -> Option<AttemptResult> {
     Some(match attempt.outcome {
         Outcome::Ok if attempt.late => AttemptResult::Late,
         Outcome::Ok => AttemptResult::Answered,
@@ -50,35 +57,37 @@
     })
 }
 
-fn locked(watch: &Mutex<AttemptWindow>) -> MutexGuard<'_, AttemptWindow> {
-    watch.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(attempts: &Mutex<AttemptWindow>) -> MutexGuard<'_, AttemptWindow> {
+    attempts.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn beside(file: &Path, group: &Group, config: &Config) -> Result<ProcessOptions, Box<dyn Error>> {
-    let hang_up = signal(SignalKind::hangup())?;
-    let begun = Instant::now();
-    let now = move || Micros(u64::try_from(begun.elapsed().as_micros()).unwrap_or(u64::MAX));
-    let watch = Arc::new(Mutex::new(AttemptWindow::new(group.map.zones.keys().cloned())));
-    // One thread has both; nobody waits for the other.
-    let (seen, told) = (watch.clone(), watch.clone());
+/// Subscribes to the group and returns the options by which the gateway uses the zones' shares and counts its attempts
+/// as evidence.
+fn follow_group(file: &Path, group: &Group, config: &Config) -> Result<ProcessOptions, Box<dyn Error>> {
+    let hangups = signal(SignalKind::hangup())?;
+    let started = Instant::now();
+    let now = move || Micros(u64::try_from(started.elapsed().as_micros()).unwrap_or(u64::MAX));
+    let attempts = Arc::new(Mutex::new(AttemptWindow::new(group.map.zones.keys().cloned())));
+    // The observer and the evidence run on the same thread, so the lock is never contended.
+    let (observed, reported) = (attempts.clone(), attempts.clone());
     let observer = move |attempt: &EndedAttempt| {
-        let Some(became) = became(attempt) else { return };
-        locked(&seen).ended(now(), attempt.zone, became);
+        let Some(result) = attempt_result(attempt) else { return };
+        lock(&observed).ended(now(), attempt.zone, result);
     };
-    let evidence = move || locked(&told).report(now());
-    let following = begin(group, config.name(), config.zone(), Some(Arc::new(evidence)));
-    let Following { parts, renew } = following.map_err(|e| format!("NODE_NAME: {e}"))?;
-    tokio::spawn(read_again(file.to_path_buf(), hang_up, renew, watch));
+    let evidence = move || lock(&reported).report(now());
+    let subscription = subscribe(group, config.name(), config.zone(), Some(Arc::new(evidence)));
+    let GroupSubscription { parts, updater } = subscription.map_err(|e| format!("NODE_NAME: {e}"))?;
+    tokio::spawn(reload_on_hangup(file.to_path_buf(), hangups, updater, attempts));
     Ok(ProcessOptions { zones: parts, observer: Box::new(observer) })
 }
 
 /// Runs the gateway until SIGTERM.
 pub fn run(file: &Path) -> ExitCode {
-    let done = process::run(|config| {
-        let group = starlinghill_operator_config::read(file).map_err(super::told)?.group;
-        group.map(|group| beside(file, &group, config)).transpose()
+    let result = process::run(|config| {
+        let group = starlinghill_operator_config::read(file).map_err(super::problems_error)?.group;
+        group.map(|group| follow_group(file, &group, config)).transpose()
     });
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("starlinghill: {e}");
--- a/crates/starlinghill-control/src/program/zones.rs
+++ b/crates/starlinghill-control/src/program/zones.rs
@@ -1,4 +1,4 @@
-//! `zones` and `zone`: what the group has decided of each zone, who follows it, and orders.
+//! The commands `zones`, which shows the state of each zone and the gateways that follow, and `zone`, which sends orders.
 
 use crate::program::group::{addresses, read};
 use clap::Subcommand;
@@ -18,129 +18,129 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long members may take to say what they know.
-pub const LOOK: Duration = Duration::from_millis(1_000);
-/// How long an order may take: a leader may have to be chosen first.
-pub const GIVE: Duration = Duration::from_secs(10);
-/// How often `--wait` looks.
-const POLL: Duration = Duration::from_millis(200);
+/// The time limit for the reports of members.
+pub const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The time limit for an order, which may have to wait for the election of a leader.
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
+/// The interval at which `--wait` asks the members.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How a command ends when it doesn't end well. Each has a code of its own, for scripts.
+/// Why a command failed. Each case has its own exit code, so that scripts can tell them apart.
 #[derive(Debug)]
-pub enum Exit {
-    /// The command or the file is wrong: 1.
+pub enum CommandError {
+    /// The arguments or the operators' file are invalid. Exit code 1.
     Usage(String),
-    /// The group refuses: 3.
+    /// The group refused the request. Exit code 3.
     Refused(Vec<String>),
-    /// No member took it; it does not count: 4.
+    /// No member accepted the request; it has no effect. Exit code 4.
     NotReached(String),
-    /// It may count or not: 5.
+    /// It is unknown whether the request took effect. Exit code 5.
     Unknown(String),
-    /// It counts, and not every gateway follows in time: 6.
+    /// The order took effect, but not every gateway followed within the time of `--wait`. Exit code 6.
     TimedOut(String),
-    /// This member can't take part: 7.
-    Out(String),
+    /// The member's file or Raft node can't be used. Exit code 7.
+    MemberUnusable(String),
 }
 
-impl fmt::Display for Exit {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Exit::Usage(what) | Exit::Out(what) => f.write_str(what),
-            Exit::Refused(causes) => write!(f, "refused: {}", causes.join("\nrefused: ")),
-            Exit::NotReached(what) => write!(f, "not reached: {what}"),
-            Exit::Unknown(what) => write!(f, "unknown: {what}"),
-            Exit::TimedOut(what) => write!(f, "timed out: {what}"),
+            CommandError::Usage(message) | CommandError::MemberUnusable(message) => f.write_str(message),
+            CommandError::Refused(causes) => write!(f, "refused: {}", causes.join("\nrefused: ")),
+            CommandError::NotReached(message) => write!(f, "not reached: {message}"),
+            CommandError::Unknown(message) => write!(f, "unknown: {message}"),
+            CommandError::TimedOut(message) => write!(f, "timed out: {message}"),
         }
     }
 }
 
-impl Exit {
-    /// Tells it, and its code.
-    pub fn tell(self) -> ExitCode {
+impl CommandError {
+    /// Prints the error to stderr and returns its exit code.
+    pub fn report_and_exit(self) -> ExitCode {
         eprintln!("{self}");
         ExitCode::from(match self {
-            Exit::Usage(_) => 1,
-            Exit::Refused(_) => 3,
-            Exit::NotReached(_) => 4,
-            Exit::Unknown(_) => 5,
-            Exit::TimedOut(_) => 6,
-            Exit::Out(_) => 7,
+            CommandError::Usage(_) => 1,
+            CommandError::Refused(_) => 3,
+            CommandError::NotReached(_) => 4,
+            CommandError::Unknown(_) => 5,
+            CommandError::TimedOut(_) => 6,
+            CommandError::MemberUnusable(_) => 7,
         })
     }
 }
 
-impl From<OrderError> for Exit {
-    fn from(e: OrderError) -> Exit {
+impl From<OrderError> for CommandError {
+    fn from(e: OrderError) -> CommandError {
         match e {
-            OrderError::NotReached(why) => Exit::NotReached(why),
-            OrderError::Unknown(_) => Exit::Unknown(e.to_string()),
+            OrderError::NotReached(why) => CommandError::NotReached(why),
+            OrderError::Unknown(_) => CommandError::Unknown(e.to_string()),
         }
     }
 }
 
-/// A wrong command or file.
-pub fn usage(what: impl fmt::Display) -> Exit {
-    Exit::Usage(what.to_string())
+/// An error with exit code 1.
+pub fn usage_error(message: impl fmt::Display) -> CommandError {
+    CommandError::Usage(message.to_string())
 }
 
-/// A runtime for a few calls.
-pub fn runtime() -> Result<tokio::runtime::Runtime, Exit> {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(usage)
+/// A single-threaded Tokio runtime for a command's calls.
+pub fn runtime() -> Result<tokio::runtime::Runtime, CommandError> {
+    tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(usage_error)
 }
 
-/// Prints JSON for scripts.
-pub fn print_json<T: Serialize>(value: &T) -> Result<(), Exit> {
-    println!("{}", serde_json::to_string_pretty(value).map_err(usage)?);
+/// Prints a value to stdout as indented JSON.
+pub fn print_json<T: Serialize>(value: &T) -> Result<(), CommandError> {
+    println!("{}", serde_json::to_string_pretty(value).map_err(usage_error)?);
     Ok(())
 }
 
-/// `zones`.
+/// Arguments of `zones`.
 #[derive(clap::Args)]
 pub struct ListArgs {
     /// The operators' file.
     file: PathBuf,
-    /// As JSON.
+    /// Print JSON.
     #[arg(long)]
     json: bool,
 }
 
-/// What all orders have.
+/// The arguments that all orders share.
 #[derive(clap::Args)]
 pub struct OrderArgs {
     /// The operators' file.
     file: PathBuf,
-    /// The zone.
+    /// The name of the zone.
     zone: String,
-    /// Why.
+    /// The reason, recorded with the order.
     #[arg(long)]
     reason: String,
-    /// Who orders it; by default the user.
+    /// The author of the order; by default the user.
     #[arg(long)]
     by: Option<String>,
-    /// The order's id, to send one again whose answer got lost.
+    /// The order's id, to repeat an order whose answer was lost.
     #[arg(long)]
     id: Option<String>,
-    /// Go on though another zone is not in full service.
+    /// Proceed although another zone is not in full service.
     #[arg(long)]
     force: bool,
-    /// The region that takes over, where it is the last zone of its region.
+    /// The region that takes over if this is the last zone of its region.
     #[arg(long)]
     next: Option<String>,
-    /// Wait until the zone is where it was ordered to and every live gateway follows; so many seconds at the most.
+    /// Wait until the zone has reached its ordered state and every live gateway follows, for this long at most.
     #[arg(long, value_name = "SECONDS", num_args = 0..=1, default_missing_value = "60")]
     wait: Option<u64>,
-    /// As JSON.
+    /// Print JSON.
     #[arg(long)]
     json: bool,
 }
 
-/// Steps of a ramp.
+/// The size and interval of the steps of a ramp.
 #[derive(clap::Args)]
 pub struct RampArgs {
-    /// The most that one step changes the zone's part by, in percent.
+    /// The largest change of the zone's share in one step, in percent.
     #[arg(long, default_value_t = 10)]
     step: u16,
-    /// The least time between two steps, in milliseconds.
+    /// The shortest time between two steps, in milliseconds.
     #[arg(long, default_value_t = 5_000)]
     every_ms: u32,
 }
@@ -151,69 +151,74 @@
     }
 }
 
-/// `zone`.
+/// The orders of the command `zone`.
 #[derive(Subcommand)]
 pub enum ZoneCommand {
-    /// Give it less, in steps.
+    /// Reduce the zone's share of work in steps.
     Drain {
         #[command(flatten)]
         order: OrderArgs,
         #[command(flatten)]
         ramp: RampArgs,
-        /// The part of its work that it has at the end, in percent.
+        /// The share that is left to the zone at the end, in percent of its full share.
         #[arg(long, default_value_t = 0)]
         to: u16,
     },
-    /// Give it nothing new, at once.
+    /// Send the zone no new work, at once.
     Out {
         #[command(flatten)]
         order: OrderArgs,
     },
-    /// Give it more, in steps, until it has its whole part.
+    /// Raise the zone's share in steps to its full share.
     Return {
         #[command(flatten)]
         order: OrderArgs,
         #[command(flatten)]
         ramp: RampArgs,
     },
-    /// Leave its part as it is.
+    /// Stop a ramp and keep the zone's present share.
     Hold {
         #[command(flatten)]
         order: OrderArgs,
     },
 }
 
-/// What the newest of the members knows, and who follows by any of them.
-pub async fn newest(members: &[SocketAddr]) -> Result<(Report, BTreeMap<String, Subscriber>), Exit> {
-    let (mut reports, mut away) = (Vec::new(), Vec::new());
-    for found in look_at_all(members, LOOK).await {
+/// The report of the member with the newest state, and the gateways that follow through any member, by name. Fails if no
+/// member answers.
+pub async fn newest_report(
+    members: &[SocketAddr],
+) -> Result<(Report, BTreeMap<String, Subscriber>), CommandError> {
+    let (mut reports, mut errors) = (Vec::new(), Vec::new());
+    for found in look_at_all(members, REPORT_TIMEOUT).await {
         match found {
             Ok(report) => reports.push(report),
-            Err(why) => away.push(why),
+            Err(why) => errors.push(why),
         }
     }
     let mut followers: BTreeMap<String, Subscriber> = BTreeMap::new();
     for s in reports.iter().flat_map(|r| &r.subscribers) {
-        // A gateway that has changed members is known to both for a moment.
+        // For a moment, both members list a gateway that has just changed from one to the other. The one that heard from
+        // it last is right.
         if followers.get(&s.name).is_none_or(|known| s.heard_ms < known.heard_ms) {
             followers.insert(s.name.clone(), s.clone());
         }
     }
     let key = |r: &Report| (r.state.position, std::cmp::Reverse(r.age_ms.unwrap_or(u64::MAX)));
     let best = reports.into_iter().max_by_key(key);
-    best.map(|best| (best, followers)).ok_or_else(|| Exit::NotReached(away.join("; ")))
+    best.map(|best| (best, followers)).ok_or_else(|| CommandError::NotReached(errors.join("; ")))
 }
 
-/// An order with all but what is ordered.
-pub fn signed(id: Option<String>, by: Option<String>, reason: String) -> Order {
+/// An order with its id, author, reason and time. The caller sets what is ordered.
+pub fn order_template(id: Option<String>, by: Option<String>, reason: String) -> Order {
     let author = by.or_else(|| std::env::var("USER").ok()).unwrap_or_else(|| "operator".into());
     let id = id.unwrap_or_else(|| format!("{:016x}", fastrand::u64(..)));
-    // What is ordered is filled in by the caller; a step of nothing is refused by every group.
+    // A placeholder that every group refuses, in case a caller forgets to replace it.
     let what = OrderKind::Step { zone: String::new(), of: 0 };
     Order { id, author, reason, at_ms: wall_clock::now_ms(), what }
 }
 
-fn part(z: &ZoneState) -> String {
+/// The zone's share in percent, with the share that its ramp leads to.
+fn format_share(z: &ZoneState) -> String {
     let percent = |w: u16| format!("{}%", f64::from(w) / 10.0);
     match z.moves() {
         true => format!("{} -> {}", percent(z.weight), percent(z.to)),
@@ -221,7 +226,8 @@
     }
 }
 
-fn ago(at_ms: u64) -> String {
+/// The time since a wall clock time; `-` if it is 0, which means never.
+fn format_age(at_ms: u64) -> String {
     match wall_clock::now_ms().saturating_sub(at_ms) / 1_000 {
         _ if at_ms == 0 => "-".into(),
         s @ 0..=119 => format!("{s} s"),
@@ -230,15 +236,15 @@
     }
 }
 
-/// Shows the zones.
+/// Runs the command `zones`.
 pub fn list(args: &ListArgs) -> ExitCode {
-    show(args).map_or_else(Exit::tell, |()| ExitCode::SUCCESS)
+    show(args).map_or_else(CommandError::report_and_exit, |()| ExitCode::SUCCESS)
 }
 
-fn show(args: &ListArgs) -> Result<(), Exit> {
-    let group = read(&args.file).map_err(usage)?;
-    let (report, followers) = runtime()?.block_on(newest(&addresses(&group)))?;
-    let stale = group.timing.stale.0 / 1_000;
+fn show(args: &ListArgs) -> Result<(), CommandError> {
+    let group = read(&args.file).map_err(usage_error)?;
+    let (report, followers) = runtime()?.block_on(newest_report(&addresses(&group)))?;
+    let stale_ms = group.timing.stale.0 / 1_000;
     let state = &report.state;
     if args.json {
         return print_json(&json!({
@@ -250,7 +256,7 @@
     let age =
         report.age_ms.map_or("of unknown age: no leader confirms it".into(), |ms| format!("{ms} ms old"));
     println!("position {}, {age}", state.position);
-    if report.age_ms.is_none_or(|ms| ms > stale) {
+    if report.age_ms.is_none_or(|ms| ms > stale_ms) {
         println!("WARNING: no member knows the newest; what was decided since is not shown");
     }
     println!(
@@ -262,9 +268,9 @@
         println!(
             "{name:<16} {region:<12} {:<10} {:>13} {:>6} {:>8}  {:<16} {}",
             z.phase.to_string(),
-            part(z),
+            format_share(z),
             z.epoch,
-            ago(z.at_ms),
+            format_age(z.at_ms),
             z.by,
             z.reason
         );
@@ -272,21 +278,22 @@
     for (region, next) in &state.next {
         println!("region {region} has nothing in service; {next} takes over");
     }
-    let mut by_epoch: BTreeMap<Position, Vec<&Subscriber>> = BTreeMap::new();
+    let mut by_position: BTreeMap<Position, Vec<&Subscriber>> = BTreeMap::new();
     for s in followers.values() {
-        by_epoch.entry(s.followed).or_default().push(s);
+        by_position.entry(s.followed).or_default().push(s);
     }
     println!("{} gateways follow", followers.len());
-    for (position, all) in by_epoch.iter().rev() {
-        let shown: Vec<String> = all.iter().take(8).map(|s| format!("{} ({})", s.name, s.mode)).collect();
-        let more = if all.len() > 8 { ", ..." } else { "" };
-        println!("  {position}: {:>5}  {}{more}", all.len(), shown.join(", "));
+    for (position, gateways) in by_position.iter().rev() {
+        let shown: Vec<String> =
+            gateways.iter().take(8).map(|s| format!("{} ({})", s.name, s.mode)).collect();
+        let more = if gateways.len() > 8 { ", ..." } else { "" };
+        println!("  {position}: {:>5}  {}{more}", gateways.len(), shown.join(", "));
     }
     Ok(())
 }
 
-/// Orders something about a zone.
-pub fn order(command: ZoneCommand) -> ExitCode {
+/// Runs the command `zone`.
+pub fn run_order(command: ZoneCommand) -> ExitCode {
     let (args, change) = match command {
         ZoneCommand::Drain { order, ramp, to } => {
             (order, Change::Drain { to: to.saturating_mul(10).min(FULL_WEIGHT), ramp: ramp.ramp() })
@@ -295,28 +302,30 @@
         ZoneCommand::Return { order, ramp } => (order, Change::Return { ramp: ramp.ramp() }),
         ZoneCommand::Hold { order } => (order, Change::Hold),
     };
-    ordered(args, change).map_or_else(Exit::tell, |()| ExitCode::SUCCESS)
+    submit(args, change).map_or_else(CommandError::report_and_exit, |()| ExitCode::SUCCESS)
 }
 
-fn ordered(args: OrderArgs, change: Change) -> Result<(), Exit> {
-    let group = read(&args.file).map_err(usage)?;
+/// Sends the order, and with `--wait` waits until it is followed.
+fn submit(args: OrderArgs, change: Change) -> Result<(), CommandError> {
+    let group = read(&args.file).map_err(usage_error)?;
     let members = addresses(&group);
     runtime()?.block_on(async {
-        let (report, _) = newest(&members).await?;
-        // Sent again by its id, it has to be the same order: what its author saw then is in the answer kept.
-        let seen = report.state.zones.get(&args.zone).map(|z| z.epoch).filter(|_| args.id.is_none());
+        let (report, _) = newest_report(&members).await?;
+        // The order is refused if the zone has changed since this epoch. A repeated order leaves it out, as it has to
+        // be the same order as the first time, whatever the zone's epoch is now.
+        let expected_epoch = report.state.zones.get(&args.zone).map(|z| z.epoch).filter(|_| args.id.is_none());
         let what = OrderKind::Zone(ZoneOrder {
             zone: args.zone.clone(),
             change,
-            expect: seen,
+            expect: expected_epoch,
             next: args.next,
             force: args.force,
         });
-        let order = Order { what, ..signed(args.id, args.by, args.reason) };
-        let position = match give(&members, &order, GIVE).await {
+        let order = Order { what, ..order_template(args.id, args.by, args.reason) };
+        let position = match give(&members, &order, ORDER_TIMEOUT).await {
             Ok(Outcome::Accepted { position }) => position,
             Ok(Outcome::Refused { causes, .. }) => {
-                return Err(Exit::Refused(causes.iter().map(ToString::to_string).collect()));
+                return Err(CommandError::Refused(causes.iter().map(ToString::to_string).collect()));
             }
             Err(e) => {
                 eprintln!("the order's id is {}", order.id);
@@ -342,51 +351,55 @@
     })
 }
 
-/// Waits until the zone has made its steps and every live gateway follows; tells how many, and how long it took.
+/// Waits until the zone's ramp is complete and every live gateway follows. Returns the number of gateways and the time it
+/// took in milliseconds.
 async fn wait(
     members: &[SocketAddr],
     zone: &str,
     ordered: Position,
-    patience: Duration,
+    time_limit: Duration,
     quiet: bool,
-) -> Result<(usize, u64), Exit> {
-    let begin = Instant::now();
-    let mut last = String::new();
+) -> Result<(usize, u64), CommandError> {
+    let started = Instant::now();
+    let mut last_line = String::new();
     loop {
-        let line = match newest(members).await {
+        let line = match newest_report(members).await {
             Err(e) => e.to_string(),
             Ok((report, followers)) => {
                 let z = report.state.zones.get(zone);
-                let late: Vec<String> = followers
+                let behind: Vec<String> = followers
                     .values()
                     .filter(|s| s.followed < report.state.position.max(ordered))
                     .map(|s| format!("{} at {} ({})", s.name, s.followed, s.mode))
                     .collect();
-                let moves = z.is_some_and(ZoneState::moves);
-                if report.state.position >= ordered && !moves && late.is_empty() {
-                    let ms = u64::try_from(begin.elapsed().as_millis()).unwrap_or(u64::MAX);
+                let is_moving = z.is_some_and(ZoneState::moves);
+                if report.state.position >= ordered && !is_moving && behind.is_empty() {
+                    let ms = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
                     if !quiet {
                         println!("{} gateways follow after {ms} ms", followers.len());
                     }
                     return Ok((followers.len(), ms));
                 }
-                let part = z.map_or("gone".into(), part);
-                let shown = late.iter().take(4).cloned().collect::<Vec<_>>().join(", ");
+                let share = z.map_or("gone".into(), format_share);
+                let shown = behind.iter().take(4).cloned().collect::<Vec<_>>().join(", ");
                 format!(
-                    "{zone} at {part}; {} of {} gateways follow {}; {shown}",
-                    followers.len() - late.len(),
+                    "{zone} at {share}; {} of {} gateways follow {}; {shown}",
+                    followers.len() - behind.len(),
                     followers.len(),
                     report.state.position
                 )
             }
         };
-        if line != last && !quiet {
+        if line != last_line && !quiet {
             println!("{line}");
         }
-        last = line;
-        if begin.elapsed() > patience {
-            return Err(Exit::TimedOut(format!("it counts, and after {} s: {last}", patience.as_secs())));
+        last_line = line;
+        if started.elapsed() > time_limit {
+            return Err(CommandError::TimedOut(format!(
+                "it counts, and after {} s: {last_line}",
+                time_limit.as_secs()
+            )));
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/starlinghill-operator-config/src/check.rs
+++ b/crates/starlinghill-operator-config/src/check.rs
@@ -1,4 +1,4 @@
-//! What the sections of the file share: values with bounds, and what is said where one is out of them.
+//! Validation of single values, shared by the sections of the operators' file.
 
 use crate::problem::{Problem, Source};
 use std::net::SocketAddr;
@@ -6,17 +6,19 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Collects what is wrong while values are read.
-pub(crate) struct Check<'a, 'b> {
+/// Reads values and collects the errors found in them. An invalid value is replaced by its default, so that all errors
+/// can be reported at once.
+pub(crate) struct Validator<'a, 'b> {
     pub(crate) source: &'a Source<'a>,
     pub(crate) problems: &'b mut Vec<Problem>,
 }
 
-impl Check<'_, '_> {
-    pub(crate) fn fail(&mut self, span: std::ops::Range<usize>, key: &str, what: String) {
-        self.problems.push(self.source.at(span, key, what));
+impl Validator<'_, '_> {
+    pub(crate) fn report(&mut self, span: std::ops::Range<usize>, key: &str, message: String) {
+        self.problems.push(self.source.problem_at(span, key, message));
     }
 
+    /// A whole number within `allowed`, or `default` if the key is absent.
     pub(crate) fn number(
         &mut self,
         key: &str,
@@ -28,7 +30,7 @@
         let found = *raw.get_ref();
         if !allowed.contains(&found) {
             let (least, most) = (allowed.start(), allowed.end());
-            self.fail(
+            self.report(
                 raw.span(),
                 key,
                 format!("expected a whole number from {least} to {most}, found {found}"),
@@ -38,6 +40,7 @@
         found
     }
 
+    /// A duration in milliseconds within `allowed`, or `default` if the key is absent.
     pub(crate) fn millis(
         &mut self,
         key: &str,
@@ -51,25 +54,27 @@
     pub(crate) fn address(&mut self, key: &str, raw: &Spanned<String>) -> Option<SocketAddr> {
         let parsed = raw.get_ref().parse();
         if parsed.is_err() {
-            let what =
+            let message =
                 format!("expected an address and a port such as 127.0.0.1:18000, found '{}'", raw.get_ref());
-            self.fail(raw.span(), key, what);
+            self.report(raw.span(), key, message);
         }
         parsed.ok()
     }
 
+    /// The name of an HTTP header in lower case, of 64 bytes at most.
     pub(crate) fn header(&mut self, key: &str, raw: Option<Spanned<String>>, default: &str) -> String {
         let Some(raw) = raw else { return default.into() };
         let name = raw.get_ref();
-        let fits = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
-        if name.is_empty() || name.len() > 64 || !name.bytes().all(fits) {
-            let what = format!("expected a header's name in lower case, found '{name}'");
-            self.fail(raw.span(), key, what);
+        let is_allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
+        if name.is_empty() || name.len() > 64 || !name.bytes().all(is_allowed) {
+            let message = format!("expected a header's name in lower case, found '{name}'");
+            self.report(raw.span(), key, message);
         }
         raw.into_inner()
     }
 
-    pub(crate) fn missing(&mut self, section: &std::ops::Range<usize>, key: &str, wanted: &str) {
-        self.fail(section.clone(), key, format!("expected {wanted}, found nothing"));
+    /// Reports that a required key is absent; `expected` describes its value.
+    pub(crate) fn report_missing(&mut self, section: &std::ops::Range<usize>, key: &str, expected: &str) {
+        self.report(section.clone(), key, format!("expected {expected}, found nothing"));
     }
 }
--- a/crates/starlinghill-operator-config/src/control.rs
+++ b/crates/starlinghill-operator-config/src/control.rs
@@ -1,6 +1,6 @@
-//! `[control]`: the control service that other proxies run on.
+//! The section `[control]`: the xDS control service for third-party proxies.
 
-use crate::check::Check;
+use crate::check::Validator;
 use crate::problem::{Problem, Source};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -9,82 +9,84 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// The control service.
+/// The settings of the control service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Control {
-    /// Where proxies connect.
+    /// The address on which proxies connect.
     pub listen: SocketAddr,
-    /// The platform's configuration: settings, and where discovery is.
+    /// The path of the platform's configuration, which holds the settings and the address of discovery.
     pub platform: PathBuf,
     /// The proxies that may connect.
     pub proxies: Vec<Proxy>,
-    /// Encryption; without it the address must be a loopback one.
+    /// TLS for the proxies' connections. Without it `listen` must be a loopback address.
     pub tls: Option<Tls>,
-    /// Slices of quotas, where proxies are to keep them.
+    /// Rate limit quotas that proxies enforce; `None` turns them off.
     pub quotas: Option<Quotas>,
-    /// Bounds on what proxies may take.
+    /// Limits on the resources that proxies can use in this service.
     pub limits: Limits,
-    /// Attempts that one proxy may have out at each save node; `None`: by the module's own bounds.
+    /// The most attempts that one proxy may have in flight at each save node. `None` uses the bounds of the decision
+    /// module.
     pub attempts_out: Option<u32>,
-    /// A proxy's connection to a save node must be made within this.
+    /// The time limit for a proxy's connection to a save node.
     pub connect_timeout: Duration,
 }
 
-/// One proxy.
+/// One proxy that may connect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proxy {
-    /// Its node id.
+    /// Its xDS node id.
     pub id: String,
-    /// Where it is to listen for clients, if this service tells it.
+    /// The address on which the proxy listens for clients, if this service configures its listener.
     pub listen: Option<SocketAddr>,
 }
 
-/// Encryption.
+/// TLS settings; all files are PEM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tls {
-    /// The certificate chain, PEM.
+    /// The path of the certificate chain.
     pub certificate: PathBuf,
-    /// Its key, PEM.
+    /// The path of the private key.
     pub key: PathBuf,
-    /// Who signs the proxies' certificates, PEM; without it proxies need none.
+    /// The path of the authority that signs the proxies' certificates. Without it proxies need no certificate.
     pub client_ca: Option<PathBuf>,
 }
 
-/// Slices of quotas.
+/// Settings of the quotas that are divided among proxies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Quotas {
-    /// The life of an assignment.
+    /// How long a proxy may use an assigned slice of a quota.
     pub lease: Duration,
-    /// The longest that an assignment may be on its way.
+    /// The longest time that an assignment may take to reach the proxy. A slice counts as in use for this much longer
+    /// than `lease`.
     pub allowance: Duration,
-    /// How often proxies report what they used.
+    /// How often proxies report their usage.
     pub interval: Duration,
-    /// The cluster in the proxies' bootstrap by which they reach this service.
+    /// The name of the cluster in the proxies' bootstrap that points to this service.
     pub cluster: String,
-    /// The header that holds the customer's number.
+    /// The request header with the customer's number.
     pub customer_header: String,
-    /// The header that holds the plan's name.
+    /// The request header with the name of the plan.
     pub plan_header: String,
-    /// The header that holds a request's units.
+    /// The request header with the number of quota units that a request uses.
     pub units_header: String,
-    /// The plans of which proxies get slices, with their lines; `None`: all.
+    /// The plans whose quotas are divided among proxies, each with its line in the file. `None` means all plans.
     pub plans: Option<Vec<(String, usize)>>,
 }
 
-/// Bounds.
+/// Limits that keep a faulty or hostile proxy from exhausting the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections.
+    /// The most open connections.
     pub connections: usize,
-    /// Streams.
+    /// The most open streams.
     pub streams: usize,
-    /// Names subscribed to on one stream, for each type.
+    /// The most resource names that one stream may subscribe to, for each resource type.
     pub names: usize,
-    /// Bytes of one message.
+    /// The largest message in bytes.
     pub message: usize,
-    /// Customers whose slices are kept in mind.
+    /// The most customers whose slices are tracked.
     pub customers: usize,
-    /// Buckets of one proxy.
+    /// The most quota buckets of one proxy.
     pub buckets: usize,
 }
 
@@ -142,41 +144,45 @@
     buckets: Option<Spanned<i64>>,
 }
 
-/// Checks the section; `None` where something it can't do without is wrong.
+/// Validates the section. Returns `None` if a required value is missing or invalid.
 pub(crate) fn check(
     raw: Spanned<Raw>,
     source: &Source,
     folder: &Path,
     problems: &mut Vec<Problem>,
 ) -> Option<Control> {
-    let mut c = Check { source, problems };
+    let mut validator = Validator { source, problems };
     let section = raw.span();
     let raw = raw.into_inner();
     if raw.listen.is_none() {
-        c.missing(&section, "control.listen", "an address and a port");
+        validator.report_missing(&section, "control.listen", "an address and a port");
     }
     if raw.platform.is_none() {
-        c.missing(&section, "control.platform", "the path of the platform's configuration");
+        validator.report_missing(&section, "control.platform", "the path of the platform's configuration");
     }
-    let listen = raw.listen.as_ref().and_then(|raw| c.address("control.listen", raw));
+    let listen = raw.listen.as_ref().and_then(|raw| validator.address("control.listen", raw));
     let mut proxies = Vec::new();
-    let mut seen = BTreeSet::new();
+    let mut ids = BTreeSet::new();
     for proxy in raw.proxies {
         let span = proxy.span();
         let proxy = proxy.into_inner();
         let Some(id) = proxy.id else {
-            c.missing(&span, "control.proxies.id", "a node id");
+            validator.report_missing(&span, "control.proxies.id", "a node id");
             continue;
         };
         let name = id.get_ref();
         if name.is_empty() || name.len() > 128 || !name.bytes().all(|b| b.is_ascii_graphic()) {
-            let what = format!("expected 1 to 128 visible ASCII characters, found '{name}'");
-            c.fail(id.span(), "control.proxies.id", what);
+            let message = format!("expected 1 to 128 visible ASCII characters, found '{name}'");
+            validator.report(id.span(), "control.proxies.id", message);
         }
-        if !seen.insert(name.clone()) {
-            c.fail(id.span(), "control.proxies.id", format!("expected each id once, found '{name}' again"));
+        if !ids.insert(name.clone()) {
+            validator.report(
+                id.span(),
+                "control.proxies.id",
+                format!("expected each id once, found '{name}' again"),
+            );
         }
-        let listen = proxy.listen.as_ref().and_then(|raw| c.address("control.proxies.listen", raw));
+        let listen = proxy.listen.as_ref().and_then(|raw| validator.address("control.proxies.listen", raw));
         proxies.push(Proxy { id: id.into_inner(), listen });
     }
     let tls = raw.tls.map(|raw| {
@@ -184,30 +190,35 @@
         let raw = raw.into_inner();
         let mut path = |key: &str, path: Option<PathBuf>| {
             if path.is_none() {
-                c.missing(&span, key, "the path of a PEM file");
+                validator.report_missing(&span, key, "the path of a PEM file");
             }
-            crate::below(folder, &path.unwrap_or_default())
+            crate::resolve_path(folder, &path.unwrap_or_default())
         };
         Tls {
             certificate: path("control.tls.certificate", raw.certificate),
             key: path("control.tls.key", raw.key),
-            client_ca: raw.client_ca.map(|ca| crate::below(folder, &ca)),
+            client_ca: raw.client_ca.map(|ca| crate::resolve_path(folder, &ca)),
         }
     });
-    if let (Some(at), None, Some(raw)) = (listen.filter(|at| !at.ip().is_loopback()), &tls, &raw.listen) {
-        let what = format!("expected a loopback address where there is no [control.tls], found {}", at.ip());
-        c.fail(raw.span(), "control.listen", what);
+    if let (Some(address), None, Some(raw)) = (listen.filter(|a| !a.ip().is_loopback()), &tls, &raw.listen) {
+        let message =
+            format!("expected a loopback address where there is no [control.tls], found {}", address.ip());
+        validator.report(raw.span(), "control.listen", message);
     }
     let quotas = raw.quotas.map(|raw| {
         let lease_span = raw.lease_ms.as_ref().map_or(section.clone(), Spanned::span);
         let quotas = Quotas {
-            lease: c.millis("control.quotas.lease_ms", raw.lease_ms, 2_000, 200..=60_000),
-            allowance: c.millis("control.quotas.allowance_ms", raw.allowance_ms, 500, 50..=10_000),
-            interval: c.millis("control.quotas.interval_ms", raw.interval_ms, 250, 101..=10_000),
+            lease: validator.millis("control.quotas.lease_ms", raw.lease_ms, 2_000, 200..=60_000),
+            allowance: validator.millis("control.quotas.allowance_ms", raw.allowance_ms, 500, 50..=10_000),
+            interval: validator.millis("control.quotas.interval_ms", raw.interval_ms, 250, 101..=10_000),
             cluster: raw.cluster.unwrap_or_else(|| "starlinghill-control".into()),
-            customer_header: c.header("control.quotas.customer_header", raw.customer_header, "x-customer"),
-            plan_header: c.header("control.quotas.plan_header", raw.plan_header, "x-plan"),
-            units_header: c.header("control.quotas.units_header", raw.units_header, "x-units"),
+            customer_header: validator.header(
+                "control.quotas.customer_header",
+                raw.customer_header,
+                "x-customer",
+            ),
+            plan_header: validator.header("control.quotas.plan_header", raw.plan_header, "x-plan"),
+            units_header: validator.header("control.quotas.units_header", raw.units_header, "x-units"),
             plans: raw.plans.map(|plans| {
                 plans
                     .into_iter()
@@ -217,23 +228,36 @@
         };
         if quotas.lease < quotas.interval * 3 {
             let (found, least) = (quotas.lease.as_millis(), (quotas.interval * 3).as_millis());
-            let what = format!("expected three times interval_ms at least ({least}), found {found}");
-            c.fail(lease_span, "control.quotas.lease_ms", what);
+            let message = format!("expected three times interval_ms at least ({least}), found {found}");
+            validator.report(lease_span, "control.quotas.lease_ms", message);
         }
         quotas
     });
-    let l = raw.limits;
+    let raw_limits = raw.limits;
     let limits = Limits {
-        connections: c.number("control.limits.connections", l.connections, 2_048, 1..=100_000) as usize,
-        streams: c.number("control.limits.streams", l.streams, 4_096, 1..=100_000) as usize,
-        names: c.number("control.limits.names", l.names, 1_024, 1..=100_000) as usize,
-        message: c.number("control.limits.message_bytes", l.message_bytes, 1 << 20, 1_024..=1 << 26) as usize,
-        customers: c.number("control.limits.customers", l.customers, 100_000, 1..=10_000_000) as usize,
-        buckets: c.number("control.limits.buckets", l.buckets, 10_000, 1..=1_000_000) as usize,
+        connections: validator.number(
+            "control.limits.connections",
+            raw_limits.connections,
+            2_048,
+            1..=100_000,
+        ) as usize,
+        streams: validator.number("control.limits.streams", raw_limits.streams, 4_096, 1..=100_000) as usize,
+        names: validator.number("control.limits.names", raw_limits.names, 1_024, 1..=100_000) as usize,
+        message: validator.number(
+            "control.limits.message_bytes",
+            raw_limits.message_bytes,
+            1 << 20,
+            1_024..=1 << 26,
+        ) as usize,
+        customers: validator.number("control.limits.customers", raw_limits.customers, 100_000, 1..=10_000_000)
+            as usize,
+        buckets: validator.number("control.limits.buckets", raw_limits.buckets, 10_000, 1..=1_000_000)
+            as usize,
     };
     let attempts_out =
-        raw.attempts_out.map(|raw| c.number("control.attempts_out", Some(raw), 1, 1..=10_000) as u32);
-    let connect_timeout = c.millis("control.connect_timeout_ms", raw.connect_timeout_ms, 250, 1..=60_000);
-    let platform = crate::below(folder, raw.platform?.get_ref());
+        raw.attempts_out.map(|raw| validator.number("control.attempts_out", Some(raw), 1, 1..=10_000) as u32);
+    let connect_timeout =
+        validator.millis("control.connect_timeout_ms", raw.connect_timeout_ms, 250, 1..=60_000);
+    let platform = crate::resolve_path(folder, raw.platform?.get_ref());
     Some(Control { listen: listen?, platform, proxies, tls, quotas, limits, attempts_out, connect_timeout })
 }
--- a/crates/starlinghill-operator-config/src/group.rs
+++ b/crates/starlinghill-operator-config/src/group.rs
@@ -1,6 +1,6 @@
-//! `[group]`: the group that decides in common, its members, and the map of regions and zones.
+//! The section `[group]`: the failover group, its members, and its map of regions and zones.
 
-use crate::check::Check;
+use crate::check::Validator;
 use crate::problem::{Problem, Source};
 use serde::Deserialize;
 use starlinghill_failover::bounds::{Timing, TimingProblem, MOST_DRIFT_PPM};
@@ -11,39 +11,40 @@
 use std::path::{Path, PathBuf};
 use toml::Spanned;
 
-/// The group.
+/// The settings of the failover group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Group {
-    /// Its name.
+    /// The group's name. Members refuse messages of a group of another name.
     pub name: String,
-    /// Where members on this machine keep their files.
+    /// The folder for the database files of members on this machine.
     pub folder: PathBuf,
-    /// The least generation that is believed: raised after a restore, so that nobody goes with what is left of
-    /// the group before.
+    /// The lowest generation of the group that members and gateways accept. It is raised after a restore, so that
+    /// nobody follows what is left of the earlier generation.
     pub generation: u64,
-    /// Members may listen beyond this machine: the operators say that what passes between them is protected below.
-    pub private: bool,
-    /// The members.
+    /// Whether members may listen on addresses other than loopback. Their messages are not protected, so the operators
+    /// state by this that the network is.
+    pub private_network: bool,
+    /// The members: 1, 3, 5 or 7.
     pub members: Vec<GroupMember>,
-    /// Regions and zones.
+    /// The regions and zones, with the capacity that must stay in service.
     pub map: Topology,
-    /// Times.
+    /// Intervals and timeouts of the group.
     pub timing: Timing,
-    /// The most gateways that may follow by one member.
+    /// The most gateways that may follow the group through one member at once.
     pub subscribers: usize,
 }
 
-/// A member of the group.
+/// The number and address of a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GroupMember {
-    /// Its number.
+    /// The member's number, unique in the group.
     pub id: u64,
-    /// Where it listens.
+    /// The address on which it listens and the other members reach it.
     pub listen: SocketAddr,
 }
 
 impl Group {
-    /// The file of a member.
+    /// The path of a member's database file.
     pub fn file(&self, id: u64) -> PathBuf {
         self.folder.join(format!("member-{id}.redb"))
     }
@@ -96,84 +97,86 @@
     drift_ppm: Option<Spanned<i64>>,
 }
 
-/// Checks the section; `None` where something it can't do without is wrong.
+/// Validates the section. Returns `None` if anything in it is wrong.
 pub(crate) fn check(
     raw: Spanned<Raw>,
     source: &Source,
     folder: &Path,
     problems: &mut Vec<Problem>,
 ) -> Option<Group> {
-    let before = problems.len();
-    let mut c = Check { source, problems };
+    let problems_before = problems.len();
+    let mut validator = Validator { source, problems };
     let section = raw.span();
     let raw = raw.into_inner();
     let name = match raw.name {
         Some(name) if is_name(name.get_ref()) => name.into_inner(),
         Some(name) => {
-            let what = TopologyProblem::Name(name.get_ref().chars().take(64).collect()).to_string();
-            c.fail(name.span(), "group.name", what);
+            let message = TopologyProblem::Name(name.get_ref().chars().take(64).collect()).to_string();
+            validator.report(name.span(), "group.name", message);
             String::new()
         }
         None => {
-            c.missing(&section, "group.name", "the group's name");
+            validator.report_missing(&section, "group.name", "the group's name");
             String::new()
         }
     };
-    let private = raw.network.as_ref().is_some_and(|network| network.get_ref() == "private");
+    let private_network = raw.network.as_ref().is_some_and(|network| network.get_ref() == "private");
     if let Some(other) = raw.network.filter(|n| !["loopback", "private"].contains(&n.get_ref().as_str())) {
         let found: String = other.get_ref().chars().take(40).collect();
-        let what = format!("expected \"loopback\" or \"private\", found '{}'", found.escape_debug());
-        c.fail(other.span(), "group.network", what);
+        let message = format!("expected \"loopback\" or \"private\", found '{}'", found.escape_debug());
+        validator.report(other.span(), "group.network", message);
     }
-    let members = members(&mut c, &section, raw.members, private);
-    let floor = c.number("group.floor_percent", raw.floor_percent, 50, 1..=100) as u16 * 10;
-    let map = map(&mut c, &section, raw.regions, raw.zones, floor);
-    let generation = c.number("group.generation", raw.generation, 1, 1..=1_000_000) as u64;
-    let subscribers = c.number("group.subscribers", raw.subscribers, 10_000, 1..=100_000) as usize;
-    let timing = timing(&mut c, &section, raw.timing);
-    let folder = crate::below(folder, &raw.folder.unwrap_or_else(|| "group".into()));
-    let good = c.problems.len() == before;
-    good.then_some(Group { name, folder, generation, private, members, map, timing, subscribers })
+    let members = members(&mut validator, &section, raw.members, private_network);
+    let floor_permille = validator.number("group.floor_percent", raw.floor_percent, 50, 1..=100) as u16 * 10;
+    let map = map(&mut validator, &section, raw.regions, raw.zones, floor_permille);
+    let generation = validator.number("group.generation", raw.generation, 1, 1..=1_000_000) as u64;
+    let subscribers = validator.number("group.subscribers", raw.subscribers, 10_000, 1..=100_000) as usize;
+    let timing = timing(&mut validator, &section, raw.timing);
+    let folder = crate::resolve_path(folder, &raw.folder.unwrap_or_else(|| "group".into()));
+    let valid = validator.problems.len() == problems_before;
+    valid.then_some(Group { name, folder, generation, private_network, members, map, timing, subscribers })
 }
 
 fn members(
-    c: &mut Check,
+    validator: &mut Validator,
     section: &std::ops::Range<usize>,
     raw: Vec<Spanned<RawMember>>,
-    private: bool,
+    private_network: bool,
 ) -> Vec<GroupMember> {
     let mut members: Vec<GroupMember> = Vec::new();
     let count = raw.len();
     if count > 7 || count.is_multiple_of(2) {
-        let what =
+        let message =
             format!("expected 1, 3, 5 or 7 members, found {count}: an even number bears no more losses");
-        c.fail(section.clone(), "group.members", what);
+        validator.report(section.clone(), "group.members", message);
     }
     for member in raw {
         let span = member.span();
         let member = member.into_inner();
         let (Some(id), Some(listen)) = (&member.id, &member.listen) else {
-            c.missing(&span, "group.members", "id and listen");
+            validator.report_missing(&span, "group.members", "id and listen");
             continue;
         };
         let found = *id.get_ref();
         if !(1..=1_000_000).contains(&found) || members.iter().any(|m| m.id == found as u64) {
-            let what = format!("expected a number from 1 to 1000000, each once, found {found}");
-            c.fail(id.span(), "group.members.id", what);
+            let message = format!("expected a number from 1 to 1000000, each once, found {found}");
+            validator.report(id.span(), "group.members.id", message);
         }
-        let Some(address) = c.address("group.members.listen", listen) else { continue };
+        let Some(address) = validator.address("group.members.listen", listen) else { continue };
         let ip = address.ip();
-        // What members say is neither encrypted nor signed: whoever reaches one can order zones out.
-        if !private && !ip.is_loopback() {
-            let what = format!("expected a loopback address unless group.network is \"private\", found {ip}");
-            c.fail(listen.span(), "group.members.listen", what);
+        // Messages between members are neither encrypted nor signed: anyone who reaches a member can order zones out
+        // of service.
+        if !private_network && !ip.is_loopback() {
+            let message =
+                format!("expected a loopback address unless group.network is \"private\", found {ip}");
+            validator.report(listen.span(), "group.members.listen", message);
         } else if ip.is_unspecified() {
-            let what = format!("expected an address at which the others reach it, found {ip}");
-            c.fail(listen.span(), "group.members.listen", what);
+            let message = format!("expected an address at which the others reach it, found {ip}");
+            validator.report(listen.span(), "group.members.listen", message);
         }
         if members.iter().any(|m| m.listen == address) {
-            let what = format!("expected each address once, found {address} again");
-            c.fail(listen.span(), "group.members.listen", what);
+            let message = format!("expected each address once, found {address} again");
+            validator.report(listen.span(), "group.members.listen", message);
         }
         members.push(GroupMember { id: found as u64, listen: address });
     }
@@ -181,67 +184,76 @@
 }
 
 fn map(
-    c: &mut Check,
+    validator: &mut Validator,
     section: &std::ops::Range<usize>,
     regions: Vec<Spanned<String>>,
     raw: Vec<Spanned<RawZone>>,
-    floor: u16,
+    floor_permille: u16,
 ) -> Topology {
     let mut zones: BTreeMap<String, Zone> = BTreeMap::new();
     for zone in raw {
         let span = zone.span();
         let zone = zone.into_inner();
         let (Some(name), Some(region)) = (zone.name, zone.region) else {
-            c.missing(&span, "group.zones", "name and region");
+            validator.report_missing(&span, "group.zones", "name and region");
             continue;
         };
         let capacity =
-            c.number("group.zones.capacity", zone.capacity, 100, 1..=i64::from(LARGEST_CAPACITY)) as u32;
+            validator.number("group.zones.capacity", zone.capacity, 100, 1..=i64::from(LARGEST_CAPACITY))
+                as u32;
         if zones.contains_key(name.get_ref()) {
-            let what = format!("expected each zone once, found '{}' again", name.get_ref());
-            c.fail(name.span(), "group.zones.name", what);
+            let message = format!("expected each zone once, found '{}' again", name.get_ref());
+            validator.report(name.span(), "group.zones.name", message);
         }
         zones.insert(name.into_inner(), Zone { region: region.into_inner(), capacity });
     }
-    let map = Topology { regions: regions.into_iter().map(Spanned::into_inner).collect(), zones, floor };
+    let map = Topology {
+        regions: regions.into_iter().map(Spanned::into_inner).collect(),
+        zones,
+        floor: floor_permille,
+    };
     for problem in map.problems() {
-        c.fail(section.clone(), "group.zones", problem.to_string());
+        validator.report(section.clone(), "group.zones", problem.to_string());
     }
     map
 }
 
-fn timing(c: &mut Check, section: &std::ops::Range<usize>, raw: Option<Spanned<RawTiming>>) -> Timing {
+fn timing(
+    validator: &mut Validator,
+    section: &std::ops::Range<usize>,
+    raw: Option<Spanned<RawTiming>>,
+) -> Timing {
     let span = raw.as_ref().map_or(section.clone(), Spanned::span);
     let raw = raw.map(Spanned::into_inner).unwrap_or_default();
-    let d = Timing::default();
-    let mut ms = |key: &str, raw: Option<Spanned<i64>>, default: Micros, least: i64| {
+    let defaults = Timing::default();
+    let mut micros = |key: &str, raw: Option<Spanned<i64>>, default: Micros, least: i64| {
         let key = format!("group.timing.{key}");
-        Micros(c.number(&key, raw, (default.0 / 1_000) as i64, least..=3_600_000) as u64 * 1_000)
+        Micros(validator.number(&key, raw, (default.0 / 1_000) as i64, least..=3_600_000) as u64 * 1_000)
     };
     let timing = Timing {
-        heartbeat: ms("heartbeat_ms", raw.heartbeat_ms, d.heartbeat, 10),
-        election: ms("election_ms", raw.election_ms, d.election, 100),
-        confirm: ms("confirm_ms", raw.confirm_ms, d.confirm, 10),
-        ask: ms("ask_ms", raw.ask_ms, d.ask, 10),
-        patience: ms("patience_ms", raw.patience_ms, d.patience, 50),
-        fresh: ms("fresh_ms", raw.fresh_ms, d.fresh, 100),
-        stale: ms("stale_ms", raw.stale_ms, d.stale, 200),
-        tick: d.tick,
-        link: ms("link_ms", raw.link_ms, d.link, 1),
-        drift_ppm: c.number(
+        heartbeat: micros("heartbeat_ms", raw.heartbeat_ms, defaults.heartbeat, 10),
+        election: micros("election_ms", raw.election_ms, defaults.election, 100),
+        confirm: micros("confirm_ms", raw.confirm_ms, defaults.confirm, 10),
+        ask: micros("ask_ms", raw.ask_ms, defaults.ask, 10),
+        patience: micros("patience_ms", raw.patience_ms, defaults.patience, 50),
+        fresh: micros("fresh_ms", raw.fresh_ms, defaults.fresh, 100),
+        stale: micros("stale_ms", raw.stale_ms, defaults.stale, 200),
+        tick: defaults.tick,
+        link: micros("link_ms", raw.link_ms, defaults.link, 1),
+        drift_ppm: validator.number(
             "group.timing.drift_ppm",
             raw.drift_ppm,
-            i64::from(d.drift_ppm),
+            i64::from(defaults.drift_ppm),
             0..=i64::from(MOST_DRIFT_PPM),
         ) as u32,
     };
-    for misfit in timing.misfits() {
-        let key = match misfit {
+    for problem in timing.misfits() {
+        let key = match problem {
             TimingProblem::Election => "group.timing.election_ms",
             TimingProblem::Fresh { .. } => "group.timing.fresh_ms",
             TimingProblem::Stale => "group.timing.stale_ms",
         };
-        c.fail(span.clone(), key, misfit.to_string());
+        validator.report(span.clone(), key, problem.to_string());
     }
     timing
 }
--- a/crates/starlinghill-operator-config/src/problem.rs
+++ b/crates/starlinghill-operator-config/src/problem.rs
@@ -1,19 +1,19 @@
-//! What is wrong in a file, for the person who reads it.
+//! Errors in the operators' file, with the place where each was found.
 
 use std::fmt;
 use std::ops::Range;
 
-/// One thing that is wrong.
+/// One error in the operators' file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The file.
+    /// The path of the file.
     pub file: String,
-    /// The line, from 1; 0 where the file could not be read at all.
+    /// The line number, counted from 1. It is 0 if the error belongs to no line, for example an unreadable file.
     pub line: usize,
-    /// The key.
+    /// The dotted path of the key, empty if the error belongs to none.
     pub key: String,
-    /// What was found and what is allowed.
-    pub what: String,
+    /// What was expected and what was found.
+    pub message: String,
 }
 
 impl fmt::Display for Problem {
@@ -25,36 +25,38 @@
         if !self.key.is_empty() {
             write!(f, " {}:", self.key)?;
         }
-        write!(f, " {}", self.what)
+        write!(f, " {}", self.message)
     }
 }
 impl std::error::Error for Problem {}
 
-/// The file's text, to find lines in.
+/// The path and text of the file, to turn byte offsets into line numbers.
 pub(crate) struct Source<'a> {
     pub(crate) file: &'a str,
     pub(crate) text: &'a str,
 }
 
 impl Source<'_> {
-    pub(crate) fn line(&self, at: usize) -> usize {
-        let until = self.text.as_bytes().get(..at).unwrap_or(self.text.as_bytes());
-        until.iter().filter(|b| **b == b'\n').count() + 1
+    /// The line number of a byte offset, counted from 1.
+    pub(crate) fn line(&self, offset: usize) -> usize {
+        let before = self.text.as_bytes().get(..offset).unwrap_or(self.text.as_bytes());
+        before.iter().filter(|b| **b == b'\n').count() + 1
     }
 
-    /// A problem at a place.
-    pub(crate) fn at(&self, span: Range<usize>, key: &str, what: String) -> Problem {
-        Problem { file: self.file.into(), line: self.line(span.start), key: key.into(), what }
+    /// An error on the line where `span` starts.
+    pub(crate) fn problem_at(&self, span: Range<usize>, key: &str, message: String) -> Problem {
+        Problem { file: self.file.into(), line: self.line(span.start), key: key.into(), message }
     }
 
-    /// What the parser says. It names what it expected; the key is what stands before it on the line.
-    pub(crate) fn syntax(&self, error: &toml::de::Error) -> Problem {
-        let at = error.span().map_or(0, |span| span.start);
-        let line = self.line(at);
+    /// Converts an error of the TOML parser, which doesn't name the key. The text before `=` on the line is used as the
+    /// key.
+    pub(crate) fn syntax_problem(&self, error: &toml::de::Error) -> Problem {
+        let offset = error.span().map_or(0, |span| span.start);
+        let line = self.line(offset);
         let text = self.text.lines().nth(line - 1).unwrap_or("");
         let key = text.split_once('=').map_or(text, |(key, _)| key).trim();
-        // The parser's own words may run over several lines.
-        let what = error.message().split_whitespace().collect::<Vec<_>>().join(" ");
-        Problem { file: self.file.into(), line, key: key.into(), what }
+        // The parser's message may span several lines; a problem is printed on one.
+        let message = error.message().split_whitespace().collect::<Vec<_>>().join(" ");
+        Problem { file: self.file.into(), line, key: key.into(), message }
     }
 }
--- a/crates/starlinghill-operator-config/tests/group.rs
+++ b/crates/starlinghill-operator-config/tests/group.rs
@@ -1,21 +1,24 @@
-//! Good and bad sections `[group]`.
+//! Tests of the section `[group]`.
 
 use starlinghill_failover::bounds::Timing;
 use starlinghill_operator_config::{parse, Group, Problem};
 use std::path::Path;
 
-const GOOD: &str = "[group]\nname = \"campus\"\nregions = [\"east\"]\nmembers = [\n  \
+const VALID: &str = "[group]\nname = \"campus\"\nregions = [\"east\"]\nmembers = [\n  \
     {id = 1, listen = \"127.0.0.1:7301\"},\n  {id = 2, listen = \"127.0.0.1:7302\"},\n  \
     {id = 3, listen = \"127.0.0.1:7303\"},\n]\nzones = [\n  {name = \"e1\", region = \"east\"},\n]\n";
 
 fn read(text: &str) -> Result<Group, Vec<String>> {
-    let told = |problems: Vec<Problem>| problems.iter().map(Problem::to_string).collect::<Vec<_>>();
-    Ok(parse("ops.toml", text, Path::new("/etc/starlinghill")).map_err(told)?.group.expect("a group"))
+    let messages = |problems: Vec<Problem>| problems.iter().map(Problem::to_string).collect::<Vec<_>>();
+    Ok(parse("ops.toml", text, Path::new("/etc/starlinghill"))
+        .map_err(messages)?
+        .group
+        .expect("the section is present"))
 }
 
 #[test]
-fn what_is_not_said_has_defaults_that_fit_together() {
-    let group = read(GOOD).expect("sound");
+fn the_defaults_of_absent_keys_are_consistent() {
+    let group = read(VALID).expect("the file is valid");
     assert_eq!((group.generation, group.map.floor, group.timing), (1, 500, Timing::default()));
     assert_eq!(group.file(2), Path::new("/etc/starlinghill/group/member-2.redb"));
     assert_eq!(group.timing.misfits(), []);
@@ -23,7 +26,7 @@
 }
 
 #[test]
-fn each_mistake_is_told_with_line_key_found_and_allowed() {
+fn each_error_names_the_line_the_key_and_the_expected_value() {
     let cases = [
         ("name = \"campus\"", "name = \"cam pus\"", "ops.toml:2: group.name: expected a name of 1 to 64"),
         (
@@ -54,31 +57,32 @@
         ),
         ("name = \"campus\"", "name = \"campus\"\ngeneration = 0", "ops.toml:3: group.generation: expected"),
     ];
-    for (from, to, wanted) in cases {
-        let text = GOOD.replacen(from, to, 1);
-        assert_ne!(text, GOOD);
-        let found = read(&text).expect_err("it is wrong");
-        assert!(found.iter().any(|line| line.contains(wanted)), "{wanted}: {found:?}");
+    for (from, to, expected) in cases {
+        let text = VALID.replacen(from, to, 1);
+        assert_ne!(text, VALID);
+        let found = read(&text).expect_err("the file is invalid");
+        assert!(found.iter().any(|line| line.contains(expected)), "{expected}: {found:?}");
     }
 }
 
 #[test]
-fn members_listen_beyond_this_machine_only_where_operators_say_that_the_network_is_theirs() {
-    let beyond = GOOD.replace("127.0.0.1:7302", "10.0.0.1:7302");
-    let loopback = beyond.replace("name = \"campus\"", "name = \"campus\"\nnetwork = \"loopback\"");
-    assert!(read(&beyond).is_err() && read(&loopback).is_err());
-    let private = beyond.replace("name = \"campus\"", "name = \"campus\"\nnetwork = \"private\"");
-    let group = read(&private).expect("sound");
-    assert!(group.private && !group.members[1].listen.ip().is_loopback());
-    let anywhere = private.replace("10.0.0.1:7302", "0.0.0.0:7302");
-    let wanted = "ops.toml:7: group.members.listen: expected an address at which the others reach it";
-    assert!(read(&anywhere).expect_err("it is wrong")[0].contains(wanted));
+fn members_may_listen_beyond_loopback_only_if_the_network_is_declared_private() {
+    let not_loopback = VALID.replace("127.0.0.1:7302", "10.0.0.1:7302");
+    let loopback = not_loopback.replace("name = \"campus\"", "name = \"campus\"\nnetwork = \"loopback\"");
+    assert!(read(&not_loopback).is_err() && read(&loopback).is_err());
+    let private = not_loopback.replace("name = \"campus\"", "name = \"campus\"\nnetwork = \"private\"");
+    let group = read(&private).expect("the file is valid");
+    assert!(group.private_network && !group.members[1].listen.ip().is_loopback());
+    let unspecified = private.replace("10.0.0.1:7302", "0.0.0.0:7302");
+    let expected = "ops.toml:7: group.members.listen: expected an address at which the others reach it";
+    assert!(read(&unspecified).expect_err("the file is invalid")[0].contains(expected));
 }
 
 #[test]
-fn times_that_do_not_fit_together_are_refused_with_what_would() {
-    let timing =
-        |what: &str| read(&format!("{GOOD}[group.timing]\n{what}\n")).expect_err("it is wrong").join("\n");
+fn inconsistent_times_are_refused_with_the_value_that_would_be_accepted() {
+    let timing = |line: &str| {
+        read(&format!("{VALID}[group.timing]\n{line}\n")).expect_err("the file is invalid").join("\n")
+    };
     assert!(timing("fresh_ms = 300").contains("group.timing.fresh_ms: expected fresh_ms of 715 at least"));
     assert!(timing("stale_ms = 2000").contains("group.timing.stale_ms: expected stale_ms above fresh_ms"));
     assert!(timing("heartbeat_ms = 400")
--- a/crates/starlinghill-raft/src/lib.rs
+++ b/crates/starlinghill-raft/src/lib.rs
@@ -1,11 +1,12 @@
-//! The group on sockets and disk: one replicated log of decisions. Elections and log matching are `openraft`'s, the
-//! disk is `redb`'s; what is decided, and whether it may be, is `starlinghill-failover`'s.
+//! A member process of the failover group: a replicated log of orders, stored on disk and reached over gRPC.
+//! `openraft` elects leaders and replicates the log, `redb` stores it, and `starlinghill-failover` decides whether
+//! an order is accepted.
 //!
-//! - [`store`]: a member's file: its identity, vote, log and snapshot, each record with a checksum.
-//! - [`machine`]: the state machine that the log drives.
-//! - [`network`]: what members say to each other.
-//! - [`member`]: one member, from blank to part of a group.
-//! - [`serve`]: what it answers to gateways, operators and other members.
+//! - [`store`]: the member's database file with its identity, vote, log and snapshot, each record with a checksum.
+//! - [`machine`]: the state machine to which committed log entries are applied.
+//! - [`network`]: Raft messages between members.
+//! - [`member`]: the life of a member, from a blank disk to a running Raft node.
+//! - [`serve`]: the gRPC services for gateways, operators and other members.
 
 pub mod machine;
 pub mod member;
@@ -19,14 +20,14 @@
 use starlinghill_failover::wire::{Message, Sealed};
 use std::io::Cursor;
 
-/// What stands in the log.
+/// The payload of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Record {
-    /// An order.
+    /// An operator's order, or a ramp step of the leader. It is applied to the state and may be refused there.
     Order(Order),
-    /// The state that a restored group begins with. It stands in the log, not beside it, so that a member that
-    /// joins later begins with it as well.
+    /// The state with which a restored group starts. It is a log entry so that a member that joins later
+    /// replays it as well.
     Restored(Box<State>),
 }
 
@@ -34,36 +35,36 @@
     const KIND: &'static str = "record";
 }
 
-/// A record as the log holds it, in its versioned form: one that this version doesn't know can't be read, so that
-/// the member refuses the message it came in, and never carries half of it out.
+/// A record together with its format version, as it is serialized into the log. Deserializing a record of an
+/// unknown version fails, so the member refuses the whole message instead of applying part of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Recorded(pub Record);
+pub struct VersionedRecord(pub Record);
 
-impl Serialize for Recorded {
+impl Serialize for VersionedRecord {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
         Sealed::of(&self.0).serialize(s)
     }
 }
-impl<'de> Deserialize<'de> for Recorded {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Recorded, D::Error> {
-        Sealed::deserialize(d)?.open().map(Recorded).map_err(serde::de::Error::custom)
+impl<'de> Deserialize<'de> for VersionedRecord {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<VersionedRecord, D::Error> {
+        Sealed::deserialize(d)?.open().map(VersionedRecord).map_err(serde::de::Error::custom)
     }
 }
 
-/// What became of a record; nothing for the log's own entries.
+/// The result of applying a log entry: the order's outcome, or `None` for entries that carry no order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply(pub Option<Outcome>);
 
 openraft::declare_raft_types!(
-    /// The types that the log is made of.
-    pub Types:
-        D = Recorded,
+    /// The type parameters for `openraft`.
+    pub TypeConfig:
+        D = VersionedRecord,
         R = Reply,
         NodeId = u64,
         Node = openraft::BasicNode,
-        Entry = openraft::Entry<Types>,
+        Entry = openraft::Entry<TypeConfig>,
         SnapshotData = Cursor<Vec<u8>>,
 );
 
-/// The running log.
-pub type Raft = openraft::Raft<Types>;
+/// A running `openraft` node.
+pub type Raft = openraft::Raft<TypeConfig>;
--- a/crates/starlinghill-raft/src/machine.rs
+++ b/crates/starlinghill-raft/src/machine.rs
@@ -1,8 +1,8 @@
-//! The state machine that the log drives. It lives in memory and begins from the newest snapshot; what came after is
-//! in the log. Each change is published once, with all that is told of it already encoded: subscribers share it.
+//! The replicated state machine. It is kept in memory and starts from the newest snapshot; later entries are replayed
+//! from the log. Each new state is published once together with its encoded messages, which all followers share.
 
 use crate::store::{Store, StoreError};
-use crate::{Record, Reply, Types};
+use crate::{Record, Reply, TypeConfig};
 use openraft::storage::RaftStateMachine;
 use openraft::{
     AnyError, BasicNode, Entry, EntryPayload, LogId, RaftSnapshotBuilder, Snapshot, SnapshotMeta,
@@ -17,144 +17,146 @@
 use tokio::sync::watch;
 use tracing::info;
 
-/// What members and gateways are shown of the newest state.
+/// The newest applied state and its encoded messages for gateways.
 #[derive(Debug, Default)]
-pub struct Applied {
-    /// The newest entry that is in it; 0: none.
+pub struct AppliedState {
+    /// The index of the last applied log entry, 0 if there is none.
     pub index: u64,
-    /// The state.
+    /// The state after that entry.
     pub state: State,
-    /// What gateways are told of it.
+    /// The part of the state that gateways receive.
     pub directives: Directives,
-    /// The same, whole, encoded.
-    pub whole: Vec<u8>,
-    /// The change that led to it, with the position before, encoded.
-    pub change: Option<(starlinghill_failover::Position, Vec<u8>)>,
+    /// The complete directives as an encoded message.
+    pub encoded_directives: Vec<u8>,
+    /// The newest change as an encoded message, with the position it applies to. A follower at any other position
+    /// needs the complete directives.
+    pub encoded_change: Option<(starlinghill_failover::Position, Vec<u8>)>,
 }
 
-/// A snapshot as it is kept.
+/// A snapshot as it is stored on disk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Snapshotted {
-    /// Where it stands in the log.
+#[serde(rename = "Snapshotted", deny_unknown_fields)]
+pub struct StoredSnapshot {
+    /// The last log entry and the membership that the snapshot includes.
     pub meta: SnapshotMeta<u64, BasicNode>,
-    /// The state.
+    /// The state after that entry.
     pub state: State,
 }
 
-/// The state machine.
-pub struct Machine {
+/// The state machine that `openraft` applies committed entries to.
+pub struct StateMachine {
     store: Store,
-    last: Option<LogId<u64>>,
+    last_applied: Option<LogId<u64>>,
     membership: StoredMembership<u64, BasicNode>,
     state: State,
-    publish: watch::Sender<Arc<Applied>>,
+    publish: watch::Sender<Arc<AppliedState>>,
 }
 
-fn any(e: &StoreError) -> AnyError {
+fn any_error(e: &StoreError) -> AnyError {
     AnyError::new(e)
 }
 
-impl Machine {
-    /// The state machine as the store has it, and where it publishes.
+impl StateMachine {
+    /// Loads the state machine from the newest snapshot in the store. The receiver gets each new state.
     pub fn load(
         store: Store,
         generation: u64,
-    ) -> Result<(Machine, watch::Receiver<Arc<Applied>>), StoreError> {
+    ) -> Result<(StateMachine, watch::Receiver<Arc<AppliedState>>), StoreError> {
         let (publish, published) = watch::channel(Arc::default());
-        let mut machine = Machine {
-            last: None,
+        let mut machine = StateMachine {
+            last_applied: None,
             membership: StoredMembership::default(),
             state: State::new(generation),
             publish,
             store,
         };
         if let Some(snapshot) = machine.store.snapshot()? {
-            machine.take(snapshot);
+            machine.restore(snapshot);
         }
         machine.publish();
         Ok((machine, published))
     }
 
-    fn take(&mut self, snapshot: Snapshotted) {
-        self.last = snapshot.meta.last_log_id;
+    fn restore(&mut self, snapshot: StoredSnapshot) {
+        self.last_applied = snapshot.meta.last_log_id;
         self.membership = snapshot.meta.last_membership;
         self.state = snapshot.state;
     }
 
+    /// Publishes the present state, encoding the directives only if they changed.
     fn publish(&self) {
-        let before = self.publish.borrow().clone();
+        let previous = self.publish.borrow().clone();
         let directives = Directives::of(&self.state);
-        let same = before.directives == directives && !before.whole.is_empty();
-        let whole = match same {
-            true => before.whole.clone(),
+        let unchanged = previous.directives == directives && !previous.encoded_directives.is_empty();
+        let encoded_directives = match unchanged {
+            true => previous.encoded_directives.clone(),
             false => encode(&DirectiveUpdate::Whole { directives: directives.clone() }),
         };
-        let change = match directives.since(&before.directives) {
-            told @ DirectiveUpdate::Change { .. } if !same => {
-                Some((before.directives.position, encode(&told)))
+        let encoded_change = match directives.since(&previous.directives) {
+            update @ DirectiveUpdate::Change { .. } if !unchanged => {
+                Some((previous.directives.position, encode(&update)))
             }
             DirectiveUpdate::Change { .. } | DirectiveUpdate::Whole { .. } => {
-                before.change.clone().filter(|_| same)
+                previous.encoded_change.clone().filter(|_| unchanged)
             }
         };
-        let index = self.last.map_or(0, |l| l.index);
-        self.publish.send_replace(Arc::new(Applied {
+        let index = self.last_applied.map_or(0, |l| l.index);
+        self.publish.send_replace(Arc::new(AppliedState {
             index,
             state: self.state.clone(),
             directives,
-            whole,
-            change,
+            encoded_directives,
+            encoded_change,
         }));
     }
 
-    fn snapshotted(&self) -> Snapshotted {
-        let id = self.last.map_or_else(|| "begin".into(), |l| format!("{}-{}", l.leader_id, l.index));
+    fn snapshot(&self) -> StoredSnapshot {
+        let id = self.last_applied.map_or_else(|| "begin".into(), |l| format!("{}-{}", l.leader_id, l.index));
         let meta = SnapshotMeta {
-            last_log_id: self.last,
+            last_log_id: self.last_applied,
             last_membership: self.membership.clone(),
             snapshot_id: id,
         };
-        Snapshotted { meta, state: self.state.clone() }
+        StoredSnapshot { meta, state: self.state.clone() }
     }
 }
 
-fn bytes(state: &State) -> Box<Cursor<Vec<u8>>> {
+fn snapshot_data(state: &State) -> Box<Cursor<Vec<u8>>> {
     Box::new(Cursor::new(encode(state)))
 }
 
-/// Makes a snapshot of the state as it was when it was asked for.
-pub struct Builder {
+/// Writes a snapshot to disk. The state is copied when the builder is created, so later entries don't change it.
+pub struct StateSnapshotBuilder {
     store: Store,
-    snapshot: Snapshotted,
+    snapshot: StoredSnapshot,
 }
 
-impl RaftSnapshotBuilder<Types> for Builder {
-    async fn build_snapshot(&mut self) -> Result<Snapshot<Types>, StorageError<u64>> {
-        tokio::task::block_in_place(|| self.store.keep_snapshot(&self.snapshot))
-            .map_err(|e| StorageIOError::write_snapshot(None, any(&e)))?;
+impl RaftSnapshotBuilder<TypeConfig> for StateSnapshotBuilder {
+    async fn build_snapshot(&mut self) -> Result<Snapshot<TypeConfig>, StorageError<u64>> {
+        tokio::task::block_in_place(|| self.store.save_snapshot(&self.snapshot))
+            .map_err(|e| StorageIOError::write_snapshot(None, any_error(&e)))?;
         info!(at = %self.snapshot.meta.snapshot_id, "snapshot kept");
-        Ok(Snapshot { meta: self.snapshot.meta.clone(), snapshot: bytes(&self.snapshot.state) })
+        Ok(Snapshot { meta: self.snapshot.meta.clone(), snapshot: snapshot_data(&self.snapshot.state) })
     }
 }
 
-impl RaftStateMachine<Types> for Machine {
-    type SnapshotBuilder = Builder;
+impl RaftStateMachine<TypeConfig> for StateMachine {
+    type SnapshotBuilder = StateSnapshotBuilder;
 
     async fn applied_state(
         &mut self,
     ) -> Result<(Option<LogId<u64>>, StoredMembership<u64, BasicNode>), StorageError<u64>> {
-        Ok((self.last, self.membership.clone()))
+        Ok((self.last_applied, self.membership.clone()))
     }
 
     async fn apply<I>(&mut self, entries: I) -> Result<Vec<Reply>, StorageError<u64>>
     where
-        I: IntoIterator<Item = Entry<Types>> + Send,
+        I: IntoIterator<Item = Entry<TypeConfig>> + Send,
         I::IntoIter: Send,
     {
         let mut replies = Vec::new();
         for entry in entries {
-            self.last = Some(entry.log_id);
+            self.last_applied = Some(entry.log_id);
             let reply = match entry.payload {
                 EntryPayload::Blank => None,
                 EntryPayload::Membership(membership) => {
@@ -168,13 +170,14 @@
                         if self.state.position > before {
                             let (author, reason) = (&order.author, &order.reason);
                             info!(position = %self.state.position, author, reason, what = ?order.what, "decided");
-                            // One at a time: each position is told, none is skipped over unseen.
+                            // Published after each order and not once a batch, so that followers get each
+                            // position as a change.
                             self.publish();
                         }
                         Some(outcome)
                     }
                     Record::Restored(state) => {
-                        info!(position = %state.position, "begins from a restored state");
+                        info!(position = %state.position, "replaced the state by the restored one");
                         self.state = *state;
                         None
                     }
@@ -186,8 +189,8 @@
         Ok(replies)
     }
 
-    async fn get_snapshot_builder(&mut self) -> Builder {
-        Builder { store: self.store.clone(), snapshot: self.snapshotted() }
+    async fn get_snapshot_builder(&mut self) -> StateSnapshotBuilder {
+        StateSnapshotBuilder { store: self.store.clone(), snapshot: self.snapshot() }
     }
 
     async fn begin_receiving_snapshot(&mut self) -> Result<Box<Cursor<Vec<u8>>>, StorageError<u64>> {
@@ -200,20 +203,20 @@
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), StorageError<u64>> {
         let signature = Some(meta.signature());
-        // A later version's state is refused here, before anything of it is kept.
+        // A state of a later format version is refused here, before anything is written to disk.
         let state: State = decode(snapshot.get_ref())
             .map_err(|e| StorageIOError::read_snapshot(signature.clone(), AnyError::new(&e)))?;
-        let snapshot = Snapshotted { meta: meta.clone(), state };
-        tokio::task::block_in_place(|| self.store.keep_snapshot(&snapshot))
-            .map_err(|e| StorageIOError::write_snapshot(signature, any(&e)))?;
-        self.take(snapshot);
+        let snapshot = StoredSnapshot { meta: meta.clone(), state };
+        tokio::task::block_in_place(|| self.store.save_snapshot(&snapshot))
+            .map_err(|e| StorageIOError::write_snapshot(signature, any_error(&e)))?;
+        self.restore(snapshot);
         self.publish();
         Ok(())
     }
 
-    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<Types>>, StorageError<u64>> {
-        let kept = tokio::task::block_in_place(|| self.store.snapshot())
-            .map_err(|e| StorageIOError::read_snapshot(None, any(&e)))?;
-        Ok(kept.map(|kept| Snapshot { meta: kept.meta, snapshot: bytes(&kept.state) }))
+    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<TypeConfig>>, StorageError<u64>> {
+        let stored = tokio::task::block_in_place(|| self.store.snapshot())
+            .map_err(|e| StorageIOError::read_snapshot(None, any_error(&e)))?;
+        Ok(stored.map(|s| Snapshot { meta: s.meta, snapshot: snapshot_data(&s.state) }))
     }
 }
--- a/crates/starlinghill-raft/src/member.rs
+++ b/crates/starlinghill-raft/src/member.rs
@@ -1,11 +1,11 @@
-//! One member. Its disk is blank at first: it answers nobody but one who makes it a member of a group, so that a
-//! member whose disk was replaced can't vote for what it has forgotten. From then on it runs the log, knows how old
-//! what it has applied is, and makes the steps of ramps while it leads.
-
-use crate::machine::{Applied, Machine};
-use crate::network::{member, Links, Speaker};
-use crate::store::{Ident, Store, StoreError};
-use crate::{Raft, Record, Recorded};
+//! One member of the group. With a blank disk it answers only the message that assigns it to a group, so that a
+//! member whose disk was replaced can't vote without the log it has lost. Once assigned it runs the Raft node, tracks
+//! the age of its applied state and, while it leads, proposes the steps of ramps.
+
+use crate::machine::{AppliedState, StateMachine};
+use crate::network::{member_client, FrameSender, MemberNetwork};
+use crate::store::{MemberIdentity, Store, StoreError};
+use crate::{Raft, Record, VersionedRecord};
 use openraft::error::{CheckIsLeaderError, ClientWriteError, InitializeError, RaftError};
 use openraft::{BasicNode, ChangeMembers, Config, RaftMetrics, SnapshotPolicy};
 use starlinghill_failover::bounds::Timing;
@@ -29,54 +29,56 @@
 use tonic::Status;
 use tracing::{error, info, warn};
 
-/// Entries after which a snapshot is made, and those kept in the log for members that lag.
-const SNAPSHOT_AFTER: u64 = 1_000;
-const KEPT: u64 = 500;
-/// How often the leader looks for steps that are due.
-const PACE: Duration = Duration::from_millis(100);
-/// How long a member that joins may take to catch up.
-const CATCH_UP: Duration = Duration::from_secs(30);
+/// The number of log entries between two snapshots.
+const SNAPSHOT_INTERVAL_ENTRIES: u64 = 1_000;
+/// The number of entries before a snapshot that stay in the log, so that members that lag need no snapshot.
+const RETAINED_LOG_ENTRIES: u64 = 500;
+/// How often the leader checks for ramp steps that are due, and the delay between retries.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The time limit for changes of the membership, in which a member that joins has to catch up with the log.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a member is told at its start.
+/// The settings of a member, fixed at its start.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// The group's name.
     pub group: String,
     /// This member's number.
     pub id: u64,
-    /// Its file.
+    /// The path of its database file.
     pub file: PathBuf,
-    /// Where it listens.
+    /// The address it listens on.
     pub listen: SocketAddr,
-    /// Where members listen as seen from here.
-    pub seen: BTreeMap<u64, SocketAddr>,
-    /// The least generation that it takes part in.
+    /// Addresses of members as reached from this process. They take precedence over those in the membership.
+    pub addresses: BTreeMap<u64, SocketAddr>,
+    /// The lowest generation that this member takes part in. Raised after a restore to keep out disks of the earlier
+    /// generation.
     pub generation: u64,
-    /// The map that the group begins with.
+    /// The regions and zones that a new group starts with.
     pub map: Topology,
-    /// Times.
+    /// Intervals and timeouts of the group.
     pub timing: Timing,
-    /// The most that may follow by this member.
+    /// The most gateways that may follow the group through this member at once.
     pub subscribers: usize,
 }
 
 /// Why a member can't start.
 #[derive(Debug)]
 pub enum StartError {
-    /// Its disk.
+    /// Its file can't be used.
     Store(StoreError),
-    /// Its disk is another member's, or of an earlier life of the group.
-    NotThis {
-        /// The file.
+    /// Its file belongs to another member, or to an earlier generation of the group.
+    WrongIdentity {
+        /// The path of the file.
         file: PathBuf,
-        /// What it is.
-        found: Ident,
-        /// Which generation is wanted at the least.
+        /// The member that the file belongs to.
+        found: MemberIdentity,
+        /// The lowest generation that the settings allow.
         least: u64,
     },
-    /// It could not listen.
+    /// It can't listen on its address.
     Listen(SocketAddr, std::io::Error),
-    /// The log would not run.
+    /// The Raft node can't start.
     Log(String),
 }
 
@@ -84,7 +86,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StartError::Store(e) => write!(f, "{e}; this member stays out"),
-            StartError::NotThis { file, found, least } => write!(
+            StartError::WrongIdentity { file, found, least } => write!(
                 f,
                 "{}: it belongs to member {} of group '{}', generation {}; expected this member, of generation \
                  {least} at least",
@@ -100,54 +102,57 @@
 }
 impl std::error::Error for StartError {}
 
-/// A member of which it may not be known yet to what group it belongs.
+/// A member process, which may not be assigned to a group yet.
 pub struct Member {
     pub(crate) settings: Settings,
     pub(crate) store: Store,
-    pub(crate) begin: Instant,
-    alive: OnceCell<Arc<Alive>>,
+    pub(crate) started: Instant,
+    active: OnceCell<Arc<ActiveMember>>,
 }
 
-/// A member of a group.
-pub struct Alive {
-    /// The log.
+/// A member that is assigned to a group and runs its Raft node.
+pub struct ActiveMember {
+    /// The Raft node.
     pub raft: Raft,
-    /// The newest state.
-    pub applied: watch::Receiver<Arc<Applied>>,
-    pub(crate) speaker: Speaker,
+    /// The newest applied state.
+    pub applied: watch::Receiver<Arc<AppliedState>>,
+    pub(crate) sender: FrameSender,
     settings: Settings,
-    certainty: Mutex<StalenessBound>,
-    begin: Instant,
+    staleness: Mutex<StalenessBound>,
+    started: Instant,
     tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
-fn span(micros: Micros) -> Duration {
+fn duration(micros: Micros) -> Duration {
     Duration::from_micros(micros.0)
 }
 
 impl Member {
-    /// Opens the disk; where it is a member's, the log runs from here on.
+    /// Opens the member's file. If the file belongs to this member, the Raft node starts at once.
     pub async fn open(settings: Settings) -> Result<Arc<Member>, StartError> {
         let store = tokio::task::block_in_place(|| Store::open(&settings.file)).map_err(StartError::Store)?;
-        let ident = store.ident().map_err(StartError::Store)?;
-        let member = Member { settings, store, begin: Instant::now(), alive: OnceCell::new() };
-        match ident {
+        let identity = store.identity().map_err(StartError::Store)?;
+        let member = Member { settings, store, started: Instant::now(), active: OnceCell::new() };
+        match identity {
             Some(found) => {
-                let s = &member.settings;
-                if found.group != s.group || found.id != s.id || found.generation < s.generation {
-                    let file = s.file.clone();
-                    return Err(StartError::NotThis { file, found, least: s.generation });
+                let settings = &member.settings;
+                if found.group != settings.group
+                    || found.id != settings.id
+                    || found.generation < settings.generation
+                {
+                    let file = settings.file.clone();
+                    return Err(StartError::WrongIdentity { file, found, least: settings.generation });
                 }
-                member.become_alive(&found).await?;
+                member.activate(&found).await?;
             }
-            None => info!(member = member.settings.id, "blank: waits to be made a member of a group"),
+            None => info!(member = member.settings.id, "blank: waiting to be assigned to a group"),
         }
         Ok(Arc::new(member))
     }
 
-    /// This member as part of a group.
-    pub fn alive(&self) -> Result<&Arc<Alive>, Status> {
-        self.alive.get().ok_or_else(|| {
+    /// The running Raft member, or an error if the member is not assigned to a group yet.
+    pub fn active(&self) -> Result<&Arc<ActiveMember>, Status> {
+        self.active.get().ok_or_else(|| {
             Status::failed_precondition(format!(
                 "member {} is blank: begin a group ('group init') or add it to one ('group add')",
                 self.settings.id
@@ -155,131 +160,131 @@
         })
     }
 
-    async fn become_alive(&self, ident: &Ident) -> Result<(), StartError> {
-        let alive = Alive::start(self.store.clone(), ident, &self.settings, self.begin).await?;
-        // Two welcomes at once: the second finds the first's.
-        if self.alive.set(alive).is_ok() {
+    async fn activate(&self, identity: &MemberIdentity) -> Result<(), StartError> {
+        let active = ActiveMember::start(self.store.clone(), identity, &self.settings, self.started).await?;
+        // Of two concurrent assignments, only the first sets the cell.
+        if self.active.set(active).is_ok() {
             info!(
-                member = ident.id,
-                group = ident.group,
-                generation = ident.generation,
-                "a member of the group"
+                member = identity.id,
+                group = identity.group,
+                generation = identity.generation,
+                "started as a member of the group"
             );
         }
         Ok(())
     }
 
-    /// Is made a member. The same welcome again changes nothing.
-    pub(crate) async fn welcome(&self, ident: Ident) -> Result<(), Status> {
-        let refused = |what: String| Err(Status::failed_precondition(what));
-        let s = &self.settings;
-        if ident.group != s.group || ident.id != s.id {
+    /// Assigns this member to a group and starts its Raft node. Repeating the same assignment changes nothing.
+    pub(crate) async fn accept_identity(&self, identity: MemberIdentity) -> Result<(), Status> {
+        let refused = |reason: String| Err(Status::failed_precondition(reason));
+        let settings = &self.settings;
+        if identity.group != settings.group || identity.id != settings.id {
             return refused(format!(
                 "this is to be member {} of group '{}', not member {} of '{}'",
-                s.id, s.group, ident.id, ident.group
+                settings.id, settings.group, identity.id, identity.group
             ));
         }
-        let found = self.store.ident().map_err(|e| Status::internal(e.to_string()))?;
+        let found = self.store.identity().map_err(|e| Status::internal(e.to_string()))?;
         match found {
-            Some(found) if found == ident => return Ok(()),
+            Some(found) if found == identity => return Ok(()),
             Some(found) => {
                 return refused(format!(
                     "{} holds member {} of generation {} already",
-                    s.file.display(),
+                    settings.file.display(),
                     found.id,
                     found.generation
                 ))
             }
             None => {}
         }
-        tokio::task::block_in_place(|| self.store.become_member(&ident))
+        tokio::task::block_in_place(|| self.store.save_identity(&identity))
             .map_err(|e| Status::internal(e.to_string()))?;
-        self.become_alive(&ident).await.map_err(|e| Status::internal(e.to_string()))
+        self.activate(&identity).await.map_err(|e| Status::internal(e.to_string()))
     }
 
-    /// Begins a group of blank members.
+    /// Starts a new group: assigns all members, which have to be blank, and writes the restored state if there is one.
     pub(crate) async fn init(
         &self,
         members: &BTreeMap<u64, SocketAddr>,
         restored: Option<State>,
     ) -> Result<MembershipResult, Status> {
         if !members.contains_key(&self.settings.id) {
-            return refused(format!(
+            return rejected(format!(
                 "member {} is not among the members of the group to be",
                 self.settings.id
             ));
         }
         let generation = restored.as_ref().map_or(self.settings.generation.max(1), |s| s.position.generation);
         if generation < self.settings.generation {
-            return refused(format!(
+            return rejected(format!(
                 "the operators' file wants generation {} at least, this is {generation}",
                 self.settings.generation
             ));
         }
-        let ident = |id| Ident::new(&self.settings.group, generation, id);
+        let identity = |id| MemberIdentity::new(&self.settings.group, generation, id);
         for (id, address) in members.iter().filter(|(id, _)| **id != self.settings.id) {
-            if let Err(why) = welcome(&ident(*id), *address, self.settings.id).await {
-                return refused(format!("member {id} at {address}: {why}"));
+            if let Err(why) = send_identity(&identity(*id), *address, self.settings.id).await {
+                return rejected(format!("member {id} at {address}: {why}"));
             }
         }
-        self.welcome(ident(self.settings.id)).await?;
-        let alive = self.alive()?;
+        self.accept_identity(identity(self.settings.id)).await?;
+        let active = self.active()?;
         let nodes: BTreeMap<u64, BasicNode> =
             members.iter().map(|(id, at)| (*id, BasicNode::new(at.to_string()))).collect();
-        match alive.raft.initialize(nodes).await {
+        match active.raft.initialize(nodes).await {
             Ok(()) => {}
             Err(RaftError::APIError(InitializeError::NotAllowed(_))) => {
-                return refused("this group has begun already".into());
+                return rejected("this group has begun already".into());
             }
-            Err(e) => return refused(e.to_string()),
+            Err(e) => return rejected(e.to_string()),
         }
         if let Some(state) = restored {
-            // The election of the first leader takes a moment.
-            let until = tokio::time::Instant::now() + CATCH_UP;
+            // Retried because the first leader has to be elected before it can write.
+            let deadline = tokio::time::Instant::now() + CATCH_UP_TIMEOUT;
             let record = Record::Restored(Box::new(state));
-            while let Err(e) = alive.write(record.clone()).await {
-                if tokio::time::Instant::now() > until {
-                    return refused(format!("the restored state is not written: {}", e.message()));
+            while let Err(e) = active.propose(record.clone()).await {
+                if tokio::time::Instant::now() > deadline {
+                    return rejected(format!("the restored state is not written: {}", e.message()));
                 }
-                tokio::time::sleep(PACE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(MembershipResult::Done)
     }
 
-    /// Resolves when the log has stopped, with the reason: a disk that can't be written, mostly.
-    pub async fn failed(&self) -> String {
+    /// Returns the reason once the Raft node has stopped, usually because the disk can't be written.
+    pub async fn wait_for_failure(&self) -> String {
         loop {
-            if let Some(alive) = self.alive.get() {
-                return alive.failed().await;
+            if let Some(active) = self.active.get() {
+                return active.wait_for_failure().await;
             }
-            tokio::time::sleep(PACE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Stops the log.
+    /// Stops the Raft node and the member's background tasks.
     pub async fn stop(&self) {
-        if let Some(alive) = self.alive.get() {
-            for task in alive.tasks.lock().unwrap_or_else(PoisonError::into_inner).drain(..) {
+        if let Some(active) = self.active.get() {
+            for task in active.tasks.lock().unwrap_or_else(PoisonError::into_inner).drain(..) {
                 task.abort();
             }
-            if let Err(error) = alive.raft.shutdown().await {
-                warn!(%error, "the log did not stop in order");
+            if let Err(error) = active.raft.shutdown().await {
+                warn!(%error, "the Raft node did not shut down cleanly");
             }
         }
     }
 }
 
-fn refused(why: String) -> Result<MembershipResult, Status> {
+fn rejected(why: String) -> Result<MembershipResult, Status> {
     Ok(MembershipResult::Refused { why })
 }
 
-/// Makes another, blank process a member.
-async fn welcome(ident: &Ident, at: SocketAddr, from: u64) -> Result<(), String> {
-    let speaker = Speaker { group: ident.group.clone(), generation: ident.generation, id: from };
-    let body = serde_json::to_vec(ident).map_err(|e| e.to_string())?;
-    let mut client = member(&at.to_string())?;
-    let call = client.send(speaker.frame("welcome", body));
+/// Assigns the blank member at `address` to the group, on behalf of member `from`.
+async fn send_identity(identity: &MemberIdentity, address: SocketAddr, from: u64) -> Result<(), String> {
+    let sender = FrameSender { group: identity.group.clone(), generation: identity.generation, id: from };
+    let body = serde_json::to_vec(identity).map_err(|e| e.to_string())?;
+    let mut client = member_client(&address.to_string())?;
+    let call = client.send(sender.frame("welcome", body));
     match tokio::time::timeout(Duration::from_secs(2), call).await {
         Ok(Ok(_)) => Ok(()),
         Ok(Err(status)) => Err(status.message().into()),
@@ -287,72 +292,74 @@
     }
 }
 
-impl Alive {
+impl ActiveMember {
     async fn start(
         store: Store,
-        ident: &Ident,
+        identity: &MemberIdentity,
         settings: &Settings,
-        begin: Instant,
-    ) -> Result<Arc<Alive>, StartError> {
-        let ms = |m: Micros| m.0 / 1_000;
-        let t = settings.timing;
+        started: Instant,
+    ) -> Result<Arc<ActiveMember>, StartError> {
+        let millis = |m: Micros| m.0 / 1_000;
+        let timing = settings.timing;
         let config = Config {
-            cluster_name: ident.group.clone(),
-            heartbeat_interval: ms(t.heartbeat),
-            // By chance between the half and the whole, so that two candidates rarely meet twice.
-            election_timeout_min: ms(t.election) / 2,
-            election_timeout_max: ms(t.election),
+            cluster_name: identity.group.clone(),
+            heartbeat_interval: millis(timing.heartbeat),
+            // Drawn at random from this range, so that two candidates rarely time out together twice.
+            election_timeout_min: millis(timing.election) / 2,
+            election_timeout_max: millis(timing.election),
             install_snapshot_timeout: 2_000,
-            snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT_AFTER),
-            max_in_snapshot_log_to_keep: KEPT,
+            snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT_INTERVAL_ENTRIES),
+            max_in_snapshot_log_to_keep: RETAINED_LOG_ENTRIES,
             max_payload_entries: 32,
             ..Config::default()
         };
         let config = Arc::new(config.validate().map_err(|e| StartError::Log(e.to_string()))?);
-        let (machine, applied) = Machine::load(store.clone(), ident.generation).map_err(StartError::Store)?;
-        let speaker = Speaker { group: ident.group.clone(), generation: ident.generation, id: ident.id };
-        let links = Links { speaker: speaker.clone(), seen: settings.seen.clone() };
-        let raft = Raft::new(ident.id, config, links, store, machine)
+        let (machine, applied) =
+            StateMachine::load(store.clone(), identity.generation).map_err(StartError::Store)?;
+        let sender =
+            FrameSender { group: identity.group.clone(), generation: identity.generation, id: identity.id };
+        let network = MemberNetwork { sender: sender.clone(), addresses: settings.addresses.clone() };
+        let raft = Raft::new(identity.id, config, network, store, machine)
             .await
             .map_err(|e| StartError::Log(e.to_string()))?;
-        let alive = Arc::new(Alive {
+        let active = Arc::new(ActiveMember {
             raft,
             applied,
-            speaker,
+            sender,
             settings: settings.clone(),
-            certainty: Mutex::default(),
-            begin,
+            staleness: Mutex::default(),
+            started,
             tasks: Mutex::default(),
         });
         let tasks = vec![
-            tokio::spawn(alive.clone().confirm_always()),
-            tokio::spawn(alive.clone().follow_applied()),
-            tokio::spawn(alive.clone().pace_always()),
+            tokio::spawn(active.clone().run_staleness_checks()),
+            tokio::spawn(active.clone().track_applied_index()),
+            tokio::spawn(active.clone().run_leader_tasks()),
         ];
-        *alive.tasks.lock().unwrap_or_else(PoisonError::into_inner) = tasks;
-        Ok(alive)
+        *active.tasks.lock().unwrap_or_else(PoisonError::into_inner) = tasks;
+        Ok(active)
     }
 
     fn now(&self) -> Micros {
-        Micros(u64::try_from(self.begin.elapsed().as_micros()).unwrap_or(u64::MAX))
+        Micros(u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    fn certainty(&self) -> std::sync::MutexGuard<'_, StalenessBound> {
-        self.certainty.lock().unwrap_or_else(PoisonError::into_inner)
+    fn staleness(&self) -> std::sync::MutexGuard<'_, StalenessBound> {
+        self.staleness.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How long ago this member certainly knew the newest.
+    /// An upper bound on the age of the applied state, or `None` if the leader never confirmed it.
     pub fn age(&self) -> Option<Micros> {
         let now = self.now();
-        self.certainty().age(now)
+        self.staleness().age(now)
     }
 
-    /// The log's own figures.
+    /// The Raft node's present metrics.
     pub fn metrics(&self) -> RaftMetrics<u64, BasicNode> {
         self.raft.metrics().borrow().clone()
     }
 
-    async fn failed(&self) -> String {
+    async fn wait_for_failure(&self) -> String {
         let mut metrics = self.raft.metrics();
         loop {
             if let Err(e) = &metrics.borrow_and_update().running_state {
@@ -364,43 +371,43 @@
         }
     }
 
-    async fn follow_applied(self: Arc<Alive>) {
+    async fn track_applied_index(self: Arc<ActiveMember>) {
         let mut applied = self.applied.clone();
         loop {
             let index = applied.borrow_and_update().index;
-            self.certainty().applied(index);
+            self.staleness().applied(index);
             if applied.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// The newest committed entry, by a leader that a majority follows at this moment.
-    pub(crate) async fn newest(&self) -> Result<u64, Status> {
-        let patience = span(self.settings.timing.patience);
-        match tokio::time::timeout(patience, self.raft.get_read_log_id()).await {
-            Ok(Ok((newest, _))) => Ok(newest.map_or(0, |l| l.index)),
+    /// The index of the last committed entry. Fails unless this member leads and a majority confirms it now.
+    pub(crate) async fn committed_index(&self) -> Result<u64, Status> {
+        let time_limit = duration(self.settings.timing.patience);
+        match tokio::time::timeout(time_limit, self.raft.get_read_log_id()).await {
+            Ok(Ok((committed, _))) => Ok(committed.map_or(0, |l| l.index)),
             Ok(Err(RaftError::APIError(CheckIsLeaderError::QuorumNotEnough(e)))) => {
                 Err(Status::failed_precondition(format!(
                     "no majority follows member {}: of {} it hears {}",
-                    self.speaker.id,
+                    self.sender.id,
                     self.metrics().membership_config.voter_ids().count(),
                     e.got.len()
                 )))
             }
             Ok(Err(RaftError::APIError(CheckIsLeaderError::ForwardToLeader(_)))) => {
-                Err(Status::failed_precondition(format!("member {} does not lead", self.speaker.id)))
+                Err(Status::failed_precondition(format!("member {} does not lead", self.sender.id)))
             }
             Ok(Err(e)) => Err(Status::failed_precondition(e.to_string())),
             Err(_) => Err(Status::failed_precondition(format!(
                 "no majority answers member {} within {} ms",
-                self.speaker.id,
-                patience.as_millis()
+                self.sender.id,
+                time_limit.as_millis()
             ))),
         }
     }
 
-    /// The leader, if it is another member, and where it listens.
+    /// The leader's number and address if another member leads, `None` if this member leads.
     fn other_leader(&self) -> Result<Option<(u64, String)>, Status> {
         let metrics = self.metrics();
         let Some(leader) = metrics.current_leader else {
@@ -408,21 +415,22 @@
             return Err(Status::failed_precondition(format!(
                 "member {} knows no leader among the {known} of the group (term {}); without a majority nothing is \
                  decided",
-                self.speaker.id, metrics.current_term
+                self.sender.id, metrics.current_term
             )));
         };
-        if leader == self.speaker.id {
+        if leader == self.sender.id {
             return Ok(None);
         }
         let node = || metrics.membership_config.membership().get_node(&leader).map(|n| n.addr.clone());
-        let at = self.settings.seen.get(&leader).map(SocketAddr::to_string).or_else(node);
-        let at = at.ok_or_else(|| Status::failed_precondition(format!("nobody knows where {leader} is")))?;
-        Ok(Some((leader, at)))
+        let address = self.settings.addresses.get(&leader).map(SocketAddr::to_string).or_else(node);
+        let address =
+            address.ok_or_else(|| Status::failed_precondition(format!("nobody knows where {leader} is")))?;
+        Ok(Some((leader, address)))
     }
 
-    /// Refuses what would have to go to a leader of which nothing was heard lately: it would lie in a link that is cut, and
-    /// come out when that heals.
-    fn reaches_leader(&self, leader: u64) -> Result<(), Status> {
+    /// Refuses to forward a request to a leader that hasn't been heard from lately. The request could be held in a
+    /// broken connection and be carried out when the connection recovers, long after the operator gave up.
+    fn check_leader_contact(&self, leader: u64) -> Result<(), Status> {
         let age = self.age();
         if age.is_some_and(|age| age <= self.settings.timing.fresh) {
             return Ok(());
@@ -431,163 +439,167 @@
         Err(Status::failed_precondition(format!(
             "member {} has not heard {since} that a majority follows member {leader}; it is cut off, or there is no \
              majority",
-            self.speaker.id
+            self.sender.id
         )))
     }
 
-    /// Asks the leader for something, as it is.
-    async fn ask_leader(
+    /// Sends a frame to the leader and returns the body of its answer.
+    async fn call_leader(
         &self,
         leader: u64,
-        at: &str,
+        address: &str,
         kind: &str,
         body: Vec<u8>,
-        patience: Duration,
+        time_limit: Duration,
     ) -> Result<Vec<u8>, Status> {
-        let mut client = member(at).map_err(Status::failed_precondition)?;
-        match tokio::time::timeout(patience, client.send(self.speaker.frame(kind, body))).await {
+        let mut client = member_client(address).map_err(Status::failed_precondition)?;
+        match tokio::time::timeout(time_limit, client.send(self.sender.frame(kind, body))).await {
             Ok(Ok(reply)) => Ok(reply.into_inner().body),
             Ok(Err(status)) => {
                 Err(Status::new(status.code(), format!("leader {leader}: {}", status.message())))
             }
             Err(_) => Err(Status::deadline_exceeded(format!(
                 "leader {leader} did not answer member {} within {} ms",
-                self.speaker.id,
-                patience.as_millis()
+                self.sender.id,
+                time_limit.as_millis()
             ))),
         }
     }
 
-    /// Asks again and again whether what is applied here is the newest.
-    async fn confirm_always(self: Arc<Alive>) {
-        let mut every = tokio::time::interval(span(self.settings.timing.confirm));
-        every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut link: Option<(String, crate::network::Client)> = None;
+    /// Asks the leader at each `confirm` interval for the last committed index, which bounds the age of the applied
+    /// state.
+    async fn run_staleness_checks(self: Arc<ActiveMember>) {
+        let mut ticks = tokio::time::interval(duration(self.settings.timing.confirm));
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut connection: Option<(String, crate::network::Client)> = None;
         loop {
-            every.tick().await;
+            ticks.tick().await;
             let asked = self.now();
-            let newest = match self.other_leader() {
+            let committed = match self.other_leader() {
                 Err(_) => continue,
-                Ok(None) => self.newest().await.ok(),
-                Ok(Some((_, at))) => {
-                    if link.as_ref().is_none_or(|(to, _)| *to != at) {
-                        link = member(&at).ok().map(|client| (at.clone(), client));
+                Ok(None) => self.committed_index().await.ok(),
+                Ok(Some((_, address))) => {
+                    if connection.as_ref().is_none_or(|(connected, _)| *connected != address) {
+                        connection = member_client(&address).ok().map(|client| (address.clone(), client));
                     }
-                    let Some((_, client)) = &mut link else { continue };
-                    let call = client.send(self.speaker.frame("confirm", Vec::new()));
-                    let patience = span(self.settings.timing.patience);
-                    match tokio::time::timeout(patience, call).await {
+                    let Some((_, client)) = &mut connection else { continue };
+                    let call = client.send(self.sender.frame("confirm", Vec::new()));
+                    let time_limit = duration(self.settings.timing.patience);
+                    match tokio::time::timeout(time_limit, call).await {
                         Ok(Ok(reply)) => serde_json::from_slice(&reply.into_inner().body).ok(),
                         Ok(Err(_)) | Err(_) => None,
                     }
                 }
             };
-            if let Some(newest) = newest {
-                self.certainty().answered(asked, newest);
+            if let Some(committed) = committed {
+                self.staleness().answered(asked, committed);
             }
         }
     }
 
-    /// While this member leads: the map at the beginning, and steps of ramps.
-    async fn pace_always(self: Arc<Alive>) {
-        let mut every = tokio::time::interval(PACE);
-        every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    /// While this member leads, proposes the first map of a new group and the steps of ramps as they fall due.
+    async fn run_leader_tasks(self: Arc<ActiveMember>) {
+        let mut ticks = tokio::time::interval(POLL_INTERVAL);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut pacer = Pacer::default();
         loop {
-            every.tick().await;
-            let leads = self.metrics().current_leader == Some(self.speaker.id);
+            ticks.tick().await;
+            let is_leader = self.metrics().current_leader == Some(self.sender.id);
             let applied = self.applied.borrow().clone();
-            if leads && applied.index > 0 && applied.state.map.is_none() {
-                self.adopt_first().await;
+            if is_leader && applied.index > 0 && applied.state.map.is_none() {
+                self.propose_first_map().await;
                 continue;
             }
-            for due in pacer.handle(self.now(), &applied.state, leads) {
+            for due in pacer.handle(self.now(), &applied.state, is_leader) {
                 let order = Order {
                     id: String::new(),
-                    author: format!("member {}", self.speaker.id),
+                    author: format!("member {}", self.sender.id),
                     reason: "the next step".into(),
                     at_ms: wall_clock::now_ms(),
                     what: OrderKind::Step { zone: due.zone.clone(), of: due.of },
                 };
-                if let Err(e) = self.write(Record::Order(order)).await {
-                    warn!(zone = due.zone, why = e.message(), "a step was not made");
+                if let Err(e) = self.propose(Record::Order(order)).await {
+                    warn!(zone = due.zone, why = e.message(), "could not propose a ramp step");
                 }
             }
         }
     }
 
-    /// The first map. All members propose the same, by the same id, so that it counts once whoever leads.
-    async fn adopt_first(&self) {
+    /// Proposes the map of the operators' file as the group's first one. Every leader uses the same order id, so that
+    /// the map is adopted only once.
+    async fn propose_first_map(&self) {
         let order = Order {
-            id: format!("first-map-{}", self.speaker.generation),
+            id: format!("first-map-{}", self.sender.generation),
             author: "operators' file".into(),
             reason: "the group begins".into(),
             at_ms: 0,
             what: OrderKind::Adopt { map: self.settings.map.clone(), expect: None },
         };
-        match self.write(Record::Order(order)).await {
+        match self.propose(Record::Order(order)).await {
             Ok(Some(Outcome::Refused { causes, .. })) => {
                 for cause in causes {
-                    error!(%cause, "the operators' file's map is refused");
+                    error!(%cause, "the group refused the map of the operators' file");
                 }
             }
             Ok(_) => {}
-            Err(e) => warn!(why = e.message(), "the first map was not adopted yet"),
+            Err(e) => warn!(why = e.message(), "could not propose the first map; it is retried"),
         }
     }
 
-    /// Writes a record as the leader. What fails with FAILED_PRECONDITION was certainly not proposed.
-    async fn write(&self, record: Record) -> Result<Option<Outcome>, Status> {
-        // A leader that lost its majority would take the record in and be unable to say what becomes of it.
-        self.newest().await?;
-        let patience = span(self.settings.timing.election) * 2;
-        match tokio::time::timeout(patience, self.raft.client_write(Recorded(record))).await {
-            Ok(Ok(done)) => Ok(done.data.0),
+    /// Writes a record to the log as the leader. With FAILED_PRECONDITION it was certainly not written; with any other
+    /// error it may have been.
+    async fn propose(&self, record: Record) -> Result<Option<Outcome>, Status> {
+        // A leader without a majority would append the record and couldn't tell whether it will be committed.
+        self.committed_index().await?;
+        let time_limit = duration(self.settings.timing.election) * 2;
+        match tokio::time::timeout(time_limit, self.raft.client_write(VersionedRecord(record))).await {
+            Ok(Ok(response)) => Ok(response.data.0),
             Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(_)))) => {
-                Err(Status::failed_precondition(format!("member {} does not lead any more", self.speaker.id)))
+                Err(Status::failed_precondition(format!("member {} does not lead any more", self.sender.id)))
             }
             Ok(Err(e)) => Err(Status::unknown(e.to_string())),
             Err(_) => Err(Status::deadline_exceeded("a majority has not confirmed it in time")),
         }
     }
 
-    /// Carries an order out, here or at the leader.
-    pub(crate) async fn give(&self, order: &Order, may_forward: bool) -> Result<Outcome, Status> {
+    /// Submits an order to the log. A member that doesn't lead forwards it to the leader if `may_forward` is true.
+    pub(crate) async fn submit_order(&self, order: &Order, may_forward: bool) -> Result<Outcome, Status> {
         if let OrderKind::Step { .. } = order.what {
             return Err(Status::invalid_argument("steps are the leader's own"));
         }
         match self.other_leader()? {
             None => self
-                .write(Record::Order(order.clone()))
+                .propose(Record::Order(order.clone()))
                 .await?
                 .ok_or_else(|| Status::internal("an order without an outcome")),
-            Some((leader, at)) if may_forward => {
-                self.reaches_leader(leader)?;
-                let patience = span(self.settings.timing.election) * 3;
-                let body = self.ask_leader(leader, &at, "give", encode(order), patience).await?;
+            Some((leader, address)) if may_forward => {
+                self.check_leader_contact(leader)?;
+                let time_limit = duration(self.settings.timing.election) * 3;
+                let body = self.call_leader(leader, &address, "give", encode(order), time_limit).await?;
                 decode(&body).map_err(|e| Status::internal(e.to_string()))
             }
             Some((leader, _)) => Err(Status::failed_precondition(format!("member {leader} leads"))),
         }
     }
 
-    /// Changes the group, here or at the leader.
-    pub(crate) async fn manage(
+    /// Changes the membership, forwarding to the leader like `submit_order`, or saves a snapshot on this member.
+    pub(crate) async fn change_membership(
         &self,
         change: &MembershipChange,
         may_forward: bool,
     ) -> Result<MembershipResult, Status> {
         if let MembershipChange::Snapshot = change {
-            let done = self.raft.trigger().snapshot().await;
-            return Ok(done.map_or_else(
+            let result = self.raft.trigger().snapshot().await;
+            return Ok(result.map_or_else(
                 |e| MembershipResult::Refused { why: e.to_string() },
                 |()| MembershipResult::Done,
             ));
         }
         match self.other_leader()? {
-            Some((leader, at)) if may_forward => {
-                self.reaches_leader(leader)?;
-                let body = self.ask_leader(leader, &at, "manage", encode(change), CATCH_UP).await?;
+            Some((leader, address)) if may_forward => {
+                self.check_leader_contact(leader)?;
+                let body =
+                    self.call_leader(leader, &address, "manage", encode(change), CATCH_UP_TIMEOUT).await?;
                 return decode(&body).map_err(|e| Status::internal(e.to_string()));
             }
             Some((leader, _)) => {
@@ -595,14 +607,14 @@
             }
             None => {}
         }
-        self.newest().await?;
-        let done = match change {
+        self.committed_index().await?;
+        let result = match change {
             MembershipChange::Add { id, address } => self.add(*id, *address).await,
             MembershipChange::Remove { id } => self.remove(*id).await,
             MembershipChange::Init { .. } => Err("this group has begun already".into()),
             MembershipChange::Snapshot => Ok(()),
         };
-        Ok(done.map_or_else(|why| MembershipResult::Refused { why }, |()| MembershipResult::Done))
+        Ok(result.map_or_else(|why| MembershipResult::Refused { why }, |()| MembershipResult::Done))
     }
 
     async fn add(&self, id: u64, address: SocketAddr) -> Result<(), String> {
@@ -610,18 +622,20 @@
         if members.voter_ids().any(|v| v == id) {
             return Err(format!("{id} is a member already; one whose disk was replaced is removed first"));
         }
-        let ident = Ident::new(&self.speaker.group, self.speaker.generation, id);
-        welcome(&ident, address, self.speaker.id).await.map_err(|e| format!("{address}: {e}"))?;
+        let identity = MemberIdentity::new(&self.sender.group, self.sender.generation, id);
+        send_identity(&identity, address, self.sender.id).await.map_err(|e| format!("{address}: {e}"))?;
         let node = BasicNode::new(address.to_string());
         let joining = async {
-            // It votes only once it has all that was committed.
+            // Added as a learner first: it may vote only once it holds all committed entries.
             self.raft.add_learner(id, node, true).await.map_err(|e| e.to_string())?;
             let voters = ChangeMembers::AddVoterIds(BTreeSet::from([id]));
             self.raft.change_membership(voters, false).await.map_err(|e| e.to_string())
         };
-        match tokio::time::timeout(CATCH_UP, joining).await {
-            Ok(done) => done.map(|_| ()),
-            Err(_) => Err(format!("{id} has not caught up within {} s; send it again", CATCH_UP.as_secs())),
+        match tokio::time::timeout(CATCH_UP_TIMEOUT, joining).await {
+            Ok(result) => result.map(|_| ()),
+            Err(_) => {
+                Err(format!("{id} has not caught up within {} s; send it again", CATCH_UP_TIMEOUT.as_secs()))
+            }
         }
     }
 
@@ -635,8 +649,8 @@
             return Err(format!("{id} is the last member"));
         }
         let without = ChangeMembers::RemoveVoters(BTreeSet::from([id]));
-        match tokio::time::timeout(CATCH_UP, self.raft.change_membership(without, false)).await {
-            Ok(done) => done.map(|_| ()).map_err(|e| e.to_string()),
+        match tokio::time::timeout(CATCH_UP_TIMEOUT, self.raft.change_membership(without, false)).await {
+            Ok(result) => result.map(|_| ()).map_err(|e| e.to_string()),
             Err(_) => Err("a majority has not confirmed it in time".into()),
         }
     }
--- a/crates/starlinghill-raft/src/store.rs
+++ b/crates/starlinghill-raft/src/store.rs
@@ -1,10 +1,9 @@
-//! A member's disk: one file that holds who it is, its vote, its log and its newest snapshot. Every record has a
-//! checksum of its own beside those of the store's pages; a file in which anything is not as it was written is not
-//! used at all, and the member says which file and stays out: to go on with a part of a log would be to vote for what
-//! the group has decided otherwise.
+//! A member's database file: its identity, vote, log and newest snapshot. Every record has a checksum in addition to
+//! the page checksums of `redb`. If any record is damaged, the file is not used at all; the member names the file and
+//! doesn't start. A member that continued with part of its log could vote against what the group has committed.
 
-use crate::machine::Snapshotted;
-use crate::{Record, Types};
+use crate::machine::StoredSnapshot;
+use crate::{Record, TypeConfig};
 use openraft::storage::{LogFlushed, RaftLogStorage};
 use openraft::{
     AnyError, Entry, EntryPayload, LogId, LogState, RaftLogId, RaftLogReader, StorageError, StorageIOError,
@@ -22,248 +21,251 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-const IDENT: &str = "ident";
-const VOTE: &str = "vote";
-const PURGED: &str = "purged";
-const SNAPSHOT: &str = "snapshot";
-/// The form of the file.
-const VERSION: u32 = 1;
-/// Bytes of a record's checksum, before its text.
-const SUM: usize = 8;
-/// What the file's name ends with until it is whole.
-const HALF_MADE: &str = "new";
-/// The store's cache: the whole of a common log.
-const CACHE: usize = 4 << 20;
-
-/// Who a member is. Without it the disk is blank.
+/// Log entries by index.
+const LOG_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+/// Single records by the keys below.
+const META_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
+const IDENTITY_KEY: &str = "ident";
+const VOTE_KEY: &str = "vote";
+/// The id of the last log entry that was removed because a snapshot includes it.
+const PURGED_KEY: &str = "purged";
+const SNAPSHOT_KEY: &str = "snapshot";
+/// The version of the file format.
+const FILE_VERSION: u32 = 1;
+/// The length in bytes of the checksum in front of each record's JSON text.
+const CHECKSUM_BYTES: usize = 8;
+/// The file's extension until all its tables are written.
+const TEMPORARY_EXTENSION: &str = "new";
+/// The database cache in bytes: enough for a log of usual size.
+const CACHE_BYTES: usize = 4 << 20;
+
+/// The identity of the member that a file belongs to. A file without one is blank.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Ident {
-    /// The form of the file.
+#[serde(rename = "Ident", deny_unknown_fields)]
+pub struct MemberIdentity {
+    /// The version of the file format.
     pub version: u32,
     /// The group's name.
     pub group: String,
-    /// The group's life.
+    /// The group's generation; it goes up by one at each restore.
     pub generation: u64,
     /// This member's number.
     pub id: u64,
 }
 
-impl Ident {
-    /// The identity of a member.
-    pub fn new(group: &str, generation: u64, id: u64) -> Ident {
-        Ident { version: VERSION, group: group.into(), generation, id }
+impl MemberIdentity {
+    /// An identity in the present file format.
+    pub fn new(group: &str, generation: u64, id: u64) -> MemberIdentity {
+        MemberIdentity { version: FILE_VERSION, group: group.into(), generation, id }
     }
 }
 
-/// A disk that can't be used. The member stays out.
+/// The member's file can't be read or written. The member must not take part in the group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreError {
-    /// The file.
+    /// The path of the file.
     pub file: PathBuf,
-    /// What is wrong.
-    pub what: String,
+    /// The cause.
+    pub message: String,
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.file.display(), self.what)
+        write!(f, "{}: {}", self.file.display(), self.message)
     }
 }
 impl std::error::Error for StoreError {}
 
-/// The file.
+/// An open member file. Clones share the database.
 #[derive(Debug, Clone)]
 pub struct Store {
     db: Arc<Database>,
     file: Arc<Path>,
 }
 
-fn seal<T: Serialize>(value: &T) -> Result<Vec<u8>, String> {
+/// Encodes a record as its checksum followed by its JSON text.
+fn encode_record<T: Serialize>(value: &T) -> Result<Vec<u8>, String> {
     let text = serde_json::to_vec(value).map_err(|e| e.to_string())?;
     let mut bytes = xxh3_64(&text).to_le_bytes().to_vec();
     bytes.extend_from_slice(&text);
     Ok(bytes)
 }
 
-fn unseal<T: DeserializeOwned>(what: &str, bytes: &[u8]) -> Result<T, String> {
-    let (sum, text) = bytes.split_at_checked(SUM).ok_or_else(|| format!("{what} is cut off"))?;
+/// Verifies the checksum and decodes the record. `name` names the record in errors.
+fn decode_record<T: DeserializeOwned>(name: &str, bytes: &[u8]) -> Result<T, String> {
+    let (sum, text) = bytes.split_at_checked(CHECKSUM_BYTES).ok_or_else(|| format!("{name} is cut off"))?;
     if xxh3_64(text).to_le_bytes() != sum {
-        return Err(format!("{what} is not as it was written (checksum)"));
+        return Err(format!("{name} is not as it was written (checksum)"));
     }
-    serde_json::from_slice(text).map_err(|e| format!("{what}: {e}"))
+    serde_json::from_slice(text).map_err(|e| format!("{name}: {e}"))
 }
 
-/// Disk work holds its thread up; others of the runtime take over its tasks meanwhile.
+/// Runs disk work on this thread, while the runtime moves the thread's other tasks elsewhere.
 fn blocking<T>(work: impl FnOnce() -> T) -> T {
     tokio::task::block_in_place(work)
 }
 
 impl Store {
-    /// Opens the file, or makes it, and checks all of it.
+    /// Opens the file, creating it if it doesn't exist, and verifies every record.
     pub fn open(path: &Path) -> Result<Store, StoreError> {
-        let wrong = |e: io::Error| StoreError { file: path.into(), what: e.to_string() };
+        let store_error = |e: io::Error| StoreError { file: path.into(), message: e.to_string() };
         let folder = path.parent().filter(|f| !f.as_os_str().is_empty()).unwrap_or(Path::new("."));
-        std::fs::create_dir_all(folder).map_err(wrong)?;
-        if !path.try_exists().map_err(wrong)? {
-            Store::make(path, folder)?;
+        std::fs::create_dir_all(folder).map_err(store_error)?;
+        if !path.try_exists().map_err(store_error)? {
+            Store::create(path, folder)?;
         }
         Store::open_file(path)
     }
 
-    /// Makes the file under another name, and gives it its own once it is whole. Guards against a process that is killed
-    /// meanwhile: half a file can't be told from one that was spoilt, and its member would stay out for good.
-    fn make(path: &Path, folder: &Path) -> Result<(), StoreError> {
-        let wrong = |e: io::Error| StoreError { file: path.into(), what: e.to_string() };
-        let half_made = path.with_extension(HALF_MADE);
-        match std::fs::remove_file(&half_made) {
-            Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(wrong(e)),
+    /// Creates the file under a temporary name and renames it when it is complete. A process killed in between would
+    /// otherwise leave a partial file, which looks like a damaged one and would keep the member from ever starting.
+    fn create(path: &Path, folder: &Path) -> Result<(), StoreError> {
+        let store_error = |e: io::Error| StoreError { file: path.into(), message: e.to_string() };
+        let temporary = path.with_extension(TEMPORARY_EXTENSION);
+        match std::fs::remove_file(&temporary) {
+            Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(store_error(e)),
             _ => {}
         }
-        drop(Store::open_file(&half_made)?);
-        std::fs::rename(&half_made, path).map_err(wrong)?;
-        // Or a loss of power would take the name, and with it what the member has promised since.
-        File::open(folder).and_then(|folder| folder.sync_all()).map_err(wrong)
+        drop(Store::open_file(&temporary)?);
+        std::fs::rename(&temporary, path).map_err(store_error)?;
+        // Without syncing the folder, a power loss could undo the rename and lose the votes saved since.
+        File::open(folder).and_then(|folder| folder.sync_all()).map_err(store_error)
     }
 
     fn open_file(path: &Path) -> Result<Store, StoreError> {
         let mut builder = Database::builder();
-        builder.set_check_integrity_on_open(true).set_cache_size(CACHE);
-        let db = builder.create(path).map_err(|e| StoreError { file: path.into(), what: e.to_string() })?;
-        Store::checked(db, path)
+        builder.set_check_integrity_on_open(true).set_cache_size(CACHE_BYTES);
+        let db =
+            builder.create(path).map_err(|e| StoreError { file: path.into(), message: e.to_string() })?;
+        Store::verify(db, path)
     }
 
-    /// The same on a backend of the caller's, which may have faults.
-    pub fn on(backend: impl StorageBackend, name: &Path) -> Result<Store, StoreError> {
+    /// Opens a store on the given storage backend, for example one that injects faults.
+    pub fn with_backend(backend: impl StorageBackend, name: &Path) -> Result<Store, StoreError> {
         let mut builder = Database::builder();
-        builder.set_check_integrity_on_open(true).set_cache_size(CACHE);
+        builder.set_check_integrity_on_open(true).set_cache_size(CACHE_BYTES);
         let db = builder
             .create_with_backend(backend)
-            .map_err(|e| StoreError { file: name.into(), what: e.to_string() })?;
-        Store::checked(db, name)
+            .map_err(|e| StoreError { file: name.into(), message: e.to_string() })?;
+        Store::verify(db, name)
     }
 
-    fn checked(db: Database, path: &Path) -> Result<Store, StoreError> {
+    /// Verifies the format version, every record, and that no log entry is missing.
+    fn verify(db: Database, path: &Path) -> Result<Store, StoreError> {
         let store = Store { db: Arc::new(db), file: path.into() };
-        // Makes the tables, so that reading needs no special case.
-        store.write(|log, meta| {
-            let _ = (log, meta);
-            Ok(())
-        })?;
-        if let Some(ident) = store.ident()? {
-            if ident.version != VERSION {
-                return Err(store.wrong(format!(
-                    "it is of version {}; this program knows version {VERSION} alone",
-                    ident.version
+        // Opening the tables for writing creates them, so that reads need no special case.
+        store.write(|_, _| Ok(()))?;
+        if let Some(identity) = store.identity()? {
+            if identity.version != FILE_VERSION {
+                return Err(store.error(format!(
+                    "it is of version {}; this program knows version {FILE_VERSION} alone",
+                    identity.version
                 )));
             }
         }
-        store.get::<Vote<u64>>(VOTE)?;
+        store.get::<Vote<u64>>(VOTE_KEY)?;
         store.snapshot()?;
-        let purged = store.get::<LogId<u64>>(PURGED)?;
+        let purged = store.get::<LogId<u64>>(PURGED_KEY)?;
         let mut next = purged.map(|p| p.index + 1);
         for entry in store.entries(..)? {
             let index = entry.get_log_id().index;
             if next.is_some_and(|next| next != index) {
-                return Err(store.wrong(format!("entry {} of the log is missing", next.unwrap_or(0))));
+                return Err(store.error(format!("entry {} of the log is missing", next.unwrap_or(0))));
             }
             next = Some(index + 1);
         }
         Ok(store)
     }
 
-    /// The file's path.
+    /// The path of the file.
     pub fn file(&self) -> &Path {
         &self.file
     }
 
-    fn wrong(&self, what: impl fmt::Display) -> StoreError {
-        StoreError { file: self.file.to_path_buf(), what: what.to_string() }
+    fn error(&self, message: impl fmt::Display) -> StoreError {
+        StoreError { file: self.file.to_path_buf(), message: message.to_string() }
     }
 
-    /// One transaction, on the disk when this returns.
+    /// Runs one transaction. It is durable on disk when this returns.
     fn write<T>(
         &self,
         work: impl FnOnce(&mut redb::Table<u64, &[u8]>, &mut redb::Table<&str, &[u8]>) -> Result<T, String>,
     ) -> Result<T, StoreError> {
-        let all = || -> Result<T, String> {
-            let told = |e: &dyn fmt::Display| e.to_string();
-            let transaction = self.db.begin_write().map_err(|e| told(&e))?;
-            let done = {
-                let mut log = transaction.open_table(LOG).map_err(|e| told(&e))?;
-                let mut meta = transaction.open_table(META).map_err(|e| told(&e))?;
+        let run = || -> Result<T, String> {
+            let transaction = self.db.begin_write().map_err(|e| e.to_string())?;
+            let result = {
+                let mut log = transaction.open_table(LOG_TABLE).map_err(|e| e.to_string())?;
+                let mut meta = transaction.open_table(META_TABLE).map_err(|e| e.to_string())?;
                 work(&mut log, &mut meta)?
             };
-            transaction.commit().map_err(|e| told(&e))?;
-            Ok(done)
+            transaction.commit().map_err(|e| e.to_string())?;
+            Ok(result)
         };
-        all().map_err(|what| self.wrong(what))
+        run().map_err(|e| self.error(e))
     }
 
     fn get<T: DeserializeOwned>(&self, key: &str) -> Result<Option<T>, StoreError> {
-        let all = || -> Result<Option<T>, String> {
+        let run = || -> Result<Option<T>, String> {
             let transaction = self.db.begin_read().map_err(|e| e.to_string())?;
-            let meta = transaction.open_table(META).map_err(|e| e.to_string())?;
+            let meta = transaction.open_table(META_TABLE).map_err(|e| e.to_string())?;
             let found = meta.get(key).map_err(|e| e.to_string())?;
-            found.map(|bytes| unseal(key, bytes.value())).transpose()
+            found.map(|bytes| decode_record(key, bytes.value())).transpose()
         };
-        all().map_err(|what| self.wrong(what))
+        run().map_err(|e| self.error(e))
     }
 
     fn put<T: Serialize>(&self, key: &str, value: &T) -> Result<(), StoreError> {
-        let bytes = seal(value).map_err(|what| self.wrong(what))?;
+        let bytes = encode_record(value).map_err(|e| self.error(e))?;
         self.write(|_, meta| meta.insert(key, &bytes[..]).map(|_| ()).map_err(|e| e.to_string()))
     }
 
-    /// Who this member is; `None`: the disk is blank.
-    pub fn ident(&self) -> Result<Option<Ident>, StoreError> {
-        self.get(IDENT)
+    /// The member that the file belongs to, or `None` if the file is blank.
+    pub fn identity(&self) -> Result<Option<MemberIdentity>, StoreError> {
+        self.get(IDENTITY_KEY)
     }
 
-    /// Makes a blank disk a member's.
-    pub fn become_member(&self, ident: &Ident) -> Result<(), StoreError> {
-        self.put(IDENT, ident)
+    /// Assigns the file to a member.
+    pub fn save_identity(&self, identity: &MemberIdentity) -> Result<(), StoreError> {
+        self.put(IDENTITY_KEY, identity)
     }
 
-    /// The newest snapshot.
-    pub fn snapshot(&self) -> Result<Option<Snapshotted>, StoreError> {
-        self.get(SNAPSHOT)
+    /// The newest snapshot, if one was saved.
+    pub fn snapshot(&self) -> Result<Option<StoredSnapshot>, StoreError> {
+        self.get(SNAPSHOT_KEY)
     }
 
-    /// Keeps a snapshot in place of the one before.
-    pub fn keep_snapshot(&self, snapshot: &Snapshotted) -> Result<(), StoreError> {
-        self.put(SNAPSHOT, snapshot)
+    /// Replaces the stored snapshot.
+    pub fn save_snapshot(&self, snapshot: &StoredSnapshot) -> Result<(), StoreError> {
+        self.put(SNAPSHOT_KEY, snapshot)
     }
 
-    fn entries(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry<Types>>, StoreError> {
-        let all = || -> Result<Vec<Entry<Types>>, String> {
+    fn entries(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry<TypeConfig>>, StoreError> {
+        let run = || -> Result<Vec<Entry<TypeConfig>>, String> {
             let transaction = self.db.begin_read().map_err(|e| e.to_string())?;
-            let log = transaction.open_table(LOG).map_err(|e| e.to_string())?;
+            let log = transaction.open_table(LOG_TABLE).map_err(|e| e.to_string())?;
             let mut found = Vec::new();
             for row in log.range(range).map_err(|e| e.to_string())? {
                 let (index, bytes) = row.map_err(|e| e.to_string())?;
-                let what = format!("entry {} of the log", index.value());
-                let entry: Entry<Types> = unseal(&what, bytes.value())?;
+                let name = format!("entry {} of the log", index.value());
+                let entry: Entry<TypeConfig> = decode_record(&name, bytes.value())?;
                 if entry.get_log_id().index != index.value() {
-                    return Err(format!("{what} says that it is entry {}", entry.get_log_id().index));
+                    return Err(format!("{name} says that it is entry {}", entry.get_log_id().index));
                 }
                 found.push(entry);
             }
             Ok(found)
         };
-        all().map_err(|what| self.wrong(what))
+        run().map_err(|e| self.error(e))
     }
 
-    /// All that the disk knows, carried out: the snapshot and every entry after it, with the newest entry's place.
-    /// For the day when a majority is lost. An entry may not have been committed; one that was, and of which this is
-    /// the newest disk left, is not lost so.
-    pub fn last_state(&self) -> Result<Option<(LogId<u64>, State)>, StoreError> {
-        let Some(ident) = self.ident()? else { return Ok(None) };
+    /// Applies all log entries to the newest snapshot and returns the state with the id of the last entry. This is for
+    /// restoring a group that lost its majority: it also applies entries that may not have been committed, because
+    /// this file can be the last one left that holds a committed entry.
+    pub fn recover_state(&self) -> Result<Option<(LogId<u64>, State)>, StoreError> {
+        let Some(identity) = self.identity()? else { return Ok(None) };
         let snapshot = self.snapshot()?;
         let mut last = snapshot.as_ref().and_then(|s| s.meta.last_log_id);
-        let mut state = snapshot.map_or_else(|| State::new(ident.generation), |s| s.state);
+        let mut state = snapshot.map_or_else(|| State::new(identity.generation), |s| s.state);
         for entry in self.entries(last.map_or(0, |l| l.index + 1)..)? {
             last = Some(entry.log_id);
             match entry.payload {
@@ -278,40 +280,40 @@
     }
 }
 
-fn any(e: &StoreError) -> AnyError {
+fn any_error(e: &StoreError) -> AnyError {
     AnyError::new(e)
 }
 
-impl RaftLogReader<Types> for Store {
-    async fn try_get_log_entries<R>(&mut self, range: R) -> Result<Vec<Entry<Types>>, StorageError<u64>>
+impl RaftLogReader<TypeConfig> for Store {
+    async fn try_get_log_entries<R>(&mut self, range: R) -> Result<Vec<Entry<TypeConfig>>, StorageError<u64>>
     where
         R: RangeBounds<u64> + Clone + fmt::Debug + Send,
     {
         let bounds: (Bound<u64>, Bound<u64>) = (range.start_bound().cloned(), range.end_bound().cloned());
-        blocking(|| self.entries(bounds)).map_err(|e| StorageIOError::read_logs(any(&e)).into())
+        blocking(|| self.entries(bounds)).map_err(|e| StorageIOError::read_logs(any_error(&e)).into())
     }
 }
 
-impl RaftLogStorage<Types> for Store {
+impl RaftLogStorage<TypeConfig> for Store {
     type LogReader = Store;
 
-    async fn get_log_state(&mut self) -> Result<LogState<Types>, StorageError<u64>> {
-        let all = || {
-            let purged = self.get::<LogId<u64>>(PURGED)?;
-            let transaction = self.db.begin_read().map_err(|e| self.wrong(e))?;
-            let log = transaction.open_table(LOG).map_err(|e| self.wrong(e))?;
-            let last = log.last().map_err(|e| self.wrong(e))?;
+    async fn get_log_state(&mut self) -> Result<LogState<TypeConfig>, StorageError<u64>> {
+        let run = || {
+            let purged = self.get::<LogId<u64>>(PURGED_KEY)?;
+            let transaction = self.db.begin_read().map_err(|e| self.error(e))?;
+            let log = transaction.open_table(LOG_TABLE).map_err(|e| self.error(e))?;
+            let last = log.last().map_err(|e| self.error(e))?;
             let last = match last {
                 Some((_, bytes)) => Some(
-                    unseal::<Entry<Types>>("the log's last entry", bytes.value())
-                        .map_err(|what| self.wrong(what))?
+                    decode_record::<Entry<TypeConfig>>("the log's last entry", bytes.value())
+                        .map_err(|e| self.error(e))?
                         .log_id,
                 ),
                 None => purged,
             };
             Ok(LogState { last_purged_log_id: purged, last_log_id: last })
         };
-        blocking(all).map_err(|e: StoreError| StorageIOError::read_logs(any(&e)).into())
+        blocking(run).map_err(|e: StoreError| StorageIOError::read_logs(any_error(&e)).into())
     }
 
     async fn get_log_reader(&mut self) -> Store {
@@ -319,24 +321,28 @@
     }
 
     async fn save_vote(&mut self, vote: &Vote<u64>) -> Result<(), StorageError<u64>> {
-        blocking(|| self.put(VOTE, vote)).map_err(|e| StorageIOError::write_vote(any(&e)).into())
+        blocking(|| self.put(VOTE_KEY, vote)).map_err(|e| StorageIOError::write_vote(any_error(&e)).into())
     }
 
     async fn read_vote(&mut self) -> Result<Option<Vote<u64>>, StorageError<u64>> {
-        blocking(|| self.get(VOTE)).map_err(|e| StorageIOError::read_vote(any(&e)).into())
+        blocking(|| self.get(VOTE_KEY)).map_err(|e| StorageIOError::read_vote(any_error(&e)).into())
     }
 
-    async fn append<I>(&mut self, entries: I, callback: LogFlushed<Types>) -> Result<(), StorageError<u64>>
+    async fn append<I>(
+        &mut self,
+        entries: I,
+        callback: LogFlushed<TypeConfig>,
+    ) -> Result<(), StorageError<u64>>
     where
-        I: IntoIterator<Item = Entry<Types>> + Send,
+        I: IntoIterator<Item = Entry<TypeConfig>> + Send,
         I::IntoIter: Send,
     {
-        let sealed: Result<Vec<(u64, Vec<u8>)>, String> =
-            entries.into_iter().map(|e| Ok((e.log_id.index, seal(&e)?))).collect();
-        let written = sealed.map_err(|what| self.wrong(what)).and_then(|sealed| {
+        let encoded: Result<Vec<(u64, Vec<u8>)>, String> =
+            entries.into_iter().map(|e| Ok((e.log_id.index, encode_record(&e)?))).collect();
+        let written = encoded.map_err(|e| self.error(e)).and_then(|encoded| {
             blocking(|| {
                 self.write(|log, _| {
-                    for (index, bytes) in &sealed {
+                    for (index, bytes) in &encoded {
                         log.insert(index, &bytes[..]).map_err(|e| e.to_string())?;
                     }
                     Ok(())
@@ -350,27 +356,27 @@
             }
             Err(e) => {
                 callback.log_io_completed(Err(std::io::Error::other(e.to_string())));
-                Err(StorageIOError::write_logs(any(&e)).into())
+                Err(StorageIOError::write_logs(any_error(&e)).into())
             }
         }
     }
 
     async fn truncate(&mut self, from: LogId<u64>) -> Result<(), StorageError<u64>> {
-        let cut =
+        let remove =
             || self.write(|log, _| log.retain_in(from.index.., |_, _| false).map_err(|e| e.to_string()));
-        blocking(cut).map_err(|e| StorageIOError::write_logs(any(&e)).into())
+        blocking(remove).map_err(|e| StorageIOError::write_logs(any_error(&e)).into())
     }
 
     async fn purge(&mut self, upto: LogId<u64>) -> Result<(), StorageError<u64>> {
-        let bytes = seal(&upto).map_err(|what| self.wrong(what));
-        let cut = |bytes: Vec<u8>| {
+        let bytes = encode_record(&upto).map_err(|e| self.error(e));
+        let remove = |bytes: Vec<u8>| {
             self.write(|log, meta| {
-                meta.insert(PURGED, &bytes[..]).map_err(|e| e.to_string())?;
+                meta.insert(PURGED_KEY, &bytes[..]).map_err(|e| e.to_string())?;
                 log.retain_in(..=upto.index, |_, _| false).map_err(|e| e.to_string())
             })
         };
         bytes
-            .and_then(|bytes| blocking(|| cut(bytes)))
-            .map_err(|e| StorageIOError::write_logs(any(&e)).into())
+            .and_then(|bytes| blocking(|| remove(bytes)))
+            .map_err(|e| StorageIOError::write_logs(any_error(&e)).into())
     }
 }
