--- a/crates/starlinghill-control/tests/failover.rs
+++ b/crates/starlinghill-control/tests/failover.rs
@@ -1,5 +1,5 @@
-//! Real gateways that follow a group of real members, under load, while links are cut and processes killed, stopped and
-//! started again.
+//! Tests with real gateways that follow a group of real members under load, while connections are cut and processes are
+//! killed, paused and restarted.
 
 use starlinghill_failover::bounds::Timing;
 use starlinghill_failover::Micros;
@@ -14,43 +14,45 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_starlinghill-control");
-/// The times in the files of the rig's groups.
+/// `fresh_ms` in the operators' files that the testkit writes.
 const FRESH: Duration = Duration::from_millis(1_000);
-/// What a process may need to write a line of its log, and this one to read it, on a machine that is busy with tests.
-const SLACK: Duration = Duration::from_millis(1_500);
+/// The time allowed for a process to write a log line and for the test to read it, on a busy machine.
+const LOG_DELAY: Duration = Duration::from_millis(1_500);
 
 fn pause(ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
 }
 
+/// Checks that what the gateways logged agrees with the orders and with the time bounds.
 #[track_caller]
 fn audit(fleet: &Fleet, orders: &[Ordered]) {
     let zones = fleet.wait_until_all_follow();
     let number = |key: &str| zones["position"][key].as_u64().unwrap_or(0);
     let last = (number("generation"), number("epoch"));
-    let found = wrongs(orders, &fleet.followed(), last, FRESH, SLACK);
+    let found = wrongs(orders, &fleet.followed(), last, FRESH, LOG_DELAY);
     assert!(found.is_empty(), "{found:#?}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_zone_is_drained_and_returned_while_gateways_restart_join_and_are_cut_off_and_nothing_is_lost() {
+async fn a_zone_is_drained_and_returned_without_lost_requests_while_gateways_restart_and_connections_are_cut()
+{
     let mut fleet = Fleet::start(Path::new(PROGRAM), &["a", "b", "c"], 6, 1, true).await;
     fleet.load(20);
     let (orders, out_at, back_at) = tokio::task::block_in_place(|| {
         pause(500);
         let drain = ["b", "--reason", "a drill", "--step", "25", "--every-ms", "600"];
         let mut orders = vec![fleet.order(&["zone", "drain"], &drain)];
-        let suffer = |fleet: &mut Fleet, fault: Fault| fleet.suffer(&fault);
-        suffer(&mut fleet, Fault::RestartGateway(0));
+        let inject = |fleet: &mut Fleet, fault: Fault| fleet.suffer(&fault);
+        inject(&mut fleet, Fault::RestartGateway(0));
         pause(300);
-        suffer(&mut fleet, Fault::KillGateway(2));
-        suffer(&mut fleet, Fault::Cut("c".into(), "a".into()));
-        suffer(&mut fleet, Fault::Cut("a".into(), "c".into()));
+        inject(&mut fleet, Fault::KillGateway(2));
+        inject(&mut fleet, Fault::Cut("c".into(), "a".into()));
+        inject(&mut fleet, Fault::Cut("a".into(), "c".into()));
         pause(600);
-        suffer(&mut fleet, Fault::KillGateway(5));
+        inject(&mut fleet, Fault::KillGateway(5));
         pause(1_000);
-        suffer(&mut fleet, Fault::Heal);
-        fleet.group.wait_until("it is out", |z| z["zones"]["b"]["phase"] == "out");
+        inject(&mut fleet, Fault::Heal);
+        fleet.group.wait_until("zone b is out", |z| z["zones"]["b"]["phase"] == "out");
         fleet.wait_until_all_follow();
         let out_at = Instant::now();
         pause(1_500);
@@ -64,16 +66,16 @@
     let found = fleet.wrongs(&sent);
     assert!((found.lost, found.doubled) == (0, 0), "{found:?}");
     assert!(found.served * 10 > found.sent * 8, "{found:?}");
-    let came = fleet.came_to("b");
-    let grace = Duration::from_secs(1);
-    let late = came.iter().filter(|at| **at > out_at + grace && **at < back_at).count();
-    assert_eq!(late, 0, "new requests to a zone that every gateway was told is out");
-    assert!(came.iter().any(|at| *at > back_at), "it is used again");
+    let arrivals = fleet.came_to("b");
+    let cutoff = Duration::from_secs(1);
+    let late = arrivals.iter().filter(|at| **at > out_at + cutoff && **at < back_at).count();
+    assert_eq!(late, 0, "new requests reached a zone that every gateway follows as out");
+    assert!(arrivals.iter().any(|at| *at > back_at), "the returned zone must get requests");
     tokio::task::block_in_place(|| audit(&fleet, &orders));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_zone_that_returns_cold_is_not_overrun_by_all_gateways_together() {
+async fn a_zone_that_returns_with_cold_servers_is_not_overloaded_by_all_gateways_together() {
     let mut fleet = Fleet::start(Path::new(PROGRAM), &["a", "b", "c"], 6, 7, true).await;
     fleet.load(80);
     let orders = tokio::task::block_in_place(|| {
@@ -81,7 +83,8 @@
         let mut orders = vec![fleet.order(&["zone", "out"], &["b", "--reason", "a drill", "--wait", "20"])];
         pause(1_000);
         fleet.suffer(&Fault::Cold("b".into()));
-        // At once, while gateways restart: one that knows nothing of rates must not make up for it.
+        // The zone returns at once while gateways restart. A restarted gateway knows no request rates and must not send
+        // more because of it.
         let back = ["b", "--reason", "over", "--step", "100", "--wait", "20"];
         orders.push(fleet.order(&["zone", "return"], &back));
         fleet.suffer(&Fault::KillGateway(0));
@@ -92,7 +95,7 @@
     });
     let sent = fleet.rest().await;
     let loads = fleet.cold_loads();
-    assert_eq!(loads.len(), 3, "each node of the zone is used again: {loads:?}");
+    assert_eq!(loads.len(), 3, "each node of the zone must be used again: {loads:?}");
     assert!(loads.iter().all(|(_, share, _)| *share <= 1.0), "{loads:?}");
     let found = fleet.wrongs(&sent);
     assert!((found.lost, found.doubled) == (0, 0), "{found:?}");
@@ -101,19 +104,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn gateways_serve_and_restart_while_the_whole_group_is_away_and_say_when_they_go_by_their_own_sight() {
+async fn gateways_serve_and_restart_while_the_whole_group_is_down_and_log_when_they_use_their_own_view() {
     let mut fleet = Fleet::start(Path::new(PROGRAM), &["a", "b", "c"], 3, 2, true).await;
     fleet.load(20);
     let orders = tokio::task::block_in_place(|| {
         let out = ["b", "--reason", "a drill", "--wait", "20"];
         let orders = vec![fleet.order(&["zone", "out"], &out)];
         fleet.suffer(&Fault::KillGroup);
-        let away = Instant::now();
+        let killed = Instant::now();
         fleet.gateways[0].wait_for_log("mode=keeping", LIMIT);
-        let own = fleet.gateways[0].wait_for_log("mode=own sight position=1.2", LIMIT);
+        let fallback = fleet.gateways[0].wait_for_log("mode=own sight position=1.2", LIMIT);
         let timing = Timing { stale: Micros(3_000_000), fresh: Micros(1_000_000), ..Timing::default() };
-        let bound = Duration::from_micros(timing.never_older_than().0) + SLACK;
-        assert!(own.at - away < bound, "{:?} of {bound:?}", own.at - away);
+        let bound = Duration::from_micros(timing.never_older_than().0) + LOG_DELAY;
+        assert!(fallback.at - killed < bound, "{:?}, the bound is {bound:?}", fallback.at - killed);
         fleet.suffer(&Fault::RestartGateway(1));
         fleet.gateways[1].wait_for_log("ready", LIMIT);
         pause(1_000);
@@ -129,26 +132,27 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_leader_that_dies_after_telling_some_and_one_that_wakes_up_lead_no_gateway_back() {
+async fn no_gateway_goes_back_to_an_older_state_after_a_leader_is_killed_or_resumes() {
     let mut fleet = Fleet::start(Path::new(PROGRAM), &["a", "b", "c"], 6, 3, true).await;
     tokio::task::block_in_place(|| {
         let mut orders = Vec::new();
         for (round, word) in ["out", "return", "out", "return"].into_iter().enumerate() {
             let leader = fleet.group.wait_for_leader();
             orders.push(fleet.order(&["zone", word], &["b", "--reason", "a drill"]));
-            // Told to some by now: it is killed in one round, stopped and woken after its term in the next.
+            // Some gateways may have the order by now. The leader is killed in one round, and paused past its term in the
+            // next.
             match round % 2 {
                 0 => fleet.suffer(&Fault::KillMember(leader)),
                 _ => fleet.suffer(&Fault::StopMember(leader)),
             }
-            let told = Instant::now();
+            let lost_at = Instant::now();
             fleet.group.wait_for_leader();
             let position = orders.last().and_then(|o| o.at);
             let all = |fleet: &Fleet| {
                 fleet.followed().iter().all(|f| f.last().is_some_and(|f| Some(f.at) >= position))
             };
             while !all(&fleet) {
-                assert!(told.elapsed() < LIMIT, "{:?}", fleet.followed());
+                assert!(lost_at.elapsed() < LIMIT, "{:?}", fleet.followed());
                 pause(20);
             }
             fleet.suffer(&Fault::MembersAgain);
@@ -159,16 +163,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_gateway_whose_zones_differ_is_told_so_and_serves_by_its_own_sight() {
+async fn a_gateway_with_other_zones_logs_the_refusal_and_serves_by_its_own_view() {
     let mut fleet = Fleet::start(Path::new(PROGRAM), &["a"], 3, 4, true).await;
     tokio::task::block_in_place(|| {
         let file = fleet.group.folder().join("gateway-1.toml");
         let text = std::fs::read_to_string(&file).expect("a file");
         std::fs::write(&file, text.replace("name = \"b\"", "name = \"bb\"")).expect("a file");
         fleet.suffer(&Fault::RestartGateway(1));
-        let told =
+        let refusal =
             fleet.gateways[1].wait_for_log("gateway 'n1' has zones a, bb, c; the group has a, b, c", LIMIT);
-        assert!(told.text.contains("goes to another member"), "{}", told.text);
+        assert!(refusal.text.contains("goes to another member"), "{}", refusal.text);
     });
     fleet.load(10);
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -178,42 +182,42 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn gateways_read_a_new_map_at_sighup_and_one_with_a_broken_file_goes_on_as_before() {
+async fn gateways_load_a_new_map_at_sighup_and_one_with_an_invalid_file_keeps_the_old_map() {
     let mut fleet = Fleet::start(Path::new(PROGRAM), &["a"], 3, 5, true).await;
     fleet.load(10);
     let (old, new) = ("{name = \"c\", region = \"west\"},", "{name = \"d\", region = \"west\"},");
     tokio::task::block_in_place(|| {
-        let put = |file: &Path, text: &str| std::fs::write(file, text).expect("a file");
-        let widened = |file: &Path| {
+        let write = |file: &Path, text: &str| std::fs::write(file, text).expect("a file");
+        let add_zone = |file: &Path| {
             let text = std::fs::read_to_string(file).expect("a file");
-            put(file, &text.replace(old, &format!("{old}\n  {new}")));
+            write(file, &text.replace(old, &format!("{old}\n  {new}")));
         };
-        widened(&fleet.group.operators());
+        add_zone(&fleet.group.operators());
         let adopted = fleet.group.command(&["group", "adopt"], &["--reason", "a new wing"]);
         assert!(adopted.status.success(), "{adopted:?}");
-        // Whoever has to come again is refused as long as it knows the old map.
+        // Gateways that have to reconnect are refused while they have the old map.
         fleet.group.members[0].kill();
         fleet.group.members[0].start();
         for i in 0..3 {
             fleet.gateways[i].wait_for_log("has zones a, b, c; the group has a, b, c, d", LIMIT);
         }
         let file = |fleet: &Fleet, i: usize| fleet.group.folder().join(format!("gateway-{i}.toml"));
-        widened(&file(&fleet, 0));
-        widened(&file(&fleet, 1));
+        add_zone(&file(&fleet, 0));
+        add_zone(&file(&fleet, 1));
         let whole = std::fs::read_to_string(file(&fleet, 2)).expect("a file");
-        put(&file(&fleet, 2), &whole.replace("floor_percent = 30", "floor_percent = 300"));
+        write(&file(&fleet, 2), &whole.replace("floor_percent = 30", "floor_percent = 300"));
         fleet.gateways.iter_mut().for_each(|gateway| gateway.hang_up());
         let problem = fleet.gateways[2].wait_for_log("found 300", LIMIT);
         assert!(problem.text.contains("what was read before stays"), "{}", problem.text);
         for i in 0..2 {
             fleet.gateways[i].wait_for_log("follows by new settings members=1 zones=4", LIMIT);
         }
-        put(&file(&fleet, 2), &whole);
-        widened(&file(&fleet, 2));
+        write(&file(&fleet, 2), &whole);
+        add_zone(&file(&fleet, 2));
         fleet.gateways[2].hang_up();
         fleet.wait_until_all_follow();
         let orders = vec![fleet.order(&["zone", "out"], &["d", "--reason", "a drill", "--wait", "20"])];
-        // The epoch of the map's change stands between the first one and the order's.
+        // Epoch 1 is the first map, 2 the new map and 3 the order.
         assert_eq!(orders[0].at, Some((1, 3)));
         audit(&fleet, &orders);
     });
@@ -224,7 +228,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn proxies_follow_orders_by_the_control_service_and_zones_that_are_out_stand_in_by_own_sight_alone() {
+async fn proxies_follow_orders_and_zones_ordered_out_are_used_again_only_when_the_group_is_lost() {
     let mut group = Group::new(Path::new(PROGRAM), &["a", "b", "c"], 6).await;
     tokio::task::block_in_place(|| group.begin());
     let mut nodes = Vec::new();
@@ -275,14 +279,14 @@
     command(&["zone", "out"], &["b", "--reason", "a drill", "--wait", "20"]);
     until(&[(0, "s-a"), (0, "s-c")]).await;
     tokio::time::sleep_until((began + Duration::from_secs(1)).into()).await;
-    let (before, elsewhere) = (nodes[1].requests(), nodes[0].requests());
-    while nodes[0].requests() < elsewhere + 50 {
+    let (before, before_elsewhere) = (nodes[1].requests(), nodes[0].requests());
+    while nodes[0].requests() < before_elsewhere + 50 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!(nodes[1].requests(), before, "new work in a zone that is out");
+    assert_eq!(nodes[1].requests(), before, "new requests reached a zone that is out");
     command(&["zone", "out"], &["c", "--reason", "a drill", "--next", "east", "--force"]);
     until(&[(0, "s-a")]).await;
-    // The rest of the fleet drains: by order the others stay out, whatever that costs.
+    // The last zone in service drains. The zones that are ordered out stay out, although no server is left.
     let drains = [entry(0, "draining"), entry(1, "ready"), entry(2, "ready")].join(",");
     discovery.say(42, &list(42, true, &drains));
     until(&[]).await;
@@ -290,13 +294,13 @@
         group.members.iter_mut().for_each(Process::kill);
         service.wait_for_log("mode=own sight", LIMIT);
     });
-    // Nobody can call the orders off any more: the others stand in, the more preferred region first.
+    // Without the group, nobody can withdraw the orders. The service uses the other zones, the preferred region first.
     until(&[(0, "s-b"), (1, "s-c")]).await;
     let (b, c) = (nodes[1].requests(), nodes[2].requests());
     while nodes[1].requests() < b + 50 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!(nodes[2].requests(), c, "work in a region that stands in after another one");
+    assert_eq!(nodes[2].requests(), c, "requests reached a region of lower priority");
     discovery.say(43, &list(43, true, &[entry(0, "ready"), entry(1, "ready"), entry(2, "ready")].join(",")));
     until(&[(0, "s-a")]).await;
     let ended = tokio::task::block_in_place(|| {
@@ -307,9 +311,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn what_is_wrong_with_a_zone_is_found_from_what_all_gateways_see() {
+async fn the_fault_of_a_zone_is_found_from_the_reports_of_all_gateways() {
     let mut fleet = Fleet::start(Path::new(PROGRAM), &["a", "b", "c"], 6, 9, true).await;
-    // So that each gateway has something out at servers of every zone: of what is idle it takes what answered fastest.
+    // Slow servers make each gateway send to every zone; among idle servers it would always choose the fastest.
     fleet.nodes.iter().for_each(|(_, node)| node.takes(80));
     fleet.load(120);
     tokio::task::block_in_place(|| {
@@ -320,32 +324,31 @@
                 fleet.suffer(&Fault::Cut((*to).into(), (*from).into()));
             }
         };
-        // Two zones do not see each other, and the third one sees both.
+        // Two zones can't reach each other, and the third reaches both.
         cut(&mut fleet, &[("a", "b")]);
         fleet.wait_until_found(["cut from b", "cut from a", "well"]);
-        // One is silent to both others; of these nobody can say more than that.
+        // Zone b is unreachable from both others. The others are known only to be cut off from b.
         cut(&mut fleet, &[("c", "b")]);
         fleet.wait_until_found(["cut from b", "cut off", "cut from b"]);
         fleet.suffer(&Fault::Heal);
         fleet.wait_until_found(["well", "well", "well"]);
-        // Its servers fail, for all and for their own zone.
-        let of_b = |fleet: &Fleet, fails: bool| {
+        // The servers of zone b fail for every gateway, also for those of their own zone.
+        let set_b_failing = |fleet: &Fleet, fails: bool| {
             fleet.nodes.iter().filter(|(zone, _)| *zone == "b").for_each(|(_, node)| node.fail(fails));
         };
-        of_b(&fleet, true);
+        set_b_failing(&fleet, true);
         fleet.wait_until_found(["well", "sick", "well"]);
-        of_b(&fleet, false);
+        set_b_failing(&fleet, false);
         fleet.wait_until_found(["well", "well", "well"]);
-        // All fail: no zone is to blame.
+        // All servers fail, so no single zone is at fault.
         fleet.nodes.iter().for_each(|(_, node)| node.fail(true));
         fleet.wait_until_found(["trouble everywhere", "trouble everywhere", "trouble everywhere"]);
-        // In between, answers from before and what is asked again look like more work than usual: "loaded".
+        // In between, earlier answers and retries can look like high load, and a zone may be found "loaded".
         fleet.wait_until_said("b", &["sees it sick", "6 of 6 gateways say"]);
-        let none = fleet.group.command(&["why"], &["x"]);
-        assert_eq!(none.status.code(), Some(1));
-        assert!(
-            String::from_utf8_lossy(&none.stderr).contains("expected one of the zones a, b, c, found 'x'")
-        );
+        let unknown_zone = fleet.group.command(&["why"], &["x"]);
+        assert_eq!(unknown_zone.status.code(), Some(1));
+        assert!(String::from_utf8_lossy(&unknown_zone.stderr)
+            .contains("expected one of the zones a, b, c, found 'x'"));
     });
     fleet.rest().await;
 }
--- a/crates/starlinghill-control/tests/group.rs
+++ b/crates/starlinghill-control/tests/group.rs
@@ -1,4 +1,4 @@
-//! Groups of real member processes: they are killed, stopped, cut from each other and lose their disks.
+//! Tests with groups of real member processes that are killed, paused, disconnected from each other and lose their disks.
 
 use starlinghill_failover::follower::{Mode, View};
 use starlinghill_failover_client::client::look;
@@ -13,24 +13,26 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_starlinghill-control");
 
+/// Starts a group with one member in each of these zones of the test network.
 async fn group(zones: &[&str]) -> Group {
     let mut group = Group::new(Path::new(PROGRAM), zones, 1).await;
     tokio::task::block_in_place(|| group.begin());
     group
 }
 
-fn said(output: &Output) -> String {
+/// The command's stdout and stderr.
+fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).to_string() + &String::from_utf8_lossy(&output.stderr)
 }
 
 #[track_caller]
-fn ends(output: &Output, code: i32, text: &str) {
-    assert_eq!(output.status.code(), Some(code), "{}", said(output));
-    assert!(said(output).contains(text), "{text}: {}", said(output));
+fn assert_exit(output: &Output, code: i32, text: &str) {
+    assert_eq!(output.status.code(), Some(code), "{}", output_text(output));
+    assert!(output_text(output).contains(text), "{text}: {}", output_text(output));
 }
 
-/// Whether a member says that it has not known the newest for a second, or never has.
-fn unsure(member: &serde_json::Value) -> bool {
+/// Whether a member reports that its state was not confirmed within the last second, or never.
+fn is_stale(member: &serde_json::Value) -> bool {
     let report = &member["report"];
     report.is_object() && report["age_ms"].as_u64().is_none_or(|ms| ms > 1_000)
 }
@@ -40,25 +42,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_order_counts_once_whatever_leader_dies_and_a_refusal_says_why() {
+async fn an_order_takes_effect_once_although_the_leader_dies_and_a_refusal_gives_its_causes() {
     let mut group = group(&["a", "b", "c"]).await;
     tokio::task::block_in_place(|| {
         let drain = ["a", "--reason", "a drill", "--id", "o1", "--by", "eve", "--step", "100"];
-        ends(&group.command(&["zone", "drain"], &drain), 0, "accepted at 1.2");
+        assert_exit(&group.command(&["zone", "drain"], &drain), 0, "accepted at 1.2");
         let leader = group.wait_for_leader();
         group.members[leader].kill();
-        // Sent again after the leader's death, as by one who never heard.
-        ends(&group.command(&["zone", "drain"], &drain), 0, "accepted at 1.2");
-        let zones = group.wait_until("it is out", |z| z["zones"]["a"]["phase"] == "out");
+        // The same order is repeated after the leader was killed, as if its answer had been lost.
+        assert_exit(&group.command(&["zone", "drain"], &drain), 0, "accepted at 1.2");
+        let zones = group.wait_until("zone a is out", |z| z["zones"]["a"]["phase"] == "out");
         assert_eq!((epoch(&zones), zones["zones"]["a"]["by"].as_str()), (2, Some("eve")));
-        // Another order of the same id, and one that would leave too little.
+        // A different order with the same id, and one that would leave too little capacity.
         let other = ["b", "--reason", "a drill", "--id", "o1"];
-        ends(&group.command(&["zone", "out"], &other), 3, "another order had this id");
+        assert_exit(&group.command(&["zone", "out"], &other), 3, "another order had this id");
         let second = group.command(&["zone", "out"], &["b", "--reason", "a drill"]);
-        ends(&second, 3, "refused: not in full service already: a");
-        ends(&second, 3, "refused: it is the last zone of region 'east'");
+        assert_exit(&second, 3, "refused: not in full service already: a");
+        assert_exit(&second, 3, "refused: it is the last zone of region 'east'");
         group.members[leader].start();
-        group.wait_until("the one that was killed knows it too", |_| {
+        group.wait_until("the restarted member has the order", |_| {
             let all = group.show();
             all.iter().all(|m| m["report"]["state"]["position"]["epoch"] == 2)
         });
@@ -66,46 +68,46 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_minority_takes_no_order_and_says_why_and_what_it_took_in_never_counts() {
+async fn a_minority_refuses_orders_with_the_reason_and_its_refused_orders_never_take_effect() {
     let group = group(&["a", "a", "b", "b", "b"]).await;
     tokio::task::block_in_place(|| {
         group.wait_for_leader();
         group.net.cut("a", "b");
         group.net.cut("b", "a");
-        // Within the first second an order may have gone into the cut: it may count or not, and the command says so.
-        group.wait_until("the minority knows that it is one", |_| {
+        // In the first second after the cut, an order may be forwarded into the broken connection and its result be unknown.
+        group.wait_until("the members of the minority report stale states", |_| {
             let all = group.show();
-            all[..2].iter().all(unsure)
+            all[..2].iter().all(is_stale)
         });
-        // The operators' own file would reach both sides; this one knows the minority alone.
+        // The operators' file names members of both sides; this one names only the minority.
         let minority = group.folder().join("minority.toml");
         let text = group.text(1, &group.listen[..1]);
         std::fs::write(&minority, text).expect("a file");
         let order = ["c", "--reason", "a drill", "--next", "east"];
         let refused = group.command_by(&minority, &["zone", "out"], &order);
-        ends(&refused, 4, "not reached");
+        assert_exit(&refused, 4, "not reached");
         assert!(
-            said(&refused).contains("knows no leader") || said(&refused).contains("majority"),
+            output_text(&refused).contains("knows no leader") || output_text(&refused).contains("majority"),
             "{}",
-            said(&refused)
+            output_text(&refused)
         );
-        ends(&group.command(&["zone", "out"], &order), 0, "accepted at 1.2");
+        assert_exit(&group.command(&["zone", "out"], &order), 0, "accepted at 1.2");
         group.net.heal();
-        group.wait_until("all agree", |_| {
+        group.wait_until("all members have the same state", |_| {
             group.show().iter().all(|m| m["report"]["state"]["position"]["epoch"] == 2)
         });
     });
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_member_that_wakes_after_its_term_knows_that_it_is_old_and_catches_up() {
+async fn a_leader_paused_past_its_term_catches_up_when_it_resumes() {
     let mut group = group(&["a", "b", "c"]).await;
     tokio::task::block_in_place(|| {
         let leader = group.wait_for_leader();
         group.members[leader].stop();
-        ends(&group.command(&["zone", "out"], &["a", "--reason", "a drill"]), 0, "accepted at 1.2");
+        assert_exit(&group.command(&["zone", "out"], &["a", "--reason", "a drill"]), 0, "accepted at 1.2");
         group.members[leader].go_on();
-        group.wait_until("it caught up", |_| {
+        group.wait_until("the resumed member has caught up", |_| {
             let all = group.show();
             all[leader]["report"]["state"]["position"]["epoch"] == 2
                 && all[leader]["report"]["age_ms"].as_u64().is_some_and(|ms| ms < 1_000)
@@ -114,26 +116,26 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_disk_that_is_not_as_it_was_written_keeps_its_member_out_and_names_the_file() {
+async fn a_member_with_a_damaged_file_names_the_file_and_does_not_start() {
     let mut group = group(&["a", "b", "c"]).await;
     tokio::task::block_in_place(|| {
-        ends(&group.command(&["zone", "out"], &["a", "--reason", "a drill"]), 0, "accepted at 1.2");
-        ends(&group.command(&["group", "snapshot"], &[]), 0, "kept");
+        assert_exit(&group.command(&["zone", "out"], &["a", "--reason", "a drill"]), 0, "accepted at 1.2");
+        assert_exit(&group.command(&["group", "snapshot"], &[]), 0, "kept");
         group.members[0].wait_for_log("snapshot kept", LIMIT);
         for member in &mut group.members {
             member.kill();
         }
-        // A bit of the state in the newest snapshot, wherever the store has put it.
+        // Flips a bit of the state in the newest snapshot, at every place where the file holds it.
         let disk = group.disk(0);
         let mut bytes = std::fs::read(&disk).expect("a disk");
         let places: Vec<usize> =
             bytes.windows(8).enumerate().filter(|(_, w)| w == b"\"a drill").map(|(i, _)| i).collect();
-        assert!(!places.is_empty(), "the reason stands in the file");
+        assert!(!places.is_empty(), "the file contains the order's reason");
         for at in places {
             bytes[at + 3] ^= 4;
         }
         std::fs::write(&disk, bytes).expect("a disk");
-        // Another one is cut off.
+        // Truncates another member's file to half its length.
         let torn = std::fs::read(group.disk(1)).expect("a disk");
         let (torn, disk_of_other) = (torn[..torn.len() / 2].to_vec(), group.disk(1));
         let whole = std::fs::read(&disk_of_other).expect("a disk");
@@ -145,39 +147,40 @@
             let file = group.disk(i).display().to_string();
             assert!(log.contains(&file) && log.contains("stays out"), "{log}");
         }
-        // The group goes on without the first; nothing that was committed is lost.
+        // The other two members form a majority, and nothing committed is lost.
         std::fs::write(&disk_of_other, whole).expect("a disk");
         group.members[1].start();
         group.members[2].start();
-        let zones =
-            group.wait_until("two of three serve", |z| z["age_ms"].as_u64().is_some_and(|ms| ms < 1_000));
+        let zones = group.wait_until("two of three members confirm their state", |z| {
+            z["age_ms"].as_u64().is_some_and(|ms| ms < 1_000)
+        });
         assert_eq!((epoch(&zones), zones["zones"]["a"]["phase"].as_str()), (2, Some("out")));
     });
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_member_whose_disk_was_replaced_has_no_vote_until_it_is_taken_in_again() {
+async fn a_member_whose_disk_was_replaced_has_no_vote_until_it_is_added_again() {
     let mut group = group(&["a", "b", "c"]).await;
     tokio::task::block_in_place(|| {
-        ends(&group.command(&["zone", "out"], &["a", "--reason", "a drill"]), 0, "accepted at 1.2");
-        let away = (group.wait_for_leader() + 1) % 3;
-        group.members[away].kill();
-        std::fs::remove_file(group.disk(away)).expect("removed");
-        group.members[away].start();
-        group.members[away].wait_for_log("blank", LIMIT);
-        let id = (away + 1).to_string();
-        ends(&group.command(&["group", "add"], &[&id]), 3, "is a member already");
-        ends(&group.command(&["group", "remove"], &[&id]), 0, "");
-        ends(&group.command(&["group", "add"], &[&id]), 0, "");
-        group.wait_until("it has all again", |_| {
+        assert_exit(&group.command(&["zone", "out"], &["a", "--reason", "a drill"]), 0, "accepted at 1.2");
+        let replaced = (group.wait_for_leader() + 1) % 3;
+        group.members[replaced].kill();
+        std::fs::remove_file(group.disk(replaced)).expect("removed");
+        group.members[replaced].start();
+        group.members[replaced].wait_for_log("blank", LIMIT);
+        let id = (replaced + 1).to_string();
+        assert_exit(&group.command(&["group", "add"], &[&id]), 3, "is a member already");
+        assert_exit(&group.command(&["group", "remove"], &[&id]), 0, "");
+        assert_exit(&group.command(&["group", "add"], &[&id]), 0, "");
+        group.wait_until("the new disk has all entries", |_| {
             let all = group.show();
-            all[away]["report"]["state"]["position"]["epoch"] == 2
-                && all[away]["report"]["members"][&id][1] == true
+            all[replaced]["report"]["state"]["position"]["epoch"] == 2
+                && all[replaced]["report"]["members"][&id][1] == true
         });
-        // With it there is a majority again without another.
-        let other = (away + 1) % 3;
+        // It counts towards the majority again: the group still decides without a third member.
+        let other = (replaced + 1) % 3;
         group.members[other].kill();
-        ends(
+        assert_exit(
             &group.command(&["zone", "return"], &["a", "--reason", "over", "--step", "100"]),
             0,
             "accepted at 1.3",
@@ -186,10 +189,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_lost_majority_is_restored_in_the_next_generation_and_the_old_one_stays_out() {
+async fn a_group_that_lost_its_majority_is_restored_in_the_next_generation_and_refuses_disks_of_the_old_one()
+{
     let mut group = group(&["a", "b", "c"]).await;
     tokio::task::block_in_place(|| {
-        ends(
+        assert_exit(
             &group.command(&["zone", "out"], &["a", "--reason", "a drill", "--id", "o1"]),
             0,
             "accepted at 1.2",
@@ -197,18 +201,18 @@
         for member in &mut group.members {
             member.kill();
         }
-        // One disk is left; the others come back later, from a machine that was taken for dead.
-        let left = group.folder().join("left.redb");
-        std::fs::copy(group.disk(0), &left).expect("copied");
-        let old: Vec<Vec<u8>> = (0..3).map(|i| std::fs::read(group.disk(i)).expect("a disk")).collect();
+        // Only one disk remains. An old disk comes back later, as from a machine that was believed lost.
+        let remaining = group.folder().join("left.redb");
+        std::fs::copy(group.disk(0), &remaining).expect("copied");
+        let old_disks: Vec<Vec<u8>> = (0..3).map(|i| std::fs::read(group.disk(i)).expect("a disk")).collect();
         for i in 0..3 {
             std::fs::remove_file(group.disk(i)).expect("removed");
         }
         for member in &mut group.members {
             member.start();
         }
-        let from = ["--from", left.to_str().expect("text")];
-        ends(&group.command(&["group", "restore"], &from), 1, "group.generation: expected 2");
+        let from = ["--from", remaining.to_str().expect("text")];
+        assert_exit(&group.command(&["group", "restore"], &from), 1, "group.generation: expected 2");
         for member in &mut group.members {
             member.kill();
         }
@@ -217,26 +221,31 @@
             member.start();
         }
         group.members[0].wait_for_log("blank", LIMIT);
-        let until = std::time::Instant::now() + LIMIT;
+        let deadline = std::time::Instant::now() + LIMIT;
         while !group.command(&["group", "restore"], &from).status.success() {
-            assert!(std::time::Instant::now() < until, "{:?}", group.command(&["group", "restore"], &from));
+            assert!(
+                std::time::Instant::now() < deadline,
+                "{:?}",
+                group.command(&["group", "restore"], &from)
+            );
             std::thread::sleep(Duration::from_millis(100));
         }
-        let zones = group.wait_until("it is there again", |z| z["zones"]["a"]["phase"] == "out");
+        let zones =
+            group.wait_until("the restored group has the state", |z| z["zones"]["a"]["phase"] == "out");
         assert_eq!(zones["position"]["generation"], 2);
-        // What counted before counts still.
-        ends(
+        // An order accepted before the restore is still known by its id.
+        assert_exit(
             &group.command(&["zone", "out"], &["a", "--reason", "a drill", "--id", "o1"]),
             0,
             "accepted at 1.2",
         );
-        // A member of the old life is refused by the file, and by the others.
+        // A disk of the old generation is refused at the start.
         group.members[2].kill();
-        std::fs::write(group.disk(2), &old[2]).expect("a disk");
+        std::fs::write(group.disk(2), &old_disks[2]).expect("a disk");
         group.members[2].start();
         assert_eq!(group.members[2].ended(LIMIT), Some(7));
         assert!(group.members[2].log().join("\n").contains("generation 1"), "{:?}", group.members[2].log());
-        ends(
+        assert_exit(
             &group.command(&["zone", "return"], &["a", "--reason", "over", "--step", "100"]),
             0,
             "accepted at 2.3",
@@ -245,21 +254,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn what_was_accepted_outlives_sigkill_of_all_members_at_once_in_any_order() {
+async fn accepted_orders_survive_sigkill_of_all_members_in_any_order() {
     let mut group = group(&["a", "b", "c"]).await;
     tokio::task::block_in_place(|| {
-        let (mut last, mut ordered) = (1, 0);
+        let (mut last, mut accepted_count) = (1, 0);
         for seed in 0..50u64 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            // One is killed while an order is on its way, the others at once after its answer, or before.
+            // All members are killed in random order, while the order is in progress or right after its answer.
             let id = format!("o{seed}");
             let zone = ["a", "b"][rng.usize(..2)];
             let word = ["out", "return", "hold"][rng.usize(..3)];
-            let before = rng.bool();
+            let kill_before_answer = rng.bool();
             let order = std::thread::scope(|scope| {
                 let group = &mut group;
                 let (program, file) = (Path::new(PROGRAM), group.operators());
-                let given = scope.spawn(move || {
+                let command = scope.spawn(move || {
                     let words = ["zone", word];
                     let more = [zone, "--reason", "a drill", "--force", "--id", &id];
                     std::process::Command::new(program)
@@ -269,10 +278,10 @@
                         .output()
                         .expect("it runs")
                 });
-                if before {
+                if kill_before_answer {
                     std::thread::sleep(Duration::from_millis(rng.u64(..60)));
                 } else {
-                    while !given.is_finished() {
+                    while !command.is_finished() {
                         std::thread::sleep(Duration::from_millis(1));
                     }
                 }
@@ -285,39 +294,40 @@
                 for i in &order {
                     group.members[*i].start();
                 }
-                given.join().expect("no panic")
+                command.join().expect("no panic")
             });
-            ordered += usize::from(order.status.success());
-            let said = said(&order);
+            accepted_count += usize::from(order.status.success());
+            let text = output_text(&order);
             let accepted =
-                said.strip_prefix("accepted at 1.").and_then(|s| s.split(' ').next()?.parse::<u64>().ok());
-            let zones =
-                group.wait_until("they lead again", |z| z["age_ms"].as_u64().is_some_and(|ms| ms < 1_000));
+                text.strip_prefix("accepted at 1.").and_then(|s| s.split(' ').next()?.parse::<u64>().ok());
+            let zones = group.wait_until("a leader confirms the state", |z| {
+                z["age_ms"].as_u64().is_some_and(|ms| ms < 1_000)
+            });
             let now = epoch(&zones);
             assert!(
                 now >= accepted.unwrap_or(0).max(last),
                 "seed {seed}: {accepted:?}, {last} before, {now} now"
             );
-            // Refused or accepted, it counted once at the most.
-            assert!(now <= last + 1, "seed {seed}: from {last} to {now}, {said}");
+            // Whatever the answer was, the order took effect at most once.
+            assert!(now <= last + 1, "seed {seed}: from {last} to {now}, {text}");
             last = now;
         }
-        println!("{ordered} of 50 orders accepted at once, epoch {last}");
-        assert!(last > 5, "orders counted");
+        println!("{accepted_count} of 50 orders accepted at the first attempt, epoch {last}");
+        assert!(last > 5, "too few orders took effect");
     });
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_member_whose_disk_takes_no_more_stays_out_and_names_the_file_while_the_group_goes_on() {
+async fn a_member_whose_disk_is_full_stops_and_names_the_file_while_the_group_continues() {
     let mut group = group(&["a", "b", "c"]).await;
     tokio::task::block_in_place(|| {
         let full = (group.wait_for_leader() + 1) % 3;
         group.members[full].kill();
-        // No file may be longer than half of what its own is now: in blocks of 512 bytes, as POSIX has it.
+        // Limits file sizes to half of the member's file. `ulimit -f` counts in blocks of 512 bytes.
         let blocks = std::fs::metadata(group.disk(full)).expect("a disk").len() / 1_024;
         let (file, id) = (group.file(full), (full + 1).to_string());
         let script = format!("ulimit -f {blocks}; trap '' XFSZ; exec \"$0\" \"$@\"");
-        group.members[full] = Process::new("the full one", move || {
+        group.members[full] = Process::new("member with a full disk", move || {
             let mut command = std::process::Command::new("sh");
             command.args(["-c", &script, PROGRAM, "group"]).arg(&file).args(["--member", &id]);
             command
@@ -326,7 +336,10 @@
         for i in 0..50 {
             let word = if i % 2 == 0 { "out" } else { "return" };
             let more = ["a", "--reason", "a drill", "--force"];
-            assert!(group.command(&["zone", word], &more).status.success(), "the group goes on");
+            assert!(
+                group.command(&["zone", word], &more).status.success(),
+                "the group must accept the order"
+            );
             if !group.members[full].runs() {
                 break;
             }
@@ -338,7 +351,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn when_a_leader_dies_its_followers_come_to_the_others_spread_out_and_miss_nothing() {
+async fn followers_of_a_dead_leader_reconnect_to_other_members_spread_over_time_and_miss_no_change() {
     const FOLLOWERS: usize = 1_000;
     let mut group = group(&["a", "b", "c"]).await;
     let file =
@@ -357,22 +370,22 @@
         let mut views = views.to_vec();
         async move {
             for view in &mut views {
-                let there = view.wait_for(|v| v.mode == Mode::Following && v.position.epoch >= epoch);
-                let there = tokio::time::timeout(LIMIT, there).await;
-                assert!(there.is_ok_and(|v| v.is_ok()), "a follower of epoch {epoch}");
+                let reached = view.wait_for(|v| v.mode == Mode::Following && v.position.epoch >= epoch);
+                let reached = tokio::time::timeout(LIMIT, reached).await;
+                assert!(reached.is_ok_and(|v| v.is_ok()), "a follower did not reach epoch {epoch}");
             }
         }
     };
     all_at(1, &views).await;
-    // More than one page of a member's report: none is left out, none is told twice.
-    let mut told = Vec::new();
+    // The report spans several pages, and lists each follower exactly once.
+    let mut names = Vec::new();
     for member in &group.listen {
         let report = look(*member, LIMIT).await.expect("a report");
         assert!(!report.more);
-        told.extend(report.subscribers.into_iter().map(|s| s.name));
+        names.extend(report.subscribers.into_iter().map(|s| s.name));
     }
-    let distinct: std::collections::BTreeSet<&String> = told.iter().collect();
-    assert_eq!((told.len(), distinct.len()), (FOLLOWERS, FOLLOWERS));
+    let distinct: std::collections::BTreeSet<&String> = names.iter().collect();
+    assert_eq!((names.len(), distinct.len()), (FOLLOWERS, FOLLOWERS));
     let leader = tokio::task::block_in_place(|| {
         let leader = group.wait_for_leader();
         group.members[leader].kill();
@@ -380,48 +393,52 @@
     });
     let died = std::time::Instant::now();
     tokio::task::block_in_place(|| {
-        ends(&group.command(&["zone", "out"], &["a", "--reason", "a drill"]), 0, "accepted at 1.2");
+        assert_exit(&group.command(&["zone", "out"], &["a", "--reason", "a drill"]), 0, "accepted at 1.2");
     });
     all_at(2, &views).await;
     let others = group.members.iter().enumerate().filter(|(i, _)| *i != leader);
     let lines: Vec<_> = others.flat_map(|(_, m)| m.lines()).collect();
-    let mut came: Vec<_> = lines
+    let mut reconnect_ms: Vec<_> = lines
         .iter()
         .filter(|l| l.at > died && l.text.contains(" follows gateway="))
         .map(|l| (l.at - died).as_millis())
         .collect();
-    came.sort_unstable();
-    assert!(came.len() >= FOLLOWERS / 6, "{} came from the one that died", came.len());
-    // Drawn from 200 ms: half of them don't come within less than a quarter of that.
-    let half = came[came.len() * 3 / 4] - came[came.len() / 4];
-    assert!(half >= 50, "the middle half of {} within {half} ms: {came:?}", came.len());
+    reconnect_ms.sort_unstable();
+    assert!(reconnect_ms.len() >= FOLLOWERS / 6, "only {} followers reconnected", reconnect_ms.len());
+    // Delays are drawn from 200 ms, so the middle half of the followers must spread over a quarter of that at least.
+    let middle_half_ms = reconnect_ms[reconnect_ms.len() * 3 / 4] - reconnect_ms[reconnect_ms.len() / 4];
+    assert!(
+        middle_half_ms >= 50,
+        "the middle half of {} within {middle_half_ms} ms: {reconnect_ms:?}",
+        reconnect_ms.len()
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn one_of_three_cut_off_takes_no_order_and_where_each_sees_some_one_order_at_a_time_counts() {
+async fn an_isolated_member_refuses_orders_and_a_partly_connected_group_applies_each_order_once() {
     let group = group(&["a", "b", "c"]).await;
     tokio::task::block_in_place(|| {
         let mut last = 1;
-        // One alone, whichever leads; then two that don't see each other, while the third sees both.
-        for (cut, alone) in [([("a", "b"), ("a", "c")], true), ([("b", "c"), ("b", "c")], false)] {
+        // First member a is isolated; then b and c are disconnected from each other while a reaches both.
+        for (cuts, isolated) in [([("a", "b"), ("a", "c")], true), ([("b", "c"), ("b", "c")], false)] {
             group.wait_for_leader();
-            for (one, other) in cut {
+            for (one, other) in cuts {
                 group.net.cut(one, other);
                 group.net.cut(other, one);
             }
-            if alone {
-                group.wait_until("it knows that it is alone", |_| unsure(&group.show()[0]));
-                let file = group.folder().join("alone.toml");
+            if isolated {
+                group.wait_until("the isolated member reports a stale state", |_| is_stale(&group.show()[0]));
+                let file = group.folder().join("isolated.toml");
                 std::fs::write(&file, group.text(1, &group.listen[..1])).expect("a file");
-                ends(
+                assert_exit(
                     &group.command_by(&file, &["zone", "hold"], &["c", "--reason", "a drill"]),
                     4,
                     "not reached",
                 );
             }
             for word in ["out", "return"] {
-                let until = std::time::Instant::now() + LIMIT;
-                let id = format!("{word}-{alone}");
+                let deadline = std::time::Instant::now() + LIMIT;
+                let id = format!("{word}-{isolated}");
                 let more = ["b", "--reason", "a drill", "--id", &id];
                 let more: Vec<&str> = more
                     .into_iter()
@@ -432,16 +449,16 @@
                     if output.status.success() {
                         break;
                     }
-                    // Not reached, or unknown; anything else is an answer that this order has not earned.
-                    assert!(matches!(output.status.code(), Some(4 | 5)), "{}", said(&output));
-                    assert!(std::time::Instant::now() < until, "{:?}", group.show());
+                    // Only "not reached" and "unknown" are valid failures; the order must not be refused.
+                    assert!(matches!(output.status.code(), Some(4 | 5)), "{}", output_text(&output));
+                    assert!(std::time::Instant::now() < deadline, "{:?}", group.show());
                 }
                 last += 1;
-                let zones = group.wait_until("it counts", |z| epoch(z) >= last);
-                assert_eq!(epoch(&zones), last, "once");
+                let zones = group.wait_until("the order has taken effect", |z| epoch(z) >= last);
+                assert_eq!(epoch(&zones), last, "the order must take effect exactly once");
             }
             group.net.heal();
-            group.wait_until("all agree", |_| {
+            group.wait_until("all members have the same state", |_| {
                 group.show().iter().all(|m| m["report"]["state"]["position"]["epoch"] == last)
             });
         }
@@ -449,19 +466,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn what_a_gateway_says_of_zones_is_kept_within_bounds_and_nonsense_ends_no_stream() {
+async fn evidence_on_unknown_zones_is_dropped_and_invalid_evidence_does_not_end_the_stream() {
     let group = group(&["a"]).await;
     let file =
         starlinghill_operator_config::read(&group.operators()).expect("a file").group.expect("a group");
     let good = AttemptCounts { answered: 90, late: 2, ..AttemptCounts::default() };
-    let absurd = AttemptCounts { answered: 1, late: 2, ..AttemptCounts::default() };
-    let said = [
+    let invalid = AttemptCounts { answered: 1, late: 2, ..AttemptCounts::default() };
+    let followers = [
         ("wide", vec![("a", good), ("nowhere", good)]),
-        ("absurd", vec![("a", good), ("b", absurd)]),
+        ("absurd", vec![("a", good), ("b", invalid)]),
         ("silent", vec![]),
     ];
     let mut views = Vec::new();
-    for (name, zones) in said {
+    for (name, zones) in followers {
         let (tx, rx) = tokio::sync::watch::channel(View::of_own_sight());
         let settings = starlinghill_control::group_follower::settings(&file, name, "c", 1).expect("a name");
         let (_fixed, changes) = tokio::sync::watch::channel(settings);
@@ -474,43 +491,48 @@
         views.push(rx);
     }
     for view in &mut views {
-        let there = view.wait_for(|v| v.mode == Mode::Following);
-        assert!(tokio::time::timeout(LIMIT, there).await.is_ok_and(|v| v.is_ok()));
+        let following = view.wait_for(|v| v.mode == Mode::Following);
+        assert!(tokio::time::timeout(LIMIT, following).await.is_ok_and(|v| v.is_ok()));
     }
-    let until = std::time::Instant::now() + LIMIT;
-    let kept = loop {
+    let deadline = std::time::Instant::now() + LIMIT;
+    let evidence = loop {
         let report = look(group.listen[0], LIMIT).await.expect("a report");
-        let of =
+        let subscriber =
             |name: &str| report.subscribers.iter().find(|s| s.name == name).cloned().expect("it follows");
-        if let Some((_, evidence)) = of("wide").evidence {
+        if let Some((_, evidence)) = subscriber("wide").evidence {
             assert_eq!(
-                (of("wide").zone.as_str(), of("absurd").evidence, of("silent").evidence),
+                (
+                    subscriber("wide").zone.as_str(),
+                    subscriber("absurd").evidence,
+                    subscriber("silent").evidence
+                ),
                 ("c", None, None)
             );
             break evidence;
         }
-        assert!(std::time::Instant::now() < until, "{report:?}");
+        assert!(std::time::Instant::now() < deadline, "{report:?}");
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     };
-    assert_eq!(kept.zones.into_iter().collect::<Vec<_>>(), [("a".to_string(), good)]);
-    // It tells once a second. Nonsense three times later it follows still, by the same stream, and was named once.
-    let (mut tellings, mut last) = (0, 0);
-    while tellings < 3 {
+    assert_eq!(evidence.zones.into_iter().collect::<Vec<_>>(), [("a".to_string(), good)]);
+    // Evidence is sent once a second. After three more reports the gateway with invalid evidence still follows by the same
+    // stream, and the fault was logged once.
+    let (mut reports, mut last_age) = (0, 0);
+    while reports < 3 {
         let report = look(group.listen[0], LIMIT).await.expect("a report");
         let wide = report.subscribers.iter().find(|s| s.name == "wide").and_then(|s| s.evidence.as_ref());
         let age = wide.map_or(0, |(age, _)| *age);
-        tellings += usize::from(age < last);
-        last = age;
-        assert!(std::time::Instant::now() < until, "{report:?}");
+        reports += usize::from(age < last_age);
+        last_age = age;
+        assert!(std::time::Instant::now() < deadline, "{report:?}");
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
     assert!(views.iter().all(|view| view.borrow().mode == Mode::Following));
-    let named = |line: &&String| line.contains("absurd") && line.contains("can't be used");
-    assert_eq!(group.members[0].log().iter().filter(named).count(), 1);
+    let is_warning = |line: &&String| line.contains("absurd") && line.contains("can't be used");
+    assert_eq!(group.members[0].log().iter().filter(is_warning).count(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_member_that_is_killed_while_it_makes_its_file_is_blank_at_its_next_start() {
+async fn a_member_killed_while_it_creates_its_file_starts_blank_the_next_time() {
     let mut group = Group::new(Path::new(PROGRAM), &["a", "b", "c"], 1).await;
     tokio::task::block_in_place(|| {
         for round in 0..60 {
@@ -520,7 +542,7 @@
             group.members[0].start();
             group.members[0].wait_for_log("blank", LIMIT);
             group.members[0].kill();
-            // The next round begins with an empty disk.
+            // The next round starts with an empty disk.
             std::fs::remove_dir_all(group.disk(0).parent().expect("a folder")).expect("removed");
         }
     });
--- a/crates/starlinghill-control/tests/grpc_client.rs
+++ b/crates/starlinghill-control/tests/grpc_client.rs
@@ -1,5 +1,5 @@
-//! A client that nobody here wrote: the crate tonic-xds, unmodified, resolves `xds:///starlinghill` through the
-//! control service and follows a drain. The save nodes are gRPC servers here; what they serve does not matter.
+//! Tests the control service with an independent client: the unmodified crate tonic-xds resolves `xds:///starlinghill` and
+//! follows a drain. The save nodes are gRPC servers of an arbitrary service.
 
 mod common;
 
@@ -17,21 +17,22 @@
 use tonic::{Request, Response, Status};
 use tonic_xds::{BootstrapConfig, XdsChannelBuilder, XdsChannelConfig, XdsChannelGrpc, XdsUri};
 
-struct Node(Arc<AtomicU64>);
+/// A server that counts its calls.
+struct CountingServer(Arc<AtomicU64>);
 
 #[tonic::async_trait]
-impl Authorization for Node {
+impl Authorization for CountingServer {
     async fn check(&self, _: Request<CheckRequest>) -> Result<Response<CheckResponse>, Status> {
         self.0.fetch_add(1, Relaxed);
         Ok(Response::new(CheckResponse::default()))
     }
 }
 
-async fn node() -> (SocketAddr, Arc<AtomicU64>) {
+async fn start_server() -> (SocketAddr, Arc<AtomicU64>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     let calls = Arc::<AtomicU64>::default();
-    let service = AuthorizationServer::new(Node(calls.clone()));
+    let service = AuthorizationServer::new(CountingServer(calls.clone()));
     let server = tonic::transport::Server::builder().add_service(service);
     tokio::spawn(server.serve_with_incoming(TcpListenerStream::new(listener)));
     (address, calls)
@@ -45,10 +46,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_grpc_client_resolves_through_this_service_and_follows_a_drain() {
-    let (first, second) = (node().await, node().await);
-    let both = [member("s-0", first.0, "ready", 0), member("s-1", second.0, "ready", 0)].join(",");
-    let discovery = Discovery::start(&both);
+async fn an_independent_grpc_client_reaches_all_servers_and_stops_calling_one_that_drains() {
+    let (first, second) = (start_server().await, start_server().await);
+    let members = [member("s-0", first.0, "ready", 0), member("s-1", second.0, "ready", 0)].join(",");
+    let discovery = Discovery::start(&members);
     let running = service(&discovery).await;
     let bootstrap = format!(
         r#"{{"xds_servers":[{{"server_uri":"http://{}","channel_creds":[{{"type":"insecure"}}]}}],"node":{{"id":"third"}}}}"#,
@@ -59,27 +60,31 @@
     let config = XdsChannelConfig::new(target).with_bootstrap(bootstrap);
     let channel = XdsChannelBuilder::new(config).build_grpc_channel().expect("a channel");
     let mut client = AuthorizationClient::new(channel);
-    let end = Instant::now() + LIMIT;
+    let deadline = Instant::now() + LIMIT;
     while call(&mut client, "look").await.is_err()
         || first.1.load(Relaxed) == 0
         || second.1.load(Relaxed) == 0
     {
-        assert!(Instant::now() < end, "it never reached both");
+        assert!(Instant::now() < deadline, "the client did not reach both servers in time");
     }
-    // Routes are by class: one that does not exist has none.
+    // Routes are by class, so a call of an unknown class has none.
     assert!(call(&mut client, "nothing").await.is_err());
-    let told = Instant::now();
+    let drained_at = Instant::now();
     discovery.say(42, &list(42, false, &member("s-1", second.0, "draining", 0)));
-    let mut last = told;
-    while told.elapsed() < Duration::from_millis(1_500) {
+    let mut last_call = drained_at;
+    while drained_at.elapsed() < Duration::from_millis(1_500) {
         let before = second.1.load(Relaxed);
-        call(&mut client, "look").await.expect("the other serves");
+        call(&mut client, "look").await.expect("the other server answers");
         if second.1.load(Relaxed) > before {
-            last = Instant::now();
+            last_call = Instant::now();
         }
     }
-    assert!(last - told < Duration::from_secs(1), "new work {:?} after the drain was told", last - told);
+    assert!(
+        last_call - drained_at < Duration::from_secs(1),
+        "the draining server was called {:?} after the drain was announced",
+        last_call - drained_at
+    );
     let before = first.1.load(Relaxed);
-    call(&mut client, "buy").await.expect("other classes too");
-    until("the other", || first.1.load(Relaxed) > before).await;
+    call(&mut client, "buy").await.expect("other classes have routes too");
+    until("a call at the other server", || first.1.load(Relaxed) > before).await;
 }
--- a/crates/starlinghill-control/tests/hostile.rs
+++ b/crates/starlinghill-control/tests/hostile.rs
@@ -1,4 +1,5 @@
-//! Clients that mean ill, or are broken: bounded cost, a clear status, and others undisturbed.
+//! Tests with hostile and faulty clients: each costs a bounded amount of memory, gets a clear status, and doesn't disturb
+//! other clients.
 
 mod common;
 
@@ -18,20 +19,20 @@
 use tonic::transport::Endpoint;
 use tonic::{Code, Status, Streaming};
 
-const CLUSTERS: &str = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
+const CLUSTER_TYPE: &str = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
 
 fn request(names: Vec<String>) -> DeltaDiscoveryRequest {
     DeltaDiscoveryRequest {
         node: Some(Node { id: "third".into(), ..Default::default() }),
-        type_url: CLUSTERS.into(),
+        type_url: CLUSTER_TYPE.into(),
         resource_names_subscribe: names,
         ..Default::default()
     }
 }
 
-type Open = (mpsc::Sender<DeltaDiscoveryRequest>, Result<Streaming<DeltaDiscoveryResponse>, Status>);
+type OpenStream = (mpsc::Sender<DeltaDiscoveryRequest>, Result<Streaming<DeltaDiscoveryResponse>, Status>);
 
-async fn open(at: SocketAddr, first: Option<DeltaDiscoveryRequest>) -> Open {
+async fn open(at: SocketAddr, first: Option<DeltaDiscoveryRequest>) -> OpenStream {
     let channel =
         Endpoint::from_shared(format!("http://{at}")).expect("an address").connect().await.expect("up");
     let (tx, rx) = mpsc::channel(8);
@@ -44,8 +45,8 @@
     (tx, stream.map(tonic::Response::into_inner))
 }
 
-/// How a stream ends, whatever it says before.
-async fn end(stream: Result<Streaming<DeltaDiscoveryResponse>, Status>) -> Status {
+/// Reads a stream to its end and returns its final status.
+async fn final_status(stream: Result<Streaming<DeltaDiscoveryResponse>, Status>) -> Status {
     let mut stream = match stream {
         Ok(stream) => stream,
         Err(status) => return status,
@@ -53,52 +54,52 @@
     loop {
         match stream.message().await {
             Ok(Some(_)) => {}
-            Ok(None) => return Status::ok("ended"),
+            Ok(None) => return Status::ok("the stream ended"),
             Err(status) => return status,
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn each_ill_request_gets_its_status_and_nobody_else_notices() {
+async fn each_invalid_request_gets_its_own_status_and_does_not_disturb_another_proxy() {
     let (nodes, discovery) = nodes(2).await;
     let running = service(&discovery).await;
     let good = Proxy::start(Settings::new(running.address, "whole", Flavour::Whole));
-    good.wait_for("both", |m| m.targets.len() == 2).await;
+    good.wait_for("both servers", |m| m.targets.len() == 2).await;
     let at = running.address;
 
     let many = (0..2_000).map(|i| i.to_string()).collect();
-    let status = end(open(at, Some(request(many))).await.1).await;
+    let status = final_status(open(at, Some(request(many))).await.1).await;
     assert_eq!(
         (status.code(), status.message()),
         (Code::InvalidArgument, "clusters: more than 1024 names subscribed to")
     );
 
     let long = vec!["x".repeat(2_000)];
-    let status = end(open(at, Some(request(long))).await.1).await;
+    let status = final_status(open(at, Some(request(long))).await.1).await;
     assert_eq!(
         (status.code(), status.message()),
         (Code::InvalidArgument, "clusters: a name of more than 512 bytes")
     );
 
     let huge = vec!["x".repeat(2 << 20)];
-    let status = end(open(at, Some(request(huge))).await.1).await;
+    let status = final_status(open(at, Some(request(huge))).await.1).await;
     assert_eq!(status.code(), Code::OutOfRange, "{status}");
 
     let unknown = DeltaDiscoveryRequest { type_url: "type.googleapis.com/no.Such".into(), ..request(vec![]) };
-    let status = end(open(at, Some(unknown)).await.1).await;
+    let status = final_status(open(at, Some(unknown)).await.1).await;
     assert!(
         status.code() == Code::InvalidArgument && status.message().contains("'type.googleapis.com/no.Such'")
     );
 
-    let nobody = DeltaDiscoveryRequest { node: None, ..request(vec![]) };
-    let status = end(open(at, Some(nobody)).await.1).await;
+    let without_node = DeltaDiscoveryRequest { node: None, ..request(vec![]) };
+    let status = final_status(open(at, Some(without_node)).await.1).await;
     assert_eq!(
         (status.code(), status.message()),
         (Code::InvalidArgument, "node.id: expected an id, found nothing")
     );
 
-    // A subscription without end, piece by piece.
+    // Many subscriptions with one name each add up to more than the limit.
     let (tx, stream) = open(at, Some(request(vec!["n".into()]))).await;
     tokio::spawn(async move {
         for i in 0..5_000 {
@@ -107,9 +108,9 @@
             }
         }
     });
-    assert_eq!(end(stream).await.code(), Code::InvalidArgument);
+    assert_eq!(final_status(stream).await.code(), Code::InvalidArgument);
 
-    // Garbage bytes on the port.
+    // Bytes that are not HTTP.
     let mut raw = TcpStream::connect(at).expect("it listens");
     raw.write_all(&[0xff; 4096]).expect("written");
     let mut answer = Vec::new();
@@ -117,15 +118,15 @@
     let _ = raw.read_to_end(&mut answer);
 
     discovery.say(42, &list(42, false, &member("s-1", nodes[1].address, "gone", 0)));
-    good.wait_for("news", |m| m.targets.len() == 1).await;
-    assert!(good.mirror().ends.is_empty(), "undisturbed");
+    good.wait_for("the removal of s-1", |m| m.targets.len() == 1).await;
+    assert!(good.mirror().ends.is_empty(), "the other proxy's streams must stay open");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn streams_are_bounded_and_places_come_back() {
+async fn the_number_of_streams_is_limited_and_closed_streams_free_their_places() {
     let (_nodes, discovery) = nodes(1).await;
     let path = file(&discovery, "[control.limits]\nstreams = 40\n");
-    let running = start(prepare(&path).expect("sound")).await.expect("it starts");
+    let running = start(prepare(&path).expect("it is valid")).await.expect("the service starts");
     let mut held = Vec::new();
     let mut refused = 0;
     for _ in 0..60 {
@@ -141,34 +142,34 @@
     assert_eq!((held.len(), refused), (40, 20));
     drop(held);
     let good = Proxy::start(Settings::new(running.address, "whole", Flavour::Whole));
-    good.wait_for("a place", |m| m.targets.len() == 1).await;
+    good.wait_for("a free place", |m| m.targets.len() == 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn connections_are_bounded_and_places_come_back() {
+async fn the_number_of_connections_is_limited_and_closed_connections_free_their_places() {
     let (_nodes, discovery) = nodes(1).await;
     let path = file(&discovery, "[control.limits]\nconnections = 10\n");
-    let running = start(prepare(&path).expect("sound")).await.expect("it starts");
+    let running = start(prepare(&path).expect("it is valid")).await.expect("the service starts");
     let idle: Vec<TcpStream> =
         (0..30).map(|_| TcpStream::connect(running.address).expect("accepted")).collect();
     let good = Proxy::start(Settings::new(running.address, "whole", Flavour::Whole));
-    good.wait_for("being turned away", |m| !m.ends.is_empty()).await;
+    good.wait_for("its connection to be refused", |m| !m.ends.is_empty()).await;
     drop(idle);
-    good.wait_for("a place", |m| m.targets.len() == 1).await;
+    good.wait_for("a free place", |m| m.targets.len() == 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_proxy_that_reads_nothing_costs_no_memory_and_then_gets_the_newest_alone() {
+async fn updates_for_a_proxy_that_reads_nothing_are_not_queued_and_it_gets_the_newest_state_later() {
     let (nodes, discovery) = nodes(1).await;
     let running = service(&discovery).await;
     let (tx, stream) = open(running.address, Some(request(vec![]))).await;
     let mut stream = stream.expect("open");
-    let first = stream.message().await.expect("sound").expect("clusters");
-    assert_eq!(first.type_url, CLUSTERS);
+    let first = stream.message().await.expect("it is valid").expect("clusters");
+    assert_eq!(first.type_url, CLUSTER_TYPE);
     let endpoints = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
     let more = DeltaDiscoveryRequest { type_url: endpoints.into(), ..request(vec!["save-nodes".into()]) };
     tx.send(more).await.expect("room");
-    // Hundreds of states pass while it reads nothing.
+    // Hundreds of states are published while the proxy reads nothing.
     for revision in 42..342 {
         let up = 1_000 + revision;
         discovery.tell(revision, false, &member("s-0", nodes[0].address, "ready", up));
@@ -189,18 +190,18 @@
         .clone();
     let mut read = 0;
     loop {
-        let response = stream.message().await.expect("sound").expect("endpoints");
+        let response = stream.message().await.expect("it is valid").expect("endpoints");
         read += 1;
         if response.resources.first().is_some_and(|r| r.version == version) {
             break;
         }
     }
-    // What the transport had taken already, but not one for each state.
+    // It gets the responses that the transport had buffered, but not one for each state.
     assert!(read < 100, "{read} responses of 301 states");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn quota_streams_of_another_domain_or_without_a_node_are_refused() {
+async fn quota_streams_of_another_domain_an_unknown_node_or_no_node_are_refused() {
     let (_nodes, discovery) = nodes(1).await;
     let running = service(&discovery).await;
     for (node, domain, code) in [
--- a/crates/starlinghill-control/tests/program.rs
+++ b/crates/starlinghill-control/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program: its commands, its signals, and encryption.
+//! Tests of the operators' program: its commands, its signals, and TLS.
 
 mod common;
 
@@ -10,7 +10,8 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_starlinghill-control");
 
-fn said(output: &Output) -> String {
+/// The command's stdout and stderr.
+fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).to_string() + &String::from_utf8_lossy(&output.stderr)
 }
 
@@ -19,11 +20,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn check_says_what_is_wrong_one_line_each_with_file_and_line() {
+async fn check_prints_one_line_for_each_error_with_file_and_line() {
     let (_nodes, discovery) = nodes(1).await;
     let good = file(&discovery, "[control.quotas]\nplans = [\"team\"]\n");
     let output = run(&["check", good.to_str().expect("text")]);
-    assert!(output.status.success(), "{}", said(&output));
+    assert!(output.status.success(), "{}", output_text(&output));
 
     let path = file(&discovery, "[control.quotas]\nplans = [\n  \"team\",\n  \"gold\",\n]\n");
     let output = run(&["check", path.to_str().expect("text")]);
@@ -32,76 +33,80 @@
         .lines()
         .position(|l| l.contains("gold"))
         .expect("there");
-    let wanted = format!(
+    let expected = format!(
         "{}:{}: control.quotas.plans: expected plans of the platform (small, team), found 'gold'\n",
         path.display(),
         line + 1
     );
-    assert_eq!((output.status.code(), said(&output)), (Some(1), wanted));
+    assert_eq!((output.status.code(), output_text(&output)), (Some(1), expected));
 
     let path = file(&discovery, "[control.quotas]\nlease = 7\n");
     let output = run(&["check", path.to_str().expect("text")]);
     assert!(
-        said(&output).starts_with(&format!("{}:", path.display())) && said(&output).contains("lease"),
+        output_text(&output).starts_with(&format!("{}:", path.display()))
+            && output_text(&output).contains("lease"),
         "{}",
-        said(&output)
+        output_text(&output)
     );
-    assert_eq!(said(&output).lines().count(), 1);
+    assert_eq!(output_text(&output).lines().count(), 1);
     assert_eq!(run(&["check", "/no/such/file"]).status.code(), Some(1));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn dump_prints_what_a_node_would_get() {
+async fn dump_prints_the_configuration_of_a_proxy() {
     let (nodes, discovery) = nodes(2).await;
     let path = file(&discovery, "");
     let path = path.to_str().expect("text");
     let output = run(&["dump", path, "--node", "whole"]);
-    let all: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
-    assert_eq!(all["endpoints"][0]["id"], "s-0");
-    assert_eq!(all["endpoints"][1]["address"], nodes[1].address.to_string());
-    assert_eq!(all["endpoints"][1]["use"], "healthy");
-    assert_eq!(all["routes"].as_array().map(Vec::len), Some(3));
+    let output_json: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
+    assert_eq!(output_json["endpoints"][0]["id"], "s-0");
+    assert_eq!(output_json["endpoints"][1]["address"], nodes[1].address.to_string());
+    assert_eq!(output_json["endpoints"][1]["use"], "healthy");
+    assert_eq!(output_json["routes"].as_array().map(Vec::len), Some(3));
     let again = run(&["dump", path, "--node", "whole"]);
-    assert_eq!(output.stdout, again.stdout, "the same from every process, versions too");
+    assert_eq!(
+        output.stdout, again.stdout,
+        "the output must not differ between processes, including the versions"
+    );
     let stranger = run(&["dump", path, "--node", "nobody"]);
-    assert!(said(&stranger).contains("expected 'nobody' among the ids"), "{}", said(&stranger));
+    assert!(output_text(&stranger).contains("expected 'nobody' among the ids"), "{}", output_text(&stranger));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn sighup_reads_the_file_again_and_sigterm_takes_nothing_from_proxies() {
+async fn sighup_reloads_the_file_and_sigterm_leaves_proxies_their_configuration() {
     let (_nodes, discovery) = nodes(2).await;
     let path = file(&discovery, "");
     let mut command = Command::new(PROGRAM);
     command.args(["run", path.to_str().expect("text")]).stderr(std::process::Stdio::piped());
     let mut program = tokio::task::block_in_place(|| Node::spawn(command));
     let p = Proxy::start(Settings::new(program.address, "whole", Flavour::Delta));
-    let late = Proxy::start(Settings::new(program.address, "late", Flavour::Whole));
-    p.wait_for("both", |m| m.targets.len() == 2).await;
-    late.wait_for("its refusal", |m| !m.ends.is_empty()).await;
+    let added_later = Proxy::start(Settings::new(program.address, "late", Flavour::Whole));
+    p.wait_for("both servers", |m| m.targets.len() == 2).await;
+    added_later.wait_for("its refusal", |m| !m.ends.is_empty()).await;
     let text = std::fs::read_to_string(&path).expect("text");
-    // First one that can't be used: what was read before stays.
+    // An invalid file first: the service keeps its settings.
     std::fs::write(&path, "[control").expect("written");
     program.signal("HUP");
     std::fs::write(&path, text.replace("\"third\"", "\"late\"")).expect("written");
     program.signal("HUP");
-    late.wait_for("its turn", |m| m.targets.len() == 2).await;
+    added_later.wait_for("its addition to the list", |m| m.targets.len() == 2).await;
     program.signal("TERM");
     assert_eq!(tokio::task::block_in_place(|| program.ended()), Some(0));
     p.wait_for("the end", |m| !m.ends.is_empty()).await;
-    assert_eq!(p.mirror().targets.len(), 2, "it keeps what it has");
+    assert_eq!(p.mirror().targets.len(), 2, "it must keep its last configuration");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn with_a_client_authority_only_its_certificates_come_in() {
+async fn with_a_client_authority_only_clients_with_its_certificates_are_accepted() {
     let (_nodes, discovery) = nodes(1).await;
-    let mut authority = rcgen::CertificateParams::new(Vec::<String>::new()).expect("sound");
+    let mut authority = rcgen::CertificateParams::new(Vec::<String>::new()).expect("it is valid");
     authority.is_ca = rcgen::IsCa::Ca(rcgen::BasicConstraints::Unconstrained);
     let key = rcgen::KeyPair::generate().expect("a key");
     let ca = authority.self_signed(&key).expect("signed");
     let issuer = rcgen::Issuer::new(authority, key);
     let issue = |name: &str| {
         let key = rcgen::KeyPair::generate().expect("a key");
-        let params = rcgen::CertificateParams::new(vec![name.to_string()]).expect("sound");
+        let params = rcgen::CertificateParams::new(vec![name.to_string()]).expect("it is valid");
         let certificate = params.signed_by(&key, &issuer).expect("signed");
         (certificate.pem(), key.serialize_pem())
     };
@@ -111,23 +116,24 @@
         "[control.tls]\ncertificate = \"{}\"\nkey = \"{}\"\nclient_ca = \"{}\"\n",
         paths[0], paths[1], paths[2]
     );
-    let running = start(prepare(&file(&discovery, &tls)).expect("sound")).await.expect("it starts");
+    let running =
+        start(prepare(&file(&discovery, &tls)).expect("it is valid")).await.expect("the service starts");
     let url = format!("https://localhost:{}", running.address.port());
     let config = || {
         let roots = tonic::transport::Certificate::from_pem(ca.pem());
         tonic::transport::ClientTlsConfig::new().ca_certificate(roots).domain_name("localhost")
     };
     let identity = tonic::transport::Identity::from_pem(&client.0, &client.1);
-    for (config, welcome) in [(config().identity(identity), true), (config(), false)] {
+    for (config, accepted) in [(config().identity(identity), true), (config(), false)] {
         let endpoint = tonic::transport::Endpoint::from_shared(url.clone()).expect("an address");
-        let channel = endpoint.tls_config(config).expect("sound").connect().await;
+        let channel = endpoint.tls_config(config).expect("it is valid").connect().await;
         let answer = match channel {
             Ok(channel) => starlinghill_testkit::proxy::ask_clusters(channel, "whole").await,
             Err(e) => Err(tonic::Status::unavailable(e.to_string())),
         };
-        assert_eq!(answer.is_ok(), welcome, "{answer:?}");
+        assert_eq!(answer.is_ok(), accepted, "{answer:?}");
     }
-    // Without encryption nothing comes in at all.
+    // A connection without TLS is refused.
     let plain = Proxy::start(Settings::new(running.address, "whole", Flavour::Whole));
     plain.wait_for("its failure", |m| !m.ends.is_empty()).await;
     assert!(plain.mirror().targets.is_empty());
--- a/crates/starlinghill-control/tests/proxies.rs
+++ b/crates/starlinghill-control/tests/proxies.rs
@@ -1,4 +1,4 @@
-//! The control service on loopback sockets, before proxies of both flavours that forward to save nodes.
+//! Tests of the control service with proxies of both xDS flavours (state of the world and delta) that forward to save nodes.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 const BOTH: [Flavour; 2] = [Flavour::Whole, Flavour::Delta];
-/// The cutoff of the rule on drains.
+/// How long after a drain is announced new requests may still reach the draining server.
 const CUTOFF: Duration = Duration::from_secs(1);
 
 fn name(flavour: Flavour) -> &'static str {
@@ -24,63 +24,69 @@
     Proxy::start(Settings::new(running.address, name(flavour), flavour))
 }
 
-fn has(mirror: &starlinghill_testkit::proxy::Mirror, id: &str) -> Option<bool> {
+/// Whether the proxy's copy of the list marks this server healthy; `None` if it isn't on the list.
+fn is_healthy(mirror: &starlinghill_testkit::proxy::Mirror, id: &str) -> Option<bool> {
     mirror.targets.iter().find(|t| t.id == id).map(|t| t.healthy)
 }
 
-/// Once the proxies know, and a while has passed under load, nothing new has come to that node.
-async fn quiet(node: &SaveNode, told: Instant) {
-    tokio::time::sleep((told + CUTOFF).saturating_duration_since(Instant::now())).await;
+/// Asserts that no new request reaches the server after the cutoff.
+async fn assert_no_new_requests(node: &SaveNode, drained_at: Instant) {
+    tokio::time::sleep((drained_at + CUTOFF).saturating_duration_since(Instant::now())).await;
     let before = node.requests();
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(node.requests(), before, "new work later than the cutoff");
+    assert_eq!(node.requests(), before, "a request arrived after the cutoff");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn proxies_of_both_flavours_follow_the_list_and_keep_off_what_drains() {
+async fn proxies_of_both_flavours_follow_the_list_and_send_nothing_to_a_draining_server() {
     let (nodes, discovery) = nodes(3).await;
     let running = service(&discovery).await;
     let proxies = BOTH.map(|f| proxy(&running, f).forwarding(300.0, 1));
-    until("work at all nodes", || nodes.iter().all(|n| n.seen().len() == 2)).await;
-    let told = Instant::now();
+    until("requests at all servers", || nodes.iter().all(|n| n.seen().len() == 2)).await;
+    let drained_at = Instant::now();
     discovery.say(42, &list(42, false, &member("s-1", nodes[1].address, "draining", 0)));
     for p in &proxies {
-        p.wait_for("the drain", |m| has(m, "s-1") == Some(false)).await;
-        assert!(p.mirror().told.expect("told") - told < CUTOFF);
+        p.wait_for("the drain", |m| is_healthy(m, "s-1") == Some(false)).await;
+        assert!(p.mirror().told.expect("a list was received") - drained_at < CUTOFF);
     }
-    quiet(&nodes[1], told).await;
+    assert_no_new_requests(&nodes[1], drained_at).await;
     discovery.say(43, &list(43, false, &member("s-1", nodes[1].address, "gone", 0)));
     for p in &proxies {
-        p.wait_for("its end", |m| has(m, "s-1").is_none()).await;
+        p.wait_for("its end", |m| is_healthy(m, "s-1").is_none()).await;
     }
     let before = nodes[0].requests();
-    until("work at the others", || nodes[0].requests() > before + 20).await;
+    until("requests at another server", || nodes[0].requests() > before + 20).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_newcomer_at_an_old_address_is_told_as_itself_and_the_old_one_gets_nothing() {
+async fn a_new_server_at_the_address_of_a_draining_one_replaces_it_and_starts_with_a_low_weight() {
     let (nodes, discovery) = nodes(2).await;
     let running = service(&discovery).await;
     let proxies = BOTH.map(|f| proxy(&running, f));
     for p in &proxies {
-        p.wait_for("both", |m| m.targets.len() == 2).await;
+        p.wait_for("both servers", |m| m.targets.len() == 2).await;
     }
     let now_ms = starlinghill_failover_client::wall_clock::system();
-    let told = Instant::now();
+    let announced_at = Instant::now();
     let news =
         [member("s-9", nodes[1].address, "ready", now_ms), member("s-1", nodes[1].address, "draining", 0)];
     discovery.say(42, &list(42, false, &news.join(",")));
     for p in &proxies {
-        p.wait_for("the newcomer", |m| has(m, "s-9") == Some(true) && has(m, "s-1").is_none()).await;
-        assert!(told.elapsed() < CUTOFF + Duration::from_secs(1));
+        p.wait_for("the newcomer", |m| is_healthy(m, "s-9") == Some(true) && is_healthy(m, "s-1").is_none())
+            .await;
+        assert!(announced_at.elapsed() < CUTOFF + Duration::from_secs(1));
         let mirror = p.mirror();
         let weight = |id: &str| mirror.targets.iter().find(|t| t.id == id).expect("there").weight;
-        assert!(weight("s-9") * 3 < weight("s-0"), "it is cold: {:?}", mirror.targets);
+        assert!(
+            weight("s-9") * 3 < weight("s-0"),
+            "the new server is cold and must have a low weight: {:?}",
+            mirror.targets
+        );
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_drain_reaches_the_others_while_one_is_stuck_one_reconnects_and_slices_change() {
+async fn a_drain_reaches_other_proxies_while_one_reads_nothing_one_reconnects_and_quota_slices_change() {
     let (nodes, discovery) = nodes(3).await;
     let running = service(&discovery).await;
     let stuck = Proxy::start(Settings {
@@ -89,31 +95,31 @@
     });
     let proxies = BOTH.map(|f| proxy(&running, f).counting().forwarding(200.0, 2));
     for p in &proxies {
-        p.wait_for("all", |m| m.targets.len() == 3).await;
+        p.wait_for("all servers", |m| m.targets.len() == 3).await;
     }
-    until("work", || nodes[2].seen().len() == 2).await;
-    // A thousand customers' slices come and change.
+    until("requests from both proxies", || nodes[2].seen().len() == 2).await;
+    // The slices of a thousand customers are assigned and changed.
     for customer in 0..1000 {
         proxies[0].admit(&(customer, "team".into(), 1));
     }
-    let told = Instant::now();
+    let drained_at = Instant::now();
     discovery.say(42, &list(42, false, &member("s-2", nodes[2].address, "draining", 0)));
     proxies[1].cut();
     for p in &proxies {
-        p.wait_for("the drain", |m| has(m, "s-2") == Some(false)).await;
+        p.wait_for("the drain", |m| is_healthy(m, "s-2") == Some(false)).await;
     }
-    quiet(&nodes[2], told).await;
-    assert!(stuck.mirror().targets.is_empty(), "it has read nothing");
+    assert_no_new_requests(&nodes[2], drained_at).await;
+    assert!(stuck.mirror().targets.is_empty(), "the stuck proxy must not have read the list");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_refusal_leaves_the_last_good_state_is_not_repeated_and_holds_nobody_up() {
+async fn a_refused_update_keeps_the_last_good_state_is_not_resent_and_does_not_delay_other_proxies() {
     let (nodes, discovery) = nodes(2).await;
     let running = service(&discovery).await;
     let proxies = BOTH.map(|f| proxy(&running, f));
     let sound = Proxy::start(Settings::new(running.address, "third", Flavour::Delta));
     for p in proxies.iter().chain([&sound]) {
-        p.wait_for("both", |m| m.targets.len() == 2).await;
+        p.wait_for("both servers", |m| m.targets.len() == 2).await;
     }
     proxies.iter().for_each(|p| p.refuse(Some("s-7")));
     let third = SaveNode::start().await;
@@ -125,26 +131,33 @@
     tokio::time::sleep(Duration::from_millis(200)).await;
     for p in &proxies {
         let mirror = p.mirror();
-        assert_eq!((mirror.refused, mirror.targets.len()), (1, 2), "said once, and the old state stays");
+        assert_eq!(
+            (mirror.refused, mirror.targets.len()),
+            (1, 2),
+            "the update must be sent once and the old state stay"
+        );
         assert!(mirror.ends.is_empty());
     }
     discovery.say(43, &list(43, false, &member("s-7", third.address, "gone", 0)));
     discovery.wait_for_watch(43);
     discovery.say(44, &list(44, false, &member("s-0", nodes[0].address, "draining", 0)));
     for p in proxies.iter().chain([&sound]) {
-        p.wait_for("the next state", |m| has(m, "s-0") == Some(false) && has(m, "s-7").is_none()).await;
+        p.wait_for("the next state", |m| {
+            is_healthy(m, "s-0") == Some(false) && is_healthy(m, "s-7").is_none()
+        })
+        .await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_silent_discovery_and_broken_lists_change_nothing_and_an_empty_whole_list_does() {
+async fn a_silent_discovery_and_invalid_lists_change_nothing_but_an_empty_complete_list_does() {
     let (nodes, discovery) = nodes(2).await;
     let running = service(&discovery).await;
     let proxies = BOTH.map(|f| proxy(&running, f));
     for p in &proxies {
-        p.wait_for("both", |m| m.targets.len() == 2).await;
+        p.wait_for("both servers", |m| m.targets.len() == 2).await;
     }
-    // No list at all, then a list of changes that is empty: no news.
+    // An answer that is not a list, then an empty list of changes: neither changes anything.
     discovery.say(42, "no list");
     discovery.say(42, &list(42, false, ""));
     discovery.wait_for_watch(42);
@@ -161,23 +174,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_service_that_is_killed_and_comes_back_takes_nothing_away() {
+async fn a_service_that_is_killed_and_restarted_removes_nothing_from_proxies() {
     let (nodes, discovery) = nodes(2).await;
     let running = service(&discovery).await;
     let proxies = BOTH.map(|f| proxy(&running, f).counting().forwarding(200.0, 3));
     for p in &proxies {
-        p.wait_for("both", |m| m.targets.len() == 2).await;
+        p.wait_for("both servers", |m| m.targets.len() == 2).await;
     }
     let key = (7, "team".to_string(), 1);
-    // A new service gives nothing out at first: what an earlier one gave might still be used.
+    // A new service assigns no slices at first, because those of an earlier one may still be in use.
     until("a slice", || proxies[0].admit(&key)).await;
     running.kill();
     let before = nodes[0].requests();
-    until("work without the service", || nodes[0].requests() > before + 50).await;
-    // It comes back, empty, at another address, and discovery answers it late.
-    let silent = Discovery::start("");
-    silent.say(41, "no list yet");
-    let again = service(&silent).await;
+    until("requests without the service", || nodes[0].requests() > before + 50).await;
+    // A new service starts without state at another address, and its discovery answers late.
+    let late_discovery = Discovery::start("");
+    late_discovery.say(41, "no list yet");
+    let again = service(&late_discovery).await;
     proxies.iter().for_each(|p| p.move_to(again.address));
     let counts: Vec<u64> = proxies.iter().map(|p| p.mirror().responses).collect();
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -186,7 +199,7 @@
         assert_eq!(
             (mirror.targets.len(), mirror.responses),
             (2, *before),
-            "nothing is known, nothing is said"
+            "the service must send nothing before it has a list"
         );
     }
     let members: Vec<String> = nodes
@@ -194,40 +207,44 @@
         .enumerate()
         .map(|(i, node)| member(&format!("s-{i}"), node.address, "ready", 0))
         .collect();
-    silent.say(42, &list(42, true, &members.join(",")));
+    late_discovery.say(42, &list(42, true, &members.join(",")));
     until("the list", || again.hub.published.borrow().is_some()).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     for (p, before) in proxies.iter().zip(&counts) {
         let mirror = p.mirror();
-        assert_eq!((mirror.targets.len(), mirror.responses), (2, *before), "they have just that: no storm");
+        assert_eq!(
+            (mirror.targets.len(), mirror.responses),
+            (2, *before),
+            "the list is unchanged and must not be sent again"
+        );
     }
-    silent.say(43, &list(43, false, &member("s-1", nodes[1].address, "draining", 0)));
+    late_discovery.say(43, &list(43, false, &member("s-1", nodes[1].address, "draining", 0)));
     for p in &proxies {
-        p.wait_for("news from the new one", |m| has(m, "s-1") == Some(false)).await;
+        p.wait_for("the drain from the new service", |m| is_healthy(m, "s-1") == Some(false)).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_server_that_fails_at_the_proxies_is_ejected_for_all() {
+async fn a_server_that_fails_for_one_proxy_is_ejected_for_all_proxies() {
     let (nodes, discovery) = nodes(3).await;
     let running = service(&discovery).await;
-    let sending = proxy(&running, Flavour::Whole).reporting().forwarding(300.0, 4);
+    let active = proxy(&running, Flavour::Whole).reporting().forwarding(300.0, 4);
     let idle = proxy(&running, Flavour::Delta);
-    idle.wait_for("all", |m| m.targets.iter().filter(|t| t.healthy).count() == 3).await;
+    idle.wait_for("all servers", |m| m.targets.iter().filter(|t| t.healthy).count() == 3).await;
     nodes[1].fail(true);
-    idle.wait_for("the ejection", |m| has(m, "s-1") == Some(false)).await;
-    assert_eq!(has(&idle.mirror(), "s-0"), Some(true));
+    idle.wait_for("the ejection", |m| is_healthy(m, "s-1") == Some(false)).await;
+    assert_eq!(is_healthy(&idle.mirror(), "s-0"), Some(true));
     nodes[1].fail(false);
     let whole = |m: &starlinghill_testkit::proxy::Mirror| {
         let weights: Vec<u32> = m.targets.iter().filter(|t| t.healthy).map(|t| t.weight).collect();
         weights.len() == 3 && weights.iter().all(|w| *w == weights[0])
     };
     idle.wait_for("its return", whole).await;
-    sending.wait_for("its return", whole).await;
+    active.wait_for("its return", whole).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn who_is_not_on_the_list_is_refused_with_a_clear_status() {
+async fn a_proxy_that_is_not_in_the_operators_file_is_refused_with_a_clear_status() {
     let (_nodes, discovery) = nodes(1).await;
     let running = service(&discovery).await;
     for (flavour, id) in [(Flavour::Whole, "stranger"), (Flavour::Delta, "other")] {
@@ -243,7 +260,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_new_file_takes_a_proxy_off_the_list_and_leaves_the_others() {
+async fn reloading_a_file_without_a_proxy_ends_its_streams_and_leaves_other_proxies_alone() {
     let (_nodes, discovery) = nodes(1).await;
     let mut running = service(&discovery).await;
     let proxies = BOTH.map(|f| proxy(&running, f).reporting().counting().forwarding(100.0, 5));
@@ -254,22 +271,22 @@
     let path = file(&discovery, "[control.quotas]\nlease_ms = 1000\n");
     let text = std::fs::read_to_string(&path).expect("text").replace("\"whole\"", "\"else\"");
     std::fs::write(&path, text).expect("written");
-    running.reload(prepare(&path).expect("sound")).await;
+    running.reload(prepare(&path).expect("it is valid")).await;
     proxies[0]
         .wait_for("its refusal", |m| m.ends.iter().any(|s| s.code() == tonic::Code::PermissionDenied))
         .await;
-    assert_eq!(proxies[0].mirror().targets.len(), 1, "it keeps what it has");
-    // Its quota stream ends too: once its slices have lapsed, nothing is let through for longer than any lives.
-    let mut last = Instant::now();
-    until("the lapse", || {
+    assert_eq!(proxies[0].mirror().targets.len(), 1, "it must keep its last configuration");
+    // Its quota stream ends too: after its slices have expired, nothing is admitted for longer than a slice is valid.
+    let mut last_admitted = Instant::now();
+    until("the expiry of its slices", || {
         if proxies[0].admit(&(1, "team".into(), 1)) {
-            last = Instant::now();
+            last_admitted = Instant::now();
         }
-        last.elapsed() > Duration::from_millis(1_500)
+        last_admitted.elapsed() > Duration::from_millis(1_500)
     })
     .await;
-    assert!(proxies[1].mirror().ends.is_empty(), "the other is left alone");
+    assert!(proxies[1].mirror().ends.is_empty(), "the other proxy's streams must stay open");
     running.stop().await;
     proxies[1].wait_for("the end", |m| m.ends.iter().any(|s| s.code() == tonic::Code::Unavailable)).await;
-    assert_eq!(proxies[1].mirror().targets.len(), 1, "it keeps what it has");
+    assert_eq!(proxies[1].mirror().targets.len(), 1, "it must keep its last configuration");
 }
--- a/crates/starlinghill-control/tests/quotas.rs
+++ b/crates/starlinghill-control/tests/quotas.rs
@@ -1,4 +1,5 @@
-//! Slices of quotas over sockets: proxies that surge, one killed, one cut off, and the service itself killed.
+//! Tests of quotas that are divided among proxies, over real connections: under overload, with proxies killed and
+//! disconnected, and with the service restarted.
 
 mod common;
 
@@ -9,14 +10,17 @@
 use starlinghill_testkit::stubs::{self, Discovery};
 use std::time::{Duration, Instant};
 
+/// The quota of the test plan: units per second and the size of its token bucket, as in `PLAN`.
 const RATE: f64 = 20.0;
 const BURST: f64 = 30.0;
+/// The quota's plan in the platform's settings.
 const PLAN: &str = r#"{"name":"publisher","per_second":20.0,"peak_units":30.0,"ceiling_rate":36.0,"cap_depth":54.0,"tolerance":4.0},"#;
+/// The quota section of the operators' file: short times, so that slices expire during the test.
 const QUOTAS: &str = "[control.quotas]\nlease_ms = 1000\nallowance_ms = 250\ninterval_ms = 200\n";
 
 async fn service(discovery: &Discovery) -> Running {
     let path = stubs::control_file(discovery.stub.address, &["p-0", "p-1", "p-2"], PLAN, QUOTAS);
-    start(prepare(&path).expect("sound")).await.expect("it starts")
+    start(prepare(&path).expect("it is valid")).await.expect("the service starts")
 }
 
 fn proxies(running: &Running) -> Vec<Proxy> {
@@ -27,32 +31,33 @@
     (0..3).map(|i| Proxy::start(settings(i)).counting()).collect()
 }
 
-/// The quota's own bucket, fed with all that goes on.
-struct Reference {
+/// A token bucket of the whole quota, charged with every request that any proxy admits. A level below zero shows that
+/// the proxies together exceeded the quota.
+struct ReferenceBucket {
     level: f64,
-    at: Instant,
+    updated: Instant,
     lowest: f64,
-    passed: u64,
+    admitted: u64,
 }
 
-impl Reference {
-    fn new() -> Reference {
-        Reference { level: BURST, at: Instant::now(), lowest: BURST, passed: 0 }
+impl ReferenceBucket {
+    fn new() -> ReferenceBucket {
+        ReferenceBucket { level: BURST, updated: Instant::now(), lowest: BURST, admitted: 0 }
     }
-    fn pass(&mut self) {
+    fn charge(&mut self) {
         let now = Instant::now();
-        self.level = (self.level + RATE * (now - self.at).as_secs_f64()).min(BURST) - 1.0;
-        (self.at, self.lowest, self.passed) = (now, self.lowest.min(self.level), self.passed + 1);
+        self.level = (self.level + RATE * (now - self.updated).as_secs_f64()).min(BURST) - 1.0;
+        (self.updated, self.lowest, self.admitted) = (now, self.lowest.min(self.level), self.admitted + 1);
     }
 }
 
-/// All ask as fast as they can for so long.
-async fn surge(proxies: &[&Proxy], key: &Key, seconds: f64, quota: &mut Reference) {
+/// Requests admission from every proxy every 5 ms, for the given number of seconds.
+async fn overload(proxies: &[&Proxy], key: &Key, seconds: f64, quota: &mut ReferenceBucket) {
     let end = Instant::now() + Duration::from_secs_f64(seconds);
     while Instant::now() < end {
         for p in proxies {
             if p.admit(key) {
-                quota.pass();
+                quota.charge();
             }
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -60,53 +65,57 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_quota_is_passed_while_proxies_are_killed_and_cut_off_and_the_service_restarts() {
+async fn the_quota_is_not_exceeded_while_proxies_are_killed_and_cut_off_and_the_service_restarts() {
     let (_nodes, discovery) = nodes(1).await;
     let running = service(&discovery).await;
     let mut proxies = proxies(&running);
     let key: Key = (0xb4d6_5521, "publisher".into(), 1);
-    let mut quota = Reference::new();
-    until("a first slice", || proxies.iter().any(|p| p.admit(&key))).await;
-    quota.pass();
-    surge(&[&proxies[0], &proxies[1], &proxies[2]], &key, 2.0, &mut quota).await;
-    let before = quota.passed;
-    // One is cut off and goes on with what it has; one is killed.
+    let mut quota = ReferenceBucket::new();
+    until("the first slice", || proxies.iter().any(|p| p.admit(&key))).await;
+    quota.charge();
+    overload(&[&proxies[0], &proxies[1], &proxies[2]], &key, 2.0, &mut quota).await;
+    let before = quota.admitted;
+    // One proxy is disconnected and continues with the slice it has; another is killed.
     proxies[0].apart(true);
     drop(proxies.remove(2));
-    surge(&[&proxies[0], &proxies[1]], &key, 3.0, &mut quota).await;
-    assert!(quota.passed - before > 25, "the third still serves: {}", quota.passed - before);
+    overload(&[&proxies[0], &proxies[1]], &key, 3.0, &mut quota).await;
+    assert!(
+        quota.admitted - before > 25,
+        "the remaining proxies must still admit requests: {}",
+        quota.admitted - before
+    );
     proxies[0].apart(false);
-    surge(&[&proxies[0], &proxies[1]], &key, 1.0, &mut quota).await;
-    // The service dies with slices out and comes back empty.
+    overload(&[&proxies[0], &proxies[1]], &key, 1.0, &mut quota).await;
+    // The service is killed while slices are assigned, and a new one starts without knowing them.
     running.kill();
     let again = service(&discovery).await;
     proxies.iter().for_each(|p| p.move_to(again.address));
-    surge(&[&proxies[0], &proxies[1]], &key, 4.0, &mut quota).await;
-    // What was in flight between a bucket and this measure is less than a request.
-    assert!(quota.lowest > -1.0, "{} beyond the quota", -quota.lowest);
-    let before = quota.passed;
-    surge(&[&proxies[0], &proxies[1]], &key, 1.0, &mut quota).await;
-    assert!(quota.passed > before, "the new one gives slices out");
+    overload(&[&proxies[0], &proxies[1]], &key, 4.0, &mut quota).await;
+    // The reference is charged a moment after a proxy admits a request, which is worth less than one request.
+    assert!(quota.lowest > -1.0, "the quota was exceeded by {}", -quota.lowest);
+    let before = quota.admitted;
+    overload(&[&proxies[0], &proxies[1]], &key, 1.0, &mut quota).await;
+    assert!(quota.admitted > before, "the new service must assign slices");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn bad_buckets_are_denied_alone_and_a_plan_left_out_gets_nothing() {
+async fn invalid_buckets_and_plans_without_slices_are_denied_without_affecting_other_buckets() {
     let (_nodes, discovery) = nodes(1).await;
     let more = format!("{QUOTAS}plans = [\"publisher\"]\n");
     let path = stubs::control_file(discovery.stub.address, &["p-0", "p-1", "p-2"], PLAN, &more);
-    let running = start(prepare(&path).expect("sound")).await.expect("it starts");
+    let running = start(prepare(&path).expect("it is valid")).await.expect("the service starts");
     let proxies = proxies(&running);
-    let bad: [Key; 4] = [
+    let invalid: [Key; 4] = [
         (1, "team".into(), 1),
         (1, "no-such-plan".into(), 1),
         (1 << 40, "publisher".into(), 1),
         (1, "publisher".into(), 77),
     ];
-    let good: Key = (2, "publisher".into(), 1);
-    until("the good one's slice", || {
-        bad.iter().for_each(|key| assert!(!proxies[0].admit(key), "{key:?}"));
-        proxies[0].admit(&good)
+    let valid: Key = (2, "publisher".into(), 1);
+    until("a slice of the valid bucket", || {
+        invalid.iter().for_each(|key| assert!(!proxies[0].admit(key), "{key:?}"));
+        proxies[0].admit(&valid)
     })
     .await;
-    assert!(proxies[0].mirror().ends.is_empty(), "the stream goes on");
+    assert!(proxies[0].mirror().ends.is_empty(), "the stream must stay open");
 }
