--- a/crates/starlinghill-control-state/src/fleet.rs
+++ b/crates/starlinghill-control-state/src/fleet.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 /// The most members that a list may have. Guards memory against a list gone wild; the old one stays.
-pub const MOST_MEMBERS: usize = 10_000;
+pub const MAX_MEMBERS: usize = 10_000;
 /// A cold server's weight grows in so many steps, each a message to every proxy. Weights are those of a step's
 /// beginning, so a proxy that hears late sends too little, never too much.
 const WARM_STEPS: u64 = 16;
@@ -69,35 +69,33 @@
     pub endpoints: Vec<Endpoint>,
     /// Parts in 10,000 of all requests that a proxy is to turn away: where most of the fleet is cold, weights
     /// alone would share all traffic out among servers that can't bear it.
-    pub drop: u32,
+    pub drop_per_10000: u32,
 }
 
 /// A list that can't be used. The old one stays.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ListProblem {
+pub enum ListError {
     /// Changes came before any whole list.
     NoBase,
-    /// It would have more members than [`MOST_MEMBERS`].
+    /// It would have more members than [`MAX_MEMBERS`].
     TooLong(usize),
 }
 
-impl fmt::Display for ListProblem {
+impl fmt::Display for ListError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ListProblem::NoBase => {
-                f.write_str("changes to a list that was never told whole; nothing changes")
-            }
-            ListProblem::TooLong(n) => {
-                write!(f, "a list of {n} members, {MOST_MEMBERS} at most; the old one stays")
+            ListError::NoBase => f.write_str("changes to a list that was never told whole; nothing changes"),
+            ListError::TooLong(n) => {
+                write!(f, "a list of {n} members, {MAX_MEMBERS} at most; the old one stays")
             }
         }
     }
 }
-impl std::error::Error for ListProblem {}
+impl std::error::Error for ListError {}
 
 /// What one proxy saw of one server since its last report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Observed {
+pub struct EndpointReport {
     /// Where the server listens.
     pub address: SocketAddr,
     /// Requests that it answered.
@@ -140,27 +138,27 @@
     }
 
     /// Regions of zones, from now on.
-    pub fn places(&mut self, places: BTreeMap<String, EndpointLocation>) {
+    pub fn set_locations(&mut self, places: BTreeMap<String, EndpointLocation>) {
         self.places = places;
     }
 
     /// New parts of zones hold from now on.
-    pub fn zones(&mut self, parts: Vec<(String, ZoneShare)>) {
+    pub fn set_zone_shares(&mut self, parts: Vec<(String, ZoneShare)>) {
         let sound = |(_, part): &(String, ZoneShare)| part.weight.is_finite() && part.weight < 1.0;
         self.zones = parts.into_iter().filter(sound).collect();
     }
 
     /// Takes news of the list in. An empty whole list is news too; an empty list of changes is none.
-    pub fn list(&mut self, now: Micros, list: MemberList) -> Result<(), ListProblem> {
+    pub fn apply_list(&mut self, now: Micros, list: MemberList) -> Result<(), ListError> {
         let held = self.members.as_ref();
         if held.is_none() && !list.complete {
-            return Err(ListProblem::NoBase);
+            return Err(ListError::NoBase);
         }
         let base = held.filter(|_| !list.complete);
         let fresh = list.members.iter().filter(|m| base.is_none_or(|held| !held.contains_key(&m.id))).count();
         let n = fresh + base.map_or(0, BTreeMap::len);
-        if n > MOST_MEMBERS {
-            return Err(ListProblem::TooLong(n));
+        if n > MAX_MEMBERS {
+            return Err(ListError::TooLong(n));
         }
         let mut members =
             if list.complete { BTreeMap::new() } else { self.members.take().unwrap_or_default() };
@@ -198,7 +196,7 @@
 
     /// Takes in what a proxy saw of a server. Reports on addresses that the list does not have are of servers
     /// that are gone, and say nothing of those to come. Returns whether anything was judged.
-    pub fn observed(&mut self, now: Micros, seen: Observed) -> bool {
+    pub fn apply_report(&mut self, now: Micros, seen: EndpointReport) -> bool {
         let Some(&server) = self.at.get(&seen.address) else { return false };
         let all = seen.succeeded.saturating_add(seen.failed);
         let judged = all.min(MOST_JUDGED);
@@ -217,7 +215,7 @@
 
     /// The picture now; `None` while no whole list has come: for want of news nobody is told that the fleet is
     /// empty.
-    pub fn picture(&mut self, now: Micros) -> Option<FleetSnapshot> {
+    pub fn snapshot(&mut self, now: Micros) -> Option<FleetSnapshot> {
         let cold = self.site.settings.cold;
         let members = self.members.as_ref()?;
         let facts: BTreeMap<ServerId, _> =
@@ -281,7 +279,7 @@
         // of what each server would get if all were warm, and what is left over is turned away.
         let short = part_of_cold > 0.0 && warm * 3.0 < all;
         let drop = if short { ((1.0 - (warm + part_of_cold) / all) * 10_000.0) as u32 } else { 0 };
-        Some(FleetSnapshot { endpoints, drop: drop.min(9_999) })
+        Some(FleetSnapshot { endpoints, drop_per_10000: drop.min(9_999) })
     }
 
     /// When the picture changes next by time alone.
--- a/crates/starlinghill-control-state/src/ledger.rs
+++ b/crates/starlinghill-control-state/src/ledger.rs
@@ -77,16 +77,16 @@
     /// A token bucket that begins full, unless the one before had the same figures: then it goes on as it is.
     Tokens {
         /// The most requests at once.
-        most: u32,
+        capacity: u32,
         /// Microseconds until one more; `None`: there come none.
-        every: Option<Micros>,
+        interval: Option<Micros>,
         /// The assignment's life, from its arrival on.
-        life: Micros,
+        lifetime: Micros,
     },
     /// Turn all away for so long.
     Deny {
         /// The assignment's life.
-        life: Micros,
+        lifetime: Micros,
     },
     /// Forget the bucket.
     Abandon,
@@ -103,18 +103,18 @@
     /// are to be cut by who owns them.
     pub allowance: Micros,
     /// The most customers kept in mind.
-    pub customers: usize,
+    pub max_customers: usize,
     /// The most buckets of one holder.
-    pub buckets: usize,
+    pub max_buckets: usize,
 }
 
 /// Why a report was not taken in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LedgerError {
     /// The plan does not exist.
-    NoPlan(PlanId),
+    UnknownPlan(PlanId),
     /// Units of none, or more than any request has.
-    BadUnits(u32),
+    InvalidUnits(u32),
     /// The holder has as many buckets as it may.
     TooManyBuckets(usize),
     /// The ledger has as many customers as it may.
@@ -124,8 +124,10 @@
 impl fmt::Display for LedgerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LedgerError::NoPlan(plan) => write!(f, "plan number {} does not exist", plan.0),
-            LedgerError::BadUnits(units) => write!(f, "{units} units: expected 1 to the most of any request"),
+            LedgerError::UnknownPlan(plan) => write!(f, "plan number {} does not exist", plan.0),
+            LedgerError::InvalidUnits(units) => {
+                write!(f, "{units} units: expected 1 to the most of any request")
+            }
             LedgerError::TooManyBuckets(most) => write!(f, "a proxy may have {most} buckets and no more"),
             LedgerError::TooManyCustomers(most) => write!(f, "{most} customers are in mind, which is all"),
         }
@@ -313,7 +315,7 @@
                 return slice.renew(now, last, units, set);
             }
         } else if slice.out.len() >= MOST_IN_DOUBT {
-            return Assignment::Deny { life: set.lease };
+            return Assignment::Deny { lifetime: set.lease };
         }
         let most = (tokens_wanted.min(self.store).min(room) / units).floor();
         // Guards against a change that would take tokens away for nothing: without any to give, what the
@@ -326,7 +328,7 @@
                 }
                 return slice.renew(now, last, units, set);
             }
-            return Assignment::Deny { life: set.lease };
+            return Assignment::Deny { lifetime: set.lease };
         }
         let tokens = most * units;
         self.store -= tokens;
@@ -338,8 +340,8 @@
 }
 
 fn told(rate: f64, tokens: f64, units: f64, life: Micros) -> Assignment {
-    let every = (rate >= LEAST_RATE).then(|| Micros((units / rate * 1e6).ceil() as u64));
-    Assignment::Tokens { most: (tokens / units) as u32, every, life }
+    let interval = (rate >= LEAST_RATE).then(|| Micros((units / rate * 1e6).ceil() as u64));
+    Assignment::Tokens { capacity: (tokens / units) as u32, interval, lifetime: life }
 }
 
 /// All accounts.
@@ -382,24 +384,24 @@
         key: BucketKey,
         usage: Usage,
     ) -> Result<Assignment, LedgerError> {
-        let &(rate, burst) = self.plans.get(key.plan.0).ok_or(LedgerError::NoPlan(key.plan))?;
+        let &(rate, burst) = self.plans.get(key.plan.0).ok_or(LedgerError::UnknownPlan(key.plan))?;
         if key.units == 0 || f64::from(key.units) > self.most_units {
-            return Err(LedgerError::BadUnits(key.units));
+            return Err(LedgerError::InvalidUnits(key.units));
         }
         // A plan without a quota has none to hold.
         if rate <= 0.0 {
-            let every = Some(Micros(1));
-            return Ok(Assignment::Tokens { most: u32::MAX, every, life: self.set.lease });
+            let interval = Some(Micros(1));
+            return Ok(Assignment::Tokens { capacity: u32::MAX, interval, lifetime: self.set.lease });
         }
         if now < self.settled {
             // To deny would take away what an earlier life of this service gave, which counts as out anyway.
             return Ok(Assignment::Keep);
         }
         let name = (key.customer, key.plan);
-        if !self.accounts.contains_key(&name) && self.accounts.len() >= self.set.customers {
+        if !self.accounts.contains_key(&name) && self.accounts.len() >= self.set.max_customers {
             self.sweep(now);
-            if self.accounts.len() >= self.set.customers {
-                return Err(LedgerError::TooManyCustomers(self.set.customers));
+            if self.accounts.len() >= self.set.max_customers {
+                return Err(LedgerError::TooManyCustomers(self.set.max_customers));
             }
         }
         let settled = self.settled;
@@ -416,8 +418,8 @@
         // Also one that was given up and is asked for again while its slice is still out: what is not among its
         // holder's buckets would outlive the stream.
         let buckets = self.holders.entry(holder).or_default();
-        if !buckets.contains(&key) && buckets.len() >= self.set.buckets {
-            return Err(LedgerError::TooManyBuckets(self.set.buckets));
+        if !buckets.contains(&key) && buckets.len() >= self.set.max_buckets {
+            return Err(LedgerError::TooManyBuckets(self.set.max_buckets));
         }
         buckets.insert(key);
         let slice = account.slices.entry(at).or_insert_with(|| Slice::new(now));
@@ -453,7 +455,7 @@
     }
 
     /// A holder's stream ended. What it has stays out until it lapses.
-    pub fn gone(&mut self, now: Micros, holder: HolderId) {
+    pub fn holder_gone(&mut self, now: Micros, holder: HolderId) {
         for key in self.holders.remove(&holder).unwrap_or_default() {
             let Some(account) = self.accounts.get_mut(&(key.customer, key.plan)) else { continue };
             account.slices.get_mut(&(holder, key.units)).into_iter().for_each(|slice| slice.live = false);
--- a/crates/starlinghill-control-state/src/routes.rs
+++ b/crates/starlinghill-control-state/src/routes.rs
@@ -32,7 +32,7 @@
     /// Attempts beyond the first.
     pub retries: u32,
     /// Which failures they may follow.
-    pub on: RetryOn,
+    pub retry_on: RetryOn,
 }
 
 /// The routes of all classes, by name.
@@ -46,22 +46,22 @@
             let class = &set.classes[i];
             // A proxy knows no groups of servers: only keys that every server holds may be sent again there.
             let anywhere = class.effect == Effect::Keyed && class.group == Group::All;
-            let on = match class.effect {
+            let retry_on = match class.effect {
                 Effect::Safe => RetryOn::Failed,
                 Effect::Keyed if anywhere && class.window > WINDOW_MARGIN => RetryOn::Failed,
                 _ => RetryOn::NeverRan,
             };
             // The route's time bounds the last attempt's start as well: it ends before the first one's key is
             // forgotten.
-            let timeout = match (class.effect, on) {
+            let timeout = match (class.effect, retry_on) {
                 (Effect::Keyed, RetryOn::Failed) => class.deadline.min(class.window - WINDOW_MARGIN),
                 _ => class.deadline,
             };
             let early = class.target.times(1.0 - POLICY_CONSTANTS.retry_reserve);
             let per_try =
-                (on == RetryOn::Failed && further > 0 && !class.stream).then_some(early.min(timeout));
+                (retry_on == RetryOn::Failed && further > 0 && !class.stream).then_some(early.min(timeout));
             let method = if class.effect == Effect::Safe { "GET" } else { "POST" };
-            ClassRoute { name: name.clone(), method, timeout, per_try, retries: further, on }
+            ClassRoute { name: name.clone(), method, timeout, per_try, retries: further, retry_on }
         })
         .collect();
     routes.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/starlinghill-control-state/tests/ledger.rs
+++ b/crates/starlinghill-control-state/tests/ledger.rs
@@ -8,7 +8,7 @@
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
 const SET: LedgerSettings =
-    LedgerSettings { lease: Micros(2 * S), allowance: Micros(250 * MS), customers: 100, buckets: 50 };
+    LedgerSettings { lease: Micros(2 * S), allowance: Micros(250 * MS), max_customers: 100, max_buckets: 50 };
 
 fn settings(rate: f64, burst: f64) -> Settings {
     let plan = Plan {
@@ -70,16 +70,18 @@
     fn receive(&mut self, now: u64, told: Assignment) {
         self.fill(now);
         match told {
-            Assignment::Tokens { most, every, life } => {
-                let every = every.map(|e| e.0);
-                let same = now < self.until && self.most == f64::from(most) && self.every == every;
+            Assignment::Tokens { capacity, interval, lifetime } => {
+                let every = interval.map(|e| e.0);
+                let same = now < self.until && self.most == f64::from(capacity) && self.every == every;
                 if !same {
                     (self.most, self.every, self.level, self.at) =
-                        (f64::from(most), every, f64::from(most), now);
+                        (f64::from(capacity), every, f64::from(capacity), now);
                 }
-                self.until = now + life.0;
+                self.until = now + lifetime.0;
+            }
+            Assignment::Deny { lifetime } => {
+                (self.most, self.level, self.until) = (0.0, 0.0, now + lifetime.0)
             }
-            Assignment::Deny { life } => (self.most, self.level, self.until) = (0.0, 0.0, now + life.0),
             Assignment::Abandon => *self = ProxyBucket::default(),
             Assignment::Keep => {}
         }
@@ -138,7 +140,7 @@
     }
     fn cut(&mut self, proxy: usize) {
         if let Some(holder) = self.streams[proxy].take() {
-            self.ledger.gone(Micros(self.now), holder);
+            self.ledger.holder_gone(Micros(self.now), holder);
         }
     }
     fn report(&mut self, proxy: usize, delay: u64) {
@@ -313,9 +315,9 @@
         for holder in [1, 2] {
             let at = Micros(100 * S + round * 250 * MS + holder * MS);
             let told = ledger.report(at, HolderId(holder), key(1, 1), usage(1, 1, 250 * MS)).expect("taken");
-            if let Assignment::Tokens { most, every, .. } = told {
-                let rate = every.map_or(0.0, |e| 1e6 / e.0 as f64);
-                sums.insert(holder, (f64::from(most), rate));
+            if let Assignment::Tokens { capacity, interval, .. } = told {
+                let rate = interval.map_or(0.0, |e| 1e6 / e.0 as f64);
+                sums.insert(holder, (f64::from(capacity), rate));
             }
         }
         let (tokens, rate): (f64, f64) = sums.values().fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1));
@@ -330,17 +332,17 @@
     let now = Micros(100 * S);
     let ask =
         |l: &mut QuotaLedger, holder, key| l.report(now, HolderId(holder), key, usage(u64::MAX, u64::MAX, 1));
-    assert_eq!(ask(&mut ledger, 1, key(1, 0)), Err(LedgerError::BadUnits(0)));
-    assert_eq!(ask(&mut ledger, 1, key(1, 5)), Err(LedgerError::BadUnits(5)));
+    assert_eq!(ask(&mut ledger, 1, key(1, 0)), Err(LedgerError::InvalidUnits(0)));
+    assert_eq!(ask(&mut ledger, 1, key(1, 5)), Err(LedgerError::InvalidUnits(5)));
     let plan = BucketKey { plan: PlanId(9), ..key(1, 1) };
-    assert_eq!(ask(&mut ledger, 1, plan), Err(LedgerError::NoPlan(PlanId(9))));
+    assert_eq!(ask(&mut ledger, 1, plan), Err(LedgerError::UnknownPlan(PlanId(9))));
     let refused = (0..1000).filter(|&c| ask(&mut ledger, 1, key(c, 1)).is_err()).count();
     assert_eq!(refused, 950, "fifty buckets for one holder");
     for holder in 2..10 {
         let _ = (0..1000).filter(|c| ask(&mut ledger, holder, key(c + holder * 1000, 1)).is_ok()).count();
     }
     assert!(ledger.customers() <= 100);
-    (1..10).for_each(|holder| ledger.gone(now, HolderId(holder)));
+    (1..10).for_each(|holder| ledger.holder_gone(now, HolderId(holder)));
     ledger.sweep(Micros(10_000 * S));
     assert!(ledger.customers() <= 100);
 }
@@ -361,7 +363,8 @@
 #[test]
 fn a_bucket_given_up_and_asked_for_again_is_paid_for_anew_and_ends_with_its_stream() {
     let mut ledger = QuotaLedger::new(Micros(0), SET, &settings(10.0, 20.0));
-    let tokens = |told| if let Assignment::Tokens { most, .. } = told { f64::from(most) } else { 0.0 };
+    let tokens =
+        |told| if let Assignment::Tokens { capacity, .. } = told { f64::from(capacity) } else { 0.0 };
     let (mut at, mut held) = (100 * S, 0.0);
     loop {
         let told = ledger.report(Micros(at), HolderId(1), key(1, 1), usage(0, 0, 250 * MS)).expect("taken");
@@ -378,7 +381,7 @@
     let told = ledger.report(Micros(at), HolderId(1), key(1, 1), usage(0, 1, 10 * MS)).expect("taken");
     assert!(held + tokens(told) <= 20.0, "{held}, then {told:?}, at once of a burst of 20");
     // Its stream ends: nothing of it stays.
-    ledger.gone(Micros(at), HolderId(1));
+    ledger.holder_gone(Micros(at), HolderId(1));
     ledger.sweep(Micros(at + 100 * S));
     assert_eq!(ledger.customers(), 0);
 }
--- a/crates/starlinghill-control/src/lib.rs
+++ b/crates/starlinghill-control/src/lib.rs
@@ -167,12 +167,12 @@
 
 fn lease(control: &Control) -> LedgerSettings {
     let quotas = control.quotas.as_ref();
-    let (customers, buckets) = (control.limits.customers, control.limits.buckets);
+    let (max_customers, max_buckets) = (control.limits.customers, control.limits.buckets);
     LedgerSettings {
         lease: micros(quotas.map_or(Duration::from_secs(2), |q| q.lease)),
         allowance: micros(quotas.map_or(Duration::from_millis(500), |q| q.allowance)),
-        customers,
-        buckets,
+        max_customers,
+        max_buckets,
     }
 }
 
--- a/crates/starlinghill-control/src/program.rs
+++ b/crates/starlinghill-control/src/program.rs
@@ -126,8 +126,8 @@
         runtime.block_on(list(upstreams)).ok_or("discovery did not tell the list of servers in time")?;
     let now = Clock::start().now();
     let mut fleet = Fleet::new(0, site.clone())?;
-    fleet.list(now, list)?;
-    let picture = fleet.picture(now).ok_or("discovery told only changes of the list")?;
+    fleet.apply_list(now, list)?;
+    let picture = fleet.snapshot(now).ok_or("discovery told only changes of the list")?;
     let routes = routes(&site);
     let tables = Arc::new(route_tables(&routes));
     let published = publish(picture.clone(), &plan(&control, group.as_ref()), &tables, None, true);
@@ -143,14 +143,14 @@
     });
     let routes = routes.iter().map(|r| {
         json!({"class": r.name, "method": r.method, "timeout_ms": r.timeout.0 / 1000, "retries": r.retries,
-            "per_try_ms": r.per_try.map(|t| t.0 / 1000), "retry_on": format!("{:?}", r.on)})
+            "per_try_ms": r.per_try.map(|t| t.0 / 1000), "retry_on": format!("{:?}", r.retry_on)})
     });
     let resources = contents(set).into_iter().map(|(kind, name, version, bytes)| {
         json!({"kind": kind.to_string(), "name": name, "version": version, "bytes": bytes})
     });
     let all = json!({
         "node": node,
-        "drop_per_10000": picture.drop,
+        "drop_per_10000": picture.drop_per_10000,
         "endpoints": endpoints.collect::<Vec<_>>(),
         "routes": routes.collect::<Vec<_>>(),
         "resources": resources.collect::<Vec<_>>(),
--- a/crates/starlinghill-decision/src/admission.rs
+++ b/crates/starlinghill-decision/src/admission.rs
@@ -9,7 +9,7 @@
 use crate::repeated_requests::{Refusal, Repeats};
 use starlinghill_estimate::counter_sampling::CounterSampling;
 use starlinghill_rate_limit::shares::Exchange;
-use starlinghill_rate_limit::unknown_customers::Usual;
+use starlinghill_rate_limit::unknown_customers::QuotaCoverage;
 use std::collections::{BTreeMap, VecDeque};
 
 /// A repeat calls the counter with the probability for first tries to this power.
@@ -31,7 +31,7 @@
     pub(crate) no_totals_until: Micros,
     pub(crate) repeats: Repeats,
     /// By plan: what fraction of the requests of unknown customers their quotas allow.
-    pub(crate) plan_history: Vec<Usual>,
+    pub(crate) plan_history: Vec<QuotaCoverage>,
     /// Moving average of the worth of a request.
     pub(crate) mean_worth: f64,
 }
@@ -153,7 +153,7 @@
 
     /// The total was heard just now, and held what was taken here even if other gateways took theirs first.
     fn total_is_current(&self, cx: &Context, customer: CustomerId) -> bool {
-        let holds = |c: &Customer| c.account.store.heard_at() == cx.now && c.account.store.floor() >= 0.0;
+        let holds = |c: &Customer| c.account.store.total_at() == cx.now && c.account.store.floor() >= 0.0;
         cx.now >= self.promised_until(cx) && self.customers.get(&customer).is_some_and(holds)
     }
 
--- a/crates/starlinghill-decision/src/calls.rs
+++ b/crates/starlinghill-decision/src/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the counter that are not answered yet. Nothing here decides.
 
 use crate::api::*;
-use starlinghill_rate_limit::tally::{Fate, Post};
+use starlinghill_rate_limit::tally::{CallAmount, CallOutcome};
 
 /// What a call counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     /// Units of the request that made it; 0 without a request.
     pub(crate) units: f64,
     /// The units that it reports, of the request and of earlier ones.
-    pub(crate) post: Post,
+    pub(crate) post: CallAmount,
     /// It is the probe of a half-open breaker.
     pub(crate) probe: bool,
 }
@@ -36,16 +36,16 @@
     /// A call for a request that is not a probe.
     pub(crate) fn new(at: Micros, purpose: Purpose, a: &Arrival, span: u64, amount: f64) -> Call {
         let (customer, request, units) = (a.customer, Some(a.id), a.units);
-        Call { at, purpose, customer, request, units, post: Post::of(span, amount), probe: false }
+        Call { at, purpose, customer, request, units, post: CallAmount::of(span, amount), probe: false }
     }
 }
 
 /// Whether the counter has added the units of a call, by the call's outcome.
-pub(crate) fn fate(outcome: Outcome) -> Fate {
+pub(crate) fn fate(outcome: Outcome) -> CallOutcome {
     match outcome {
-        Outcome::Ok => Fate::Counted,
-        _ if outcome.never_ran() => Fate::NeverRan,
-        _ => Fate::Unknown,
+        Outcome::Ok => CallOutcome::Counted,
+        _ if outcome.never_ran() => CallOutcome::NeverRan,
+        _ => CallOutcome::Unknown,
     }
 }
 
--- a/crates/starlinghill-decision/src/counter.rs
+++ b/crates/starlinghill-decision/src/counter.rs
@@ -7,7 +7,7 @@
 use crate::calls::{fate, Call, Purpose};
 use crate::context::Context;
 use crate::customer::{bucket_name, demand_span, quota_of, span, split, window, EPOCH, WINDOW};
-use starlinghill_rate_limit::account::Total;
+use starlinghill_rate_limit::account::WindowTotal;
 
 /// A gateway without a total of a customer for this long sent the customer's requests as those of an unknown
 /// one.
@@ -21,7 +21,7 @@
             return self.charge(cx, customer, more);
         }
         let Some(c) = self.customers.get_mut(&customer) else { return };
-        c.account.settle(quota_of(cx, c.plan), cx.now, more);
+        c.account.charge_more(quota_of(cx, c.plan), cx.now, more);
     }
 
     /// Records the units of a request that is sent without an answer of the counter.
@@ -30,7 +30,7 @@
             return self.charge(cx, customer, units);
         }
         let Some(c) = self.customers.get_mut(&customer) else { return };
-        c.account.spend_unheard(quota_of(cx, c.plan), cx.now, units);
+        c.account.spend_unconfirmed(quota_of(cx, c.plan), cx.now, units);
     }
 
     /// Tells a counter that keeps the buckets that units were used without a draw, or that drawn ones were
@@ -49,7 +49,7 @@
         let Some(c) = self.customers.get_mut(&id) else { return };
         let share = c.counter_share.unwrap_or(1.0 / c.spread.max(1.0));
         let rate = if silent { cx.settings.plans[c.plan].rate * share } else { 0.0 };
-        c.account.roll(cx.now, window, epoch, rate, c.in_flight);
+        c.account.advance(cx.now, window, epoch, rate, c.in_flight);
     }
 
     /// Makes a call that adds `units`, and what earlier calls still owe, to the customer's window or to its
@@ -66,11 +66,11 @@
         let Some(c) = self.customers.get_mut(&id) else { return };
         let (request, within) = (asked.map(|a| a.0), asked.map(|a| (a.1, a.2)).unwrap_or_default());
         let open = purpose == Purpose::Open;
-        let tally = if open { &mut c.account.places } else { &mut c.account.window };
-        if units + tally.owed() == 0.0 && request.is_none() {
+        let tally = if open { &mut c.account.in_flight } else { &mut c.account.window };
+        if units + tally.unsent() == 0.0 && request.is_none() {
             return;
         }
-        let post = tally.post(units);
+        let post = tally.start_call(units);
         let probe = request.is_some() && (self.breaker.probing || c.breaker.probing);
         let length = if open { EPOCH } else { WINDOW };
         let tag = post.span << 1 | u64::from(open);
@@ -175,7 +175,7 @@
         let c = self.customers.get_mut(&call.customer)?;
         let quota = quota_of(cx, c.plan);
         if cx.settings.counter_buckets && outcome == Outcome::Ok {
-            c.account.drawn(&call.post, cx.now, total);
+            c.account.draw_answered(&call.post, cx.now, total);
             c.bucket = None;
             self.call_succeeded(cx, call);
             // What the bucket did not hold was not taken.
@@ -185,19 +185,19 @@
         if outcome == Outcome::Ok {
             if call.purpose == Purpose::Window {
                 let (now, made, elapsed) = (cx.now, call.at, WINDOW - rest);
-                let total = Total { units: total, now, made, span, elapsed, known_from };
-                let counted = c.account.window_counted(quota, &call.post, total);
-                self.counter_reset_at = if counted.emptied { cx.now } else { self.counter_reset_at };
+                let total = WindowTotal { units: total, now, made, span, elapsed, known_from };
+                let counted = c.account.window_answered(quota, &call.post, total);
+                self.counter_reset_at = if counted.counter_reset { cx.now } else { self.counter_reset_at };
                 // Units sent without a total are now included in it. As far as the bucket certainly held
                 // them, the other gateways take them into account, so this gateway may send as many beyond
                 // the quota again. Otherwise a ceiling would refuse, call after call, what the quota has room
                 // for.
-                if let Some(unheard) = counted.to_floor {
+                if let Some(unheard) = counted.confirmed {
                     c.beyond_quota.level = (c.beyond_quota.level + unheard).min(c.beyond_quota.depth);
                 }
                 heard = counted.level;
             } else {
-                heard = Some(c.account.places_counted(&call.post, total));
+                heard = Some(c.account.in_flight_answered(&call.post, total));
             }
             if !below_one {
                 c.bucket = None;
@@ -205,8 +205,8 @@
             self.call_succeeded(cx, call);
         } else {
             let open = call.purpose == Purpose::Open;
-            let tally = if open { &mut c.account.places } else { &mut c.account.window };
-            tally.came_back(&call.post, fate(outcome));
+            let tally = if open { &mut c.account.in_flight } else { &mut c.account.window };
+            tally.call_ended(&call.post, fate(outcome));
             self.call_failed(cx, call.customer, call.probe, call.at, outcome);
         }
         // Guards against counting a request twice, or forever though it was refused: a counter that answers
@@ -220,7 +220,7 @@
 
     /// Makes another call for units that the last one could not carry, once a total was heard.
     pub(crate) fn send_owed(&mut self, cx: &mut Context, call: &Call) {
-        let owed = self.customers.get(&call.customer).is_some_and(|c| c.account.window.owed() > 0.5);
+        let owed = self.customers.get(&call.customer).is_some_and(|c| c.account.window.unsent() > 0.5);
         if owed && call.purpose == Purpose::Window {
             self.call(cx, Purpose::Window, call.customer, None, 0.0);
         }
@@ -233,7 +233,7 @@
             return self.charge(cx, customer, -units);
         }
         let Some(c) = self.customers.get_mut(&customer) else { return };
-        if !c.account.take_back(quota_of(cx, c.plan), cx.now, span, units) {
+        if !c.account.refund(quota_of(cx, c.plan), cx.now, span, units) {
             return;
         }
         // Others see the units as taken until they are back, but an overloaded counter must not get more
@@ -256,7 +256,7 @@
             // Guards against more calls for the same turn, which would prolong an overload. Requests wait for
             // the next turn.
             let c = self.customers.get_mut(&call.customer).filter(|_| call.purpose == Purpose::Turn);
-            c.into_iter().for_each(|c| c.scattered.turns.give_up(call.post.span));
+            c.into_iter().for_each(|c| c.scattered.turns.mark_spent(call.post.span));
             self.call_failed(cx, call.customer, call.probe, call.at, outcome);
             return None;
         }
@@ -264,13 +264,19 @@
         let c = self.customers.get_mut(&call.customer)?;
         if call.purpose == Purpose::Demand && call.post.span == span {
             c.scattered.was_unknown = c.scattered.heard_at + UNKNOWN_AFTER < cx.now;
-            c.scattered.demand.heard(quota_of(cx, c.plan), cx.now, span, elapsed, total);
+            c.scattered.demand.add_total(quota_of(cx, c.plan), cx.now, span, elapsed, total);
             c.scattered.heard_at = cx.now;
         }
         let total = match call.purpose {
             Purpose::Turn => {
                 let split = split(&cx.settings, c.plan, c.spread);
-                c.scattered.turns.got(&split, cx.now, call.post.span, (call.post.amount, call.units), total)
+                c.scattered.turns.call_answered(
+                    &split,
+                    cx.now,
+                    call.post.span,
+                    (call.post.amount, call.units),
+                    total,
+                )
             }
             _ => total,
         };
@@ -293,9 +299,9 @@
     pub(crate) fn sync_slots(&mut self, cx: &mut Context, customer: CustomerId) {
         self.advance_window(cx, customer);
         let Some(c) = self.customers.get_mut(&customer) else { return };
-        let surplus = c.account.places.surplus(c.in_flight);
+        let surplus = c.account.in_flight.surplus(c.in_flight);
         if surplus > 0.5 && self.breaker.opened.is_none() {
-            c.account.places.spend(-surplus);
+            c.account.in_flight.spend(-surplus);
             self.call(cx, Purpose::Open, customer, None, 0.0);
         }
     }
--- a/crates/starlinghill-decision/src/customer.rs
+++ b/crates/starlinghill-decision/src/customer.rs
@@ -8,8 +8,8 @@
 use crate::repeated_requests::Refusal;
 use starlinghill_estimate::counter_sampling::CounterSampling;
 use starlinghill_rate_limit::account::Account;
-use starlinghill_rate_limit::allowance::UNTOLD_SHARE;
-use starlinghill_rate_limit::ceiling::{Split, Turns};
+use starlinghill_rate_limit::allowance::UNASSIGNED_SHARE;
+use starlinghill_rate_limit::ceiling::{CeilingSplit, TurnUnits};
 use starlinghill_rate_limit::demand::{Demand, SPAN};
 use starlinghill_rate_limit::rate::Flow;
 use starlinghill_rate_limit::shares::Shares;
@@ -59,7 +59,7 @@
     /// `counter_answered`: the counter answered this process, so it assigned the larger part of each quota
     /// and left little for gateways without a share.
     pub(crate) fn own_share(&self, cx: &Context, counter_answered: bool) -> f64 {
-        let unassigned = if counter_answered { UNTOLD_SHARE } else { 1.0 };
+        let unassigned = if counter_answered { UNASSIGNED_SHARE } else { 1.0 };
         match cx.isolated {
             true => 0.0,
             false => self.counter_share.unwrap_or(unassigned / self.spread.max(1.0)),
@@ -79,13 +79,13 @@
     pub(crate) uncounted: (u64, f64),
     /// This gateway's own part of the ceiling.
     pub(crate) own_ceiling: Option<TokenBucket>,
-    pub(crate) turns: Turns,
+    pub(crate) turns: TurnUnits,
 }
 
 impl Scattered {
     /// Units a second asked for here and at the other gateways, by the last total of the demand.
     pub(crate) fn flows(&self, own: f64) -> Option<(f64, f64)> {
-        self.demand.usual().map(|all| (own.max(0.0), (all - own).max(0.0)))
+        self.demand.usual_rate().map(|all| (own.max(0.0), (all - own).max(0.0)))
     }
 }
 
@@ -125,10 +125,10 @@
 }
 
 /// How a plan's ceiling is divided over the gateways of a customer; the same at each of them.
-pub(crate) fn split(set: &Settings, plan: usize, spread: f64) -> Split {
+pub(crate) fn split(set: &Settings, plan: usize, spread: f64) -> CeilingSplit {
     let plan = &set.plans[plan];
     let ceiling = Quota { rate: plan.ceiling_rate, burst: plan.ceiling_burst };
-    Split::of(ceiling, set.most_units, set.count_timeout, spread)
+    CeilingSplit::of(ceiling, set.most_units, set.count_timeout, spread)
 }
 
 /// The other gateways that the customer's requests come through; none if they don't come through this one.
--- a/crates/starlinghill-decision/src/scattered.rs
+++ b/crates/starlinghill-decision/src/scattered.rs
@@ -13,9 +13,9 @@
 use crate::context::Context;
 use crate::customer::{demand_span, name_of, quota_of, split};
 use starlinghill_estimate::MIN_SHARE;
-use starlinghill_rate_limit::ceiling::Split;
+use starlinghill_rate_limit::ceiling::CeilingSplit;
 use starlinghill_rate_limit::demand::SPAN;
-use starlinghill_rate_limit::unknown_customers::Usual;
+use starlinghill_rate_limit::unknown_customers::QuotaCoverage;
 
 /// Fleets of this many gateways count so, whatever a customer's spread, as all share one counter.
 const MANY_GATEWAYS: u32 = 16;
@@ -85,7 +85,7 @@
         if c.scattered.turns.take(turn, a.units) {
             return CallDecision::NothingToAsk;
         }
-        let amount = split.amount(a.units, c.local_demand.now(cx.now), left);
+        let amount = split.call_amount(a.units, c.local_demand.now(cx.now), left);
         // The turn is known to be spent, so a call could only confirm that.
         if c.scattered.turns.is_spent(turn) || a.units > split.units || !self.may_call(cx, a.customer) {
             return CallDecision::KnownFull;
@@ -111,8 +111,8 @@
         let just_heard = c.scattered.heard_at == cx.now;
         let compensates = pays_off && just_heard && c.scattered.was_unknown;
         if just_heard && !a.resent {
-            self.plan_history.resize(cx.settings.plans.len(), Usual::default());
-            self.plan_history[a.plan.0].heard(chance);
+            self.plan_history.resize(cx.settings.plans.len(), QuotaCoverage::default());
+            self.plan_history[a.plan.0].add_sample(chance);
         }
         let chance = if compensates { chance.powi(COMPENSATION_POWER) } else { chance };
         // A customer must not get around a refusal by asking again.
@@ -122,7 +122,7 @@
     /// Whether sending a request of an unknown customer of this plan earns more than it costs.
     fn unknown_pays(&self, cx: &Context, plan: usize) -> bool {
         let p = &cx.settings.plans[plan];
-        self.plan_history.get(plan).is_none_or(|usual| usual.pays(p.over_cost - p.over_worth))
+        self.plan_history.get(plan).is_none_or(|coverage| coverage.admits(p.over_cost - p.over_worth))
     }
 
     /// Takes a request from this gateway's own part of the ceiling; returns whether that held enough.
@@ -145,7 +145,7 @@
         own.take(cx.now, a.units)
     }
 
-    fn split(&self, cx: &Context, a: &Arrival) -> Split {
+    fn split(&self, cx: &Context, a: &Arrival) -> CeilingSplit {
         split(&cx.settings, a.plan.0, f64::from(a.spread.max(1)))
     }
 }
--- a/crates/starlinghill-decision/src/sharing.rs
+++ b/crates/starlinghill-decision/src/sharing.rs
@@ -35,7 +35,7 @@
         let share = (base + c.shares.moved(c.spread as u32)).clamp(0.0, 1.0);
         // Shares of less than one request would refuse everything: at least one is allowed as far as units
         // are left; where the counter keeps the buckets, while half a burst is left, else by chance.
-        let initial = left.min(cx.settings.allowance.unheard(quota_of(cx, c.plan))) * share + cx.chance(id);
+        let initial = left.min(cx.settings.allowance.offline(quota_of(cx, c.plan))) * share + cx.chance(id);
         let level = match cx.settings.counter_buckets {
             true => initial.max(if left < p.burst * AMPLE_LEVEL { 0.0 } else { most_units }),
             false => (left * share).max(most_units.min(left)),
@@ -55,7 +55,7 @@
         let own = self.no_totals_until;
         let Some(c) = self.customers.get_mut(&id).filter(|_| p.ceiling_rate > 0.0) else { return true };
         settle(c, p, now);
-        let others = others(cx, c.first, c.spread as u32).map(|gateway| self.exchange.quiet(gateway)).min();
+        let others = others(cx, c.first, c.spread as u32).map(|g| self.exchange.quiet_until(g)).min();
         let quiet = others.map_or(Micros(0), |others| others.min(own));
         c.no_totals_until = if quiet > now { quiet } else { Micros(0) };
         set_beyond(c, p);
--- a/crates/starlinghill-discovery/src/lib.rs
+++ b/crates/starlinghill-discovery/src/lib.rs
@@ -1,5 +1,5 @@
 //! Following the list of backends that discovery keeps: what to ask and when, and which answers to believe. Pure: who owns the
-//! socket asks for the next [`Call`], makes it, and tells what came of it.
+//! socket asks for the next [`DiscoveryCall`], makes it, and tells what came of it.
 //!
 //! What one gateway does here all of them do, and often at once: after a release, or when discovery comes back, a hundred of
 //! them ask in the same moment. So the first call of a gateway that knows a list is put off by chance, it asks for what
@@ -29,7 +29,7 @@
 
 /// A call to make.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Call {
+pub struct DiscoveryCall {
     /// After so long.
     pub after: Duration,
     /// For what changed since that version, as a watch; `None`: for the whole list.
@@ -49,9 +49,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It follows from what is held.
-    Take,
+    Apply,
     /// It does not; the list held stays, and the whole one is asked for.
-    Drop,
+    Discard,
 }
 
 /// One gateway's following of the list.
@@ -78,7 +78,7 @@
     }
 
     /// How long to wait for the first answer before the list that is known counts.
-    pub fn wait(&self) -> Duration {
+    pub fn first_answer_timeout(&self) -> Duration {
         if self.revision.is_some() {
             WAIT_OF_MANY
         } else {
@@ -87,8 +87,8 @@
     }
 
     /// The next call.
-    pub fn next(&self) -> Call {
-        Call { after: self.after, since: self.revision }
+    pub fn next_call(&self) -> DiscoveryCall {
+        DiscoveryCall { after: self.after, since: self.revision }
     }
 
     /// An answer came.
@@ -98,10 +98,10 @@
         if older || self.revision.is_none() && !complete {
             self.revision = None;
             self.back_off();
-            return Verdict::Drop;
+            return Verdict::Discard;
         }
         (self.revision, self.failures, self.after) = (Some(revision), 0, Duration::ZERO);
-        Verdict::Take
+        Verdict::Apply
     }
 
     /// A call failed: no answer, not in time, turned away, or not a list.
@@ -110,7 +110,7 @@
     }
 
     /// Discovery is somewhere else, and may number its versions anew.
-    pub fn moved(&mut self) {
+    pub fn reset(&mut self) {
         (self.revision, self.failures, self.after) = (None, 0, Duration::ZERO);
     }
 
--- a/crates/starlinghill-discovery/tests/fleet.rs
+++ b/crates/starlinghill-discovery/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet that follows one discovery in virtual time: each gateway's calls are played one millisecond at a time.
 
-use starlinghill_discovery::{Call, Follower, Source, Verdict};
+use starlinghill_discovery::{DiscoveryCall, Follower, Source, Verdict};
 use std::time::Duration;
 
 /// A discovery that can take so many calls a second, turns away what would wait for more than two, and counts what it is asked.
@@ -26,11 +26,11 @@
 /// Starts so many gateways at once and plays so many milliseconds; returns discovery and when each gateway was first answered.
 fn play(seed: u64, gateways: u32, known: Option<u64>, rate: f64, span: u64) -> (Discovery, Vec<Option<u64>>) {
     let mut discovery = Discovery { calls_a_second: rate, waiting: 0.0, asked: 0, answered: 0 };
-    let ms = |call: Call| call.after.as_millis() as u64;
+    let ms = |call: DiscoveryCall| call.after.as_millis() as u64;
     let mut all: Vec<(Follower, u64, Option<u64>)> = (0..gateways)
         .map(|me| {
             let follower = Follower::new(seed << 32 | u64::from(me), Source::Shared, gateways, known);
-            let due = ms(follower.next());
+            let due = ms(follower.next_call());
             (follower, due, None)
         })
         .collect();
@@ -38,12 +38,12 @@
         discovery.waiting = (discovery.waiting - rate / 1000.0).max(0.0);
         for (follower, due, first) in all.iter_mut().filter(|(_, due, _)| *due == now) {
             if discovery.call() {
-                assert_eq!(follower.answered(41, true), Verdict::Take);
+                assert_eq!(follower.answered(41, true), Verdict::Apply);
                 *first = first.or(Some(now));
                 *due = now + 20_000; // The watch holds.
             } else {
                 follower.failed();
-                *due = now + ms(follower.next()).max(1);
+                *due = now + ms(follower.next_call()).max(1);
             }
         }
     }
@@ -74,11 +74,11 @@
 fn one_gateway_alone_asks_at_once_and_again_soon() {
     for gateways in 1..=8 {
         let mut follower = Follower::new(7, Source::Shared, gateways, Some(41));
-        assert_eq!(follower.next(), Call { after: Duration::ZERO, since: None });
+        assert_eq!(follower.next_call(), DiscoveryCall { after: Duration::ZERO, since: None });
         follower.failed();
-        assert!(follower.next().after <= Duration::from_millis(100));
+        assert!(follower.next_call().after <= Duration::from_millis(100));
         (0..20).for_each(|_| follower.failed());
-        assert!(follower.next().after <= Duration::from_millis(800), "nor does it ever wait for long");
+        assert!(follower.next_call().after <= Duration::from_millis(800), "nor does it ever wait for long");
     }
 }
 
@@ -86,26 +86,33 @@
 fn one_of_any_number_asks_an_agent_of_its_own_at_once_for_what_is_new_and_again_soon() {
     for gateways in [1, 8, 9, 16, 100, 300, 1000] {
         let mut follower = Follower::new(7, Source::Agent, gateways, Some(41));
-        assert_eq!(follower.next().after, Duration::ZERO, "{gateways}: what the agent has counts as told");
+        assert_eq!(
+            follower.next_call().after,
+            Duration::ZERO,
+            "{gateways}: what the agent has counts as told"
+        );
         (0..20).for_each(|_| follower.failed());
-        assert!(follower.next().after <= Duration::from_millis(800), "{gateways}: discovery may be back");
+        assert!(
+            follower.next_call().after <= Duration::from_millis(800),
+            "{gateways}: discovery may be back"
+        );
     }
 }
 
 #[test]
 fn an_answer_that_does_not_follow_is_dropped_and_the_whole_list_is_asked_for() {
     let mut follower = Follower::new(7, Source::Shared, 30, Some(41));
-    assert_eq!(follower.next().since, Some(41), "no more than what is new");
-    assert_eq!(follower.answered(40, true), Verdict::Drop, "older than what is held");
-    let call = follower.next();
+    assert_eq!(follower.next_call().since, Some(41), "no more than what is new");
+    assert_eq!(follower.answered(40, true), Verdict::Discard, "older than what is held");
+    let call = follower.next_call();
     assert_eq!(call.since, None);
     assert!(call.after > Duration::ZERO, "not at once: it may go on answering so");
-    assert_eq!(follower.answered(43, false), Verdict::Drop, "changes to a list that is not held");
-    assert_eq!(follower.answered(42, true), Verdict::Take);
-    assert_eq!(follower.next(), Call { after: Duration::ZERO, since: Some(42) });
-    assert_eq!(follower.answered(42, false), Verdict::Take, "nothing new");
+    assert_eq!(follower.answered(43, false), Verdict::Discard, "changes to a list that is not held");
+    assert_eq!(follower.answered(42, true), Verdict::Apply);
+    assert_eq!(follower.next_call(), DiscoveryCall { after: Duration::ZERO, since: Some(42) });
+    assert_eq!(follower.answered(42, false), Verdict::Apply, "nothing new");
     follower.failed();
-    assert_eq!(follower.next().since, Some(42), "a failed call takes nothing away");
-    follower.moved();
-    assert_eq!(follower.next(), Call { after: Duration::ZERO, since: None });
+    assert_eq!(follower.next_call().since, Some(42), "a failed call takes nothing away");
+    follower.reset();
+    assert_eq!(follower.next_call(), DiscoveryCall { after: Duration::ZERO, since: None });
 }
--- a/crates/starlinghill-gateway/src/discovery.rs
+++ b/crates/starlinghill-gateway/src/discovery.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{header, Request, StatusCode};
-use starlinghill_discovery::{Call, Verdict};
+use starlinghill_discovery::{DiscoveryCall, Verdict};
 pub use starlinghill_discovery::{Follower, Source};
 use starlinghill_settings::members::MemberList;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     let mut silent = false;
     let mut confused = false;
     loop {
-        let call = follower.next();
+        let call = follower.next_call();
         let told = tokio::select! {
             biased;
             // Moves at once, though the old address may hold a watch for long. The new one may number its
@@ -39,7 +39,7 @@
                 let moved = upstreams.borrow_and_update().discovery;
                 if moved != address {
                     (address, connection) = (moved, None);
-                    follower.moved();
+                    follower.reset();
                 }
                 continue;
             }
@@ -50,7 +50,7 @@
                 if std::mem::take(&mut silent) {
                     info!("discovery answers again");
                 }
-                if follower.answered(list.revision, list.complete) == Verdict::Drop {
+                if follower.answered(list.revision, list.complete) == Verdict::Discard {
                     if !std::mem::replace(&mut confused, true) {
                         warn!(
                             revision = list.revision,
@@ -76,7 +76,7 @@
 }
 
 async fn make(
-    call: Call,
+    call: DiscoveryCall,
     address: SocketAddr,
     connection: &mut Option<Connection>,
 ) -> Result<MemberList, &'static str> {
--- a/crates/starlinghill-gateway/src/driver.rs
+++ b/crates/starlinghill-gateway/src/driver.rs
@@ -12,7 +12,7 @@
 use crate::maintenance_file::Orders;
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
-use starlinghill_maintenance::{Book, Roster};
+use starlinghill_maintenance::{DiscoveredList, OrderBook};
 use starlinghill_settings::members::{MemberList, Phase};
 use starlinghill_settings::NamedSettings;
 use std::cmp::Reverse;
@@ -82,8 +82,8 @@
     post: Option<Rc<dyn PeerSender>>,
     backends: HashMap<ServerId, Rc<Backend>>,
     /// The list as discovery told it, and the orders under which it stands.
-    roster: Roster,
-    book: Book,
+    roster: DiscoveredList,
+    book: OrderBook,
     orders: Option<Orders>,
     /// What is left to the next process, where processes take over from each other.
     handover: Option<Handover>,
@@ -136,7 +136,7 @@
             calls: Calls::default(),
             post: None,
             backends: HashMap::new(),
-            roster: Roster::default(),
+            roster: DiscoveredList::default(),
             book,
             orders,
             handover,
@@ -184,8 +184,8 @@
             calls: Calls::default(),
             post: None,
             backends: HashMap::new(),
-            roster: Roster::default(),
-            book: Book::default(),
+            roster: DiscoveredList::default(),
+            book: OrderBook::default(),
             orders: None,
             handover: None,
             requests: HashMap::new(),
@@ -374,7 +374,7 @@
     }
 
     fn told(&mut self, list: MemberList) {
-        let list = self.roster.take(list, &self.book);
+        let list = self.roster.apply(list, &self.book);
         self.members(list);
     }
 
@@ -383,21 +383,21 @@
         if !*self.ready.borrow() {
             return Ordered::NotReady;
         }
-        if !self.roster.holds(id) && !self.book.is_out(id) {
+        if !self.roster.contains(id) && !self.book.is_out(id) {
             return Ordered::Unknown;
         }
         let now = self.clock.now();
         let mut next = self.book.clone();
         let (mut changed, mut ordered) = (Vec::new(), Ok(false));
-        let mut change = |held: Book| {
+        let mut change = |held: OrderBook| {
             changed = next.merge(&held);
-            ordered = next.order(id, out, now);
+            ordered = next.set_order(id, out, now);
             next.clone()
         };
         let kept = match &mut self.orders {
             Some(orders) => orders.replace(change).map_err(|problem| problem.to_string()),
             None => {
-                change(Book::default());
+                change(OrderBook::default());
                 Ok(())
             }
         };
@@ -407,7 +407,7 @@
         }
         self.book = next;
         changed.push(id.to_string());
-        self.members(self.roster.again(&changed, &self.book));
+        self.members(self.roster.changes_for(&changed, &self.book));
         Ordered::Done
     }
 
@@ -428,7 +428,7 @@
         let changed = self.book.merge(&news);
         if !changed.is_empty() {
             info!(?changed, "orders came in at another process");
-            self.members(self.roster.again(&changed, &self.book));
+            self.members(self.roster.changes_for(&changed, &self.book));
         }
     }
 
--- a/crates/starlinghill-gateway/src/lib.rs
+++ b/crates/starlinghill-gateway/src/lib.rs
@@ -120,7 +120,8 @@
     let bodies = config.memory / BODIES_PART;
     let peers = config.peers.clone();
     let follower = config.follower();
-    let driver = Driver::new(config, clock, ready, follower.wait(), watcher).map_err(RunError::Config)?;
+    let driver = Driver::new(config, clock, ready, follower.first_answer_timeout(), watcher)
+        .map_err(RunError::Config)?;
     let inbox = driver.inbox();
     match peers {
         // The process that this one takes over from may have the socket.
--- a/crates/starlinghill-gateway/src/maintenance_file.rs
+++ b/crates/starlinghill-gateway/src/maintenance_file.rs
@@ -1,7 +1,7 @@
 //! The file of orders that the processes of one gateway share.
 
 use crate::handover::file_name;
-use starlinghill_maintenance::Book;
+use starlinghill_maintenance::OrderBook;
 use std::fs::{self, File, TryLockError};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -32,7 +32,7 @@
     }
 
     /// The book, if the file was changed since it was read last.
-    pub fn news(&mut self) -> Option<Book> {
+    pub fn news(&mut self) -> Option<OrderBook> {
         let look = self.look()?;
         if self.seen == Some(look) {
             return None;
@@ -49,7 +49,7 @@
     }
 
     /// Writes the book with what others have written since merged into it by `change`, which returns the new one.
-    pub fn replace(&mut self, change: impl FnOnce(Book) -> Book) -> io::Result<()> {
+    pub fn replace(&mut self, change: impl FnOnce(OrderBook) -> OrderBook) -> io::Result<()> {
         let lock = File::create(&self.lock)?;
         let mut tries = 0;
         loop {
@@ -66,10 +66,10 @@
             }
         }
         let held = match self.read() {
-            Err(problem) if problem.kind() == io::ErrorKind::NotFound => Book::default(),
+            Err(problem) if problem.kind() == io::ErrorKind::NotFound => OrderBook::default(),
             held => held?,
         };
-        let text = change(held).write();
+        let text = change(held).to_json();
         let new = self.path.with_extension("new");
         fs::write(&new, text)?;
         // Whoever reads sees the one before or this one, and nothing between, also after a kill.
@@ -84,11 +84,11 @@
         Some((about.modified().ok()?, about.ino(), about.len()))
     }
 
-    fn read(&self) -> io::Result<Book> {
+    fn read(&self) -> io::Result<OrderBook> {
         let length = fs::metadata(&self.path)?.len();
         if length > LONGEST {
             return Err(io::Error::other(format!("expected at most {LONGEST} bytes, found {length}")));
         }
-        Book::read(&fs::read_to_string(&self.path)?).map_err(io::Error::other)
+        OrderBook::from_json(&fs::read_to_string(&self.path)?).map_err(io::Error::other)
     }
 }
--- a/crates/starlinghill-maintenance/src/book.rs
+++ b/crates/starlinghill-maintenance/src/book.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 
 /// The most orders a book holds. Guards memory against calls without end; backends called back longest ago give way.
-pub const MOST_ORDERS: usize = 1024;
+pub const MAX_ORDERS: usize = 1024;
 /// The longest id of a backend, in bytes.
-pub const LONGEST_ID: usize = 128;
+pub const MAX_ID_BYTES: usize = 128;
 /// The version of the written form.
 const VERSION: u32 = 1;
 
@@ -33,7 +33,7 @@
     /// Every place is held by a backend that is out.
     Full,
     /// The id is empty or too long.
-    Id(usize),
+    InvalidId(usize),
     /// What was written is no book.
     Unreadable(String),
 }
@@ -41,9 +41,9 @@
 impl std::fmt::Display for BookError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            BookError::Full => write!(f, "{MOST_ORDERS} backends are out, which is the most"),
-            BookError::Id(found) => {
-                write!(f, "id: expected 1 to {LONGEST_ID} bytes, found {found}")
+            BookError::Full => write!(f, "{MAX_ORDERS} backends are out, which is the most"),
+            BookError::InvalidId(found) => {
+                write!(f, "id: expected 1 to {MAX_ID_BYTES} bytes, found {found}")
             }
             BookError::Unreadable(why) => write!(f, "not a book of orders: {why}"),
         }
@@ -53,7 +53,7 @@
 
 /// The last order for each backend.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Book {
+pub struct OrderBook {
     orders: BTreeMap<String, Order>,
 }
 
@@ -63,20 +63,20 @@
     orders: BTreeMap<String, Order>,
 }
 
-impl Book {
+impl OrderBook {
     /// Takes a backend out, or calls it back. Twice the same is once: the first order's time stays.
     ///
     /// Returns whether anything changed. `now` is Unix time; an order never lies before the one it replaces, also
     /// where clocks went back.
-    pub fn order(&mut self, id: &str, out: bool, now: Micros) -> Result<bool, BookError> {
-        if id.is_empty() || id.len() > LONGEST_ID {
-            return Err(BookError::Id(id.len()));
+    pub fn set_order(&mut self, id: &str, out: bool, now: Micros) -> Result<bool, BookError> {
+        if id.is_empty() || id.len() > MAX_ID_BYTES {
+            return Err(BookError::InvalidId(id.len()));
         }
         let held = self.orders.get(id).copied();
         if held.map_or(!out, |held| held.out == out) {
             return Ok(false);
         }
-        if held.is_none() && self.orders.len() >= MOST_ORDERS {
+        if held.is_none() && self.orders.len() >= MAX_ORDERS {
             let back = self.orders.iter().filter(|(_, o)| !o.out).min_by_key(|(_, o)| o.at_us);
             let oldest = back.map(|(id, _)| id.clone()).ok_or(BookError::Full)?;
             self.orders.remove(&oldest);
@@ -87,7 +87,7 @@
     }
 
     /// Takes in what another book holds, and returns the backends for which that changed something.
-    pub fn merge(&mut self, other: &Book) -> Vec<String> {
+    pub fn merge(&mut self, other: &OrderBook) -> Vec<String> {
         let mut changed = Vec::new();
         for (id, &order) in &other.orders {
             if self.orders.get(id).is_none_or(|&held| order.beats(held)) {
@@ -96,7 +96,7 @@
             }
         }
         // One that takes out is never dropped, whatever the bound: both books held to it.
-        while self.orders.len() > MOST_ORDERS {
+        while self.orders.len() > MAX_ORDERS {
             let back = self.orders.iter().filter(|(_, o)| !o.out).min_by_key(|(_, o)| o.at_us);
             let Some(oldest) = back.map(|(id, _)| id.clone()) else { break };
             self.orders.remove(&oldest);
@@ -130,27 +130,27 @@
     }
 
     /// The book as JSON.
-    pub fn write(&self) -> String {
+    pub fn to_json(&self) -> String {
         let written = Written { version: VERSION, orders: self.orders.clone() };
         // Strings and numbers only: there is nothing that JSON could not hold.
         serde_json::to_string(&written).unwrap_or_default()
     }
 
     /// Reads a book. What is not wholly a book is none: half a book would let back in what is out.
-    pub fn read(text: &str) -> Result<Book, BookError> {
+    pub fn from_json(text: &str) -> Result<OrderBook, BookError> {
         let written: Written =
             serde_json::from_str(text).map_err(|e| BookError::Unreadable(e.to_string()))?;
         if written.version != VERSION {
             let why = format!("version: expected {VERSION}, found {}", written.version);
             return Err(BookError::Unreadable(why));
         }
-        if written.orders.len() > 2 * MOST_ORDERS {
-            let why = format!("orders: expected at most {}, found {}", 2 * MOST_ORDERS, written.orders.len());
+        if written.orders.len() > 2 * MAX_ORDERS {
+            let why = format!("orders: expected at most {}, found {}", 2 * MAX_ORDERS, written.orders.len());
             return Err(BookError::Unreadable(why));
         }
-        match written.orders.keys().find(|id| id.is_empty() || id.len() > LONGEST_ID) {
-            Some(id) => Err(BookError::Id(id.len())),
-            None => Ok(Book { orders: written.orders }),
+        match written.orders.keys().find(|id| id.is_empty() || id.len() > MAX_ID_BYTES) {
+            Some(id) => Err(BookError::InvalidId(id.len())),
+            None => Ok(OrderBook { orders: written.orders }),
         }
     }
 }
--- a/crates/starlinghill-maintenance/src/roster.rs
+++ b/crates/starlinghill-maintenance/src/roster.rs
@@ -1,18 +1,18 @@
 //! The list of backends as discovery told it, and as it stands under a book of orders.
 
-use crate::book::Book;
+use crate::book::OrderBook;
 use starlinghill_settings::members::{Member, MemberList, Phase};
 use std::collections::BTreeMap;
 
 /// Every backend that discovery's list holds, as told last.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct DiscoveredList {
     told: BTreeMap<String, Member>,
 }
 
-impl Roster {
+impl DiscoveredList {
     /// Takes in what discovery told, whole or changes, and returns it as it stands under the book.
-    pub fn take(&mut self, list: MemberList, book: &Book) -> MemberList {
+    pub fn apply(&mut self, list: MemberList, book: &OrderBook) -> MemberList {
         if list.complete {
             self.told.clear();
         }
@@ -27,21 +27,21 @@
     }
 
     /// What the list says of these backends now, as changes, after orders for them changed.
-    pub fn again(&self, ids: &[String], book: &Book) -> MemberList {
+    pub fn changes_for(&self, ids: &[String], book: &OrderBook) -> MemberList {
         let members =
             ids.iter().filter_map(|id| self.told.get(id)).cloned().map(|m| under(book, m)).collect();
         MemberList { revision: 0, complete: false, members }
     }
 
     /// The list holds it.
-    pub fn holds(&self, id: &str) -> bool {
+    pub fn contains(&self, id: &str) -> bool {
         self.told.contains_key(id)
     }
 }
 
 /// A backend that is out drains, whatever the list says. One that was called back counts as started then: staff restart
 /// what they take out, and the list may tell so late. Guards against sending a cold one all that a warm one bears.
-fn under(book: &Book, member: Member) -> Member {
+fn under(book: &OrderBook, member: Member) -> Member {
     if member.phase == Phase::Ready && book.is_out(&member.id) {
         return Member { phase: Phase::Draining, ..member };
     }
--- a/crates/starlinghill-quota-counter/src/audit.rs
+++ b/crates/starlinghill-quota-counter/src/audit.rs
@@ -29,7 +29,7 @@
     pub(crate) fn new(quota: Quota, allowance: Allowance) -> Audit {
         let slot = Duration::from_secs_f64(allowance.window_s / SLOTS as f64);
         let longer = Allowance { window_s: allowance.window_s + slot.as_secs_f64(), ..allowance };
-        let most = longer.most(quota);
+        let most = longer.max_units(quota);
         Audit { slot, most, used: VecDeque::new(), sum: 0.0, exceeded: false, is_new: false }
     }
 
--- a/crates/starlinghill-quota-counter/src/bounds.rs
+++ b/crates/starlinghill-quota-counter/src/bounds.rs
@@ -1,6 +1,6 @@
 //! What can go on in all, as a function of the settings: what tests and pages go by.
 
-use starlinghill_rate_limit::allowance::UNTOLD_SHARE;
+use starlinghill_rate_limit::allowance::UNASSIGNED_SHARE;
 use starlinghill_rate_limit::{Allowance, Quota};
 
 /// The part of the rates at which stores fill while so many of all gateways are silent: each of those may be deciding by
@@ -21,7 +21,7 @@
 
 /// The share of a tenant's rate of a gateway that knows the counter, and was told nothing of that tenant.
 pub fn untold_share(gateways: usize) -> f64 {
-    UNTOLD_SHARE * even_share(gateways)
+    UNASSIGNED_SHARE * even_share(gateways)
 }
 
 /// A gateway's share of a tenant's rate: mostly the part of its traffic that came through it of late, the rest even. Over
@@ -29,7 +29,7 @@
 pub fn own_share(drew: f64, all_drew: f64, gateways: usize) -> f64 {
     let even = even_share(gateways);
     match all_drew > 0.0 {
-        true => (1.0 - UNTOLD_SHARE) * drew / all_drew + untold_share(gateways),
+        true => (1.0 - UNASSIGNED_SHARE) * drew / all_drew + untold_share(gateways),
         false => even,
     }
 }
@@ -50,7 +50,7 @@
 pub fn max_granted_in_window(quota: Quota, allowance: Allowance, troubles: Disruptions) -> f64 {
     let Disruptions { moves, late_s, cut } = troubles;
     let beside_silent = cut.min(allowance.beside_silent());
-    let of_each_move = cut * (quota.rate * late_s + allowance.unheard(quota));
+    let of_each_move = cut * (quota.rate * late_s + allowance.offline(quota));
     quota.burst
         + quota.rate * allowance.window_s * (1.0 + beside_silent)
         + of_each_move * f64::from(1 + moves)
--- a/crates/starlinghill-quota-counter/tests/quota.rs
+++ b/crates/starlinghill-quota-counter/tests/quota.rs
@@ -131,7 +131,7 @@
                 // As the module does it: a bucket that starts with the gateway's part of what was left, as far as the
                 // rules bear that, by chance where it is less than one request, and fills at the gateway's share.
                 let left = gateway.left.map_or(0.0, |(left, at)| left + RATE * (now - at).as_secs_f64());
-                let begins = left.min(ALLOWANCE.unheard(QUOTA)) * gateway.share;
+                let begins = left.min(ALLOWANCE.offline(QUOTA)) * gateway.share;
                 let (level, filled) = gateway.alone.unwrap_or((begins + self.rng.f64(), now));
                 let level = level + RATE * gateway.share * (now - filled).as_secs_f64();
                 let level = level.min((BURST * gateway.share).max(1.0));
@@ -202,7 +202,7 @@
 /// What the rules allow where the settings say a tenth and twenty.
 fn allowed() -> f64 {
     let allowed = (RATE * 5.0 + BURST) * 1.1 + 20.0;
-    assert!((ALLOWANCE.most(QUOTA) - allowed).abs() < 1e-9);
+    assert!((ALLOWANCE.max_units(QUOTA) - allowed).abs() < 1e-9);
     allowed
 }
 
--- a/crates/starlinghill-rate-limit/src/account.rs
+++ b/crates/starlinghill-rate-limit/src/account.rs
@@ -1,11 +1,11 @@
 //! One customer's quota as a gateway keeps it: its own side of the shared counts, and the store that their totals tell of.
 
-use crate::tally::{Fate, Post, Tally};
-use crate::{Micros, Quota, Store, Told};
+use crate::tally::{CallAmount, CallOutcome, Tally};
+use crate::{Micros, Quota, Store, StoreReading};
 
 /// When and of what a total is.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Total {
+pub struct WindowTotal {
     /// The total.
     pub units: f64,
     /// Now.
@@ -22,13 +22,13 @@
 
 /// What a total of the window tells.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Heard {
+pub struct WindowUpdate {
     /// What the quota has room for.
     pub level: Option<f64>,
     /// The counter has lost what it held.
-    pub emptied: bool,
+    pub counter_reset: bool,
     /// What went on unheard and is heard of now; none where the floor does not hold it, or the window has ended.
-    pub to_floor: Option<f64>,
+    pub confirmed: Option<f64>,
 }
 
 /// The account.
@@ -37,33 +37,33 @@
     /// What was spent in the present window.
     pub window: Tally,
     /// Attempts out in the present epoch.
-    pub places: Tally,
+    pub in_flight: Tally,
     /// What all gateways share, as the totals tell it.
     pub store: Store,
 }
 
 impl Account {
     /// Brings both counts to the present spans. What was spent unheard is made good at the rate.
-    pub fn roll(&mut self, now: Micros, window: u64, epoch: u64, rate: f64, places: f64) {
+    pub fn advance(&mut self, now: Micros, window: u64, epoch: u64, rate: f64, places: f64) {
         self.window.begin(window);
-        self.window.make_good(now, rate);
-        self.places.begin_with(epoch, places);
+        self.window.repay(now, rate);
+        self.in_flight.begin_with(epoch, places);
     }
 
     /// Units were spent without a word of the counter's.
-    pub fn spend_unheard(&mut self, quota: Quota, now: Micros, units: f64) {
+    pub fn spend_unconfirmed(&mut self, quota: Quota, now: Micros, units: f64) {
         self.store.take(quota, now, units);
-        self.window.spend_unheard(units);
+        self.window.spend_unconfirmed(units);
     }
 
     /// Units turned out to be so many more.
-    pub fn settle(&mut self, quota: Quota, now: Micros, more: f64) {
+    pub fn charge_more(&mut self, quota: Quota, now: Micros, more: f64) {
         self.window.spend(more);
         self.store.take(quota, now, more);
     }
 
     /// Units that were counted in a window were not used; returns whether the counter can still be told.
-    pub fn take_back(&mut self, quota: Quota, now: Micros, span: u64, units: f64) -> bool {
+    pub fn refund(&mut self, quota: Quota, now: Micros, span: u64, units: f64) -> bool {
         self.store.take(quota, now, -units);
         // The name of an earlier window is not asked for any more.
         let current = self.window.is_of(span);
@@ -72,40 +72,40 @@
     }
 
     /// A call on the window brought a total.
-    pub fn window_counted(&mut self, quota: Quota, post: &Post, total: Total) -> Heard {
-        let (mut emptied, mut to_floor) = (false, None);
-        if self.window.came_back(post, Fate::Counted) {
-            let told = Told {
+    pub fn window_answered(&mut self, quota: Quota, post: &CallAmount, total: WindowTotal) -> WindowUpdate {
+        let (mut counter_reset, mut confirmed) = (false, None);
+        if self.window.call_ended(post, CallOutcome::Counted) {
+            let told = StoreReading {
                 span: total.span,
                 elapsed: total.elapsed,
                 made: total.made,
                 known_from: total.known_from,
-                posted: self.window.posted(),
+                posted: self.window.counted(),
                 total: total.units,
                 own: post.amount,
                 fresh: post.fresh(),
             };
-            emptied = self.store.heard(quota, total.now, told);
-            if emptied {
-                self.window.counts_anew(post.amount);
+            counter_reset = self.store.apply_total(quota, total.now, told);
+            if counter_reset {
+                self.window.reset_counted(post.amount);
             }
-            to_floor = (self.store.floor() >= 0.0).then_some(post.unheard);
+            confirmed = (self.store.floor() >= 0.0).then_some(post.unconfirmed);
         } else {
             // The window ended meanwhile: its total says nothing of this one, and no later one tells of the amount.
             self.store.take(quota, total.now, post.fresh());
         }
-        Heard { level: self.store.level(quota, total.now), emptied, to_floor }
+        WindowUpdate { level: self.store.level(quota, total.now), counter_reset, confirmed }
     }
 
     /// A call on a store that the counter keeps brought what that holds.
-    pub fn drawn(&mut self, post: &Post, now: Micros, level: f64) {
-        self.window.came_back(post, Fate::Counted);
-        self.store.told(now, level);
+    pub fn draw_answered(&mut self, post: &CallAmount, now: Micros, level: f64) {
+        self.window.call_ended(post, CallOutcome::Counted);
+        self.store.set_level(now, level);
     }
 
     /// A call on the places brought a total; returns how many are out by that, with those that it does not hold yet.
-    pub fn places_counted(&mut self, post: &Post, total: f64) -> f64 {
-        let current = self.places.came_back(post, Fate::Counted);
-        total + if current { self.places.unposted() } else { 0.0 }
+    pub fn in_flight_answered(&mut self, post: &CallAmount, total: f64) -> f64 {
+        let current = self.in_flight.call_ended(post, CallOutcome::Counted);
+        total + if current { self.in_flight.uncounted() } else { 0.0 }
     }
 }
--- a/crates/starlinghill-rate-limit/src/allowance.rs
+++ b/crates/starlinghill-rate-limit/src/allowance.rs
@@ -16,7 +16,7 @@
 
 /// The part of an even share by which a gateway goes that was told nothing of a tenant, while others may have been told the
 /// rest: clients that came through one gateway come through another one now and then.
-pub const UNTOLD_SHARE: f64 = 0.25;
+pub const UNASSIGNED_SHARE: f64 = 0.25;
 
 /// What may go on beyond a quota in each window.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -34,8 +34,8 @@
         quota.rate * self.window_s + quota.burst
     }
 
-    /// The most units that the rules allow in one window.
-    pub fn most(&self, quota: Quota) -> f64 {
+    /// The max_units units that the rules allow in one window.
+    pub fn max_units(&self, quota: Quota) -> f64 {
         self.within(quota) + self.slack(quota)
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// What the local buckets of all gateways together begin with.
-    pub fn unheard(&self, quota: Quota) -> f64 {
+    pub fn offline(&self, quota: Quota) -> f64 {
         (self.slack(quota) * UNHEARD_PART).clamp(0.0, quota.burst.max(0.0))
     }
 
--- a/crates/starlinghill-rate-limit/src/ceiling.rs
+++ b/crates/starlinghill-rate-limit/src/ceiling.rs
@@ -19,7 +19,7 @@
 
 /// How a plan's ceiling is kept over the gateways of a customer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Split {
+pub struct CeilingSplit {
     /// Each gateway's own part, in units a second.
     pub rate: f64,
     /// At once.
@@ -30,10 +30,10 @@
     pub units: f64,
 }
 
-impl Split {
+impl CeilingSplit {
     /// The same at each gateway: it follows from the settings and the number of the customer's gateways alone. `most` is the
     /// largest request, `late` how long a call for a turn may take.
-    pub fn of(ceiling: Quota, most: f64, late: Micros, spread: f64) -> Split {
+    pub fn of(ceiling: Quota, most: f64, late: Micros, spread: f64) -> CeilingSplit {
         let late = ON_THE_WAY + late;
         let shared = |part: f64| {
             let rate = ceiling.rate * (1.0 - part);
@@ -41,7 +41,10 @@
             // Two turns, one behind the other, can be spent at once, and calls that were late with them.
             let held = rate * (turn + turn + late).secs();
             let depth = (ceiling.burst - held - ceiling.rate * part * ON_THE_WAY.secs()) / spread;
-            (Split { rate: ceiling.rate * part / spread, depth, turn, units: rate * turn.secs() }, depth)
+            (
+                CeilingSplit { rate: ceiling.rate * part / spread, depth, turn, units: rate * turn.secs() },
+                depth,
+            )
         };
         // One that has a customer to itself has all of its ceiling.
         let tries: &[f64] = if spread > 1.0 { &SPLITS } else { &[1.0] };
@@ -58,10 +61,10 @@
         // A part of less than one request is of no use: all by turns, or where the ceiling does not hold two of them, none.
         let (turns, left) = shared(0.0);
         if left >= 0.0 {
-            return Split { depth: 0.0, ..turns };
+            return CeilingSplit { depth: 0.0, ..turns };
         }
         let depth = (ceiling.burst - ceiling.rate * ON_THE_WAY.secs()).max(0.0) / spread;
-        Split { rate: ceiling.rate / spread, depth, turn: TURN, units: 0.0 }
+        CeilingSplit { rate: ceiling.rate / spread, depth, turn: TURN, units: 0.0 }
     }
 
     /// The turn of the moment, and what is left of it.
@@ -70,21 +73,21 @@
     }
 
     /// What to take from a turn for a request, and for those that are to be expected while so much of it is left.
-    pub fn amount(&self, units: f64, flow: f64, left: Micros) -> f64 {
+    pub fn call_amount(&self, units: f64, flow: f64, left: Micros) -> f64 {
         units + (flow.max(0.0) * left.secs()).min(self.units * MOST_AHEAD).floor()
     }
 }
 
 /// What a gateway holds of a customer's turns.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Turns {
+pub struct TurnUnits {
     /// The last turn of which something was got, and what is left of that here.
     held: (u64, f64),
     /// The last turn known to be spent.
     spent: u64,
 }
 
-impl Turns {
+impl TurnUnits {
     /// Takes units of what is held of this turn; returns whether there were so many.
     pub fn take(&mut self, turn: u64, units: f64) -> bool {
         let there = self.held.0 == turn && self.held.1 >= units;
@@ -98,15 +101,15 @@
     }
 
     /// No more is asked for of this turn.
-    pub fn give_up(&mut self, turn: u64) {
+    pub fn mark_spent(&mut self, turn: u64) {
         self.spent = turn;
     }
 
     /// What was got by a call for a turn, of its amount, by the total that was heard. What the request of so many units
     /// leaves of it can be used while the turn lasts.
-    pub fn got(
+    pub fn call_answered(
         &mut self,
-        split: &Split,
+        split: &CeilingSplit,
         now: Micros,
         turn: u64,
         (amount, units): (f64, f64),
--- a/crates/starlinghill-rate-limit/src/demand.rs
+++ b/crates/starlinghill-rate-limit/src/demand.rs
@@ -46,7 +46,7 @@
     ///
     /// Between two totals the store is played on with what was asked for in between: it says more of a moment than the mean of
     /// a span does. Of a customer heard of for the first time in long, the store is taken to have been half full.
-    pub fn heard(&mut self, quota: Quota, now: Micros, span: u64, elapsed: Micros, total: f64) {
+    pub fn add_total(&mut self, quota: Quota, now: Micros, span: u64, elapsed: Micros, total: f64) {
         if !total.is_finite() {
             return self.heard = None;
         }
@@ -78,7 +78,7 @@
     }
 
     /// Units a second that all gateways together are usually asked for, when it was heard of last.
-    pub fn usual(&self) -> Option<f64> {
+    pub fn usual_rate(&self) -> Option<f64> {
         self.heard.map(|heard| heard.usual)
     }
 
--- a/crates/starlinghill-rate-limit/src/lib.rs
+++ b/crates/starlinghill-rate-limit/src/lib.rs
@@ -1,5 +1,5 @@
 //! What one gateway knows of quotas that it shares with others through a counter which may be slow, silent,
-//! emptied or set back. Pure: time is an argument, nothing is sent from here, and equal inputs give equal results.
+//! counter_reset or set back. Pure: time is an argument, nothing is sent from here, and equal inputs give equal results.
 //!
 //! - [`allowance`]: what the rules allow beyond a quota, and for what.
 //! - [`account`]: one customer's quota as a gateway keeps it.
@@ -22,5 +22,5 @@
 pub mod unknown_customers;
 
 pub use allowance::Allowance;
-pub use store::{Quota, Store, Told};
+pub use store::{Quota, Store, StoreReading};
 pub use time::Micros;
--- a/crates/starlinghill-rate-limit/src/store.rs
+++ b/crates/starlinghill-rate-limit/src/store.rs
@@ -44,7 +44,7 @@
 
 /// A total, and the call that it answers.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Told {
+pub struct StoreReading {
     /// The span of the call's name.
     pub span: u64,
     /// How long ago the span began.
@@ -106,12 +106,12 @@
     }
 
     /// When the last total was heard.
-    pub fn heard_at(&self) -> Micros {
+    pub fn total_at(&self) -> Micros {
         self.heard
     }
 
     /// The level itself was told.
-    pub fn told(&mut self, now: Micros, level: f64) {
+    pub fn set_level(&mut self, now: Micros, level: f64) {
         (self.level, self.floor, self.at, self.lag, self.heard) = (Some(level), level, now, Micros(0), now);
     }
 
@@ -125,8 +125,8 @@
     }
 
     /// A total was heard. Returns whether it shows that the counter lost what it held.
-    pub fn heard(&mut self, quota: Quota, now: Micros, told: Told) -> bool {
-        let Told { span: index, elapsed, made, known_from, posted, total, own, fresh } = told;
+    pub fn apply_total(&mut self, quota: Quota, now: Micros, told: StoreReading) -> bool {
+        let StoreReading { span: index, elapsed, made, known_from, posted, total, own, fresh } = told;
         let Quota { rate, burst } = quota;
         let others = total - own;
         if index == self.span && made < self.heard && total < self.total {
@@ -143,7 +143,7 @@
             Some(level) if index == self.span => {
                 let taken = others - self.total;
                 // Less is there than this gateway put there, or more is gone than others can have given back: the counter
-                // was emptied or set back. What others took is unknown, and what they take by habit the best guess.
+                // was counter_reset or set back. What others took is unknown, and what they take by habit the best guess.
                 let given_back = self.recent.min(BELOW * burst);
                 lost = total < posted - ROUNDING || taken < -given_back - ROUNDING;
                 let taken = if lost { others.max(0.0).min(self.flows.1 * dt) } else { taken };
@@ -174,7 +174,7 @@
     }
 
     /// An answer that another overtook: the later total was heard before, holds this call's amount too, and let it pass for
-    /// taken by others. Guards against taking a line of answers out of order for an emptied counter.
+    /// taken by others. Guards against taking a line of answers out of order for an counter_reset counter.
     fn heard_late(&mut self, quota: Quota, now: Micros, own: f64, fresh: f64) {
         self.others.add(now, -own);
         self.recent = (self.recent - own).max(0.0);
--- a/crates/starlinghill-rate-limit/src/tally.rs
+++ b/crates/starlinghill-rate-limit/src/tally.rs
@@ -6,21 +6,21 @@
 
 /// What one call carries.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Post {
+pub struct CallAmount {
     /// The span of the count that it goes to.
     pub span: u64,
     /// All of it.
     pub amount: f64,
     /// The part that is earlier spend, and not the units that the call is made for.
     pub extra: f64,
-    /// The part of that which went on unheard.
-    pub unheard: f64,
+    /// The part of that which went on unconfirmed.
+    pub unconfirmed: f64,
 }
 
-impl Post {
+impl CallAmount {
     /// One that carries nothing of an earlier spend.
-    pub fn of(span: u64, amount: f64) -> Post {
-        Post { span, amount, ..Post::default() }
+    pub fn of(span: u64, amount: f64) -> CallAmount {
+        CallAmount { span, amount, ..CallAmount::default() }
     }
 
     /// The units that the call was made for.
@@ -31,7 +31,7 @@
 
 /// What became of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum CallOutcome {
     /// The counter told a total with it.
     Counted,
     /// It certainly did not arrive.
@@ -48,8 +48,8 @@
     posted: f64,
     /// Own spend not yet on the counter.
     owed: f64,
-    /// The part of it that went on unheard.
-    unheard: f64,
+    /// The part of it that went on unconfirmed.
+    unconfirmed: f64,
     /// Own earlier spend that calls under way carry.
     posting: f64,
     /// Up to when what was spent unheard is made good.
@@ -60,8 +60,8 @@
     /// The next span begins, unless it is the present one. What is on no counter yet goes on in it.
     pub fn begin(&mut self, span: u64) {
         if self.span != span {
-            let (owed, unheard, at) = (self.owed, self.unheard, self.at);
-            *self = Tally { span, owed, unheard, at, ..Tally::default() };
+            let (owed, unconfirmed, at) = (self.owed, self.unconfirmed, self.at);
+            *self = Tally { span, owed, unconfirmed, at, ..Tally::default() };
         }
     }
 
@@ -74,10 +74,10 @@
 
     /// What was spent unheard is made good at a rate. Guards against a spend of seconds ago that others would take for one
     /// of now.
-    pub fn make_good(&mut self, now: Micros, rate: f64) {
+    pub fn repay(&mut self, now: Micros, rate: f64) {
         let made_good = rate * (now - self.at).secs();
         self.owed -= made_good.min(self.owed).max(0.0);
-        self.unheard = self.unheard.min(self.owed).max(0.0);
+        self.unconfirmed = self.unconfirmed.min(self.owed).max(0.0);
         self.at = now;
     }
 
@@ -87,23 +87,23 @@
     }
 
     /// Units were spent that no total was heard for.
-    pub fn spend_unheard(&mut self, units: f64) {
+    pub fn spend_unconfirmed(&mut self, units: f64) {
         self.owed += units;
-        self.unheard += units;
+        self.unconfirmed += units;
     }
 
     /// Own spend not yet on the counter, and not on its way.
-    pub fn owed(&self) -> f64 {
+    pub fn unsent(&self) -> f64 {
         self.owed
     }
 
     /// Own adds known to have been counted.
-    pub fn posted(&self) -> f64 {
+    pub fn counted(&self) -> f64 {
         self.posted
     }
 
     /// What of ours the last total does not hold yet.
-    pub fn unposted(&self) -> f64 {
+    pub fn uncounted(&self) -> f64 {
         self.owed + self.posting
     }
 
@@ -118,32 +118,32 @@
     }
 
     /// A call is made for these units, and carries what is owed.
-    pub fn post(&mut self, units: f64) -> Post {
+    pub fn start_call(&mut self, units: f64) -> CallAmount {
         let extra = std::mem::take(&mut self.owed);
         self.posting += extra;
-        let unheard = std::mem::take(&mut self.unheard);
-        Post { span: self.span, amount: units + extra, extra, unheard }
+        let unconfirmed = std::mem::take(&mut self.unconfirmed);
+        CallAmount { span: self.span, amount: units + extra, extra, unconfirmed }
     }
 
     /// A call came back; returns whether it belongs to the present span. What did not arrive is owed again; what may have is
     /// not: told twice, it would be taken from others for good.
-    pub fn came_back(&mut self, post: &Post, fate: Fate) -> bool {
+    pub fn call_ended(&mut self, post: &CallAmount, fate: CallOutcome) -> bool {
         if !self.is_of(post.span) {
             return false;
         }
         self.posting -= post.extra;
         match fate {
-            Fate::Counted => self.posted += post.amount,
-            Fate::NeverRan => {
-                (self.owed, self.unheard) = (self.owed + post.extra, self.unheard + post.unheard)
+            CallOutcome::Counted => self.posted += post.amount,
+            CallOutcome::NeverRan => {
+                (self.owed, self.unconfirmed) = (self.owed + post.extra, self.unconfirmed + post.unconfirmed)
             }
-            Fate::Unknown => {}
+            CallOutcome::Unknown => {}
         }
         true
     }
 
     /// The counter has lost all but this much of ours.
-    pub fn counts_anew(&mut self, own: f64) {
+    pub fn reset_counted(&mut self, own: f64) {
         self.posted = own;
     }
 }
--- a/crates/starlinghill-rate-limit/src/unknown_customers.rs
+++ b/crates/starlinghill-rate-limit/src/unknown_customers.rs
@@ -12,20 +12,20 @@
 
 /// What part of the requests of one plan the quotas bear, by those that were asked about.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Usual {
+pub struct QuotaCoverage {
     borne: f64,
 }
 
-impl Default for Usual {
+impl Default for QuotaCoverage {
     /// All keep to their quota until something else is heard.
-    fn default() -> Usual {
-        Usual { borne: 1.0 }
+    fn default() -> QuotaCoverage {
+        QuotaCoverage { borne: 1.0 }
     }
 }
 
-impl Usual {
+impl QuotaCoverage {
     /// It was heard what part of one customer's requests its quota bears.
-    pub fn heard(&mut self, part: f64) {
+    pub fn add_sample(&mut self, part: f64) {
         if part.is_finite() {
             self.borne += NEWEST * (part.clamp(0.0, 1.0) - self.borne);
         }
@@ -35,7 +35,7 @@
     /// its worth, and one beyond it costs so many times that.
     ///
     /// Of a busy customer those that ask fill the quota, so what goes on beside them is beyond it.
-    pub fn pays(&self, cost: f64) -> bool {
+    pub fn admits(&self, cost: f64) -> bool {
         self.borne >= (1.0 - self.borne) * cost.max(0.0)
     }
 }
--- a/crates/starlinghill-rate-limit/tests/ceiling.rs
+++ b/crates/starlinghill-rate-limit/tests/ceiling.rs
@@ -1,6 +1,6 @@
 //! A hard ceiling over many gateways, by parts and turns, with calls that come late or get lost.
 
-use starlinghill_rate_limit::ceiling::{Split, Turns};
+use starlinghill_rate_limit::ceiling::{CeilingSplit, TurnUnits};
 use starlinghill_rate_limit::{Micros, Quota};
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     /// The own part: its level, and when that was.
     level: f64,
     at: u64,
-    turns: Turns,
+    turns: TurnUnits,
 }
 
 /// A call under way: its gateway, turn, amount, units, the counter's total; `None`: the answer got lost.
@@ -41,7 +41,7 @@
 
 /// The worst that can come: after a pause in which every part fills up, far more than the ceiling everywhere, from just
 /// before the end of a turn on until just after.
-fn flooded(split: &Split, most: f64, gateways: usize) -> Vec<Request> {
+fn flooded(split: &CeilingSplit, most: f64, gateways: usize) -> Vec<Request> {
     let edge = (END / 2 / split.turn.0 + 1) * split.turn.0;
     let many = (2.0 * split.units / most / gateways as f64 + split.depth / most) as usize + 2;
     let waves = [edge - 90_000, edge - 5_000, edge + 1_000, edge + 90_000];
@@ -52,13 +52,13 @@
 /// What gateways let through of what comes: when, and how many units.
 fn played(
     ceiling: Quota,
-    split: &Split,
+    split: &CeilingSplit,
     requests: Vec<Request>,
     gateways: usize,
     seed: u64,
 ) -> Vec<(u64, f64)> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let new = || Gateway { level: split.depth, at: 0, turns: Turns::default() };
+    let new = || Gateway { level: split.depth, at: 0, turns: TurnUnits::default() };
     let mut all: Vec<Gateway> = (0..gateways).map(|_| new()).collect();
     let mut counter: BTreeMap<u64, f64> = BTreeMap::new();
     let mut calls: BTreeMap<(u64, u64), Call> = BTreeMap::new();
@@ -69,11 +69,14 @@
         while let Some(entry) = calls.first_entry().filter(|e| e.key().0 <= now) {
             let ((at, _), (i, turn, amount, units, total)) = entry.remove_entry();
             match total {
-                Some(total) if all[i].turns.got(split, Micros(at), turn, (amount, units), total) >= units => {
+                Some(total)
+                    if all[i].turns.call_answered(split, Micros(at), turn, (amount, units), total)
+                        >= units =>
+                {
                     through.push((at, units));
                 }
                 Some(_) => {}
-                None => all[i].turns.give_up(turn),
+                None => all[i].turns.mark_spent(turn),
             }
         }
         let g = &mut all[i];
@@ -92,7 +95,7 @@
         if g.turns.is_spent(turn) || units > split.units {
             continue;
         }
-        let amount = split.amount(units, ceiling.rate / gateways as f64, left);
+        let amount = split.call_amount(units, ceiling.rate / gateways as f64, left);
         let total = counter.entry(turn).or_default();
         *total += amount;
         let answer = (rng.u32(..20) > 0).then_some(*total);
@@ -124,7 +127,7 @@
         let rate = 10.0 + 190.0 * rng.f64();
         let ceiling = Quota { rate, burst: rate * (0.5 + 3.0 * rng.f64()) + most };
         let gateways = rng.usize(1..=100);
-        let split = Split::of(ceiling, most, LATE, gateways as f64);
+        let split = CeilingSplit::of(ceiling, most, LATE, gateways as f64);
         let requests = strewn(rate, most, gateways, &mut rng);
         let through = played(ceiling, &split, requests, gateways, seed);
         let flood = played(ceiling, &split, flooded(&split, most, gateways), gateways, seed);
@@ -143,17 +146,17 @@
 #[test]
 fn a_turn_gives_no_more_than_it_has_however_many_ask_of_it() {
     let ceiling = Quota { rate: 25.0, burst: 59.0 };
-    let split = Split::of(ceiling, 2.0, LATE, 10.0);
+    let split = CeilingSplit::of(ceiling, 2.0, LATE, 10.0);
     assert!(split.units > 0.0);
     let (mut total, mut got) = (0.0, 0.0);
     for _ in 0..20 {
         total += 3.0;
-        got += Turns::default().got(&split, Micros(0), 0, (3.0, 2.0), total);
+        got += TurnUnits::default().call_answered(&split, Micros(0), 0, (3.0, 2.0), total);
     }
     assert!((got - split.units).abs() < 1e-9, "{got} of {}", split.units);
-    let mut turns = Turns::default();
-    turns.got(&split, Micros(0), 0, (3.0, 2.0), 3.0);
+    let mut turns = TurnUnits::default();
+    turns.call_answered(&split, Micros(0), 0, (3.0, 2.0), 3.0);
     assert!(turns.take(0, 1.0) && !turns.take(0, 1.0), "what the request left, once");
-    turns.got(&split, Micros(0), 0, (3.0, 2.0), 3.0);
+    turns.call_answered(&split, Micros(0), 0, (3.0, 2.0), 3.0);
     assert!(!turns.take(1, 1.0), "nothing of a turn goes on into the next");
 }
--- a/crates/starlinghill-rate-limit/tests/demand.rs
+++ b/crates/starlinghill-rate-limit/tests/demand.rs
@@ -16,7 +16,7 @@
         total = if elapsed.0 == 0 { 0.0 } else { total + rate(ms) / 1_000.0 };
         if ms % 500 == 499 {
             chances.extend(demand.chance(QUOTA, now));
-            demand.heard(QUOTA, now, span, elapsed, total);
+            demand.add_total(QUOTA, now, span, elapsed, total);
         }
     }
     chances
@@ -46,7 +46,7 @@
     let at = Micros(SPAN.0 * 50);
     let hears = |elapsed: u64, total: f64| {
         let (mut demand, elapsed) = (Demand::default(), Micros(elapsed * MS));
-        demand.heard(QUOTA, at + elapsed, 50, elapsed, total);
+        demand.add_total(QUOTA, at + elapsed, 50, elapsed, total);
         demand.chance(QUOTA, at + elapsed)
     };
     assert_eq!(hears(2_000, 29.0), Some(1.0), "10 held, 20 given since");
@@ -59,7 +59,7 @@
     let at = Micros(SPAN.0 * 50 + 1_000 * MS);
     for spoilt in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -5.0] {
         let mut demand = Demand::default();
-        demand.heard(QUOTA, at, 50, Micros(1_000 * MS), spoilt);
+        demand.add_total(QUOTA, at, 50, Micros(1_000 * MS), spoilt);
         assert!(demand.chance(QUOTA, at).is_none_or(|chance| chance == 1.0), "{spoilt}");
     }
 }
@@ -68,11 +68,11 @@
 fn a_counter_that_lost_its_numbers_grants_no_fresh_burst() {
     let at = Micros(SPAN.0 * 50 + 1_000 * MS);
     let mut demand = Demand::default();
-    demand.heard(QUOTA, at, 50, Micros(1_000 * MS), 50.0);
+    demand.add_total(QUOTA, at, 50, Micros(1_000 * MS), 50.0);
     assert_eq!(demand.chance(QUOTA, at), Some(0.2), "fifty a second");
     // Emptied, and told of three since.
     let later = at + Micros(500 * MS);
-    demand.heard(QUOTA, later, 50, Micros(1_500 * MS), 3.0);
+    demand.add_total(QUOTA, later, 50, Micros(1_500 * MS), 3.0);
     let chance = demand.chance(QUOTA, later).expect("heard");
     assert!((chance - 0.2).abs() < 1e-9, "it is taken to go on as it was: {chance}");
 }
--- a/crates/starlinghill-rate-limit/tests/store.rs
+++ b/crates/starlinghill-rate-limit/tests/store.rs
@@ -1,10 +1,10 @@
 //! A store followed by several gateways at once, over all interleavings, edges, kills and give-backs.
 
-use starlinghill_rate_limit::{Micros, Quota, Store, Told};
+use starlinghill_rate_limit::{Micros, Quota, Store, StoreReading};
 
 /// A total whose call was made after all that was heard.
-fn told(span: (u64, Micros), now: Micros, total: f64, own: f64, fresh: f64) -> Told {
-    Told {
+fn told(span: (u64, Micros), now: Micros, total: f64, own: f64, fresh: f64) -> StoreReading {
+    StoreReading {
         span: span.0,
         elapsed: span.1,
         made: now + Micros(1),
@@ -86,7 +86,7 @@
         self.total += amount;
         let span = (self.span, Micros(self.now % SPAN));
         let now = Micros(self.now);
-        self.stores[gateway].heard(QUOTA, now, told(span, now, self.total, amount, fresh));
+        self.stores[gateway].apply_total(QUOTA, now, told(span, now, self.total, amount, fresh));
     }
     fn request(&mut self, gateway: usize, units: f64, by_floor: bool) {
         self.asked += units;
@@ -188,7 +188,7 @@
     let mut store = Store::default();
     let heard = |store: &mut Store, now, total, own| {
         let now = Micros(now);
-        store.heard(QUOTA, now, told((7, Micros(9_000_000)), now, total, own, own));
+        store.apply_total(QUOTA, now, told((7, Micros(9_000_000)), now, total, own, own));
         store.level(QUOTA, now).expect("heard")
     };
     assert_eq!(heard(&mut store, 0, 1.0, 1.0), 9.0);
@@ -204,10 +204,10 @@
     // A moment far from the clock's beginning, as the store had time to fill.
     let at = |n: u64| Micros(60_000_000 + n);
     for n in 1..=9 {
-        store.heard(QUOTA, at(n), told(span, at(n), n as f64, 1.0, 1.0));
+        store.apply_total(QUOTA, at(n), told(span, at(n), n as f64, 1.0, 1.0));
     }
     let before = store.level(QUOTA, at(10)).expect("heard");
-    store.heard(QUOTA, at(10), told(span, at(10), 1.0, 1.0, 1.0));
+    store.apply_total(QUOTA, at(10), told(span, at(10), 1.0, 1.0, 1.0));
     let after = store.level(QUOTA, at(10)).expect("heard");
     assert!((before - after - 1.0).abs() < 0.01, "{before} to {after}");
     assert!((store.floor() + 1.0).abs() < 1e-3, "{}", store.floor());
@@ -217,10 +217,10 @@
 fn what_was_taken_unheard_is_not_taken_again_when_a_total_holds_it() {
     let mut store = Store::default();
     let span = (7, Micros(9_000_000));
-    store.heard(QUOTA, Micros(0), told(span, Micros(0), 1.0, 1.0, 1.0));
+    store.apply_total(QUOTA, Micros(0), told(span, Micros(0), 1.0, 1.0, 1.0));
     store.take(QUOTA, Micros(0), 4.0);
     assert_eq!(store.level(QUOTA, Micros(0)), Some(5.0));
-    store.heard(QUOTA, Micros(0), told(span, Micros(0), 6.0, 5.0, 1.0));
+    store.apply_total(QUOTA, Micros(0), told(span, Micros(0), 6.0, 5.0, 1.0));
     assert_eq!(store.level(QUOTA, Micros(0)), Some(4.0));
 }
 
@@ -231,11 +231,15 @@
     // Others take two units ten times a second.
     for n in 0..20 {
         let now = Micros(n * step);
-        store.heard(QUOTA, now, told((7, Micros(17_500_000 + n * step)), now, 2.0 * n as f64, 0.0, 0.0));
+        store.apply_total(
+            QUOTA,
+            now,
+            told((7, Micros(17_500_000 + n * step)), now, 2.0 * n as f64, 0.0, 0.0),
+        );
     }
     let silent = Micros(19 * step + 2_000_000);
     // The last total was heard 0.6 s before the edge.
-    store.heard(QUOTA, silent, told((8, Micros(1_400_000)), silent, 0.0, 0.0, 0.0));
+    store.apply_total(QUOTA, silent, told((8, Micros(1_400_000)), silent, 0.0, 0.0, 0.0));
     let level = store.level(QUOTA, silent).expect("heard");
     assert!(level < QUOTA.burst - 1.0, "{level}");
 }
@@ -248,7 +252,7 @@
         let elapsed = Micros(9_000_000);
         (
             Micros(now),
-            Told {
+            StoreReading {
                 span: 7,
                 elapsed,
                 made: Micros(made),
@@ -260,8 +264,8 @@
             },
         )
     };
-    let mut tell = |(now, told): (Micros, Told)| {
-        store.heard(QUOTA, now, told);
+    let mut tell = |(now, told): (Micros, StoreReading)| {
+        store.apply_total(QUOTA, now, told);
         store.level(QUOTA, now).expect("heard")
     };
     tell(at(10, 0, 1.0, 1.0, 1.0));
--- a/crates/starlinghill-testkit/src/soak/mod.rs
+++ b/crates/starlinghill-testkit/src/soak/mod.rs
@@ -447,7 +447,7 @@
     Soaked {
         runs: arrivals.len(),
         busiest,
-        allowed: ALLOWANCE.most(QUOTA),
+        allowed: ALLOWANCE.max_units(QUOTA),
         least: QUOTA.rate * soak.play.span.as_secs_f64() / 2.0,
         kept: kept.served(),
         confirmed: operator.confirmed(),
--- a/crates/starlinghill-testkit/tests/system.rs
+++ b/crates/starlinghill-testkit/tests/system.rs
@@ -384,7 +384,7 @@
     let quota = Quota { rate, burst: rate };
     let allowance = Allowance { window_s: 5.0, excess: 0.1, extra: 20.0 };
     let troubles = Disruptions { moves: 1, late_s: 0.7, cut: 1.0 };
-    let bound = (max_granted_in_window(quota, allowance, troubles) + 3.0).min(allowance.most(quota));
+    let bound = (max_granted_in_window(quota, allowance, troubles) + 3.0).min(allowance.max_units(quota));
     assert!(most <= bound, "{most} of {bound}: {statuses:?}");
     assert!(granted.len() as f64 > rate * 4.0, "{} were granted: {statuses:?}", granted.len());
     assert_eq!(backends.iter().map(Backend::runs).sum::<u32>() as usize, granted.len());
--- a/crates/starlinghill-xds/src/hub.rs
+++ b/crates/starlinghill-xds/src/hub.rs
@@ -2,7 +2,7 @@
 //! moment. Streams take the newest state when they have room, so no slow one keeps others from it.
 
 use crate::resources::{self, Kind, ResourceSet, TypeSet, Wiring, KINDS};
-use starlinghill_control_state::fleet::{EndpointLocation, Fleet, FleetSnapshot, Observed};
+use starlinghill_control_state::fleet::{EndpointLocation, EndpointReport, Fleet, FleetSnapshot};
 use starlinghill_control_state::ledger::{LedgerSettings, QuotaLedger};
 use starlinghill_control_state::routes::routes;
 use starlinghill_decision::api::{Micros, PlanId, SettingsError, ZoneShare};
@@ -66,7 +66,7 @@
     /// The list of servers, whole or as changes.
     Members(MemberList),
     /// What proxies saw of servers.
-    Observed(Vec<Observed>),
+    Observed(Vec<EndpointReport>),
     /// The parts of their work that zones get from now on, by order of the group.
     Zones(Vec<(String, ZoneShare)>),
     /// The operators changed their minds.
@@ -148,7 +148,7 @@
 ) -> Result<(Runner, Hub), SettingsError> {
     let clock = Clock::start();
     let mut fleet = Fleet::new(seed, site.clone())?;
-    fleet.places(plan.places.clone());
+    fleet.set_locations(plan.places.clone());
     let ledger = Arc::new(Mutex::new(QuotaLedger::new(clock.now(), lease, &site.settings)));
     let (news, inbox) = mpsc::channel(INBOX);
     let (publish, published) = watch::channel(None);
@@ -227,25 +227,25 @@
         match news {
             News::Members(list) => {
                 let (revision, complete, members) = (list.revision, list.complete, list.members.len());
-                match self.fleet.list(now, list) {
+                match self.fleet.apply_list(now, list) {
                     Ok(()) => info!(revision, complete, members, "the list of servers"),
                     Err(problem) => warn!(revision, %problem, "the list of servers can't be used"),
                 }
             }
             News::Observed(seen) => seen.into_iter().for_each(|seen| {
-                self.fleet.observed(now, seen);
+                self.fleet.apply_report(now, seen);
             }),
-            News::Zones(parts) => self.fleet.zones(parts),
+            News::Zones(parts) => self.fleet.set_zone_shares(parts),
             News::Plan(plan) => {
                 self.allow.send_replace(allowed(&plan));
-                self.fleet.places(plan.places.clone());
+                self.fleet.set_locations(plan.places.clone());
                 (self.plan, self.stale) = (plan, true);
             }
         }
     }
 
     fn publish(&mut self) {
-        let Some(picture) = self.fleet.picture(self.hub.clock.now()) else { return };
+        let Some(picture) = self.fleet.snapshot(self.hub.clock.now()) else { return };
         let old = self.publish.borrow().clone();
         let same = old.as_ref().is_some_and(|old| old.picture == picture);
         let stale = std::mem::take(&mut self.stale);
--- a/crates/starlinghill-xds/src/resources.rs
+++ b/crates/starlinghill-xds/src/resources.rs
@@ -347,13 +347,13 @@
     let drop = endpoint::cluster_load_assignment::policy::DropOverload {
         category: "warming".into(),
         drop_percentage: Some(envoy_type::FractionalPercent {
-            numerator: picture.drop,
+            numerator: picture.drop_per_10000,
             denominator: envoy_type::fractional_percent::DenominatorType::TenThousand as i32,
         }),
     };
     let stands_in = picture.endpoints.iter().any(|e| e.priority > 0);
     let policy = endpoint::cluster_load_assignment::Policy {
-        drop_overloads: if picture.drop > 0 { vec![drop] } else { Vec::new() },
+        drop_overloads: if picture.drop_per_10000 > 0 { vec![drop] } else { Vec::new() },
         // By itself a proxy moves work on as soon as three in ten of a priority's servers can't serve. What stands in
         // is out by an order: it serves only where nothing else can.
         overprovisioning_factor: if stands_in { number(NOTHING_ELSE) } else { None },
@@ -362,7 +362,7 @@
     let message = endpoint::ClusterLoadAssignment {
         cluster_name: SAVE_NODES.into(),
         endpoints: groups.collect(),
-        policy: (picture.drop > 0 || stands_in).then_some(policy),
+        policy: (picture.drop_per_10000 > 0 || stands_in).then_some(policy),
         ..Default::default()
     };
     TypeSet::new([Resource::new(Kind::Endpoints, SAVE_NODES, message.encode_to_vec())])
@@ -439,7 +439,7 @@
     if !grpc {
         headers.push(exact(":method", class.method));
     }
-    let on = match (class.on, grpc) {
+    let on = match (class.retry_on, grpc) {
         // Turned away unseen, or never there: safe whatever the class.
         (RetryOn::NeverRan, false) => "connect-failure,refused-stream,retriable-headers",
         (RetryOn::Failed, false) => "5xx,reset,connect-failure,refused-stream,retriable-headers",
--- a/crates/starlinghill-xds/src/server.rs
+++ b/crates/starlinghill-xds/src/server.rs
@@ -21,7 +21,7 @@
 use envoy_types::pb::envoy::service::rate_limit_quota::v3 as rlqs;
 use envoy_types::pb::google::protobuf::{Duration as ProtoDuration, UInt32Value};
 use rlqs::rate_limit_quota_service_server::{RateLimitQuotaService, RateLimitQuotaServiceServer};
-use starlinghill_control_state::fleet::Observed;
+use starlinghill_control_state::fleet::EndpointReport;
 use starlinghill_control_state::ledger::{Assignment, BucketKey, HolderId, Usage};
 use starlinghill_decision::api::{CustomerId, Micros, PlanId};
 use std::future::Future;
@@ -374,12 +374,12 @@
     Micros(seconds * 1_000_000 + nanos / 1000)
 }
 
-fn observed(stats: &UpstreamEndpointStats) -> Option<Observed> {
+fn observed(stats: &UpstreamEndpointStats) -> Option<EndpointReport> {
     let Address::SocketAddress(socket) = stats.address.as_ref()?.address.as_ref()? else { return None };
     let Some(PortSpecifier::PortValue(port)) = socket.port_specifier else { return None };
     let address = SocketAddr::new(socket.address.parse().ok()?, u16::try_from(port).ok()?);
     let (succeeded, failed) = (stats.total_successful_requests, stats.total_error_requests);
-    Some(Observed { address, succeeded, failed })
+    Some(EndpointReport { address, succeeded, failed })
 }
 
 #[tonic::async_trait]
@@ -408,7 +408,7 @@
                 loop {
                     let stats = message.cluster_stats.iter().filter(|c| c.cluster_name == SAVE_NODES);
                     let localities = stats.flat_map(|c| &c.upstream_locality_stats);
-                    let seen: Vec<Observed> =
+                    let seen: Vec<EndpointReport> =
                         localities.flat_map(|l| &l.upstream_endpoint_stats).filter_map(observed).collect();
                     if !seen.is_empty() && service.hub.news.send(News::Observed(seen)).await.is_err() {
                         return Ok(());
@@ -453,20 +453,21 @@
         })
     };
     let action = match told {
-        Assignment::Tokens { most, every, life } => {
+        Assignment::Tokens { capacity, interval, lifetime } => {
             // A bucket must have a filling; one that has none here fills once in a day.
-            let fill_interval = proto(Duration::from_micros(every.map_or(86_400_000_000, |every| every.0)));
+            let fill_interval =
+                proto(Duration::from_micros(interval.map_or(86_400_000_000, |interval| interval.0)));
             let tokens_per_fill = Some(UInt32Value { value: 1 });
             assign(
                 Strategy::TokenBucket(envoy_type::TokenBucket {
-                    max_tokens: most,
+                    max_tokens: capacity,
                     tokens_per_fill,
                     fill_interval,
                 }),
-                life,
+                lifetime,
             )
         }
-        Assignment::Deny { life } => assign(Strategy::BlanketRule(BlanketRule::DenyAll as i32), life),
+        Assignment::Deny { lifetime } => assign(Strategy::BlanketRule(BlanketRule::DenyAll as i32), lifetime),
         Assignment::Abandon => bucket_action::BucketAction::AbandonAction(bucket_action::AbandonAction {}),
         Assignment::Keep => return None,
     };
@@ -481,7 +482,7 @@
 
 impl Drop for Holder {
     fn drop(&mut self) {
-        self.hub.ledger().gone(self.hub.clock.now(), self.id);
+        self.hub.ledger().holder_gone(self.hub.clock.now(), self.id);
     }
 }
 
@@ -530,7 +531,7 @@
                     // A client's headers may say anything; its requests are turned away, others go on.
                     Some(Err(_)) | None => {
                         bad += 1;
-                        Assignment::Deny { life: self.hub.lease.lease }
+                        Assignment::Deny { lifetime: self.hub.lease.lease }
                     }
                 };
                 actions.extend(action(id, told));
--- a/crates/starlinghill-xds/tests/resources.rs
+++ b/crates/starlinghill-xds/tests/resources.rs
@@ -60,7 +60,7 @@
             endpoint("s-2", 3, EndpointUse::Ejected, 1000),
             endpoint("s-3", 4, EndpointUse::Healthy, 170),
         ],
-        drop: 2_500,
+        drop_per_10000: 2_500,
     };
     let all: ClusterLoadAssignment = one(endpoints(&picture), Kind::Endpoints, SAVE_NODES);
     let localities: Vec<(String, Option<u32>, usize)> = all
@@ -93,7 +93,7 @@
     let here = Endpoint { region: "east".into(), ..endpoint("s-0", 1, EndpointUse::Ejected, 1000) };
     let picture = FleetSnapshot {
         endpoints: vec![here.clone(), away("s-1", 2, "b", "east", 1), away("s-2", 3, "c", "west", 2)],
-        drop: 0,
+        drop_per_10000: 0,
     };
     let all: ClusterLoadAssignment = one(endpoints(&picture), Kind::Endpoints, SAVE_NODES);
     let told: Vec<(u32, String, String)> = all
@@ -110,14 +110,18 @@
     assert!(policy.drop_overloads.is_empty());
     // A proxy reckons a priority's health in percent, times this: one in a hundred that serves is enough.
     assert!(policy.overprovisioning_factor.is_some_and(|f| f.value >= 10_000));
-    let alone: ClusterLoadAssignment =
-        one(endpoints(&FleetSnapshot { endpoints: vec![here], drop: 0 }), Kind::Endpoints, SAVE_NODES);
+    let alone: ClusterLoadAssignment = one(
+        endpoints(&FleetSnapshot { endpoints: vec![here], drop_per_10000: 0 }),
+        Kind::Endpoints,
+        SAVE_NODES,
+    );
     assert!(alone.policy.is_none());
 }
 
 #[test]
 fn a_locality_of_which_nothing_can_be_used_has_no_weight() {
-    let picture = FleetSnapshot { endpoints: vec![endpoint("s-1", 2, EndpointUse::Draining, 1000)], drop: 0 };
+    let picture =
+        FleetSnapshot { endpoints: vec![endpoint("s-1", 2, EndpointUse::Draining, 1000)], drop_per_10000: 0 };
     let all: ClusterLoadAssignment = one(endpoints(&picture), Kind::Endpoints, SAVE_NODES);
     assert_eq!(all.endpoints[0].load_balancing_weight, None);
 }
@@ -151,13 +155,13 @@
 
 #[test]
 fn routes_try_three_times_at_most_and_never_two_at_once() {
-    let class = |name: &str, method, on| ClassRoute {
+    let class = |name: &str, method, retry_on| ClassRoute {
         name: name.into(),
         method,
         timeout: Micros(4_000_000),
-        per_try: (on == RetryOn::Failed).then_some(Micros(700_000)),
+        per_try: (retry_on == RetryOn::Failed).then_some(Micros(700_000)),
         retries: 2,
-        on,
+        retry_on,
     };
     let list = [class("look", "GET", RetryOn::Failed), class("once", "POST", RetryOn::NeverRan)];
     for (name, grpc) in [(HTTP_ROUTES, false), (GRPC_ROUTES, true)] {
@@ -173,13 +177,13 @@
             assert_eq!(action.timeout.map(|t| t.seconds), Some(4));
             let Some(retry) = &action.retry_policy else {
                 assert!(
-                    grpc && class.on == RetryOn::NeverRan,
+                    grpc && class.retry_on == RetryOn::NeverRan,
                     "a gRPC status does not tell that nothing ran"
                 );
                 continue;
             };
             assert_eq!(retry.num_retries.map(|n| n.value), Some(2));
-            if class.on == RetryOn::NeverRan {
+            if class.retry_on == RetryOn::NeverRan {
                 assert_eq!(retry.retry_on, "connect-failure,refused-stream,retriable-headers");
                 assert_eq!(retry.retriable_headers[0].name, "x-rejected");
                 assert!(retry.per_try_timeout.is_none());
