--- a/crates/starlinghill-rate-limit/src/account.rs
+++ b/crates/starlinghill-rate-limit/src/account.rs
@@ -1,111 +1,117 @@
-//! One customer's quota as a gateway keeps it: its own side of the shared counts, and the store that their totals tell of.
+//! One customer's quota as a gateway tracks it: its contributions to the shared counts, and the level of
+//! the quota's token bucket that follows from their totals.
 
 use crate::tally::{CallAmount, CallOutcome, Tally};
 use crate::{Micros, Quota, Store, StoreReading};
 
-/// When and of what a total is.
+/// The total of a window that a call returned, and when it was received.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WindowTotal {
-    /// The total.
+    /// The total, in units.
     pub units: f64,
-    /// Now.
+    /// When it was received.
     pub now: Micros,
-    /// When the call was made that brought it.
+    /// When the call was made.
     pub made: Micros,
-    /// The present window, and how much of it has passed.
+    /// The number of the current window.
     pub span: u64,
-    /// The same.
+    /// How long ago the current window began.
     pub elapsed: Micros,
-    /// Before this moment others may have used what no total tells of.
+    /// Before this time, others may have used units that no total includes.
     pub known_from: Micros,
 }
 
-/// What a total of the window tells.
+/// What follows from the total of a window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WindowUpdate {
-    /// What the quota has room for.
+    /// The estimated level of the quota, in units.
     pub level: Option<f64>,
-    /// The counter has lost what it held.
+    /// Whether the counter lost its state.
     pub counter_reset: bool,
-    /// What went on unheard and is heard of now; none where the floor does not hold it, or the window has ended.
+    /// Units admitted without an answer that the total now includes and the quota certainly held. `None` if
+    /// it is not certain that the quota held them, or if the window has ended.
     pub confirmed: Option<f64>,
 }
 
-/// The account.
+/// One customer's quota at this gateway.
 #[derive(Debug, Default)]
 pub struct Account {
-    /// What was spent in the present window.
+    /// Units used in the current window.
     pub window: Tally,
-    /// Attempts out in the present epoch.
+    /// Attempts in flight in the current epoch.
     pub in_flight: Tally,
-    /// What all gateways share, as the totals tell it.
+    /// The token bucket that all gateways share, estimated from the totals.
     pub store: Store,
 }
 
 impl Account {
-    /// Brings both counts to the present spans. What was spent unheard is made good at the rate.
-    pub fn advance(&mut self, now: Micros, window: u64, epoch: u64, rate: f64, places: f64) {
+    /// Advances both counts to the current window and epoch. Unsent units are repaid at `rate` units a
+    /// second; `in_flight` is this gateway's current number of attempts.
+    pub fn advance(&mut self, now: Micros, window: u64, epoch: u64, rate: f64, in_flight: f64) {
         self.window.begin(window);
         self.window.repay(now, rate);
-        self.in_flight.begin_with(epoch, places);
+        self.in_flight.begin_with(epoch, in_flight);
     }
 
-    /// Units were spent without a word of the counter's.
+    /// Records units that were admitted without an answer of the counter.
     pub fn spend_unconfirmed(&mut self, quota: Quota, now: Micros, units: f64) {
         self.store.take(quota, now, units);
         self.window.spend_unconfirmed(units);
     }
 
-    /// Units turned out to be so many more.
+    /// Records that a request used `more` units than were counted for it.
     pub fn charge_more(&mut self, quota: Quota, now: Micros, more: f64) {
         self.window.spend(more);
         self.store.take(quota, now, more);
     }
 
-    /// Units that were counted in a window were not used; returns whether the counter can still be told.
+    /// Returns units that were counted in window `span` but not used; returns whether the counter can still
+    /// be told.
     pub fn refund(&mut self, quota: Quota, now: Micros, span: u64, units: f64) -> bool {
         self.store.take(quota, now, -units);
-        // The name of an earlier window is not asked for any more.
+        // No calls are made for earlier windows, so their totals can't be corrected.
         let current = self.window.is_of(span);
         self.window.spend(if current { -units } else { 0.0 });
         current
     }
 
-    /// A call on the window brought a total.
-    pub fn window_answered(&mut self, quota: Quota, post: &CallAmount, total: WindowTotal) -> WindowUpdate {
+    /// Processes the answer to a call for the window's count.
+    pub fn window_answered(&mut self, quota: Quota, call: &CallAmount, total: WindowTotal) -> WindowUpdate {
         let (mut counter_reset, mut confirmed) = (false, None);
-        if self.window.call_ended(post, CallOutcome::Counted) {
-            let told = StoreReading {
+        if self.window.call_ended(call, CallOutcome::Counted) {
+            let reading = StoreReading {
                 span: total.span,
                 elapsed: total.elapsed,
                 made: total.made,
                 known_from: total.known_from,
-                posted: self.window.counted(),
+                counted: self.window.counted(),
                 total: total.units,
-                own: post.amount,
-                fresh: post.fresh(),
+                amount: call.amount,
+                unrecorded: call.request_units(),
             };
-            counter_reset = self.store.apply_total(quota, total.now, told);
+            counter_reset = self.store.apply_total(quota, total.now, reading);
             if counter_reset {
-                self.window.reset_counted(post.amount);
+                self.window.reset_counted(call.amount);
             }
-            confirmed = (self.store.floor() >= 0.0).then_some(post.unconfirmed);
+            confirmed = (self.store.floor() >= 0.0).then_some(call.unconfirmed);
         } else {
-            // The window ended meanwhile: its total says nothing of this one, and no later one tells of the amount.
-            self.store.take(quota, total.now, post.fresh());
+            // The window ended in the meantime. Its total says nothing about the current window, and no
+            // later total includes the request.
+            self.store.take(quota, total.now, call.request_units());
         }
         WindowUpdate { level: self.store.level(quota, total.now), counter_reset, confirmed }
     }
 
-    /// A call on a store that the counter keeps brought what that holds.
-    pub fn draw_answered(&mut self, post: &CallAmount, now: Micros, level: f64) {
-        self.window.call_ended(post, CallOutcome::Counted);
+    /// Processes the answer of a counter that keeps the level itself.
+    pub fn draw_answered(&mut self, call: &CallAmount, now: Micros, level: f64) {
+        self.window.call_ended(call, CallOutcome::Counted);
         self.store.set_level(now, level);
     }
 
-    /// A call on the places brought a total; returns how many are out by that, with those that it does not hold yet.
-    pub fn in_flight_answered(&mut self, post: &CallAmount, total: f64) -> f64 {
-        let current = self.in_flight.call_ended(post, CallOutcome::Counted);
+    /// Processes the answer to a call for the count of attempts in flight. Returns how many are in flight
+    /// at all gateways, including those of this gateway that the total does not include yet.
+    pub fn in_flight_answered(&mut self, call: &CallAmount, total: f64) -> f64 {
+        let current = self.in_flight.call_ended(call, CallOutcome::Counted);
         total + if current { self.in_flight.uncounted() } else { 0.0 }
     }
 }
--- a/crates/starlinghill-rate-limit/src/ceiling.rs
+++ b/crates/starlinghill-rate-limit/src/ceiling.rs
@@ -1,112 +1,123 @@
-//! A hard ceiling over the gateways of one customer. It does not rest on samples: a part of it is split evenly over the
-//! gateways; what a gateway lacks it may take from the rest, of which so much may be taken in each short turn, by a
-//! count of its own. Over any time the two together stay within the ceiling, in whatever order calls and gateways come.
+//! A hard ceiling on one customer over all of its gateways. It doesn't rely on estimates: a fraction of the
+//! ceiling is divided evenly among the gateways, and each gateway enforces its part alone. If a gateway
+//! needs more, it takes units from the rest. The rest is released in short periods called turns, and a
+//! shared count for each turn limits it. The two together stay within the ceiling over any time span,
+//! whatever the order of calls and requests.
 
 use crate::{Micros, Quota};
 
-/// The part of a ceiling that is split evenly: the least that leaves each gateway room for a little more than the largest request,
-/// else the most. Customers come unevenly, and one gateway may see half of what one asks for.
-const SPLITS: [f64; 3] = [0.6, 0.7, 0.8];
-const ROOMY: f64 = 1.2;
-/// The length of a turn, at the least, and the requests that one has room for. Longer turns need fewer calls, and leave less to be
-/// split: a burst may spend two turns at once.
-const TURN: Micros = Micros(500_000);
-const TURN_HOLDS: f64 = 2.0;
-/// The most of a turn that is taken for requests to come.
-const MOST_AHEAD: f64 = 0.5;
-/// What was let through may still wait so long for a server.
-const ON_THE_WAY: Micros = Micros(100_000);
+/// Fractions of a ceiling that may be divided evenly, in the order in which they are tried. The first one
+/// wins with which each gateway has room for [`DEPTH_MARGIN`] times the largest request; otherwise the
+/// largest one that has room for one such request. The rest must be large because requests come unevenly:
+/// one gateway may receive half of them.
+const EVEN_FRACTIONS: [f64; 3] = [0.6, 0.7, 0.8];
+const DEPTH_MARGIN: f64 = 1.2;
+/// The shortest turn, and how many of the largest requests a turn must have room for. Longer turns need
+/// fewer calls, but leave less to divide evenly, because a burst may use up two consecutive turns at once.
+const MIN_TURN: Micros = Micros(500_000);
+const REQUESTS_PER_TURN: f64 = 2.0;
+/// The largest fraction of a turn that one call takes in advance for expected requests.
+const MAX_ADVANCE: f64 = 0.5;
+/// An admitted request may wait this long before it reaches a server, so requests of this much more time
+/// can arrive together.
+const SERVER_DELAY: Micros = Micros(100_000);
 
-/// How a plan's ceiling is kept over the gateways of a customer.
+/// How a plan's ceiling is divided among a customer's gateways.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CeilingSplit {
-    /// Each gateway's own part, in units a second.
+    /// The rate of each gateway's own part, in units a second.
     pub rate: f64,
-    /// At once.
+    /// The most units that each gateway's own part holds.
     pub depth: f64,
-    /// The turns' length.
+    /// The length of a turn.
     pub turn: Micros,
-    /// The units of each turn; none where the ceiling holds too little for turns.
+    /// The units in each turn for all gateways; zero if the ceiling is too small for turns.
     pub units: f64,
 }
 
 impl CeilingSplit {
-    /// The same at each gateway: it follows from the settings and the number of the customer's gateways alone. `most` is the
-    /// largest request, `late` how long a call for a turn may take.
-    pub fn of(ceiling: Quota, most: f64, late: Micros, spread: f64) -> CeilingSplit {
-        let late = ON_THE_WAY + late;
-        let shared = |part: f64| {
-            let rate = ceiling.rate * (1.0 - part);
-            let turn = TURN.max(Micros((TURN_HOLDS * most / rate.max(1e-9) * 1e6).min(1e12) as u64));
-            // Two turns, one behind the other, can be spent at once, and calls that were late with them.
-            let held = rate * (turn + turn + late).secs();
-            let depth = (ceiling.burst - held - ceiling.rate * part * ON_THE_WAY.secs()) / spread;
+    /// Depends on settings and the number of gateways only, so that every gateway computes the same split.
+    ///
+    /// `largest` is the size of the largest request in units, `call_time` the longest time that a call for
+    /// a turn takes, `gateways` the number of gateways that the customer's requests come through.
+    pub fn of(ceiling: Quota, largest: f64, call_time: Micros, gateways: f64) -> CeilingSplit {
+        let delay = SERVER_DELAY + call_time;
+        let divide = |even: f64| {
+            let rate = ceiling.rate * (1.0 - even);
+            let turn =
+                MIN_TURN.max(Micros((REQUESTS_PER_TURN * largest / rate.max(1e-9) * 1e6).min(1e12) as u64));
+            // Two consecutive turns may be used up at once, together with calls that were delayed.
+            let reserved = rate * (turn + turn + delay).secs();
+            let depth = (ceiling.burst - reserved - ceiling.rate * even * SERVER_DELAY.secs()) / gateways;
             (
-                CeilingSplit { rate: ceiling.rate * part / spread, depth, turn, units: rate * turn.secs() },
+                CeilingSplit { rate: ceiling.rate * even / gateways, depth, turn, units: rate * turn.secs() },
                 depth,
             )
         };
-        // One that has a customer to itself has all of its ceiling.
-        let tries: &[f64] = if spread > 1.0 { &SPLITS } else { &[1.0] };
-        let mut fits = None;
-        for (split, depth) in tries.iter().map(|&part| shared(part)) {
-            fits = if depth >= most { Some(split) } else { fits };
-            if depth >= most * ROOMY {
+        // A customer's only gateway has the whole ceiling to itself.
+        let fractions: &[f64] = if gateways > 1.0 { &EVEN_FRACTIONS } else { &[1.0] };
+        let mut best = None;
+        for (split, depth) in fractions.iter().map(|&even| divide(even)) {
+            best = if depth >= largest { Some(split) } else { best };
+            if depth >= largest * DEPTH_MARGIN {
                 break;
             }
         }
-        if let Some(split) = fits {
+        if let Some(split) = best {
             return split;
         }
-        // A part of less than one request is of no use: all by turns, or where the ceiling does not hold two of them, none.
-        let (turns, left) = shared(0.0);
-        if left >= 0.0 {
+        // A part that holds less than one request is useless: release everything in turns. If the ceiling
+        // does not have room for two turns, divide it evenly and have no turns.
+        let (turns, depth) = divide(0.0);
+        if depth >= 0.0 {
             return CeilingSplit { depth: 0.0, ..turns };
         }
-        let depth = (ceiling.burst - ceiling.rate * ON_THE_WAY.secs()).max(0.0) / spread;
-        CeilingSplit { rate: ceiling.rate / spread, depth, turn: TURN, units: 0.0 }
+        let depth = (ceiling.burst - ceiling.rate * SERVER_DELAY.secs()).max(0.0) / gateways;
+        CeilingSplit { rate: ceiling.rate / gateways, depth, turn: MIN_TURN, units: 0.0 }
     }
 
-    /// The turn of the moment, and what is left of it.
+    /// The number of the current turn, and how much time of it is left.
     pub fn turn_at(&self, now: Micros) -> (u64, Micros) {
         (now.0 / self.turn.0, self.turn - Micros(now.0 % self.turn.0))
     }
 
-    /// What to take from a turn for a request, and for those that are to be expected while so much of it is left.
-    pub fn call_amount(&self, units: f64, flow: f64, left: Micros) -> f64 {
-        units + (flow.max(0.0) * left.secs()).min(self.units * MOST_AHEAD).floor()
+    /// How many units to take from a turn for a request of `units`, and in advance for the requests
+    /// expected at `rate` units a second in the time that is `left` of the turn.
+    pub fn call_amount(&self, units: f64, rate: f64, left: Micros) -> f64 {
+        units + (rate.max(0.0) * left.secs()).min(self.units * MAX_ADVANCE).floor()
     }
 }
 
-/// What a gateway holds of a customer's turns.
+/// The units of a customer's turns that one gateway has taken and not yet used.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TurnUnits {
-    /// The last turn of which something was got, and what is left of that here.
+    /// The last turn from which this gateway got units, and how many of them are unused.
     held: (u64, f64),
-    /// The last turn known to be spent.
+    /// The last turn known to be used up.
     spent: u64,
 }
 
 impl TurnUnits {
-    /// Takes units of what is held of this turn; returns whether there were so many.
+    /// Uses units held from this turn; returns whether there were enough.
     pub fn take(&mut self, turn: u64, units: f64) -> bool {
-        let there = self.held.0 == turn && self.held.1 >= units;
-        self.held.1 -= if there { units } else { 0.0 };
-        there
+        let enough = self.held.0 == turn && self.held.1 >= units;
+        self.held.1 -= if enough { units } else { 0.0 };
+        enough
     }
 
-    /// Whether nothing more is to be had of this turn.
+    /// Whether the turn is known to have no more units.
     pub fn is_spent(&self, turn: u64) -> bool {
         self.spent == turn
     }
 
-    /// No more is asked for of this turn.
+    /// Makes no further calls for this turn.
     pub fn mark_spent(&mut self, turn: u64) {
         self.spent = turn;
     }
 
-    /// What was got by a call for a turn, of its amount, by the total that was heard. What the request of so many units
-    /// leaves of it can be used while the turn lasts.
+    /// Processes the answer to a call that took `amount` units of a turn for a request of `units`. Returns
+    /// how many units the turn had left for this call, given the turn's `total` after it. Units that the
+    /// request doesn't need can be used until the turn ends.
     pub fn call_answered(
         &mut self,
         split: &CeilingSplit,
@@ -115,15 +126,15 @@
         (amount, units): (f64, f64),
         total: f64,
     ) -> f64 {
-        let got = (split.units - (total - amount)).clamp(0.0, amount);
-        if got < amount {
+        let received = (split.units - (total - amount)).clamp(0.0, amount);
+        if received < amount {
             self.spent = turn;
         }
-        let rest = if got >= units { got - units } else { got };
+        let unused = if received >= units { received - units } else { received };
         if split.turn_at(now).0 == turn {
-            let had = if self.held.0 == turn { self.held.1 } else { 0.0 };
-            self.held = (turn, had + rest);
+            let held = if self.held.0 == turn { self.held.1 } else { 0.0 };
+            self.held = (turn, held + unused);
         }
-        got
+        received
     }
 }
--- a/crates/starlinghill-rate-limit/src/lib.rs
+++ b/crates/starlinghill-rate-limit/src/lib.rs
@@ -1,14 +1,17 @@
-//! What one gateway knows of quotas that it shares with others through a counter which may be slow, silent,
-//! counter_reset or set back. Pure: time is an argument, nothing is sent from here, and equal inputs give equal results.
+//! Quotas that one gateway shares with other gateways through a shared counter. The counter may be slow,
+//! unreachable, emptied or reset to an older state. There is no I/O here and time is an argument: equal
+//! inputs give equal results.
 //!
-//! - [`allowance`]: what the rules allow beyond a quota, and for what.
-//! - [`account`]: one customer's quota as a gateway keeps it.
-//! - [`ceiling`]: a hard ceiling split over gateways, and the turns by which they share the rest.
-//! - [`rate`]: how fast units pass.
-//! - [`shares`]: parts of a quota that move between gateways while the counter is away, and their messages.
-//! - [`store`]: follows a quota's store of units from the totals that the counter tells.
-//! - [`tally`]: one gateway's side of a shared count.
+//! - [`allowance`]: how far the rules let a customer exceed its quota, and how that excess is divided.
+//! - [`account`]: one customer's quota as this gateway tracks it.
+//! - [`ceiling`]: a hard limit divided among gateways without estimates.
+//! - [`demand`]: a customer's demand over all gateways, estimated from samples.
+//! - [`rate`]: an average rate.
+//! - [`shares`]: shares of a quota that gateways transfer to each other while the counter is unreachable.
+//! - [`store`]: estimates the level of a quota's token bucket from the counter's running totals.
+//! - [`tally`]: which of this gateway's units the counter includes, and which must still be sent.
 //! - [`time`]: the unit of time.
+//! - [`unknown_customers`]: whether to admit customers of whom no total has been received.
 
 pub mod account;
 pub mod allowance;
--- a/crates/starlinghill-rate-limit/src/rate.rs
+++ b/crates/starlinghill-rate-limit/src/rate.rs
@@ -1,11 +1,11 @@
-//! How fast units pass.
+//! An average rate of units.
 
 use crate::time::Micros;
 
-/// Flows are smoothed over this many seconds.
-const SMOOTH: f64 = 4.0;
+/// Time constant of the average, in seconds.
+const AVERAGE_S: f64 = 4.0;
 
-/// Units a second, smoothed.
+/// An exponential moving average, in units a second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Flow {
     rate: f64,
@@ -13,12 +13,12 @@
 }
 
 impl Flow {
-    /// So many units passed now; fewer where some came back.
+    /// Adds units that passed now. Negative units are units that were returned.
     pub fn add(&mut self, now: Micros, units: f64) {
-        *self = Flow { rate: self.now(now) + units / SMOOTH, at: now };
+        *self = Flow { rate: self.now(now) + units / AVERAGE_S, at: now };
     }
-    /// Units a second of late.
+    /// The average at this time, in units a second.
     pub fn now(&self, now: Micros) -> f64 {
-        self.rate * (-(now - self.at).secs() / SMOOTH).exp()
+        self.rate * (-(now - self.at).secs() / AVERAGE_S).exp()
     }
 }
--- a/crates/starlinghill-rate-limit/src/store.rs
+++ b/crates/starlinghill-rate-limit/src/store.rs
@@ -1,121 +1,129 @@
-//! A quota's store of units, followed from outside.
+//! Estimates the level of a quota's token bucket (the store) from the outside.
 //!
-//! The store fills at a rate, holds a burst at most, and every gateway takes from it. What a gateway hears is a
-//! running total `T` of all that was taken, now and then, together with its own adds. Between two totals the others
-//! took `X`, and nothing tells when:
+//! The bucket fills at a rate, holds at most a burst, and all gateways take from it. From time to time a
+//! gateway receives a running total of everything that was taken, and it knows its own contributions.
+//! Between two totals, `dt` seconds apart, the other gateways took `X` units at times that are unknown:
 //!
 //! ```text
-//! taken at first:  high = min(burst, level + rate * dt - X)     the store had all the time to fill up again
-//! taken at last:   low  = min(burst, level + rate * dt) - X     what ran over before is lost
+//! all taken at first:  high = min(burst, level + rate * dt - X)     the bucket had all the time to fill up again
+//! all taken at last:   low  = min(burst, level + rate * dt) - X     what overflowed before is lost
 //! ```
 //!
-//! The truth lies between. Two figures are kept: `level`, a guess in between, and `floor`, which always takes the
-//! low one. Whoever goes by `floor` alone keeps the quota whatever the order was: with `p` its last total before
-//! some moment `x` and `u` the first one after it, `floor(u) <= burst - X(p, u)`, so that what all gateways take from `x`
-//! until `t` never passes `burst + rate * (t - x)`. The property tests hold this over all interleavings.
+//! The true level lies between them. Two figures are kept: `level` is an estimate in between, and `floor`
+//! always uses the lower bound. A gateway that admits by `floor` alone keeps the quota whatever the order
+//! was. Let `p` be its last total before a time `x` and `u` its first one after it: `floor(u) <= burst -
+//! X(p, u)`. So what all gateways take from `x` until `t` never exceeds `burst + rate * (t - x)`. The
+//! property tests check this over many interleavings.
 //!
-//! Totals belong to a name that lives for a span. When the next span begins its total starts at 0, and what others took
-//! between this gateway's last total and the edge stays unknown: `level` reckons with what they took of late, `floor`
-//! begins anew with what the store must have been filled with since the edge.
+//! Each total belongs to a counter name that is used for one span. The next span's total starts at 0, and
+//! what others took between this gateway's last total and the start of the span stays unknown. `level`
+//! assumes that they continued at their recent rate; `floor` restarts from what the bucket must have been
+//! filled with since the start of the span.
 
 use crate::rate::Flow;
 use crate::time::Micros;
 
-/// Where between `high` and `low` the level is taken to be.
-const LATE: f64 = 0.4;
-/// What others took may be given back for about so many seconds.
-const RECENT: f64 = 2.0;
+/// Where between `high` (0) and `low` (1) the level is assumed to be.
+const LOW_WEIGHT: f64 = 0.4;
+/// Time constant in seconds for which units taken by others count as recent, so that others may still
+/// return them.
+const RETURN_S: f64 = 2.0;
 
-/// How far below nothing the store may be taken to be, in bursts: others' adds that are refused come back soon. For the
-/// level, after a pause (in seconds) they have.
-const BELOW: f64 = 0.4;
-const PAUSE: f64 = 0.5;
-/// Units by which a total may fall beyond what others can give back and the counter still be the same.
+/// How far below zero the level and the floor may go, in bursts. Units that others added for refused
+/// requests are returned shortly after.
+const MAX_BELOW_ZERO: f64 = 0.4;
+/// If totals are further apart than this, in seconds, those units have been returned: the level may not go
+/// below zero.
+const RETURNED_AFTER_S: f64 = 0.5;
+/// Tolerance in units before a falling total is taken as a sign that the counter lost its state.
 const ROUNDING: f64 = 0.5;
 
-/// A quota: units a second, and the most at once.
+/// A quota, as a token bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
     /// Units a second.
     pub rate: f64,
-    /// The most units that its store holds.
+    /// The most units that the bucket holds.
     pub burst: f64,
 }
 
 /// A total, and the call that it answers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreReading {
-    /// The span of the call's name.
+    /// The span to whose count the call added.
     pub span: u64,
-    /// How long ago the span began.
+    /// How long ago the current span began.
     pub elapsed: Micros,
-    /// When the call was made. A total is certainly later than another if its call was made when that was heard or after.
+    /// When the call was made. A total is certainly newer than another one if its call was made no earlier
+    /// than that one was received.
     pub made: Micros,
-    /// Before this moment others may have used what no total tells of: an earlier life of this gateway was there, or
-    /// the counter lost what it held, or the quota's own rate was given to others for a while. The floor leans on
-    /// nothing older.
+    /// Before this time, others may have used units that no total includes: this gateway's process had not
+    /// started, or the counter had lost its state, or others had been granted the quota's rate for some
+    /// time. The floor ignores everything older.
     pub known_from: Micros,
-    /// What this gateway put on the name all together, as far as it was answered, this call's amount in it.
-    pub posted: f64,
-    /// The total, with this call's amount in it.
+    /// The sum of this gateway's units in this span for which an answer was received, including this call's.
+    pub counted: f64,
+    /// The total in units, including this call's amount.
     pub total: f64,
     /// The call's amount, in units.
-    pub own: f64,
-    /// The part of it that was not told by `take` before.
-    pub fresh: f64,
+    pub amount: f64,
+    /// The part of the amount that was not recorded by `take` before.
+    pub unrecorded: f64,
 }
 
-/// One quota's store, as this gateway knows it.
+/// One quota's token bucket, as this gateway estimates it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Store {
-    /// Its level, in units; unknown before the first total.
+    /// The estimated level, in units; unknown before the first total.
     level: Option<f64>,
     floor: f64,
-    /// When that was, and how long after the last total.
+    /// The time of `level` and `floor`, and how much later than the last total it is.
     at: Micros,
     lag: Micros,
-    /// When the last total was heard.
-    heard: Micros,
-    /// The span whose totals are followed, and the last of them.
+    /// When the last total was received.
+    total_at: Micros,
+    /// The span of the last total, and that total.
     span: u64,
     total: f64,
-    /// What others were seen to take of late, and may give back.
-    recent: f64,
-    /// What this gateway takes, and the others.
+    /// Units that others took recently and may still return.
+    returnable: f64,
+    /// The rates at which this gateway and the others take units.
     own: Flow,
     others: Flow,
-    /// Both, as of the last total.
+    /// Both rates as of the last total.
     flows: (f64, f64),
 }
 
 impl Store {
-    /// The level, as far as it was ever told, without what others took since the last total.
+    /// The estimated level, without what others took since the last total; `None` before the first one.
     pub fn level(&self, quota: Quota, now: Micros) -> Option<f64> {
         let level = self.level?;
         Some((level + quota.rate * (now - self.at).secs()).min(quota.burst))
     }
 
-    /// What this gateway took and what the others did, in units a second, as of the last total; `None` before the first.
+    /// The rates at which this gateway and the others take, in units a second, as of the last total; `None`
+    /// before the first one.
     pub fn flows(&self) -> Option<(f64, f64)> {
         self.level.map(|_| self.flows)
     }
 
-    /// The level that is certain, as of the last total.
+    /// The level that the bucket certainly had at the last total, less what this gateway took since.
     pub fn floor(&self) -> f64 {
         self.floor
     }
 
-    /// When the last total was heard.
+    /// When the last total was received.
     pub fn total_at(&self) -> Micros {
-        self.heard
+        self.total_at
     }
 
-    /// The level itself was told.
+    /// Sets the level that a counter keeps itself.
     pub fn set_level(&mut self, now: Micros, level: f64) {
-        (self.level, self.floor, self.at, self.lag, self.heard) = (Some(level), level, now, Micros(0), now);
+        (self.level, self.floor, self.at, self.lag, self.total_at) =
+            (Some(level), level, now, Micros(0), now);
     }
 
-    /// This gateway took so much (or gave it back, where negative) that no total holds yet.
+    /// Records units that this gateway took (or returned, if negative) and that no total includes yet.
     pub fn take(&mut self, quota: Quota, now: Micros, units: f64) {
         let filled = |level: f64| (level + quota.rate * (now - self.at).secs()).min(quota.burst);
         let (level, floor) = (filled(self.level.unwrap_or(quota.burst)), filled(self.floor));
@@ -124,69 +132,73 @@
         self.own.add(now, units);
     }
 
-    /// A total was heard. Returns whether it shows that the counter lost what it held.
-    pub fn apply_total(&mut self, quota: Quota, now: Micros, told: StoreReading) -> bool {
-        let StoreReading { span: index, elapsed, made, known_from, posted, total, own, fresh } = told;
+    /// Processes a total. Returns whether it shows that the counter lost its state.
+    pub fn apply_total(&mut self, quota: Quota, now: Micros, reading: StoreReading) -> bool {
+        let StoreReading { span, elapsed, made, known_from, counted, total, amount, unrecorded } = reading;
         let Quota { rate, burst } = quota;
-        let others = total - own;
-        if index == self.span && made < self.heard && total < self.total {
-            self.heard_late(quota, now, own, fresh);
+        let others = total - amount;
+        if span == self.span && made < self.total_at && total < self.total {
+            self.apply_late_total(quota, now, amount, unrecorded);
             return false;
         }
         let dt = (now - self.at).secs();
-        // What filled since then is certain whatever was before.
-        let since = |at: Micros| (rate * (now - at).secs()).min(burst);
-        let since_edge = since(known_from.max(now - elapsed));
-        self.recent *= (-dt / RECENT).exp();
+        // What has filled the bucket since a time is certain, whatever the level was at that time.
+        let filled_since = |at: Micros| (rate * (now - at).secs()).min(burst);
+        let filled_in_span = filled_since(known_from.max(now - elapsed));
+        self.returnable *= (-dt / RETURN_S).exp();
         let mut lost = false;
         let (level, dt, filled, taken, unknown) = match self.level {
-            Some(level) if index == self.span => {
+            Some(level) if span == self.span => {
                 let taken = others - self.total;
-                // Less is there than this gateway put there, or more is gone than others can have given back: the counter
-                // was counter_reset or set back. What others took is unknown, and what they take by habit the best guess.
-                let given_back = self.recent.min(BELOW * burst);
-                lost = total < posted - ROUNDING || taken < -given_back - ROUNDING;
+                // The total is less than this gateway's own units, or fell by more than others can have
+                // returned: the counter was emptied or reset to an older state. What others took is then
+                // unknown, and their recent rate is the best guess.
+                let returned = self.returnable.min(MAX_BELOW_ZERO * burst);
+                lost = total < counted - ROUNDING || taken < -returned - ROUNDING;
                 let taken = if lost { others.max(0.0).min(self.flows.1 * dt) } else { taken };
                 let filled = (self.floor + rate * dt).min(burst);
-                let filled = if self.heard < known_from { filled.min(since(known_from)) } else { filled };
+                let filled =
+                    if self.total_at < known_from { filled.min(filled_since(known_from)) } else { filled };
                 let filled = if lost { filled.min(0.0) } else { filled };
                 (level, dt, filled, taken, 0.0)
             }
             Some(level) => {
-                let before_edge = (dt + self.lag.secs() - elapsed.secs()).max(0.0);
-                let unknown = self.flows.1 * before_edge;
-                (level, dt, since_edge, others, unknown)
+                let before_span = (dt + self.lag.secs() - elapsed.secs()).max(0.0);
+                let unknown = self.flows.1 * before_span;
+                (level, dt, filled_in_span, others, unknown)
             }
-            None => (burst, elapsed.secs(), since_edge, others, 0.0),
+            None => (burst, elapsed.secs(), filled_in_span, others, 0.0),
         };
         self.others.add(now, taken);
-        self.recent = (self.recent + taken).max(0.0);
-        let lowest = if dt > PAUSE { 0.0 } else { -BELOW * burst };
-        let level = between(quota, level, dt, taken + unknown).max(lowest);
-        // Not to nothing: adds that others take back lie in it, and what was raised for them would rise once more when
-        // they do. What lies lower was taken long ago, when the store had time to fill.
-        let floor = (filled - taken).max(-BELOW * burst);
-        (self.level, self.floor) = (Some(level - fresh), floor - fresh);
-        (self.at, self.lag, self.heard, self.span, self.total) = (now, Micros(0), now, index, total);
-        self.own.add(now, fresh);
+        self.returnable = (self.returnable + taken).max(0.0);
+        let lowest = if dt > RETURNED_AFTER_S { 0.0 } else { -MAX_BELOW_ZERO * burst };
+        let level = estimate(quota, level, dt, taken + unknown).max(lowest);
+        // The floor may go below zero: the total includes units that others will return. If the floor were
+        // raised to zero now, it would rise again for the same units when they are returned. Anything below
+        // the bound was taken so long ago that the bucket had time to fill.
+        let floor = (filled - taken).max(-MAX_BELOW_ZERO * burst);
+        (self.level, self.floor) = (Some(level - unrecorded), floor - unrecorded);
+        (self.at, self.lag, self.total_at, self.span, self.total) = (now, Micros(0), now, span, total);
+        self.own.add(now, unrecorded);
         self.flows = (self.own.now(now).max(0.0), self.others.now(now).max(0.0));
         lost
     }
 
-    /// An answer that another overtook: the later total was heard before, holds this call's amount too, and let it pass for
-    /// taken by others. Guards against taking a line of answers out of order for an counter_reset counter.
-    fn heard_late(&mut self, quota: Quota, now: Micros, own: f64, fresh: f64) {
-        self.others.add(now, -own);
-        self.recent = (self.recent - own).max(0.0);
-        // What was taken before and posted with this call was taken twice.
-        self.take(quota, now, fresh - own);
-        self.own.add(now, own);
+    /// Processes an answer that a newer one overtook. The newer total included this call's amount and
+    /// attributed it to other gateways. Guards against mistaking answers that arrive out of order for a
+    /// counter that lost its state.
+    fn apply_late_total(&mut self, quota: Quota, now: Micros, amount: f64, unrecorded: f64) {
+        self.others.add(now, -amount);
+        self.returnable = (self.returnable - amount).max(0.0);
+        // Units that `take` had recorded were subtracted twice.
+        self.take(quota, now, unrecorded - amount);
+        self.own.add(now, amount);
     }
 }
 
-/// The level after others took `taken` at some time within the last `dt` seconds.
-fn between(quota: Quota, level: f64, dt: f64, taken: f64) -> f64 {
+/// The estimated level after others took `taken` units at unknown times within the last `dt` seconds.
+fn estimate(quota: Quota, level: f64, dt: f64, taken: f64) -> f64 {
     let filled = level + quota.rate * dt;
     let (high, low) = ((filled - taken).min(quota.burst), filled.min(quota.burst) - taken);
-    high - LATE * (high - low.max(high.min(0.0))).max(0.0)
+    high - LOW_WEIGHT * (high - low.max(high.min(0.0))).max(0.0)
 }
--- a/crates/starlinghill-rate-limit/src/tally.rs
+++ b/crates/starlinghill-rate-limit/src/tally.rs
@@ -1,149 +1,152 @@
-//! One gateway's side of a count that it shares with others: what of its own spend the counter holds, what calls under way
-//! carry to it, and what is still to be told. Whatever comes back, late, lost or never carried out, each unit is told
-//! once.
+//! One gateway's contribution to a count that it shares with other gateways: which of its units the counter
+//! includes, which are carried by calls in transit, and which must still be sent. Each unit is sent once,
+//! even if answers are late or lost or calls never arrive.
 
 use crate::Micros;
 
-/// What one call carries.
+/// The units that one call adds to the counter.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct CallAmount {
-    /// The span of the count that it goes to.
+    /// The span of the count to which they are added.
     pub span: u64,
-    /// All of it.
+    /// All of them.
     pub amount: f64,
-    /// The part that is earlier spend, and not the units that the call is made for.
-    pub extra: f64,
-    /// The part of that which went on unconfirmed.
+    /// Units of earlier requests that this call also carries; part of `amount`.
+    pub carried: f64,
+    /// Units that were admitted without an answer of the counter; part of `carried`.
     pub unconfirmed: f64,
 }
 
 impl CallAmount {
-    /// One that carries nothing of an earlier spend.
+    /// An amount that carries no units of earlier requests.
     pub fn of(span: u64, amount: f64) -> CallAmount {
         CallAmount { span, amount, ..CallAmount::default() }
     }
 
-    /// The units that the call was made for.
-    pub fn fresh(&self) -> f64 {
-        self.amount - self.extra
+    /// The units of the request for which the call is made.
+    pub fn request_units(&self) -> f64 {
+        self.amount - self.carried
     }
 }
 
-/// What became of a call.
+/// The outcome of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The counter told a total with it.
+    /// The counter answered with a total.
     Counted,
-    /// It certainly did not arrive.
+    /// The call certainly did not reach the counter.
     NeverRan,
-    /// It may have been counted or not.
+    /// The counter may or may not have added the amount.
     Unknown,
 }
 
-/// This gateway's side of a shared count in one span.
+/// This gateway's contribution to a shared count in one span.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tally {
     span: u64,
-    /// Own adds known to have been counted.
-    posted: f64,
-    /// Own spend not yet on the counter.
-    owed: f64,
-    /// The part of it that went on unconfirmed.
+    /// Units known to be included in the count.
+    counted: f64,
+    /// Units used that no call carries yet.
+    unsent: f64,
+    /// The part of `unsent` that was admitted without an answer of the counter.
     unconfirmed: f64,
-    /// Own earlier spend that calls under way carry.
-    posting: f64,
-    /// Up to when what was spent unheard is made good.
-    at: Micros,
+    /// Units of earlier requests that calls in transit carry.
+    in_transit: f64,
+    /// When `repay` was called last.
+    repaid_at: Micros,
 }
 
 impl Tally {
-    /// The next span begins, unless it is the present one. What is on no counter yet goes on in it.
+    /// Starts a span unless it is already the current one. Units that were not sent yet are carried over.
     pub fn begin(&mut self, span: u64) {
         if self.span != span {
-            let (owed, unconfirmed, at) = (self.owed, self.unconfirmed, self.at);
-            *self = Tally { span, owed, unconfirmed, at, ..Tally::default() };
+            let (unsent, unconfirmed, repaid_at) = (self.unsent, self.unconfirmed, self.repaid_at);
+            *self = Tally { span, unsent, unconfirmed, repaid_at, ..Tally::default() };
         }
     }
 
-    /// The same for a count of what is held: all of that is to be told anew.
+    /// Starts a span of a count of what is currently held: all of that must be sent again.
     pub fn begin_with(&mut self, span: u64, held: f64) {
         if self.span != span {
-            *self = Tally { span, owed: held, ..Tally::default() };
+            *self = Tally { span, unsent: held, ..Tally::default() };
         }
     }
 
-    /// What was spent unheard is made good at a rate. Guards against a spend of seconds ago that others would take for one
-    /// of now.
+    /// Reduces the unsent units by what the quota released since the last call of this method, `rate` units
+    /// a second. Without this, other gateways would see units used seconds ago as if they were used now.
     pub fn repay(&mut self, now: Micros, rate: f64) {
-        let made_good = rate * (now - self.at).secs();
-        self.owed -= made_good.min(self.owed).max(0.0);
-        self.unconfirmed = self.unconfirmed.min(self.owed).max(0.0);
-        self.at = now;
+        let repaid = rate * (now - self.repaid_at).secs();
+        self.unsent -= repaid.min(self.unsent).max(0.0);
+        self.unconfirmed = self.unconfirmed.min(self.unsent).max(0.0);
+        self.repaid_at = now;
     }
 
-    /// Units were spent, or came back, that no call carries.
+    /// Adds units that no call carries. Negative units were returned.
     pub fn spend(&mut self, units: f64) {
-        self.owed += units;
+        self.unsent += units;
     }
 
-    /// Units were spent that no total was heard for.
+    /// Adds units that were admitted without an answer of the counter.
     pub fn spend_unconfirmed(&mut self, units: f64) {
-        self.owed += units;
+        self.unsent += units;
         self.unconfirmed += units;
     }
 
-    /// Own spend not yet on the counter, and not on its way.
+    /// Units used that the counter does not include and no call carries.
     pub fn unsent(&self) -> f64 {
-        self.owed
+        self.unsent
     }
 
-    /// Own adds known to have been counted.
+    /// Units known to be included in the count.
     pub fn counted(&self) -> f64 {
-        self.posted
+        self.counted
     }
 
-    /// What of ours the last total does not hold yet.
+    /// This gateway's units that the last total does not include, except those of requests with a call in
+    /// transit.
     pub fn uncounted(&self) -> f64 {
-        self.owed + self.posting
+        self.unsent + self.in_transit
     }
 
-    /// So much more is counted, or on its way, than is held.
+    /// By how much the units that were or will be counted exceed what is actually held.
     pub fn surplus(&self, held: f64) -> f64 {
-        self.posted + self.posting + self.owed - held
+        self.counted + self.in_transit + self.unsent - held
     }
 
-    /// Whether a call belongs to the present span.
+    /// Whether this is the current span.
     pub fn is_of(&self, span: u64) -> bool {
         self.span == span
     }
 
-    /// A call is made for these units, and carries what is owed.
+    /// Starts a call for a request of `units`, which also carries all unsent units.
     pub fn start_call(&mut self, units: f64) -> CallAmount {
-        let extra = std::mem::take(&mut self.owed);
-        self.posting += extra;
+        let carried = std::mem::take(&mut self.unsent);
+        self.in_transit += carried;
         let unconfirmed = std::mem::take(&mut self.unconfirmed);
-        CallAmount { span: self.span, amount: units + extra, extra, unconfirmed }
+        CallAmount { span: self.span, amount: units + carried, carried, unconfirmed }
     }
 
-    /// A call came back; returns whether it belongs to the present span. What did not arrive is owed again; what may have is
-    /// not: told twice, it would be taken from others for good.
-    pub fn call_ended(&mut self, post: &CallAmount, fate: CallOutcome) -> bool {
-        if !self.is_of(post.span) {
+    /// Records a call's outcome; returns whether the call belongs to the current span. Carried units that
+    /// did not arrive will be sent again. Units that may have arrived will not: if they were counted twice,
+    /// other gateways would lose them for good.
+    pub fn call_ended(&mut self, call: &CallAmount, outcome: CallOutcome) -> bool {
+        if !self.is_of(call.span) {
             return false;
         }
-        self.posting -= post.extra;
-        match fate {
-            CallOutcome::Counted => self.posted += post.amount,
+        self.in_transit -= call.carried;
+        match outcome {
+            CallOutcome::Counted => self.counted += call.amount,
             CallOutcome::NeverRan => {
-                (self.owed, self.unconfirmed) = (self.owed + post.extra, self.unconfirmed + post.unconfirmed)
+                self.unsent += call.carried;
+                self.unconfirmed += call.unconfirmed;
             }
             CallOutcome::Unknown => {}
         }
         true
     }
 
-    /// The counter has lost all but this much of ours.
-    pub fn reset_counted(&mut self, own: f64) {
-        self.posted = own;
+    /// The counter lost its state and now includes only this many of this gateway's units.
+    pub fn reset_counted(&mut self, units: f64) {
+        self.counted = units;
     }
 }
--- a/crates/starlinghill-rate-limit/src/unknown_customers.rs
+++ b/crates/starlinghill-rate-limit/src/unknown_customers.rs
@@ -1,41 +1,45 @@
-//! Customers of whom nothing is heard: whether what they ask for is worth letting through.
+//! Whether to admit requests of customers of whom no total has been received.
 //!
-//! Where a customer comes through hundreds of gateways, hardly any of them has heard of it when its request comes, and the shared
-//! counter may not bear a call for each. Most customers keep to their quota, so what is not asked is let through. Now and then
-//! all customers of one plan ask for several times theirs, and what goes on unasked then is nearly all beyond quota: it costs
-//! more than it earns, and loads the servers that all share. The customers that were asked about are a fair sample of those that
-//! were not, so they tell when that is so, before anything is known of a single one.
+//! If a customer comes through hundreds of gateways, most of them know no total of it when its request
+//! arrives, and the shared counter may not have the capacity for a call per request. Most customers keep to
+//! their quota, so requests that are not counted are normally admitted. Sometimes all customers of a plan
+//! ask for several times their quota. Then nearly all uncounted requests exceed a quota: they cost more
+//! than they earn and load the servers that all customers share. The customers for which calls were made
+//! are a fair sample of the others, so they show this before anything is known of a single customer.
 
-/// Weight of the newest sample. A gateway hears some two to five a second of a plan: less would see a burst of some seconds too
-/// late, more would refuse for a few busy customers in a row.
-const NEWEST: f64 = 0.15;
+/// Weight of the newest sample. A gateway gets about two to five samples a second for each plan. A smaller
+/// weight would notice a burst of a few seconds too late; a larger one would refuse requests after a few
+/// busy customers in a row.
+const SAMPLE_WEIGHT: f64 = 0.15;
 
-/// What part of the requests of one plan the quotas bear, by those that were asked about.
+/// The fraction of one plan's requests that quotas cover, averaged over the customers for which calls were
+/// made.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaCoverage {
-    borne: f64,
+    covered: f64,
 }
 
 impl Default for QuotaCoverage {
-    /// All keep to their quota until something else is heard.
+    /// Without samples, all customers are assumed to keep to their quota.
     fn default() -> QuotaCoverage {
-        QuotaCoverage { borne: 1.0 }
+        QuotaCoverage { covered: 1.0 }
     }
 }
 
 impl QuotaCoverage {
-    /// It was heard what part of one customer's requests its quota bears.
-    pub fn add_sample(&mut self, part: f64) {
-        if part.is_finite() {
-            self.borne += NEWEST * (part.clamp(0.0, 1.0) - self.borne);
+    /// Adds the fraction of one customer's requests that its quota covers. Ignores values that are not
+    /// finite.
+    pub fn add_sample(&mut self, fraction: f64) {
+        if fraction.is_finite() {
+            self.covered += SAMPLE_WEIGHT * (fraction.clamp(0.0, 1.0) - self.covered);
         }
     }
 
-    /// Whether letting through one more request of an unknown customer earns more than it costs, where one within the quota earns
-    /// its worth, and one beyond it costs so many times that.
+    /// Whether one more request of an unknown customer is expected to earn more than it costs. A request
+    /// within the quota earns its worth; one beyond the quota costs `cost` times that worth.
     ///
-    /// Of a busy customer those that ask fill the quota, so what goes on beside them is beyond it.
+    /// A busy customer's counted requests already fill its quota, so its uncounted ones all exceed it.
     pub fn admits(&self, cost: f64) -> bool {
-        self.borne >= (1.0 - self.borne) * cost.max(0.0)
+        self.covered >= (1.0 - self.covered) * cost.max(0.0)
     }
 }
