--- a/crates/starlinghill-control-state/src/fleet.rs
+++ b/crates/starlinghill-control-state/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The picture of the fleet that proxies get: consistent at every moment, changed by news alone and by time
-//! where servers warm up or come back from an ejection.
+//! The servers as proxies are told of them. The snapshot changes with the list and with reports, and with
+//! time alone while servers warm up or until an ejection ends.
 
 use starlinghill_decision::api::*;
 use starlinghill_decision::{FleetView, Health};
@@ -9,161 +9,166 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The most members that a list may have. Guards memory against a list gone wild; the old one stays.
+/// The most members that a list may have. A longer one is rejected to limit memory, and the old one is kept.
 pub const MAX_MEMBERS: usize = 10_000;
-/// A cold server's weight grows in so many steps, each a message to every proxy. Weights are those of a step's
-/// beginning, so a proxy that hears late sends too little, never too much.
+/// The number of steps in which a cold server's weight grows. Each step is a message to every proxy. The
+/// weight is that of the step's beginning, so a proxy that is updated late sends too little, never too
+/// much.
 const WARM_STEPS: u64 = 16;
-/// The weight of a server on trial, as part of its own.
-const TRIAL_PART: f64 = 0.05;
-/// The weight of a warm server of size one.
-const WEIGHT_OF_ONE: f64 = 1000.0;
-/// Sizes beyond this count as this; the sum of all weights must fit 32 bits.
-const LARGEST: f64 = 400.0;
-/// The most attempts of one report that are judged one by one. A share of failures is as clear from so many.
-const MOST_JUDGED: u64 = 32;
+/// The fraction of its weight that a server gets while it is on trial after an ejection.
+const TRIAL_FRACTION: f64 = 0.05;
+/// The weight of a warm server of size 1.
+const WEIGHT_PER_SIZE: f64 = 1000.0;
+/// Larger sizes count as this one: the sum of all weights must fit into 32 bits.
+const MAX_SIZE: f64 = 400.0;
+/// The most attempts of one report that are judged one by one. They show the ratio of failures as clearly
+/// as more would.
+const MAX_JUDGED: u64 = 32;
 
 /// What a proxy may do with a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointUse {
-    /// Send it work by its weight.
+    /// Send it requests according to its weight.
     Healthy,
-    /// Send nothing for now; it failed at the proxies.
+    /// Send it nothing for now, because requests failed there.
     Ejected,
-    /// Send nothing new; it finishes what it has.
+    /// Send it no new requests; it finishes those it has.
     Draining,
 }
 
 /// A server as proxies are told of it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// Its id in the list.
+    /// Its id in the list of servers.
     pub id: String,
     /// Where it listens.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// What may be done with it.
+    /// What a proxy may do with it.
     pub usage: EndpointUse,
-    /// Its part of the work against the others; 1 at the least.
+    /// Its share of requests relative to the other weights; at least 1.
     pub weight: u32,
-    /// Its zone's region, where operators say one.
+    /// Its zone's region; empty if operators set none.
     pub region: String,
-    /// 0, and more for what stands in after others: proxies go to it where nothing before it can serve. Without gaps.
+    /// Proxies use a server only if none of a lower priority number can serve. Numbers start at 0 and have
+    /// no gaps.
     pub priority: u32,
 }
 
-/// Where operators see a zone.
+/// Where a zone is, as set by operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointLocation {
     /// Its region.
     pub region: String,
-    /// How many regions are preferred to it.
+    /// How many regions are preferred to this one when other zones take over.
     pub rank: u32,
 }
 
-/// All that proxies are told of the fleet.
+/// Everything that proxies are told of the servers.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct FleetSnapshot {
-    /// The servers, by zone and id; each address once.
+    /// The servers, sorted by zone and id. No two have the same address.
     pub endpoints: Vec<Endpoint>,
-    /// Parts in 10,000 of all requests that a proxy is to turn away: where most of the fleet is cold, weights
-    /// alone would share all traffic out among servers that can't bear it.
+    /// How many of 10,000 requests a proxy should refuse. If most servers are cold, weights alone would
+    /// distribute all requests among servers that don't have the capacity yet.
     pub drop_per_10000: u32,
 }
 
-/// A list that can't be used. The old one stays.
+/// Why a list was rejected. The old one is kept.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ListError {
-    /// Changes came before any whole list.
+    /// Changes arrived before any complete list.
     NoBase,
-    /// It would have more members than [`MAX_MEMBERS`].
+    /// The list would have this many members, more than [`MAX_MEMBERS`].
     TooLong(usize),
 }
 
 impl fmt::Display for ListError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ListError::NoBase => f.write_str("changes to a list that was never told whole; nothing changes"),
+            ListError::NoBase => f.write_str("changes arrived before a complete list; ignored"),
             ListError::TooLong(n) => {
-                write!(f, "a list of {n} members, {MAX_MEMBERS} at most; the old one stays")
+                write!(f, "a list of {n} members, expected at most {MAX_MEMBERS}; keeping the old one")
             }
         }
     }
 }
 impl std::error::Error for ListError {}
 
-/// What one proxy saw of one server since its last report.
+/// One proxy's report on one server since its last one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndpointReport {
     /// Where the server listens.
     pub address: SocketAddr,
-    /// Requests that it answered.
+    /// Requests that the server answered.
     pub succeeded: u64,
     /// Requests that failed there.
     pub failed: u64,
 }
 
-/// The fleet, from the list and from what proxies report.
+/// The servers, as known from the list and from the proxies' reports.
 pub struct Fleet {
     site: NamedSettings,
-    judged: FleetView,
-    /// The members by id, as the list has them; `None` until one came whole.
+    /// The decision module's judgement of the servers' health.
+    view: FleetView,
+    /// The members by id, as in the list; `None` before the first complete list.
     members: Option<BTreeMap<String, Member>>,
-    /// Whose a report is, by address.
-    at: BTreeMap<SocketAddr, ServerId>,
-    /// The parts of their work that zones get by order; those not named have their whole part.
-    zones: BTreeMap<String, ZoneShare>,
+    /// The server at each address, to assign reports.
+    servers_by_address: BTreeMap<SocketAddr, ServerId>,
+    /// Reduced shares of zones, set by operators or by failover. Other zones have their whole share.
+    zone_shares: BTreeMap<String, ZoneShare>,
     /// The regions of zones.
-    places: BTreeMap<String, EndpointLocation>,
+    locations: BTreeMap<String, EndpointLocation>,
 }
 
 impl Fleet {
-    /// A fleet of which nothing is known.
+    /// A fleet without a list.
     pub fn new(seed: u64, site: NamedSettings) -> Result<Fleet, SettingsError> {
-        let judged = FleetView::new(seed, site.settings.clone())?;
+        let view = FleetView::new(seed, site.settings.clone())?;
         Ok(Fleet {
             site,
-            judged,
+            view,
             members: None,
-            at: BTreeMap::new(),
-            zones: BTreeMap::new(),
-            places: BTreeMap::new(),
+            servers_by_address: BTreeMap::new(),
+            zone_shares: BTreeMap::new(),
+            locations: BTreeMap::new(),
         })
     }
 
-    /// Whether a whole list has come.
+    /// Whether a complete list has arrived.
     pub fn is_known(&self) -> bool {
         self.members.is_some()
     }
 
-    /// Regions of zones, from now on.
-    pub fn set_locations(&mut self, places: BTreeMap<String, EndpointLocation>) {
-        self.places = places;
+    /// Replaces the locations of all zones.
+    pub fn set_locations(&mut self, locations: BTreeMap<String, EndpointLocation>) {
+        self.locations = locations;
     }
 
-    /// New parts of zones hold from now on.
-    pub fn set_zone_shares(&mut self, parts: Vec<(String, ZoneShare)>) {
-        let sound = |(_, part): &(String, ZoneShare)| part.weight.is_finite() && part.weight < 1.0;
-        self.zones = parts.into_iter().filter(sound).collect();
+    /// Replaces the shares of all zones. Shares of 1 or more, or that are not finite, count as the whole
+    /// share.
+    pub fn set_zone_shares(&mut self, shares: Vec<(String, ZoneShare)>) {
+        let reduced = |(_, share): &(String, ZoneShare)| share.weight.is_finite() && share.weight < 1.0;
+        self.zone_shares = shares.into_iter().filter(reduced).collect();
     }
 
-    /// Takes news of the list in. An empty whole list is news too; an empty list of changes is none.
+    /// Applies a complete list or changes to it. A complete list may be empty.
     pub fn apply_list(&mut self, now: Micros, list: MemberList) -> Result<(), ListError> {
-        let held = self.members.as_ref();
-        if held.is_none() && !list.complete {
+        let known = self.members.as_ref();
+        if known.is_none() && !list.complete {
             return Err(ListError::NoBase);
         }
-        let base = held.filter(|_| !list.complete);
-        let fresh = list.members.iter().filter(|m| base.is_none_or(|held| !held.contains_key(&m.id))).count();
-        let n = fresh + base.map_or(0, BTreeMap::len);
+        let base = known.filter(|_| !list.complete);
+        let new = list.members.iter().filter(|m| base.is_none_or(|base| !base.contains_key(&m.id))).count();
+        let n = new + base.map_or(0, BTreeMap::len);
         if n > MAX_MEMBERS {
             return Err(ListError::TooLong(n));
         }
         let mut members =
             if list.complete { BTreeMap::new() } else { self.members.take().unwrap_or_default() };
         let entries = list.members;
-        let told = entries
+        let servers = entries
             .iter()
             .map(|m| ServerEntry {
                 server: self.site.server(&m.id),
@@ -180,145 +185,154 @@
             })
             .collect();
         let scope = if list.complete { ListScope::Complete } else { ListScope::Changes };
-        self.judged.update_list(now, scope, told);
+        self.view.update_list(now, scope, servers);
         for member in entries {
             match member.phase {
                 Phase::Gone => drop(members.remove(&member.id)),
                 _ => drop(members.insert(member.id.clone(), member)),
             }
         }
-        // Guards against growing with every server there ever was.
+        // Forget servers that left the list, so that memory does not grow with every server there ever was.
         self.site.servers.retain(|_, id| members.contains_key(id));
-        self.at = by_address(&members).into_iter().map(|(at, m)| (at, self.site.server(&m.id))).collect();
+        self.servers_by_address =
+            by_address(&members).into_iter().map(|(at, m)| (at, self.site.server(&m.id))).collect();
         self.members = Some(members);
         Ok(())
     }
 
-    /// Takes in what a proxy saw of a server. Reports on addresses that the list does not have are of servers
-    /// that are gone, and say nothing of those to come. Returns whether anything was judged.
-    pub fn apply_report(&mut self, now: Micros, seen: EndpointReport) -> bool {
-        let Some(&server) = self.at.get(&seen.address) else { return false };
-        let all = seen.succeeded.saturating_add(seen.failed);
-        let judged = all.min(MOST_JUDGED);
-        // Failures and successes in turn as they are spread over the whole, failures first: a report of
-        // failures alone ejects by the module's own rule, one of a few among many does not.
+    /// Applies a proxy's report on a server; returns whether it contained any attempts. Reports on
+    /// addresses that are not in the list are about servers that have left, and are ignored: they say
+    /// nothing about later servers there.
+    pub fn apply_report(&mut self, now: Micros, report: EndpointReport) -> bool {
+        let Some(&server) = self.servers_by_address.get(&report.address) else { return false };
+        let all = report.succeeded.saturating_add(report.failed);
+        let judged = all.min(MAX_JUDGED);
+        // Spread failures evenly among successes, starting with a failure. Then a report with nothing but
+        // failures ejects the server by the decision module's rule, and one with a few failures among many
+        // requests does not.
         let mut failed = 0;
         for i in 1..=judged {
-            let due = (u128::from(seen.failed) * u128::from(i)).div_ceil(u128::from(all.max(1))) as u64;
+            let due = (u128::from(report.failed) * u128::from(i)).div_ceil(u128::from(all.max(1))) as u64;
             let outcome = if due > failed { Outcome::Error } else { Outcome::Ok };
             failed = due;
-            // Times are not reported: an answer counts as neither early nor late.
-            self.judged.attempt_ended(now, server, outcome, Micros(0), Micros(u64::MAX / 4));
+            // Reports contain no response times: a long target counts no answer as late.
+            self.view.attempt_ended(now, server, outcome, Micros(0), Micros(u64::MAX / 4));
         }
         judged > 0
     }
 
-    /// The picture now; `None` while no whole list has come: for want of news nobody is told that the fleet is
-    /// empty.
+    /// The snapshot for now; `None` before the first complete list, so that proxies are not told of an
+    /// empty fleet only because the list is unknown.
     pub fn snapshot(&mut self, now: Micros) -> Option<FleetSnapshot> {
         let cold = self.site.settings.cold;
         let members = self.members.as_ref()?;
-        let facts: BTreeMap<ServerId, _> =
-            self.judged.statuses(now).into_iter().map(|f| (f.server, f)).collect();
-        let (mut warm, mut part_of_cold, mut all) = (0.0, 0.0, 0.0);
+        let statuses: BTreeMap<ServerId, _> =
+            self.view.statuses(now).into_iter().map(|s| (s.server, s)).collect();
+        // Capacities in sizes: of warm servers, the usable part of cold ones, and of all servers if they
+        // were warm.
+        let (mut warm, mut cold_usable, mut all) = (0.0, 0.0, 0.0);
         let mut endpoints = Vec::with_capacity(members.len());
-        // Those whose zone is out by order, and whether that yields where no other one can serve.
-        let mut held: Vec<(usize, bool)> = Vec::new();
+        // Servers in zones with a share of zero, and whether they serve if no other server can.
+        let mut excluded: Vec<(usize, bool)> = Vec::new();
         for (address, member) in by_address(members) {
-            let server = self.at.get(&address);
-            let fact = server.and_then(|id| facts.get(id)).filter(|_| member.phase == Phase::Ready);
-            let size = if member.size > 0.0 { member.size.min(LARGEST) } else { 1.0 };
-            let (mut part, mut usage) = (1.0, EndpointUse::Healthy);
-            match fact {
+            let server = self.servers_by_address.get(&address);
+            let status = server.and_then(|id| statuses.get(id)).filter(|_| member.phase == Phase::Ready);
+            let size = if member.size > 0.0 { member.size.min(MAX_SIZE) } else { 1.0 };
+            let (mut fraction, mut usage) = (1.0, EndpointUse::Healthy);
+            match status {
                 None => usage = EndpointUse::Draining,
-                Some(fact) => {
-                    match fact.health {
+                Some(status) => {
+                    match status.health {
                         Health::Healthy => {}
-                        Health::OnTrial => part = TRIAL_PART,
+                        Health::OnTrial => fraction = TRIAL_FRACTION,
                         Health::Ejected(_) => usage = EndpointUse::Ejected,
                     }
-                    let warm_part =
-                        fact.cold_since.map(|since| self.judged.warm_part(step(now, since, cold)));
-                    let ordered = self.zones.get(&member.locality);
-                    let zone_part = ordered.map_or(1.0, |part| part.weight.max(0.0));
-                    part *= warm_part.unwrap_or(1.0) * zone_part;
-                    // What is not to bear anything by order is not missed either.
-                    let bears = size * zone_part;
-                    all += bears;
-                    match (usage, warm_part) {
-                        (EndpointUse::Healthy, None) => warm += bears,
-                        (EndpointUse::Healthy, Some(part)) => part_of_cold += bears * part,
+                    let warm_fraction =
+                        status.cold_since.map(|since| self.view.warm_part(step_age(now, since, cold)));
+                    let share = self.zone_shares.get(&member.locality);
+                    let zone_fraction = share.map_or(1.0, |share| share.weight.max(0.0));
+                    fraction *= warm_fraction.unwrap_or(1.0) * zone_fraction;
+                    // A zone that is out of service counts as no missing capacity.
+                    let capacity = size * zone_fraction;
+                    all += capacity;
+                    match (usage, warm_fraction) {
+                        (EndpointUse::Healthy, None) => warm += capacity,
+                        (EndpointUse::Healthy, Some(warm)) => cold_usable += capacity * warm,
                         _ => {}
                     }
-                    if let Some(ordered) =
-                        ordered.filter(|_| usage == EndpointUse::Healthy && zone_part <= 0.0)
+                    if let Some(share) =
+                        share.filter(|_| usage == EndpointUse::Healthy && zone_fraction <= 0.0)
                     {
-                        held.push((endpoints.len(), ordered.yields));
+                        excluded.push((endpoints.len(), share.yields));
                         usage = EndpointUse::Draining;
                     }
                 }
             }
-            let weight = ((size * part * WEIGHT_OF_ONE) as u32).max(1);
+            let weight = ((size * fraction * WEIGHT_PER_SIZE) as u32).max(1);
             let (id, zone) = (member.id.clone(), member.locality.clone());
-            let place = self.places.get(&zone);
-            let region = place.map_or_else(String::new, |place| place.region.clone());
-            // One by one, by the order of preference: what yields to nobody in particular would be spread over the
-            // regions evenly.
-            let stands_in = self.zones.get(&zone).is_some_and(|part| part.weight <= 0.0 && part.yields);
-            let priority = if stands_in { 1 + place.map_or(0, |place| place.rank) } else { 0 };
+            let location = self.locations.get(&zone);
+            let region = location.map_or_else(String::new, |location| location.region.clone());
+            // Zones that serve only as a substitute get different priorities by region; with the same one,
+            // requests would be distributed evenly over all their regions instead of going to the preferred
+            // one.
+            let substitute =
+                self.zone_shares.get(&zone).is_some_and(|share| share.weight <= 0.0 && share.yields);
+            let priority = if substitute { 1 + location.map_or(0, |location| location.rank) } else { 0 };
             endpoints.push(Endpoint { id, address, zone, usage, weight, region, priority });
         }
         if !endpoints.iter().any(|e: &Endpoint| e.usage == EndpointUse::Healthy) {
-            for (i, _) in held.into_iter().filter(|(_, yields)| *yields) {
+            for (i, _) in excluded.into_iter().filter(|(_, yields)| *yields) {
                 endpoints[i].usage = EndpointUse::Healthy;
             }
         }
         close_gaps(&mut endpoints);
         endpoints.sort_by(|a, b| (&a.zone, &a.id).cmp(&(&b.zone, &b.id)));
-        // As the module does: where warm servers are fewer than a third of the fleet, cold ones get their part
-        // of what each server would get if all were warm, and what is left over is turned away.
-        let short = part_of_cold > 0.0 && warm * 3.0 < all;
-        let drop = if short { ((1.0 - (warm + part_of_cold) / all) * 10_000.0) as u32 } else { 0 };
+        // The same rule as in the decision module: if warm servers are less than a third of the capacity,
+        // each cold server gets the usable fraction of what it would get if all were warm, and the rest is
+        // refused.
+        let short = cold_usable > 0.0 && warm * 3.0 < all;
+        let drop = if short { ((1.0 - (warm + cold_usable) / all) * 10_000.0) as u32 } else { 0 };
         Some(FleetSnapshot { endpoints, drop_per_10000: drop.min(9_999) })
     }
 
-    /// When the picture changes next by time alone.
+    /// When the snapshot next changes with time alone.
     pub fn next_change(&mut self, now: Micros) -> Option<Micros> {
         let cold = self.site.settings.cold;
         let width = (cold.0 / WARM_STEPS).max(1);
         let mut next: Option<u64> = None;
-        for fact in self.judged.statuses(now) {
-            let step = fact.cold_since.map(|since| match now.0.checked_sub(since.0) {
+        for status in self.view.statuses(now) {
+            let step = status.cold_since.map(|since| match now.0.checked_sub(since.0) {
                 Some(age) => since.0 + (age / width + 1) * width,
-                None => since.0 + width, // It started, by its clock, in what is the future here.
+                None => since.0 + width, // By its own clock, which is ahead, it starts in the future.
             });
-            let back = if let Health::Ejected(until) = fact.health { Some(until.0) } else { None };
-            next = [next, step, back].into_iter().flatten().min();
+            let ejection_ends = if let Health::Ejected(until) = status.health { Some(until.0) } else { None };
+            next = [next, step, ejection_ends].into_iter().flatten().min();
         }
         next.map(Micros)
     }
 }
 
-/// Proxies refuse priorities with gaps, and gRPC clients count only those with something that serves: what does not is
-/// put beside what does.
+/// Renumbers priorities without gaps, which proxies would reject. gRPC clients ignore priorities at which
+/// no server is healthy, so only those with healthy servers are numbered, and other servers join one of
+/// them.
 fn close_gaps(endpoints: &mut [Endpoint]) {
-    let serve = endpoints.iter().filter(|e| e.usage == EndpointUse::Healthy);
-    let found: BTreeSet<u32> = serve.map(|e| e.priority).collect();
+    let healthy = endpoints.iter().filter(|e| e.usage == EndpointUse::Healthy);
+    let found: BTreeSet<u32> = healthy.map(|e| e.priority).collect();
     let last = found.len().saturating_sub(1);
     for e in endpoints {
         e.priority = found.range(..e.priority).count().min(last) as u32;
     }
 }
 
-/// The age that counts: the beginning of the present step.
-fn step(now: Micros, since: Micros, cold: Micros) -> Micros {
+/// A cold server's age at the beginning of its current warm-up step.
+fn step_age(now: Micros, since: Micros, cold: Micros) -> Micros {
     let width = (cold.0 / WARM_STEPS).max(1);
     Micros((now - since).0 / width * width)
 }
 
-/// Whose each address is. Where two ids stand at one address, the one that started last has it; if that is not
-/// told, the one that takes work. Guards against sending on to what drains because another id has its address,
-/// and against keeping from work what came in its place.
+/// The member at each address. If two have the same address, the one that started last has it; if they have
+/// the same start time, the one that is ready. Otherwise requests might go to a draining server's address
+/// because of the other id, or a server that took over an address might get none.
 fn by_address(members: &BTreeMap<String, Member>) -> BTreeMap<SocketAddr, &Member> {
     let mut owners: BTreeMap<SocketAddr, &Member> = BTreeMap::new();
     let rank = |m: &Member| (m.up_since_ms, m.phase == Phase::Ready);
