--- a/crates/starlinghill-discovery/tests/fleet.rs
+++ b/crates/starlinghill-discovery/tests/fleet.rs
@@ -1,31 +1,39 @@
-//! A fleet that follows one discovery in virtual time: each gateway's calls are played one millisecond at a time.
+//! Many gateways that follow one discovery service, simulated one millisecond at a time.
 
 use starlinghill_discovery::{DiscoveryCall, Follower, Source, Verdict};
 use std::time::Duration;
 
-/// A discovery that can take so many calls a second, turns away what would wait for more than two, and counts what it is asked.
-struct Discovery {
+/// A discovery service with a limited number of calls a second. It rejects calls that would wait for more
+/// than two seconds.
+struct DiscoveryService {
     calls_a_second: f64,
     waiting: f64,
-    asked: u32,
+    calls: u32,
     answered: u32,
 }
 
-impl Discovery {
+impl DiscoveryService {
     fn call(&mut self) -> bool {
-        self.asked += 1;
-        let takes = self.waiting < 2.0 * self.calls_a_second;
-        if takes {
+        self.calls += 1;
+        let accepted = self.waiting < 2.0 * self.calls_a_second;
+        if accepted {
             self.waiting += 1.0;
             self.answered += 1;
         }
-        takes
+        accepted
     }
 }
 
-/// Starts so many gateways at once and plays so many milliseconds; returns discovery and when each gateway was first answered.
-fn play(seed: u64, gateways: u32, known: Option<u64>, rate: f64, span: u64) -> (Discovery, Vec<Option<u64>>) {
-    let mut discovery = Discovery { calls_a_second: rate, waiting: 0.0, asked: 0, answered: 0 };
+/// Starts all gateways at once and simulates `span` milliseconds. Returns the service, and when each
+/// gateway got its first answer.
+fn simulate(
+    seed: u64,
+    gateways: u32,
+    known: Option<u64>,
+    rate: f64,
+    span: u64,
+) -> (DiscoveryService, Vec<Option<u64>>) {
+    let mut discovery = DiscoveryService { calls_a_second: rate, waiting: 0.0, calls: 0, answered: 0 };
     let ms = |call: DiscoveryCall| call.after.as_millis() as u64;
     let mut all: Vec<(Follower, u64, Option<u64>)> = (0..gateways)
         .map(|me| {
@@ -40,7 +48,7 @@
             if discovery.call() {
                 assert_eq!(follower.answered(41, true), Verdict::Apply);
                 *first = first.or(Some(now));
-                *due = now + 20_000; // The watch holds.
+                *due = now + 20_000; // The watch waits for changes.
             } else {
                 follower.failed();
                 *due = now + ms(follower.next_call()).max(1);
@@ -51,68 +59,64 @@
 }
 
 #[test]
-fn a_hundred_gateways_at_once_are_all_answered_by_a_discovery_that_takes_one_call_of_each_in_eight_seconds() {
+fn a_hundred_gateways_that_start_at_once_are_all_answered_at_one_call_of_each_in_eight_seconds() {
     for seed in 0..20 {
-        let (discovery, first) = play(seed, 100, Some(41), 100.0 / 8.0, 20_000);
+        let (discovery, first) = simulate(seed, 100, Some(41), 100.0 / 8.0, 20_000);
         let late = first.iter().filter(|at| at.is_none()).count();
         assert_eq!(late, 0, "seed {seed}: {} of 100 without a list after 20 s", late);
-        assert!(discovery.asked <= 500, "seed {seed}: {} calls", discovery.asked);
+        assert!(discovery.calls <= 500, "seed {seed}: {} calls", discovery.calls);
         assert_eq!(discovery.answered, 100, "seed {seed}");
     }
 }
 
 #[test]
-fn a_discovery_that_answers_nobody_is_asked_less_and_less_often() {
+fn a_discovery_service_that_never_answers_is_called_less_and_less_often() {
     for seed in 0..20 {
-        let (discovery, _) = play(seed, 100, Some(41), 0.0, 60_000);
-        // Once each 7.5 s on average, after the first doublings.
-        assert!(discovery.asked <= 1100, "seed {seed}: {} calls in a minute", discovery.asked);
+        let (discovery, _) = simulate(seed, 100, Some(41), 0.0, 60_000);
+        // Each gateway calls once in 7.5 s on average, after the first doublings.
+        assert!(discovery.calls <= 1100, "seed {seed}: {} calls in a minute", discovery.calls);
     }
 }
 
 #[test]
-fn one_gateway_alone_asks_at_once_and_again_soon() {
+fn one_of_few_gateways_calls_at_once_and_retries_soon() {
     for gateways in 1..=8 {
         let mut follower = Follower::new(7, Source::Shared, gateways, Some(41));
         assert_eq!(follower.next_call(), DiscoveryCall { after: Duration::ZERO, since: None });
         follower.failed();
         assert!(follower.next_call().after <= Duration::from_millis(100));
         (0..20).for_each(|_| follower.failed());
-        assert!(follower.next_call().after <= Duration::from_millis(800), "nor does it ever wait for long");
+        assert!(follower.next_call().after <= Duration::from_millis(800), "it never waits for long");
     }
 }
 
 #[test]
-fn one_of_any_number_asks_an_agent_of_its_own_at_once_for_what_is_new_and_again_soon() {
+fn a_gateway_with_its_own_agent_calls_at_once_and_retries_soon_whatever_the_number_of_gateways() {
     for gateways in [1, 8, 9, 16, 100, 300, 1000] {
         let mut follower = Follower::new(7, Source::Agent, gateways, Some(41));
-        assert_eq!(
-            follower.next_call().after,
-            Duration::ZERO,
-            "{gateways}: what the agent has counts as told"
-        );
+        assert_eq!(follower.next_call().after, Duration::ZERO, "{gateways}: an agent can answer at once");
         (0..20).for_each(|_| follower.failed());
         assert!(
             follower.next_call().after <= Duration::from_millis(800),
-            "{gateways}: discovery may be back"
+            "{gateways}: the agent may be available again"
         );
     }
 }
 
 #[test]
-fn an_answer_that_does_not_follow_is_dropped_and_the_whole_list_is_asked_for() {
+fn an_answer_that_does_not_fit_the_known_list_is_discarded_and_the_complete_list_requested() {
     let mut follower = Follower::new(7, Source::Shared, 30, Some(41));
-    assert_eq!(follower.next_call().since, Some(41), "no more than what is new");
-    assert_eq!(follower.answered(40, true), Verdict::Discard, "older than what is held");
+    assert_eq!(follower.next_call().since, Some(41), "only changes are requested");
+    assert_eq!(follower.answered(40, true), Verdict::Discard, "older than the known list");
     let call = follower.next_call();
     assert_eq!(call.since, None);
-    assert!(call.after > Duration::ZERO, "not at once: it may go on answering so");
-    assert_eq!(follower.answered(43, false), Verdict::Discard, "changes to a list that is not held");
+    assert!(call.after > Duration::ZERO, "not at once: the next answer may be the same");
+    assert_eq!(follower.answered(43, false), Verdict::Discard, "changes without a known list");
     assert_eq!(follower.answered(42, true), Verdict::Apply);
     assert_eq!(follower.next_call(), DiscoveryCall { after: Duration::ZERO, since: Some(42) });
-    assert_eq!(follower.answered(42, false), Verdict::Apply, "nothing new");
+    assert_eq!(follower.answered(42, false), Verdict::Apply, "no changes");
     follower.failed();
-    assert_eq!(follower.next_call().since, Some(42), "a failed call takes nothing away");
+    assert_eq!(follower.next_call().since, Some(42), "a failed call does not change the known list");
     follower.reset();
     assert_eq!(follower.next_call(), DiscoveryCall { after: Duration::ZERO, since: None });
 }
