--- a/crates/starlinghill-gateway/src/driver.rs
+++ b/crates/starlinghill-gateway/src/driver.rs
@@ -12,7 +12,7 @@
 use crate::maintenance_file::Orders;
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
-use starlinghill_maintenance::{DiscoveredList, OrderBook};
+use starlinghill_maintenance::{DiscoveredList, MaintenanceOrders};
 use starlinghill_settings::members::{MemberList, Phase};
 use starlinghill_settings::NamedSettings;
 use std::cmp::Reverse;
@@ -83,7 +83,7 @@
     backends: HashMap<ServerId, Rc<Backend>>,
     /// The list as discovery told it, and the orders under which it stands.
     roster: DiscoveredList,
-    book: OrderBook,
+    book: MaintenanceOrders,
     orders: Option<Orders>,
     /// What is left to the next process, where processes take over from each other.
     handover: Option<Handover>,
@@ -185,7 +185,7 @@
             post: None,
             backends: HashMap::new(),
             roster: DiscoveredList::default(),
-            book: OrderBook::default(),
+            book: MaintenanceOrders::default(),
             orders: None,
             handover: None,
             requests: HashMap::new(),
@@ -389,7 +389,7 @@
         let now = self.clock.now();
         let mut next = self.book.clone();
         let (mut changed, mut ordered) = (Vec::new(), Ok(false));
-        let mut change = |held: OrderBook| {
+        let mut change = |held: MaintenanceOrders| {
             changed = next.merge(&held);
             ordered = next.set_order(id, out, now);
             next.clone()
@@ -397,7 +397,7 @@
         let kept = match &mut self.orders {
             Some(orders) => orders.replace(change).map_err(|problem| problem.to_string()),
             None => {
-                change(OrderBook::default());
+                change(MaintenanceOrders::default());
                 Ok(())
             }
         };
--- a/crates/starlinghill-gateway/src/maintenance_file.rs
+++ b/crates/starlinghill-gateway/src/maintenance_file.rs
@@ -1,7 +1,7 @@
 //! The file of orders that the processes of one gateway share.
 
 use crate::handover::file_name;
-use starlinghill_maintenance::OrderBook;
+use starlinghill_maintenance::MaintenanceOrders;
 use std::fs::{self, File, TryLockError};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -32,7 +32,7 @@
     }
 
     /// The book, if the file was changed since it was read last.
-    pub fn news(&mut self) -> Option<OrderBook> {
+    pub fn news(&mut self) -> Option<MaintenanceOrders> {
         let look = self.look()?;
         if self.seen == Some(look) {
             return None;
@@ -49,7 +49,7 @@
     }
 
     /// Writes the book with what others have written since merged into it by `change`, which returns the new one.
-    pub fn replace(&mut self, change: impl FnOnce(OrderBook) -> OrderBook) -> io::Result<()> {
+    pub fn replace(&mut self, change: impl FnOnce(MaintenanceOrders) -> MaintenanceOrders) -> io::Result<()> {
         let lock = File::create(&self.lock)?;
         let mut tries = 0;
         loop {
@@ -66,7 +66,7 @@
             }
         }
         let held = match self.read() {
-            Err(problem) if problem.kind() == io::ErrorKind::NotFound => OrderBook::default(),
+            Err(problem) if problem.kind() == io::ErrorKind::NotFound => MaintenanceOrders::default(),
             held => held?,
         };
         let text = change(held).to_json();
@@ -84,11 +84,11 @@
         Some((about.modified().ok()?, about.ino(), about.len()))
     }
 
-    fn read(&self) -> io::Result<OrderBook> {
+    fn read(&self) -> io::Result<MaintenanceOrders> {
         let length = fs::metadata(&self.path)?.len();
         if length > LONGEST {
             return Err(io::Error::other(format!("expected at most {LONGEST} bytes, found {length}")));
         }
-        OrderBook::from_json(&fs::read_to_string(&self.path)?).map_err(io::Error::other)
+        MaintenanceOrders::from_json(&fs::read_to_string(&self.path)?).map_err(io::Error::other)
     }
 }
--- a/crates/starlinghill-maintenance/src/lib.rs
+++ b/crates/starlinghill-maintenance/src/lib.rs
@@ -1,11 +1,12 @@
-//! Backends that staff take out and call back.
+//! Backends that operators take out of service for maintenance and return to service.
 //!
-//! The [`OrderBook`] holds the last order for each backend; books of processes that serve as one gateway merge to the same
-//! book in whatever order they meet. The [`DiscoveredList`] holds the list of backends as discovery told it, and says how it
-//! stands under a book: that is what the decision module is told. For whoever owns the sockets and the file.
+//! [`MaintenanceOrders`] holds the last order for each backend. Several processes may serve as one gateway;
+//! merging their orders gives the same result in any sequence. [`DiscoveredList`] holds the backends as last
+//! reported by discovery, and applies the orders to them for the decision module. Files and sockets belong to
+//! the caller.
 
-mod book;
-mod roster;
+mod discovered_list;
+mod orders;
 
-pub use book::{BookError, Order, OrderBook, MAX_ID_BYTES, MAX_ORDERS};
-pub use roster::DiscoveredList;
+pub use discovered_list::DiscoveredList;
+pub use orders::{MaintenanceOrders, Order, OrdersError, MAX_ID_BYTES, MAX_ORDERS};
