--- a/crates/starlinghill-config-store/src/acceptor.rs
+++ b/crates/starlinghill-config-store/src/acceptor.rs
@@ -85,7 +85,7 @@
     let mut unsaved = false;
     let mut gauge = QueueGauge::new("votes", QUEUE_CAPACITY);
     while let Some((to, request, reply)) = commands.recv().await {
-        gauge.log(commands.len() + 1);
+        gauge.observe_and_log(commands.len() + 1);
         if reply.is_closed() {
             // The caller has given up. To it, this is the same as a request lost on the network.
             continue;
@@ -100,8 +100,8 @@
         let (response, required) = acceptor.handle(to, *request);
         let result = match required {
             RequiredWrite::Nothing => WriteResult::Synced,
-            RequiredWrite::Kept => write(&acceptor, false, &storage).await,
-            RequiredWrite::State => write(&acceptor, true, &storage).await,
+            RequiredWrite::Metadata => write(&acceptor, false, &storage).await,
+            RequiredWrite::MetadataAndState => write(&acceptor, true, &storage).await,
         };
         if result == WriteResult::WriterGone {
             return;
@@ -129,7 +129,7 @@
 async fn write(acceptor: &Acceptor<Value>, whole_state: bool, storage: &StorageQueue) -> WriteResult {
     let (done, synced) = oneshot::channel();
     let state = whole_state.then(|| acceptor.state().clone());
-    if storage.send(SaveRequest { acceptor: acceptor.kept().clone(), state, done }).is_err() {
+    if storage.send(SaveRequest { acceptor: acceptor.metadata().clone(), state, done }).is_err() {
         return WriteResult::WriterGone;
     }
     match synced.await {
@@ -143,7 +143,7 @@
 }
 
 fn view(acceptor: &Acceptor<Value>) -> AcceptorView {
-    let AcceptorState { promised, accepted, chosen, members, .. } = acceptor.kept().clone();
+    let AcceptorState { promised, accepted, chosen, members, .. } = acceptor.metadata().clone();
     AcceptorView { promised, accepted, chosen, members, proposed: acceptor.state().members.clone() }
 }
 
--- a/crates/starlinghill-config-store/src/admission.rs
+++ b/crates/starlinghill-config-store/src/admission.rs
@@ -37,14 +37,14 @@
                 self.look_for_members(&seeds()).await;
             }
             let members = self.members().0;
-            if !members.voters.is_empty() && !members.has(self.me) {
+            if !members.voters.is_empty() && !members.contains(self.me) {
                 let answer = self.ask_to_join(&members).await;
                 if logged.as_ref() != Some(&answer) {
                     log::info!("event=join incarnation={:x} answer=\"{answer:?}\"", self.me.incarnation);
                     logged = Some(answer);
                 }
             }
-            sleep(self.budget.look).await;
+            sleep(self.budget.poll_interval).await;
         }
     }
 
@@ -72,7 +72,7 @@
         let (sender, mut answers) = mpsc::unbounded_channel();
         for ip in ips {
             let (client, request, sender) = (self.client(ip), request.clone(), sender.clone());
-            let timeout = self.budget.voter;
+            let timeout = self.budget.voter_timeout;
             spawn_local(async move {
                 if let Ok(answer) = client.call::<_, StoreResponse>(&request, timeout).await {
                     // The receiver may be gone if this call was abandoned.
@@ -129,7 +129,7 @@
         members: &Members,
         candidate: Member,
     ) -> Result<Option<MemberChange>, MembershipDelay> {
-        if !members.has(self.me) {
+        if !members.contains(self.me) {
             return Err(MembershipDelay::NoMajority);
         }
         let mut reports: BTreeMap<Member, LastHeard> = BTreeMap::from([(self.me, self.last_heard())]);
@@ -138,13 +138,13 @@
         if self.last_heard().values().any(|ago| *ago >= self.times.absent_after) {
             let others = members.voters.iter().map(|m| m.ip).filter(|ip| *ip != self.me.ip).collect();
             for (ip, answer) in self.call_all(others, StoreRequest::LastHeard).await {
-                let (StoreResponse::LastHeard(report), Some(member)) = (answer, members.at(ip)) else {
+                let (StoreResponse::LastHeard(report), Some(member)) = (answer, members.member_at(ip)) else {
                     continue;
                 };
                 let report = report.into_iter().map(|(m, ms)| (m, Duration::from_millis(ms))).collect();
                 reports.insert(member, report);
             }
-        } else if members.at(candidate.ip).is_none() && !members.has(candidate) {
+        } else if members.member_at(candidate.ip).is_none() && !members.contains(candidate) {
             return Err(if self.unchanged_for() < self.times.min_between_changes {
                 MembershipDelay::TooSoon
             } else {
@@ -161,7 +161,7 @@
         if let MemberChange::Add(joins) | MemberChange::Replace { joins, .. } = change {
             let learn = AcceptorRequest::Learn { ballot, state: state.as_ref().clone() };
             let synced = match self.call_acceptor(joins, learn).await {
-                Some(AcceptorReply::Has { accepted, .. }) => accepted >= ballot,
+                Some(AcceptorReply::Status { accepted, .. }) => accepted >= ballot,
                 _ => false,
             };
             if !synced {
@@ -172,7 +172,7 @@
             if base.members.epoch != epoch {
                 return (None, MembershipOutcome::Waits(MembershipDelay::TooSoon));
             }
-            match base.members.with(change) {
+            match base.members.with_change(change) {
                 Ok(members) => {
                     (Some(State { members, value: base.value.clone() }), MembershipOutcome::Done(change))
                 }
@@ -193,10 +193,10 @@
         let change = match order {
             MembershipOrder::Add(ip) => self.member_at(ip).await.map(MemberChange::Add),
             MembershipOrder::Remove(ip) => {
-                members.at(ip).map(MemberChange::Remove).ok_or(MembershipDelay::Refused)
+                members.member_at(ip).map(MemberChange::Remove).ok_or(MembershipDelay::Refused)
             }
             MembershipOrder::Replace(leaves, joins) => {
-                match (members.at(leaves), self.member_at(joins).await) {
+                match (members.member_at(leaves), self.member_at(joins).await) {
                     (Some(leaves), Ok(joins)) => Ok(MemberChange::Replace { leaves, joins }),
                     (None, _) => Err(MembershipDelay::Refused),
                     (_, Err(delay)) => Err(delay),
@@ -213,8 +213,8 @@
     async fn member_at(&self, ip: IpAddr) -> Result<Member, MembershipDelay> {
         // No store has this incarnation, so the store there rejects the request and names its own.
         let nobody = Member { ip, incarnation: u64::MAX };
-        match self.call_acceptor(nobody, AcceptorRequest::Look(Default::default())).await {
-            Some(AcceptorReply::Another(member)) => Ok(member),
+        match self.call_acceptor(nobody, AcceptorRequest::Read(Default::default())).await {
+            Some(AcceptorReply::WrongIncarnation(member)) => Ok(member),
             _ => Err(MembershipDelay::NotSynced),
         }
     }
@@ -225,7 +225,7 @@
         let (members, _) = self.members();
         let waits = |(_, (at, _)): &(&Member, &(Instant, MembershipDelay))| at.elapsed() < CANDIDATE_TTL;
         let joins = self.candidates.borrow().iter().filter(waits).map(|(member, _)| *member).next();
-        let Some(joins) = joins.filter(|_| members.has(self.me)) else { return };
+        let Some(joins) = joins.filter(|_| members.contains(self.me)) else { return };
         if self.unchanged_for() >= self.times.min_between_changes {
             let change = MemberChange::Replace { leaves: self.me, joins };
             self.change_members(members.epoch, change).await;
--- a/crates/starlinghill-config-store/src/apply_change.rs
+++ b/crates/starlinghill-config-store/src/apply_change.rs
@@ -6,11 +6,11 @@
 /// Applies a change to `base`. Returns the new value, or `None` if nothing changes, and the outcome to report. The outcome
 /// may be reported only once the new value, or without one `base` itself, is known to be chosen.
 pub fn apply(base: &Value, change: &ConfigChange) -> (Option<Value>, ChangeOutcome) {
-    let current = ItemSet::of(base.iter().cloned());
-    match current.with(change) {
+    let current = ItemSet::from_items(base.iter().cloned());
+    match current.with_change(change) {
         Err(refusal) => (None, refused(refusal)),
         Ok(next) => {
-            let changed = !next.beyond(&current).is_empty();
+            let changed = !next.differing_items(&current).is_empty();
             let items = || next.items().map(|held| held.item.clone()).collect();
             (changed.then(items), ChangeOutcome::Taken)
         }
@@ -23,8 +23,8 @@
 pub fn refused(refusal: ChangeError) -> ChangeOutcome {
     match &refusal {
         ChangeError::Invalid { problem } => ChangeOutcome::Invalid(problem.clone()),
-        ChangeError::Taken { .. } => ChangeOutcome::Conflict(refusal.to_string()),
-        ChangeError::Forgotten { .. } => {
+        ChangeError::VersionConflict { .. } => ChangeOutcome::Conflict(refusal.to_string()),
+        ChangeError::VersionForgotten { .. } => {
             log::warn!("event=number_beyond_horizon said=\"{refusal}\"");
             ChangeOutcome::Unclear
         }
--- a/crates/starlinghill-config-store/src/disk.rs
+++ b/crates/starlinghill-config-store/src/disk.rs
@@ -70,7 +70,7 @@
         let member = |(ip, incarnation)| Member { ip, incarnation };
         let voters: Vec<Member> = ips.into_iter().zip(lives).map(member).collect();
         let me = voters.iter().copied().find(|member| member.ip == own_ip)?;
-        let members = Members { epoch: 0, voters, before: Vec::new() };
+        let members = Members { epoch: 0, voters, previous_voters: Vec::new() };
         let acceptor = AcceptorState { me, promised, accepted, chosen, members: members.clone() };
         Some(StoredState { acceptor, state: State { members, value } })
     }
--- a/crates/starlinghill-config-store/src/member_replacement.rs
+++ b/crates/starlinghill-config-store/src/member_replacement.rs
@@ -35,10 +35,10 @@
     candidate: Member,
     reports: &BTreeMap<Member, LastHeard>,
 ) -> Result<Option<MemberChange>, MembershipDelay> {
-    if members.has(candidate) {
+    if members.contains(candidate) {
         return Ok(None);
     }
-    if let Some(leaves) = members.at(candidate.ip) {
+    if let Some(leaves) = members.member_at(candidate.ip) {
         // A new incarnation at a voter's address means that the voter has lost its disk, and with it its promises. It is
         // replaced at once, and the set of addresses stays the same.
         return Ok(Some(MemberChange::Replace { leaves, joins: candidate }));
@@ -47,7 +47,7 @@
         return Err(MembershipDelay::TooSoon);
     }
     let reporting: BTreeSet<Member> = reports.keys().copied().collect();
-    if !members.majority(&reporting) {
+    if !members.has_majority(&reporting) {
         return Err(MembershipDelay::NoMajority);
     }
     let is_absent = |member: Member| {
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -13,7 +13,7 @@
 use starlinghill_runtime::net::{self, NetworkHandle};
 use starlinghill_runtime::rpc::serve;
 use starlinghill_runtime::settings::{NodeSettings, SettingsError};
-use starlinghill_runtime::signals::{Reread, Signals};
+use starlinghill_runtime::signals::{SettingsUpdates, Signals};
 use starlinghill_runtime::CONFIG_STORE_PORT_OFFSET;
 use std::future::Future;
 use std::net::IpAddr;
@@ -73,11 +73,11 @@
 
 /// Like [`run`], on a given network.
 pub async fn run_on(net: NetworkHandle, mut signals: Signals) -> Result<(), StartError> {
-    let reread = signals.reread();
+    let reread = signals.settings_updates();
     let node = NodeSettings::from_environment().context(SettingsSnafu)?;
     let folder = node.data_dir.clone().ok_or(StartError::NoDataDir)?;
     std::fs::create_dir_all(&folder).context(SystemSnafu { action: folder.display().to_string() })?;
-    let end = signals.end();
+    let end = signals.wait_for_shutdown();
     tokio::pin!(end);
     let (storage, stored) = tokio::select! {
         () = &mut end => return Ok(()),
@@ -104,19 +104,19 @@
 pub async fn run_store(
     node: &NodeSettings,
     net: &NetworkHandle,
-    reread: Reread,
+    reread: SettingsUpdates,
     stored: Option<StoredState>,
     storage: StorageQueue,
     end: impl Future<Output = ()>,
 ) -> Result<(), StartError> {
     tokio::pin!(end);
-    let address = node.port(node.ip, CONFIG_STORE_PORT_OFFSET);
+    let address = node.internal_address(node.ip, CONFIG_STORE_PORT_OFFSET);
     let listener =
         net.listen(address).await.context(SystemSnafu { action: format!("listen on {address}") })?;
     let seeds = |node: &NodeSettings| -> Vec<IpAddr> { node.seeds.iter().map(|seed| seed.ip()).collect() };
     let had_state = stored.is_some();
     let acceptor = match stored {
-        Some(stored) => Acceptor::again(stored.acceptor, stored.state),
+        Some(stored) => Acceptor::restore(stored.acceptor, stored.state),
         None => {
             let seeds = seeds(node);
             tokio::select! {
@@ -125,22 +125,22 @@
             }
         }
     };
-    let (me, members) = (acceptor.me(), &acceptor.kept().members);
+    let (me, members) = (acceptor.me(), &acceptor.metadata().members);
     log::info!(
         "event=start program=patternbook node={} incarnation={:x} epoch={} voters={} votes={} was_empty={} first={}",
         node.name,
         me.incarnation,
         members.epoch,
         members.voters.len(),
-        members.has(me),
+        members.contains(me),
         !had_state,
         node.first_start
     );
-    let (essentials, mut first_end) = EssentialTasks::new();
+    let (essentials, mut first_ended) = EssentialTasks::new();
     let acceptor = AcceptorHandle::start(acceptor, storage, &essentials);
     let proposer_id = fastrand::u32(1..);
-    let budget = StalenessBudget::of(node.bounds.apply);
-    let registry_delay = budget.contact + budget.store_holds + REGISTRY_LEASE;
+    let budget = StalenessBudget::from_apply_bound(node.bounds.apply);
+    let registry_delay = budget.max_contact_age + budget.store_long_poll + REGISTRY_LEASE;
     let times = MembershipTimes::of(node.bounds.sync_time, registry_delay);
     let store = Rc::new(StoreNode::new(net, acceptor, address.port(), proposer_id, times, budget));
     essentials.spawn("follow", store.clone().follow());
@@ -155,11 +155,11 @@
         let store = server.clone();
         async move { answer(request, &store, budget).await }
     };
-    essentials.spawn("calls", serve(listener, node.most_peers(), is_change, handler));
+    essentials.spawn("calls", serve(listener, node.max_peers(), is_change, handler));
     tokio::select! {
         biased;
         () = &mut end => {}
-        task = first_end.name() => return TaskSnafu { task }.fail(),
+        task = first_ended.wait() => return TaskSnafu { task }.fail(),
     }
     store.hand_over().await;
     Ok(())
@@ -172,14 +172,14 @@
     seeds: &[IpAddr],
     storage: &StorageQueue,
 ) -> Result<Acceptor<Value>, StartError> {
-    let founders = Members::first(seeds.iter().copied());
-    let is_founder = node.first_start && founders.at(node.ip).is_some();
+    let founders = Members::founding(seeds.iter().copied());
+    let is_founder = node.first_start && founders.member_at(node.ip).is_some();
     let incarnation = if is_founder { 0 } else { fastrand::u64(1..u64::MAX) };
     let members = if node.first_start { founders } else { Members::default() };
     let acceptor = Acceptor::new(Member { ip: node.ip, incarnation }, members);
     // Saved before the first answer: an incarnation must remember everything that it has promised.
     let (done, synced) = oneshot::channel();
-    let (own_state, state) = (acceptor.kept().clone(), Some(acceptor.state().clone()));
+    let (own_state, state) = (acceptor.metadata().clone(), Some(acceptor.state().clone()));
     // If the writer thread has ended, `done` is dropped, and the next line reports it.
     let _ = storage.send(SaveRequest { acceptor: own_state, state, done });
     synced.await.ok().context(WriterGoneSnafu)?.context(StorageSnafu)?;
@@ -209,12 +209,12 @@
                 biased;
                 _ = chosen.wait_for(|known| known.0 != have) => {}
                 _ = fresh.wait_for(|fresh| *fresh && !was_fresh) => {}
-                () = sleep(budget.store_holds) => {}
+                () = sleep(budget.store_long_poll) => {}
             }
             let ballot = chosen.borrow().0;
             let items = store.changes_since(have).map(|items| without_histories(&items));
             let (members, proposed) = (store.members().0, store.proposed_members());
-            let (contact, is_voter) = (store.contact(asked), members.has(store.me));
+            let (contact, is_voter) = (store.contact(asked), members.contains(store.me));
             StoreResponse::Changes { ballot, contact, members, is_voter, proposed, items }
         }
         StoreRequest::Join(candidate) => StoreResponse::Membership(store.admit(candidate).await),
@@ -229,5 +229,5 @@
 
 /// Leaves out the version histories, which only stores need.
 fn without_histories(items: &Value) -> Value {
-    items.iter().map(Item::as_news).collect()
+    items.iter().map(Item::without_history).collect()
 }
--- a/crates/starlinghill-config-store/src/proposer.rs
+++ b/crates/starlinghill-config-store/src/proposer.rs
@@ -133,8 +133,8 @@
     /// caller whose request arrived at `asked`.
     pub fn contact(&self, asked: Instant) -> Option<QuorumContact> {
         let (now, asked) = (self.clock_start.elapsed(), asked.saturating_duration_since(self.clock_start));
-        let contact = self.contact.get().filter(|contact| self.budget.may_vouch(Some(contact.age(now))));
-        contact.map(|contact| contact.pass_on(now, asked))
+        let contact = self.contact.get().filter(|contact| self.budget.is_fresh(Some(contact.age(now))));
+        contact.map(|contact| contact.to_peer(now, asked))
     }
 
     /// Records a quorum contact if the members `heard`, polled at `asked`, are a majority and `newest`, the highest ballot
@@ -142,7 +142,7 @@
     /// The members must also still be the current ones: a newer set may have chosen more without any of these.
     fn record_contact(&self, asked: Instant, members: &Members, heard: &BTreeSet<Member>, newest: Ballot) {
         let same_members = self.members.borrow().epoch == members.epoch;
-        if members.majority(heard) && same_members && newest <= self.chosen.borrow().0 {
+        if members.has_majority(heard) && same_members && newest <= self.chosen.borrow().0 {
             let asked = asked.saturating_duration_since(self.clock_start);
             self.contact.set(Some(LastQuorumContact::from_majority(asked)));
         }
@@ -184,7 +184,7 @@
         self.highest_ballot.set(self.highest_ballot.get().max(ballot));
         let newer = self.members.send_if_modified(|known| {
             let newer = members.epoch > known.epoch || known.voters.is_empty();
-            let more_complete = members.epoch == known.epoch && known.before.is_empty();
+            let more_complete = members.epoch == known.epoch && known.previous_voters.is_empty();
             if newer || more_complete {
                 *known = members.clone();
             }
@@ -192,7 +192,7 @@
         });
         if newer {
             self.members_since.set(Instant::now());
-            self.heard_at.borrow_mut().retain(|member, _| members.has(*member));
+            self.heard_at.borrow_mut().retain(|member, _| members.contains(*member));
             let names = |set: &[Member]| {
                 set.iter().map(|m| format!("{}/{:x}", m.ip, m.incarnation)).collect::<Vec<_>>().join(",")
             };
@@ -200,9 +200,9 @@
                 "event=members epoch={} voters={} before={}",
                 members.epoch,
                 names(&members.voters),
-                names(&members.before)
+                names(&members.previous_voters)
             );
-            if members.epoch > 0 && members.has(self.me) && !members.before.contains(&self.me) {
+            if members.epoch > 0 && members.contains(self.me) && !members.previous_voters.contains(&self.me) {
                 log::info!("event=voter_back epoch={} incarnation={:x}", members.epoch, self.me.incarnation);
             }
         }
@@ -236,9 +236,9 @@
     ) -> Option<AcceptorReply<Value>> {
         if to.ip == self.me.ip {
             let reply = self.acceptor.call_as(to, request);
-            return tokio::time::timeout(self.budget.voter, reply).await.ok()?;
+            return tokio::time::timeout(self.budget.voter_timeout, reply).await.ok()?;
         }
-        match self.client(to.ip).call(&StoreRequest::Acceptor(to, request), self.budget.voter).await {
+        match self.client(to.ip).call(&StoreRequest::Acceptor(to, request), self.budget.voter_timeout).await {
             Ok(StoreResponse::Acceptor(reply)) => Some(reply),
             _ => None,
         }
@@ -267,7 +267,7 @@
             let (store, request, sender) = (self.clone(), request.clone(), calls.sender.clone());
             spawn_local(async move {
                 let reply = store.call_acceptor(member, request).await;
-                if matches!(reply, Some(AcceptorReply::Has { .. } | AcceptorReply::Accepted)) {
+                if matches!(reply, Some(AcceptorReply::Status { .. } | AcceptorReply::Accepted)) {
                     store.heard_at.borrow_mut().insert(member, Instant::now());
                 }
                 // The round may have ended.
@@ -287,7 +287,7 @@
         let _guard = timeout_at(deadline, self.round_lock.lock()).await.ok()?;
         let mut tries = 0;
         while Instant::now() < deadline {
-            let ballot = Ballot { round: self.highest_ballot.get().round + 1, by: self.proposer_id };
+            let ballot = Ballot { round: self.highest_ballot.get().round + 1, proposer: self.proposer_id };
             self.highest_ballot.set(ballot);
             let members = self.members.borrow().clone();
             let have = {
@@ -295,13 +295,13 @@
                 (known.0, known.1.as_ref().clone())
             };
             let mut round = ProposerRound::new(ballot, members, have);
-            let mut calls = self.call_acceptors(round.asked(), &round.ask());
-            let until = deadline.min(Instant::now() + self.budget.voter * 2);
+            let mut calls = self.call_acceptors(round.recipients(), &round.prepare_request());
+            let until = deadline.min(Instant::now() + self.budget.voter_timeout * 2);
             let mut proposed = None;
             while let Some((from, reply)) = calls.next(until).await {
-                match round.told(from, reply) {
+                match round.handle_reply(from, reply) {
                     ProposerStep::Wait => {}
-                    ProposerStep::Extend(more) => self.add_calls(&mut calls, more, &round.ask()),
+                    ProposerStep::Extend(more) => self.add_calls(&mut calls, more, &round.prepare_request()),
                     ProposerStep::Base(base, is_chosen) => {
                         let (next, result) = make(&base);
                         // Nothing new, and the base is known to be chosen: no second phase is needed.
@@ -311,18 +311,18 @@
                         let next = next.unwrap_or_else(|| base.clone());
                         if let Some(request) = round.propose(next.clone()) {
                             proposed = Some((next, Some(result)));
-                            calls = self.call_acceptors(round.asked(), &request);
+                            calls = self.call_acceptors(round.recipients(), &request);
                         } else if let Some(request) = round.propose(base.clone()) {
                             // The previous change of members must be chosen first; then a new round makes this one.
                             proposed = Some((base, None));
-                            calls = self.call_acceptors(round.asked(), &request);
+                            calls = self.call_acceptors(round.recipients(), &request);
                         }
                     }
                     ProposerStep::Chosen => {
                         let (next, result) = proposed.take()?;
                         let new_members = (next.members.epoch > round.epoch()).then(|| next.members.clone());
                         self.learn(ballot, Rc::new(next));
-                        let calls = self.call_acceptors(round.asked(), &AcceptorRequest::Chosen(ballot));
+                        let calls = self.call_acceptors(round.recipients(), &AcceptorRequest::Chosen(ballot));
                         // New members are reported only once a majority of them has on disk that they are chosen. Before,
                         // the loss of a majority of the previous members would make it impossible to find that out.
                         if let Some(members) = new_members {
@@ -335,11 +335,11 @@
                             None => break,
                         }
                     }
-                    ProposerStep::Lost(higher) => {
+                    ProposerStep::Preempted(higher) => {
                         self.highest_ballot.set(self.highest_ballot.get().max(higher));
                         break;
                     }
-                    ProposerStep::Newer(members, ballot) => {
+                    ProposerStep::NewerMembers(members, ballot) => {
                         self.follow_members(members, ballot);
                         break;
                     }
@@ -353,7 +353,7 @@
 
     /// Applies an operator's configuration change, given as JSON.
     pub async fn change(self: &Rc<Self>, body: &[u8]) -> ChangeOutcome {
-        let change = match ConfigChange::read(body) {
+        let change = match ConfigChange::parse(body) {
             Ok(change) => change,
             Err(refusal) => return apply_change::refused(refusal),
         };
@@ -380,12 +380,12 @@
             let asked = Instant::now();
             let have = self.chosen.borrow().0;
             let members = self.members.borrow().clone();
-            let mut calls = self.call_acceptors(members.voters.iter().copied(), &AcceptorRequest::Look(have));
+            let mut calls = self.call_acceptors(members.voters.iter().copied(), &AcceptorRequest::Read(have));
             let (mut heard, mut newest) = (BTreeSet::new(), Ballot::default());
             // For each accepted ballot: who has accepted it, whether any of them knows it to be chosen, and its state.
             let mut accepted_by: BTreeMap<Ballot, (BTreeSet<Member>, bool, Option<State>)> = BTreeMap::new();
-            while let Some((from, reply)) = calls.next(asked + self.budget.voter).await {
-                let AcceptorReply::Has { promised, accepted, chosen, state, .. } = reply else { continue };
+            while let Some((from, reply)) = calls.next(asked + self.budget.voter_timeout).await {
+                let AcceptorReply::Status { promised, accepted, chosen, state, .. } = reply else { continue };
                 heard.insert(from);
                 self.highest_ballot.set(self.highest_ballot.get().max(promised));
                 newest = newest.max(chosen).max(accepted);
@@ -396,16 +396,16 @@
                 *is_chosen |= accepted == chosen;
                 *known_state = state.or(known_state.take());
                 // While not fresh, a majority's replies are enough, to get fresh sooner. The next poll hears the others.
-                if members.majority(&heard) && !*self.fresh.borrow() {
+                if members.has_majority(&heard) && !*self.fresh.borrow() {
                     break;
                 }
             }
-            let majority = members.majority(&heard);
+            let majority = members.has_majority(&heard);
             // A ballot is chosen if any acceptor knows so, or if a majority has accepted it, even if none knows. The latter
             // does not hold for a state with newer members, which also needs a majority of those: that takes a round.
             let agreed = accepted_by.iter_mut().rev().find(|(_, (by, is_chosen, state))| {
                 let same_members = state.as_ref().is_none_or(|state| state.members.epoch <= members.epoch);
-                *is_chosen || same_members && members.majority(by)
+                *is_chosen || same_members && members.has_majority(by)
             });
             if let Some((ballot, (_, _, Some(state)))) = agreed {
                 self.learn(*ballot, Rc::new(std::mem::take(state)));
@@ -422,7 +422,7 @@
                 was_unsettled = false;
             }
             self.update_own_acceptor().await;
-            sleep(if fresh { self.budget.look } else { self.budget.look_again }).await;
+            sleep(if fresh { self.budget.poll_interval } else { self.budget.retry_interval }).await;
         }
     }
 
@@ -473,10 +473,10 @@
 ) -> bool {
     let mut know = BTreeSet::new();
     while let Some((from, reply)) = calls.next(deadline).await {
-        if matches!(reply, AcceptorReply::Has { chosen, .. } if chosen >= ballot) {
+        if matches!(reply, AcceptorReply::Status { chosen, .. } if chosen >= ballot) {
             know.insert(from);
         }
-        if members.majority(&know) {
+        if members.has_majority(&know) {
             return true;
         }
     }
--- a/crates/starlinghill-config-store/tests/acceptor.rs
+++ b/crates/starlinghill-config-store/tests/acceptor.rs
@@ -24,22 +24,22 @@
     });
     let task = LocalSet::new();
     task.run_until(async {
-        let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
+        let members = Members::founding((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
         let acceptor = AcceptorHandle::start(
             Acceptor::new(members.voters[0], members.clone()),
             storage,
             &EssentialTasks::default(),
         );
-        let ballot = Ballot { round: 1, by: 1 };
+        let ballot = Ballot { round: 1, proposer: 1 };
         let state = State { members, value: Vec::new() };
         let accept = AcceptorRequest::Accept { ballot, epoch: 0, state };
         assert!(acceptor.call(accept).await.is_none());
         // The accepted state is in memory only: a loss of power would take it back after it was answered.
-        assert!(acceptor.call(AcceptorRequest::Look(Ballot::default())).await.is_none());
+        assert!(acceptor.call(AcceptorRequest::Read(Ballot::default())).await.is_none());
         fails.store(false, Ordering::SeqCst);
-        let reply = acceptor.call(AcceptorRequest::Look(Ballot::default())).await;
+        let reply = acceptor.call(AcceptorRequest::Read(Ballot::default())).await;
         assert!(
-            matches!(reply, Some(AcceptorReply::Has { accepted, .. }) if accepted == ballot),
+            matches!(reply, Some(AcceptorReply::Status { accepted, .. }) if accepted == ballot),
             "{reply:?}"
         );
     })
@@ -51,20 +51,20 @@
     let (storage, mut requests) = mpsc::unbounded_channel::<SaveRequest>();
     let task = LocalSet::new();
     task.run_until(async {
-        let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
+        let members = Members::founding((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
         let acceptor = AcceptorHandle::start(
             Acceptor::new(members.voters[0], members.clone()),
             storage,
             &EssentialTasks::default(),
         );
-        let ballot = Ballot { round: 1, by: 1 };
+        let ballot = Ballot { round: 1, proposer: 1 };
         let state = State { members, value: Vec::new() };
         let accept = AcceptorRequest::Accept { ballot, epoch: 0, state };
         let (first, second) = (acceptor.clone(), acceptor.clone());
         let accepted = tokio::task::spawn_local(async move { first.call(accept).await });
         let looked =
             tokio::task::spawn_local(
-                async move { second.call(AcceptorRequest::Look(Ballot::default())).await },
+                async move { second.call(AcceptorRequest::Read(Ballot::default())).await },
             );
         // Lets all tasks run as far as they can without the sync.
         for _ in 0..100 {
@@ -80,7 +80,7 @@
         let (accepted, looked) = (accepted.await.expect("no panic"), looked.await.expect("no panic"));
         assert!(accepted.is_some(), "{accepted:?}");
         assert!(
-            matches!(looked, Some(AcceptorReply::Has { accepted, .. }) if accepted == ballot),
+            matches!(looked, Some(AcceptorReply::Status { accepted, .. }) if accepted == ballot),
             "{looked:?}"
         );
     })
@@ -92,14 +92,14 @@
     let (storage, mut requests) = mpsc::unbounded_channel::<SaveRequest>();
     let task = LocalSet::new();
     task.run_until(async {
-        let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
+        let members = Members::founding((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
         let acceptor = AcceptorHandle::start(
             Acceptor::new(members.voters[0], members.clone()),
             storage,
             &EssentialTasks::default(),
         );
         let accept = |round| {
-            let (acceptor, ballot) = (acceptor.clone(), Ballot { round, by: 1 });
+            let (acceptor, ballot) = (acceptor.clone(), Ballot { round, proposer: 1 });
             let state = State { members: members.clone(), value: Vec::new() };
             let accept = AcceptorRequest::Accept { ballot, epoch: 0, state };
             tokio::task::spawn_local(async move { acceptor.call(accept).await })
@@ -114,9 +114,12 @@
         let request = requests.try_recv().expect("a save request");
         request.done.send(Ok(())).expect("the task waits for it");
         assert!(in_progress.await.expect("no panic").is_some());
-        let reply = acceptor.call(AcceptorRequest::Look(Ballot::default())).await;
-        let first = Ballot { round: 1, by: 1 };
-        assert!(matches!(reply, Some(AcceptorReply::Has { accepted, .. }) if accepted == first), "{reply:?}");
+        let reply = acceptor.call(AcceptorRequest::Read(Ballot::default())).await;
+        let first = Ballot { round: 1, proposer: 1 };
+        assert!(
+            matches!(reply, Some(AcceptorReply::Status { accepted, .. }) if accepted == first),
+            "{reply:?}"
+        );
         assert!(requests.try_recv().is_err(), "a request that was given up was written");
     })
     .await;
@@ -128,14 +131,14 @@
     drop(requests);
     let task = LocalSet::new();
     task.run_until(async {
-        let members = Members::first((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
-        let (essentials, mut first_end) = EssentialTasks::new();
+        let members = Members::founding((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
+        let (essentials, mut first_ended) = EssentialTasks::new();
         let acceptor =
             AcceptorHandle::start(Acceptor::new(members.voters[0], members.clone()), storage, &essentials);
         let state = State { members, value: Vec::new() };
-        let accept = AcceptorRequest::Accept { ballot: Ballot { round: 1, by: 1 }, epoch: 0, state };
+        let accept = AcceptorRequest::Accept { ballot: Ballot { round: 1, proposer: 1 }, epoch: 0, state };
         assert!(acceptor.call(accept).await.is_none());
-        assert_eq!(first_end.name().await, "vote");
+        assert_eq!(first_ended.wait().await, "vote");
     })
     .await;
 }
--- a/crates/starlinghill-config-store/tests/recent_changes.rs
+++ b/crates/starlinghill-config-store/tests/recent_changes.rs
@@ -32,7 +32,7 @@
                 let name = random.u64(0..30);
                 items.insert(name, item(name, round));
             }
-            let ballot = Ballot { round: now.0.round + random.u64(1..4), by: random.u32(..) };
+            let ballot = Ballot { round: now.0.round + random.u64(1..4), proposer: random.u32(..) };
             let next = (ballot, items.values().cloned().collect::<Value>());
             recent.learn((now.0, &now.1), (next.0, &next.1));
             now = next;
@@ -63,7 +63,7 @@
 
 #[test]
 fn there_are_no_changes_since_a_ballot_that_is_not_kept() {
-    let ballot = |round| Ballot { round, by: 1 };
+    let ballot = |round| Ballot { round, proposer: 1 };
     let mut recent = RecentChanges::default();
     let values: Vec<Value> = (1..5).map(|version| vec![item(1, version), item(2, 1)]).collect();
     for (i, pair) in values.windows(2).enumerate() {
@@ -73,6 +73,6 @@
     assert_eq!(recent.between(ballot(3), ballot(4)), Some(vec![item(1, 4)]));
     // In turn: no longer kept, never known, and newer than the ballot asked for.
     assert_eq!(recent.between(ballot(1), ballot(4)), None);
-    assert_eq!(recent.between(Ballot { round: 3, by: 2 }, ballot(4)), None);
+    assert_eq!(recent.between(Ballot { round: 3, proposer: 2 }, ballot(4)), None);
     assert_eq!(recent.between(ballot(4), ballot(3)), None);
 }
--- a/crates/starlinghill-config-store/tests/version_uniqueness.rs
+++ b/crates/starlinghill-config-store/tests/version_uniqueness.rs
@@ -101,11 +101,11 @@
     }
     let (sets, removals) = (sets.join(","), removals.join(","));
     let body = format!(r#"{{"upsert":{{"customers":[{sets}]}},"remove":{{"customers":[{removals}]}}}}"#);
-    ConfigChange::read(body.as_bytes()).unwrap_or_else(|refusal| panic!("{refusal}"))
+    ConfigChange::parse(body.as_bytes()).unwrap_or_else(|refusal| panic!("{refusal}"))
 }
 
 fn founders() -> Members {
-    Members::first((0..STORES).map(|i| IpAddr::from([10, 0, 0, i as u8])))
+    Members::founding((0..STORES).map(|i| IpAddr::from([10, 0, 0, i as u8])))
 }
 
 /// The index of a member's store.
@@ -118,7 +118,7 @@
     fn new(seed: u64) -> World {
         let store = |i| {
             let acceptor: Acceptor<Value> = Acceptor::new(founders().voters[i], founders());
-            let disk = (acceptor.kept().clone(), acceptor.state().clone());
+            let disk = (acceptor.metadata().clone(), acceptor.state().clone());
             Store { acceptor, disk, known: Default::default() }
         };
         World {
@@ -167,12 +167,12 @@
     /// Begins a round of an attempt.
     fn begin_round(&mut self, s: usize) {
         self.highest_round += 1 + self.rng.u64(0..2);
-        let ballot = Ballot { round: self.highest_round, by: s as u32 };
+        let ballot = Ballot { round: self.highest_round, proposer: s as u32 };
         let attempt = &mut self.attempts[s];
         let have = self.stores[attempt.store].known.clone();
         let round = ProposerRound::new(ballot, self.members.clone(), have);
-        let request = round.ask();
-        round.asked().for_each(|to| self.requests.push_back((to, s, ballot, request.clone())));
+        let request = round.prepare_request();
+        round.recipients().for_each(|to| self.requests.push_back((to, s, ballot, request.clone())));
         (attempt.round, attempt.proposed) = (Some(round), None);
     }
 
@@ -182,9 +182,9 @@
         let (reply, required) = store.acceptor.handle(to, request);
         match required {
             RequiredWrite::Nothing => {}
-            RequiredWrite::Kept => store.disk.0 = store.acceptor.kept().clone(),
-            RequiredWrite::State => {
-                store.disk = (store.acceptor.kept().clone(), store.acceptor.state().clone())
+            RequiredWrite::Metadata => store.disk.0 = store.acceptor.metadata().clone(),
+            RequiredWrite::MetadataAndState => {
+                store.disk = (store.acceptor.metadata().clone(), store.acceptor.state().clone())
             }
         }
         reply
@@ -213,10 +213,10 @@
         let Some((from, s, ballot, reply)) = at.and_then(|at| self.replies.remove(at)) else { return };
         let attempt = &mut self.attempts[s];
         let Some(round) = attempt.round.as_mut().filter(|round| round.ballot() == ballot) else { return };
-        match round.told(from, reply) {
+        match round.handle_reply(from, reply) {
             ProposerStep::Wait => {}
             ProposerStep::Extend(more) => {
-                let request = round.ask();
+                let request = round.prepare_request();
                 more.into_iter().for_each(|to| self.requests.push_back((to, s, ballot, request.clone())));
             }
             ProposerStep::Base(base, is_chosen) => {
@@ -228,7 +228,7 @@
                 let Some(request) = round.propose(next.clone()) else {
                     panic!("the change leaves the members as they are")
                 };
-                round.asked().for_each(|to| self.requests.push_back((to, s, ballot, request.clone())));
+                round.recipients().for_each(|to| self.requests.push_back((to, s, ballot, request.clone())));
                 attempt.proposed = Some((next, outcome));
             }
             ProposerStep::Chosen => {
@@ -242,11 +242,11 @@
                 }
                 self.end_attempt(s, outcome);
             }
-            ProposerStep::Lost(higher) => {
+            ProposerStep::Preempted(higher) => {
                 self.highest_round = self.highest_round.max(higher.round);
                 attempt.round = None;
             }
-            ProposerStep::Newer(members, higher) => {
+            ProposerStep::NewerMembers(members, higher) => {
                 self.highest_round = self.highest_round.max(higher.round);
                 attempt.round = None;
                 if members.epoch > self.members.epoch {
@@ -289,7 +289,7 @@
     fn power_loss(&mut self, i: usize) {
         let store = &mut self.stores[i];
         let (kept, state) = store.disk.clone();
-        (store.acceptor, store.known) = (Acceptor::again(kept, state), Default::default());
+        (store.acceptor, store.known) = (Acceptor::restore(kept, state), Default::default());
         for attempt in self.attempts.iter_mut().filter(|attempt| attempt.store == i) {
             (attempt.round, attempt.ended) = (None, true);
         }
@@ -300,7 +300,7 @@
         let was = self.stores[i].acceptor.me();
         let acceptor: Acceptor<Value> =
             Acceptor::new(Member { incarnation: was.incarnation + 1, ..was }, Members::default());
-        self.stores[i].disk = (acceptor.kept().clone(), acceptor.state().clone());
+        self.stores[i].disk = (acceptor.metadata().clone(), acceptor.state().clone());
         self.power_loss(i);
         self.lost_member = Some(was);
     }
@@ -311,10 +311,10 @@
         round: &mut ProposerRound<Value>,
         request: &AcceptorRequest<Value>,
     ) -> ProposerStep<Value> {
-        for to in round.asked().collect::<Vec<_>>() {
+        for to in round.recipients().collect::<Vec<_>>() {
             if self.rng.u8(0..10) > 0 {
                 let reply = self.call(to, request.clone());
-                match round.told(to, reply) {
+                match round.handle_reply(to, reply) {
                     ProposerStep::Wait | ProposerStep::Extend(_) => {}
                     step => return step,
                 }
@@ -328,28 +328,28 @@
         let Some(leaves) = self.lost_member.filter(|_| self.cut_off.is_none()) else { return };
         let joins = self.stores[store_index(leaves)].acceptor.me();
         self.highest_round += 1;
-        let ballot = Ballot { round: self.highest_round, by: u32::MAX - 1 };
+        let ballot = Ballot { round: self.highest_round, proposer: u32::MAX - 1 };
         let mut round = ProposerRound::new(ballot, self.members.clone(), Default::default());
-        let (mut request, mut proposed) = (round.ask(), None);
+        let (mut request, mut proposed) = (round.prepare_request(), None);
         for _ in 0..2 {
             match self.call_all(&mut round, &request) {
                 ProposerStep::Base(base, _) => {
-                    let next = base.members.with(MemberChange::Replace { leaves, joins });
+                    let next = base.members.with_change(MemberChange::Replace { leaves, joins });
                     let next = next.map(|members| State { members, ..base.clone() }).unwrap_or(base);
                     proposed = Some(next.members.clone());
                     let Some(next) = round.propose(next) else { return };
                     request = next;
                 }
                 ProposerStep::Chosen => self.members = proposed.take().unwrap_or_default(),
-                ProposerStep::Lost(higher) => self.highest_round = self.highest_round.max(higher.round),
-                ProposerStep::Newer(members, higher) => {
+                ProposerStep::Preempted(higher) => self.highest_round = self.highest_round.max(higher.round),
+                ProposerStep::NewerMembers(members, higher) => {
                     self.highest_round = self.highest_round.max(higher.round);
                     self.members = members;
                 }
                 _ => {}
             }
         }
-        if self.members.has(joins) {
+        if self.members.contains(joins) {
             self.lost_member = None;
         }
     }
@@ -444,20 +444,20 @@
     fn read_without(&mut self, left_out: usize) -> Value {
         for _ in 0..8 {
             self.highest_round += 1;
-            let ballot = Ballot { round: self.highest_round, by: u32::MAX };
+            let ballot = Ballot { round: self.highest_round, proposer: u32::MAX };
             let mut round = ProposerRound::new(ballot, self.members.clone(), Default::default());
             for member in self.members.voters.clone() {
                 if store_index(member) == left_out {
                     continue;
                 }
-                let reply = self.call(member, round.ask());
-                match round.told(member, reply) {
+                let reply = self.call(member, round.prepare_request());
+                match round.handle_reply(member, reply) {
                     ProposerStep::Base(state, _) => return state.value,
-                    ProposerStep::Lost(higher) => {
+                    ProposerStep::Preempted(higher) => {
                         self.highest_round = self.highest_round.max(higher.round);
                         break;
                     }
-                    ProposerStep::Newer(members, higher) => {
+                    ProposerStep::NewerMembers(members, higher) => {
                         (self.highest_round, self.members) = (self.highest_round.max(higher.round), members);
                         break;
                     }
--- a/crates/starlinghill-console/src/explain.rs
+++ b/crates/starlinghill-console/src/explain.rs
@@ -14,7 +14,7 @@
 pub fn item_set(items: &OwnedValue) -> Result<ItemSet, ChangeError> {
     let mut change = OwnedValue::object();
     let _ = change.insert("upsert", items.clone());
-    ItemSet::default().with(&ConfigChange::read(change.encode().as_bytes())?)
+    ItemSet::default().with_change(&ConfigChange::parse(change.encode().as_bytes())?)
 }
 
 /// The request to explain.
@@ -34,7 +34,7 @@
     statuses: &[RegistryStatus],
     request: RequestQuery,
 ) -> Result<Vec<String>, ChangeError> {
-    let table = RoutingTable::of(&item_set(items)?);
+    let table = RoutingTable::from_items(&item_set(items)?);
     let mut lines = Vec::new();
     let Some(route) = table.route(request.host, request.path) else {
         let hosts = table.routes().filter(|route| route.host.eq_ignore_ascii_case(request.host)).count();
@@ -44,17 +44,17 @@
         ));
         return Ok(lines);
     };
-    let kind = if route.safe { "may be repeated" } else { "runs at most once" };
+    let kind = if route.idempotent { "may be repeated" } else { "runs at most once" };
     lines.push(format!(
         "route {}: prefix {}, {kind}, priority {}, {} tries, times out after {} ms",
         route.name,
         route.prefix,
         route.priority,
-        route.tries,
+        route.max_tries,
         route.timeout.as_millis()
     ));
     let tenant = request.key.and_then(|key| table.tenant(key));
-    match (tenant, table.keyed && !route.public) {
+    match (tenant, table.requires_key && !route.public) {
         (None, true) => {
             lines.push("401: the route is not public, and no tenant has that key".into());
             return Ok(lines);
@@ -66,8 +66,9 @@
                 tenant.name, tenant.rate, tenant.burst
             ));
             let name = bucket_name(CustomerId(xxh3_64(tenant.name.as_bytes()))).0;
-            let counters = statuses.iter().filter_map(|status| status.count.as_ref());
-            let bucket = counters.flat_map(|counter| &counter.stores).find(|(bucket, ..)| *bucket == name);
+            let counters = statuses.iter().filter_map(|status| status.counter.as_ref());
+            let bucket =
+                counters.flat_map(|counter| &counter.token_buckets).find(|(bucket, ..)| *bucket == name);
             lines.push(match bucket {
                 None if tenant.rate <= 0.0 => "its quota: none".into(),
                 None => "its token bucket: full, unused of late, or no quota counter is running".into(),
@@ -82,8 +83,8 @@
             });
         }
     }
-    let total_weight: f64 = route.to.iter().map(|(_, weight)| weight).sum();
-    for (service, weight) in &route.to {
+    let total_weight: f64 = route.targets.iter().map(|(_, weight)| weight).sum();
+    for (service, weight) in &route.targets {
         // Several registries report the same backend.
         let backends_in = |state| {
             let mut ids: Vec<&str> = statuses
@@ -112,8 +113,8 @@
         let dropped = if item.body.is_none() { " dropped" } else { "" };
         format!("{sign} {:?} {} r{}{dropped}", item.kind, item.name, item.version)
     };
-    let mut lines: Vec<String> = current.beyond(next).iter().map(|item| line('-', item)).collect();
-    lines.extend(next.beyond(current).iter().map(|item| line('+', item)));
+    let mut lines: Vec<String> = current.differing_items(next).iter().map(|item| line('-', item)).collect();
+    lines.extend(next.differing_items(current).iter().map(|item| line('+', item)));
     lines.sort_by(|a, b| a[1..].cmp(&b[1..]));
     lines
 }
--- a/crates/starlinghill-console/src/main.rs
+++ b/crates/starlinghill-console/src/main.rs
@@ -147,9 +147,9 @@
 async fn print_diff(client: &RegistryClient, file: &str) -> Result<(), ClientError> {
     let failed = |problem: String| ClientError::Other { problem };
     let text = std::fs::read(file).map_err(|error| failed(format!("{file}: {error}")))?;
-    let change = ConfigChange::read(&text).map_err(|refusal| failed(format!("{file}: {refusal}")))?;
+    let change = ConfigChange::parse(&text).map_err(|refusal| failed(format!("{file}: {refusal}")))?;
     let current = item_set(&client.items().await?).map_err(|refusal| failed(refusal.to_string()))?;
-    let next = current.with(&change).map_err(|refusal| failed(format!("{file}: {refusal}")))?;
+    let next = current.with_change(&change).map_err(|refusal| failed(format!("{file}: {refusal}")))?;
     differences(&current, &next).iter().for_each(|line| println!("{line}"));
     Ok(())
 }
@@ -184,7 +184,7 @@
             let items = client.items().await.map_err(drop).and_then(|items| item_set(&items).map_err(drop));
             if let Ok(items) = items {
                 let bucket = |name: &str| bucket_name(CustomerId(xxh3_64(name.as_bytes()))).0;
-                let table = RoutingTable::of(&items);
+                let table = RoutingTable::from_items(&items);
                 tenants = table.tenants.iter().map(|t| (bucket(&t.name), t.name.clone())).collect();
             }
         }
--- a/crates/starlinghill-console/src/membership.rs
+++ b/crates/starlinghill-console/src/membership.rs
@@ -48,7 +48,7 @@
     pub async fn change_members(&self, order: MembershipOrder) -> Result<String, ClientError> {
         let mut last = None;
         for (ip, status) in self.membership_statuses().await {
-            if !status.is_some_and(|s| s.members.has(s.me)) {
+            if !status.is_some_and(|s| s.members.contains(s.me)) {
                 continue;
             }
             let client = RpcClient::new(&net::tcp(), self.store_at(ip));
@@ -124,12 +124,12 @@
         lines.push(format!(
             "store at={ip} incarnation={:x} votes={} epoch={} stood_ms={} fresh={} ballot={}.{}",
             s.me.incarnation,
-            s.members.has(s.me),
+            s.members.contains(s.me),
             s.members.epoch,
             s.unchanged_for_ms,
             s.fresh,
             s.chosen.round,
-            s.chosen.by
+            s.chosen.proposer
         ));
         lines.extend(
             s.last_heard_ms.iter().map(|(member, ms)| format!("  heard ip={} ago_ms={ms}", member.ip)),
--- a/crates/starlinghill-console/tests/status.rs
+++ b/crates/starlinghill-console/tests/status.rs
@@ -1,7 +1,7 @@
 //! The overview, the explanations and the differences that the console shows.
 
 use starlinghill_catalog::{BackendState, Gateway, Instance, Liveness, Observation};
-use starlinghill_config_model::items::digest;
+use starlinghill_config_model::items::versions_digest;
 use starlinghill_config_model::{ConfigChange, Item, ItemKind, VersionHistory};
 use starlinghill_console::explain::{differences, explain, item_set, RequestQuery};
 use starlinghill_console::status::Overview;
@@ -31,8 +31,17 @@
 fn seen(id: &str, state: BackendState, liveness: Liveness) -> (Observation, u64) {
     let (version, zone, service) = ("v1".into(), "a".into(), "ledger".into());
     let address = SocketAddr::new(ip(9), 80);
-    let instance =
-        Instance { id: id.into(), service, address, zone, version, capacity: 2, state, calls: 1, warm_at: 0 };
+    let instance = Instance {
+        id: id.into(),
+        service,
+        address,
+        zone,
+        version,
+        capacity: 2,
+        state,
+        beat_count: 1,
+        warm_at_us: 0,
+    };
     (Observation { instance, liveness }, 5)
 }
 
@@ -42,20 +51,20 @@
 }
 
 fn status(registry: u8, items: &[Item]) -> RegistryStatus {
-    let gateway = Gateway { ip: ip(20), life: 1, zone: "a".into(), node: "edge-1".into() };
+    let gateway = Gateway { ip: ip(20), incarnation: 1, zone: "a".into(), node: "edge-1".into() };
     let list = items.iter().map(|item| (item.kind, item.name.clone(), item.version, true)).collect();
     RegistryStatus {
         members: Default::default(),
         ip: ip(registry),
-        life: 1,
+        incarnation: 1,
         time: 0,
-        fresh: true,
+        has_quorum_contact: true,
         items: list,
-        digest: digest(items.iter()),
+        items_digest: versions_digest(items.iter()),
         backends: vec![seen("i-1", BackendState::Ready, Liveness::Alive)],
-        gateways: vec![(gateway, 100, digest([item("r-1", 8)].iter()))],
-        holder: Some((3, ip(1))),
-        count: None,
+        gateways: vec![(gateway, 100, versions_digest([item("r-1", 8)].iter()))],
+        counter_holder: Some((3, ip(1))),
+        counter: None,
     }
 }
 
@@ -72,8 +81,11 @@
 fn the_explanation_of_a_request_names_the_cause(host: &str, path: &str, key: Option<&str>, wanted: &str) {
     let mut status = status(1, &[]);
     let store = bucket_name(CustomerId(xxh3_64(b"studio"))).0;
-    status.count =
-        Some(CounterStatus { silent: 0, stores: vec![(store, 0.2, 10.0, 55.0)], rooms: Vec::new() });
+    status.counter = Some(CounterStatus {
+        silent_gateways: 0,
+        token_buckets: vec![(store, 0.2, 10.0, 55.0)],
+        backend_loads: Vec::new(),
+    });
     let lines = explain(&items(), &[status], RequestQuery { host, path, key }).unwrap_or_default();
     assert!(lines.iter().any(|line| line.contains(wanted)), "{lines:#?}");
 }
@@ -86,7 +98,7 @@
     let overview = Overview::of(&all);
     assert!(overview.gateways[&ip(20)].current && overview.registries[2].1.is_none());
     let mut behind = status(1, &newest);
-    behind.gateways[0].2 = old.digest;
+    behind.gateways[0].2 = old.items_digest;
     assert!(!Overview::of(&[(at(1), Some(behind))]).gateways[&ip(20)].current);
 }
 
@@ -114,12 +126,13 @@
         (1..=3).map(|i| seen(&format!("i-{i}"), BackendState::Ready, Liveness::Alive)).collect();
     let before = Overview::of(&[(at(1), Some(status.clone()))]);
     let load = |i: usize, slow: f32, ill: f32| {
-        let backend = status.backends[i].0.instance.number();
-        BackendLoad { backend, out: 2, capacity: 3, slow, ill }
+        let backend = status.backends[i].0.instance.id_hash();
+        BackendLoad { backend, outstanding: 2, capacity: 3, slowdown: slow, failure_rate: ill }
     };
-    let unknown = BackendLoad { backend: 7, out: 9, capacity: 9, slow: 9.0, ill: 1.0 };
+    let unknown = BackendLoad { backend: 7, outstanding: 9, capacity: 9, slowdown: 9.0, failure_rate: 1.0 };
     let rooms = vec![load(0, 1.0, 0.0), load(1, 2.5, 0.1), load(2, 0.8, 0.4), unknown];
-    status.count = Some(CounterStatus { silent: 0, stores: Vec::new(), rooms });
+    status.counter =
+        Some(CounterStatus { silent_gateways: 0, token_buckets: Vec::new(), backend_loads: rooms });
     let after = Overview::of(&[(at(1), Some(status))]);
     let ledger = &after.services["ledger"];
     assert_eq!((ledger.outstanding, ledger.capacity), (6, 9));
@@ -135,8 +148,8 @@
     let before = Overview::of(&[(at(1), Some(status(1, &[item("r-1", 7)])))]);
     let mut next = status(1, &[item("r-1", 8)]);
     next.backends = vec![seen("i-1", BackendState::Draining, Liveness::Alive)];
-    next.holder = Some((4, ip(2)));
-    next.gateways[0].0.life = 2;
+    next.counter_holder = Some((4, ip(2)));
+    next.gateways[0].0.incarnation = 2;
     let after = Overview::of(&[(at(1), Some(next))]);
     let lines = after.changes(&before);
     for wanted in ["edge-1 has restarted", "i-1 drains", "r-1 set in r8", "runs at 10.0.0.2, term 4"] {
@@ -149,7 +162,8 @@
 fn the_difference_to_a_file_shows_the_old_and_the_new_version() {
     let current = item_set(&items()).unwrap_or_default();
     let change = r#"{"upsert":{},"remove":{"routes":[{"name":"r-1","version":"r9"}]}}"#;
-    let next =
-        ConfigChange::read(change.as_bytes()).and_then(|change| current.with(&change)).unwrap_or_default();
+    let next = ConfigChange::parse(change.as_bytes())
+        .and_then(|change| current.with_change(&change))
+        .unwrap_or_default();
     assert_eq!(differences(&current, &next), ["- Route r-1 r7", "+ Route r-1 r9 dropped"]);
 }
--- a/crates/starlinghill-proxy/src/readiness.rs
+++ b/crates/starlinghill-proxy/src/readiness.rs
@@ -1,22 +1,22 @@
-//! Where the platform asks whether this gateway is ready.
+//! The readiness endpoint, which the platform polls to decide whether this gateway gets connections.
 
-use crate::registry_client::Shared;
+use crate::registry_client::ProxyState;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use starlinghill_gateway::server::plain;
+use starlinghill_gateway::server::text_response;
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// One that asks and does not go on is not waited for.
-const SLOW: Duration = Duration::from_secs(5);
+/// Timeout for a request's headers.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers for ever.
-pub async fn serve(listener: TcpListener, shared: Rc<Shared>) {
+/// Serves readiness checks until the process ends.
+pub async fn serve(listener: TcpListener, shared: Rc<ProxyState>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -31,13 +31,13 @@
                     "/api/ready" => StatusCode::SERVICE_UNAVAILABLE,
                     _ => StatusCode::NOT_FOUND,
                 };
-                async move { Ok::<_, Infallible>(plain(status, "")) }
+                async move { Ok::<_, Infallible>(text_response(status, "")) }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(SLOW)
+                .header_read_timeout(HEADER_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
-            // How the one who asked ends is its own affair.
+            // An error here concerns only this caller.
             let _ = connection.await;
         });
     }
