--- a/crates/starlinghill-catalog/tests/catalog.rs
+++ b/crates/starlinghill-catalog/tests/catalog.rs
@@ -23,18 +23,13 @@
         version: "v1".into(),
         capacity: 2,
         state,
-        beat_count: beat_count,
+        beat_count,
         warm_at_us: 0,
     }
 }
 
 fn gateway(ip: u8, incarnation: u64) -> Gateway {
-    Gateway {
-        ip: IpAddr::from([10, 0, 1, ip]),
-        incarnation: incarnation,
-        zone: "a".into(),
-        node: format!("edge-{ip}"),
-    }
+    Gateway { ip: IpAddr::from([10, 0, 1, ip]), incarnation, zone: "a".into(), node: format!("edge-{ip}") }
 }
 
 fn observe(instance: Instance) -> Vec<Observation> {
