--- a/crates/starlinghill-simulator/src/backends.rs
+++ b/crates/starlinghill-simulator/src/backends.rs
@@ -1,32 +1,34 @@
-//! Backends that beat, drain, leave or crash: their calls alone.
+//! Simulated backends that send heartbeats, drain, leave or crash. Only their calls to the control plane are
+//! simulated.
 
-use crate::checker::{BEAT, DRAIN};
-use crate::cluster::ip;
+use crate::checker::{DRAIN_LIMIT, HEARTBEAT_INTERVAL};
+use crate::cluster::machine_ip;
 use crate::scenario::{call, Run};
 use hyper::Method;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// So often one says that it drains, or that it leaves, where nobody acknowledges it.
-const SAID: usize = 8;
+/// How often a backend reports that it drains or leaves while no reply comes.
+const REPORT_ATTEMPTS: usize = 8;
 
-/// What the backend at the address of that number says of itself.
-pub fn beat(slot: usize, state: &str, calls: u64) -> String {
+/// The body of a heartbeat from the backend with this index.
+pub fn heartbeat_body(slot: usize, state: &str, call_count: u64) -> String {
     format!(
-        r#"{{"address":"10.0.3.{}:9000","details":{{"service":"ledger","version":"v1","zone":"a","capacity":4}},"observed":{{"state":"{state}","call_count":{calls},"warmup_left":"0ms"}}}}"#,
+        r#"{{"address":"10.0.3.{}:9000","details":{{"service":"ledger","version":"v1","zone":"a","capacity":4}},"observed":{{"state":"{state}","call_count":{call_count},"warmup_left":"0ms"}}}}"#,
         slot + 1
     )
 }
 
-/// One life after the other at an address.
-pub async fn lives(run: Rc<Run>, slot: usize) {
-    let mut life = 0;
-    while !run.over.get() {
-        let mut backend = Backend { run: run.clone(), slot, id: format!("b-{slot}-{life}"), calls: 0, at: 0 };
-        backend.live().await;
-        sleep(run.ms(10, 1_500)).await;
-        life += 1;
+/// Runs backends one after the other at one address until the run ends.
+pub async fn run_lifetimes(run: Rc<Run>, slot: usize) {
+    let mut lifetime = 0;
+    while !run.is_over.get() {
+        let mut backend =
+            Backend { run: run.clone(), slot, id: format!("b-{slot}-{lifetime}"), calls: 0, core: 0 };
+        backend.run_once().await;
+        sleep(run.random_ms(10, 1_500)).await;
+        lifetime += 1;
     }
 }
 
@@ -35,40 +37,40 @@
     slot: usize,
     id: String,
     calls: u64,
-    /// The core machine that took its last call.
-    at: usize,
+    /// The core machine that answers its calls at present.
+    core: usize,
 }
 
 impl Backend {
-    async fn live(&mut self) {
-        let until = Instant::now() + self.run.ms(2_000, 9_000 * self.run.stretch);
-        self.at = self.run.any_core();
-        while Instant::now() < until && !self.run.over.get() {
-            let begun = self.run.now();
-            match self.say("ready").await {
-                true => drop(self.run.beating.borrow_mut().entry(self.id.clone()).or_insert(begun)),
+    async fn run_once(&mut self) {
+        let until = Instant::now() + self.run.random_ms(2_000, 9_000 * self.run.duration_factor);
+        self.core = self.run.random_core();
+        while Instant::now() < until && !self.run.is_over.get() {
+            let started = self.run.now();
+            match self.send_heartbeat("ready").await {
+                true => drop(self.run.heartbeating.borrow_mut().entry(self.id.clone()).or_insert(started)),
                 false => {
-                    // It may be forgotten until the next one is acknowledged.
-                    self.run.beating.borrow_mut().remove(&self.id);
-                    self.at = self.run.any_core();
+                    // The registries may drop the backend until its next acknowledged heartbeat.
+                    self.run.heartbeating.borrow_mut().remove(&self.id);
+                    self.core = self.run.random_core();
                     continue;
                 }
             }
-            sleep(BEAT).await;
+            sleep(HEARTBEAT_INTERVAL).await;
         }
-        self.run.beating.borrow_mut().remove(&self.id);
-        match self.run.draw(8) {
-            // It crashes, and says nothing.
+        self.run.heartbeating.borrow_mut().remove(&self.id);
+        match self.run.random_below(8) {
+            // A crash: nothing is reported.
             0 => {}
-            // It never says that it drains.
+            // The backend leaves without draining first.
             1 => drop(self.leave().await),
             _ => {
-                self.last_word(false).await;
-                let serves = Instant::now() + DRAIN + self.run.ms(0, 2_000);
-                while Instant::now() < serves && !self.run.over.get() {
-                    sleep(BEAT).await;
-                    if !self.say("draining").await {
-                        self.at = self.run.any_core();
+                self.report_until_acknowledged(false).await;
+                let drain_ends = Instant::now() + DRAIN_LIMIT + self.run.random_ms(0, 2_000);
+                while Instant::now() < drain_ends && !self.run.is_over.get() {
+                    sleep(HEARTBEAT_INTERVAL).await;
+                    if !self.send_heartbeat("draining").await {
+                        self.core = self.run.random_core();
                     }
                 }
                 self.leave().await;
@@ -77,41 +79,43 @@
     }
 
     async fn leave(&mut self) -> bool {
-        self.last_word(true).await
+        self.report_until_acknowledged(true).await
     }
 
-    /// Says it to one member after the other until it is acknowledged; from then on the rules count.
-    async fn last_word(&mut self, gone: bool) -> bool {
-        for _ in 0..SAID {
-            let said = match gone {
-                true => self.go().await,
-                false => self.say("draining").await,
+    /// Reports to random members that the backend drains or leaves, until one acknowledges it. The drain limit counts
+    /// from then on.
+    async fn report_until_acknowledged(&mut self, leaves: bool) -> bool {
+        for _ in 0..REPORT_ATTEMPTS {
+            let acknowledged = match leaves {
+                true => self.deregister().await,
+                false => self.send_heartbeat("draining").await,
             };
-            if said {
+            if acknowledged {
                 let now = self.run.now();
-                self.run.seen.borrow_mut().drained.entry(self.id.clone()).or_insert(now);
+                self.run.history.borrow_mut().drained_at.entry(self.id.clone()).or_insert(now);
                 return true;
             }
-            self.at = self.run.any_core();
+            self.core = self.run.random_core();
             sleep(Duration::from_millis(50)).await;
         }
         false
     }
 
-    async fn say(&mut self, state: &str) -> bool {
+    async fn send_heartbeat(&mut self, state: &str) -> bool {
         self.calls += 1;
-        let body = beat(self.slot, state, self.calls);
+        let body = heartbeat_body(self.slot, state, self.calls);
         self.call(Method::PUT, body).await
     }
 
-    async fn go(&mut self) -> bool {
+    async fn deregister(&mut self) -> bool {
         self.call(Method::DELETE, String::new()).await
     }
 
     async fn call(&self, method: Method, body: String) -> bool {
-        let net = self.run.world.fabric.at(ip(3, self.slot));
-        let (to, path) = (self.run.world.control(self.at), format!("/api/backends/{}", self.id));
-        let answer = call(&net, to, method, &path, body.into_bytes()).await;
-        answer.is_some_and(|(status, _)| status == 200)
+        let net = self.run.cluster.network.handle_for(machine_ip(3, self.slot));
+        let (address, path) =
+            (self.run.cluster.control_address(self.core), format!("/api/backends/{}", self.id));
+        let reply = call(&net, address, method, &path, body.into_bytes()).await;
+        reply.is_some_and(|(status, _)| status == 200)
     }
 }
--- a/crates/starlinghill-simulator/src/checker.rs
+++ b/crates/starlinghill-simulator/src/checker.rs
@@ -1,360 +1,396 @@
-//! What was asked and answered while a control side was played, and what must hold of it.
+//! The record of a simulated run, and the rules that every record must satisfy.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// A configuration takes hold within this.
-pub const APPLY: Duration = Duration::from_millis(2_500);
+/// The time limit within which a confirmed configuration takes effect at connected gateways.
+pub const APPLY_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// Nothing goes to a backend so long after it was acknowledged that it drains or leaves.
-pub const DRAIN: Duration = Duration::from_millis(2_500);
-/// How often a backend says how it is.
-pub const BEAT: Duration = Duration::from_millis(500);
+/// How long after an acknowledged drain or removal requests may still go to the backend.
+pub const DRAIN_LIMIT: Duration = Duration::from_millis(2_500);
+/// How often a backend sends a heartbeat.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The tenant whose quota gateways draw from. It never changes: its rate a second and its burst are its number.
-pub const RATIONED: &str = "rationed";
-/// That number.
-pub const RATION: u64 = 10;
-/// The rules' window for quotas.
+/// The tenant whose quota the gateways draw from. Its settings do not change during a run.
+pub const QUOTA_TENANT: &str = "rationed";
+/// The rate per second of [`QUOTA_TENANT`], which is also its burst, version and content.
+pub const QUOTA_RATE: u64 = 10;
+/// The window over which the quota rules count requests.
 pub const QUOTA_WINDOW: Duration = Duration::from_secs(5);
-/// What the rules allow beyond quotas: a part, and so many requests. Few, so that few which should not go on are seen.
-pub const QUOTA_EXCESS: f64 = 0.1;
-/// The same.
-pub const QUOTA_EXTRA: f64 = 2.0;
+/// The tolerated excess over a quota, as a share of it.
+pub const QUOTA_EXCESS_RATIO: f64 = 0.1;
+/// The tolerated excess over a quota, in requests on top of the share. It is small so that a few wrong grants are
+/// noticed.
+pub const QUOTA_EXTRA_REQUESTS: f64 = 2.0;
 
-/// An operator's order for one item; its content is its own. Content 0 drops the item.
+/// An operator's change to one configuration item. No two changes have the same content, except that content 0
+/// removes the item.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Order {
-    /// The item.
+pub struct ConfigChange {
+    /// The item's name.
     pub item: String,
-    /// Under that number.
+    /// The item's version. Sent also as the tenant's burst, so that replies show it.
     pub version: u64,
-    /// The same.
+    /// Sent as the tenant's rate per second, which makes the change recognizable in replies.
     pub content: u64,
-    /// The key of the tenant: no two may hold one.
-    pub key: String,
+    /// The tenant's API key. No two tenants may have the same one.
+    pub api_key: String,
 }
 
-/// One try to have an order taken.
+/// One request that submits a change to a member.
 #[derive(Debug, Clone, Hash)]
 pub struct Attempt {
-    /// Which order.
-    pub order: usize,
-    /// Where.
-    pub at: IpAddr,
-    /// From when.
-    pub asked: Duration,
-    /// Until when.
-    pub answered: Duration,
-    /// The answer, if one came.
+    /// The index into [`History::changes`].
+    pub change: usize,
+    /// The member that was called.
+    pub member: IpAddr,
+    /// When the request was sent.
+    pub started: Duration,
+    /// When the reply came or the caller gave up.
+    pub finished: Duration,
+    /// The HTTP status; `None` without a reply.
     pub status: Option<u16>,
-    /// All that time the member ran and could be reached, whomever else it could reach.
-    pub reachable: bool,
+    /// During the whole attempt the member ran, and the caller could reach it. Its links to other members don't
+    /// matter.
+    pub was_reachable: bool,
 }
 
-/// Items as they stand: version and content.
+/// Configuration items by name, each with its version and content.
 pub type Items = BTreeMap<String, (u64, u64)>;
 
-/// A read of all items that was answered.
+/// An answered read of all items.
 #[derive(Debug, Clone, Hash)]
 pub struct Read {
-    /// Where.
-    pub at: IpAddr,
-    /// From when.
-    pub asked: Duration,
-    /// Until when.
-    pub answered: Duration,
-    /// What it told.
+    /// The member that was read.
+    pub member: IpAddr,
+    /// When the request was sent.
+    pub started: Duration,
+    /// When the reply came.
+    pub finished: Duration,
+    /// The items in the reply.
     pub items: Items,
 }
 
-/// What was in force at a gateway.
+/// The state of a gateway at one moment.
 #[derive(Debug, Clone, Hash)]
-pub struct InForce {
-    /// Which.
+pub struct GatewaySample {
+    /// The gateway's index.
     pub gateway: usize,
-    /// In which life of its process.
-    pub life: u64,
-    /// When.
-    pub at: Duration,
-    /// It serves.
+    /// Identifies the process. A restarted gateway has another one.
+    pub incarnation: u64,
+    /// When the sample was taken.
+    pub time: Duration,
+    /// Whether the gateway reports itself ready for traffic.
     pub ready: bool,
-    /// For how long it has been in touch, without a break, with one and the same member of a majority that runs.
-    pub in_touch: Duration,
-    /// For how long it has been in touch with all members of a majority at once, without a break.
-    pub in_full_touch: Duration,
-    /// What.
+    /// The longest unbroken time for which it has been linked to one particular member that reaches a majority.
+    pub linked_to_one_for: Duration,
+    /// How long it has been linked, without a break, to every member that reaches a majority.
+    pub linked_to_all_for: Duration,
+    /// The configuration in effect.
     pub items: Items,
-    /// The backends that it may send work to.
+    /// The ids of the backends that it may route requests to.
     pub backends: BTreeSet<String>,
 }
 
-/// A registry said that it holds the count.
+/// An answer of a registry that it holds the quota counter.
 #[derive(Debug, Clone, Hash)]
-pub struct Held {
-    /// Which.
-    pub rack: IpAddr,
-    /// In which term.
+pub struct HolderSample {
+    /// The address of the registry.
+    pub member: IpAddr,
+    /// The term under which it holds the counter.
     pub term: u64,
-    /// At some time between these.
-    pub asked: Duration,
-    /// The same.
-    pub answered: Duration,
+    /// The registry held the counter at some time from `started` to `finished`.
+    pub started: Duration,
+    /// See `started`.
+    pub finished: Duration,
 }
 
-/// All that was seen.
+/// Everything recorded in one run. Times count from the start of the run.
 #[derive(Debug, Default, Hash)]
 pub struct History {
-    /// Orders, by their numbers.
-    pub orders: Vec<Order>,
-    /// Tries.
+    /// All requested changes.
+    pub changes: Vec<ConfigChange>,
+    /// All submissions of changes.
     pub attempts: Vec<Attempt>,
-    /// Reads.
+    /// All answered reads.
     pub reads: Vec<Read>,
-    /// What gateways went by.
-    pub in_force: Vec<InForce>,
-    /// Who held the count.
-    pub held: Vec<Held>,
-    /// When whoever held it granted a draw from the quota of [`RATIONED`].
-    pub granted: Vec<Duration>,
-    /// How often members changed.
-    pub epoch: u64,
-    /// When it was first acknowledged of a backend that it drains or leaves.
-    pub drained: BTreeMap<String, Duration>,
-    /// What was done to the system, and when.
-    pub troubles: Vec<(Duration, String)>,
-    /// Faults that showed at once.
-    pub at_once: Vec<String>,
+    /// The observed states of gateways, in the order of time.
+    pub gateway_samples: Vec<GatewaySample>,
+    /// The observed counter holders.
+    pub holder_samples: Vec<HolderSample>,
+    /// When the counter granted a draw from the quota of [`QUOTA_TENANT`].
+    pub quota_grants: Vec<Duration>,
+    /// The epoch of the members at the end of the run: how many membership changes were made.
+    pub membership_epoch: u64,
+    /// When the drain or removal of a backend was first acknowledged, by the backend's id.
+    pub drained_at: BTreeMap<String, Duration>,
+    /// The faults that were injected, and when.
+    pub injected_faults: Vec<(Duration, String)>,
+    /// Violations that were detected during the run.
+    pub run_violations: Vec<String>,
 }
 
-/// What became of the orders for one item.
+/// The requests for one item.
 #[derive(Default)]
-struct Record {
-    /// Confirmed: when, under which number, with what.
+struct ItemRecord {
+    /// Confirmed changes: time, version and content.
     confirmed: Vec<(Duration, u64, u64)>,
-    /// Ordered: by number and content since when, and whether it was ever refused.
-    ordered: BTreeMap<(u64, u64), (Duration, bool)>,
+    /// Requested changes by version and content: the time of the first request, and whether any request was rejected
+    /// with a 4xx status.
+    requested: BTreeMap<(u64, u64), (Duration, bool)>,
 }
 
-impl Record {
-    /// The number that stands at least, as confirmed by then.
-    fn least(&self, by: Duration) -> u64 {
-        let before = self.confirmed.iter().filter(|(at, ..)| *at <= by);
-        before.map(|(_, version, _)| *version).max().unwrap_or_default()
+impl ItemRecord {
+    /// The highest version that was confirmed by the given time. Anything older is a lost update.
+    fn min_version(&self, by: Duration) -> u64 {
+        let earlier = self.confirmed.iter().filter(|(at, ..)| *at <= by);
+        earlier.map(|(_, version, _)| *version).max().unwrap_or_default()
     }
 
-    /// What is seen was ordered before, and was not refused.
-    fn is_known(&self, seen: (u64, u64), by: Duration) -> Result<(), &'static str> {
-        match self.ordered.get(&seen) {
-            Some((_, true)) => Err("refused"),
-            Some((asked, _)) if *asked <= by => Ok(()),
-            _ => Err("never ordered"),
+    /// Checks that an observed change had been requested by the given time and was never rejected.
+    fn check_requested(&self, observed: (u64, u64), by: Duration) -> Result<(), &'static str> {
+        match self.requested.get(&observed) {
+            Some((_, true)) => Err("rejected"),
+            Some((started, _)) if *started <= by => Ok(()),
+            _ => Err("never requested"),
         }
     }
 
-    /// The number that an absent item has at least, if it may be absent: it was dropped.
-    fn dropped(&self, least: u64, by: Duration) -> Option<u64> {
-        let drops = self.ordered.iter().filter(|((_, content), (asked, _))| *content == 0 && *asked <= by);
-        drops.map(|((version, _), _)| *version).find(|version| *version >= least)
+    /// The version of a removal that explains why an item is absent, if one was requested with at least
+    /// `min_version`.
+    fn removed_version(&self, min_version: u64, by: Duration) -> Option<u64> {
+        let removals =
+            self.requested.iter().filter(|((_, content), (started, _))| *content == 0 && *started <= by);
+        removals.map(|((version, _), _)| *version).find(|version| *version >= min_version)
     }
 
-    /// The number that stands at least, judged by what is seen; or what is wrong.
-    fn stands(&self, seen: Option<(u64, u64)>, least: u64, by: Duration) -> Result<u64, String> {
-        match seen {
-            None if least == 0 => Ok(0),
-            None => self.dropped(least, by).ok_or(format!("is gone, r{least} stood")),
-            Some((version, _)) if version < least => Err(format!("is r{version}, r{least} stood")),
-            Some(seen) => match self.is_known(seen, by) {
-                Ok(()) => Ok(seen.0),
-                Err(why) => Err(format!("is {seen:?}, which was {why}")),
+    /// Checks an observed item, `None` if absent, against the lowest version allowed. Returns the observed version,
+    /// or what is wrong.
+    fn check_observed(
+        &self,
+        observed: Option<(u64, u64)>,
+        min_version: u64,
+        by: Duration,
+    ) -> Result<u64, String> {
+        match observed {
+            None if min_version == 0 => Ok(0),
+            None => self
+                .removed_version(min_version, by)
+                .ok_or(format!("is absent, expected at least r{min_version}")),
+            Some((version, _)) if version < min_version => {
+                Err(format!("is r{version}, expected at least r{min_version}"))
+            }
+            Some(observed) => match self.check_requested(observed, by) {
+                Ok(()) => Ok(observed.0),
+                Err(reason) => Err(format!("is {observed:?}, which was {reason}")),
             },
         }
     }
 }
 
 impl History {
-    /// A number that stands for all of it.
+    /// A hash of the whole history. Two runs of one seed must have the same.
     pub fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.hash(&mut hasher);
         hasher.finish()
     }
 
-    /// All that should not be.
-    pub fn faults(&self) -> Vec<String> {
+    /// Describes each violated rule; empty for a correct run.
+    pub fn violations(&self) -> Vec<String> {
         let records = self.records();
-        let mut faults = self.at_once.clone();
-        self.check_answers(&records, &mut faults);
-        self.check_contents(&records, &mut faults);
-        self.check_reads(&records, &mut faults);
-        self.check_gateways(&records, &mut faults);
-        self.check_holders(&mut faults);
-        self.check_quota(&mut faults);
-        self.check_drains(&mut faults);
-        faults
+        let mut violations = self.run_violations.clone();
+        self.check_answers(&records, &mut violations);
+        self.check_contents(&records, &mut violations);
+        self.check_reads(&records, &mut violations);
+        self.check_gateways(&records, &mut violations);
+        self.check_holders(&mut violations);
+        self.check_quota(&mut violations);
+        self.check_drains(&mut violations);
+        violations
     }
 
-    /// How many orders were confirmed.
-    pub fn confirmed_orders(&self) -> usize {
-        let sure = self.attempts.iter().filter(|attempt| attempt.status == Some(200));
-        sure.map(|attempt| attempt.order).collect::<BTreeSet<_>>().len()
+    /// The number of distinct changes that were confirmed.
+    pub fn confirmed_changes(&self) -> usize {
+        let confirmed = self.attempts.iter().filter(|attempt| attempt.status == Some(200));
+        confirmed.map(|attempt| attempt.change).collect::<BTreeSet<_>>().len()
     }
 
-    fn records(&self) -> BTreeMap<&str, Record> {
-        let mut all: BTreeMap<&str, Record> = BTreeMap::new();
+    fn records(&self) -> BTreeMap<&str, ItemRecord> {
+        let mut records: BTreeMap<&str, ItemRecord> = BTreeMap::new();
         for attempt in &self.attempts {
-            let Order { item, version, content, .. } = &self.orders[attempt.order];
-            let record = all.entry(item).or_default();
+            let ConfigChange { item, version, content, .. } = &self.changes[attempt.change];
+            let record = records.entry(item).or_default();
             if attempt.status == Some(200) {
-                record.confirmed.push((attempt.answered, *version, *content));
+                record.confirmed.push((attempt.finished, *version, *content));
             }
-            let ordered = record.ordered.entry((*version, *content)).or_insert((attempt.asked, false));
-            ordered.0 = ordered.0.min(attempt.asked);
-            ordered.1 |= attempt.status.is_some_and(|status| (400..500).contains(&status));
+            let requested = record.requested.entry((*version, *content)).or_insert((attempt.started, false));
+            requested.0 = requested.0.min(attempt.started);
+            requested.1 |= attempt.status.is_some_and(|status| (400..500).contains(&status));
         }
-        all
+        records
     }
 
-    fn check_answers(&self, records: &BTreeMap<&str, Record>, faults: &mut Vec<String>) {
+    fn check_answers(&self, records: &BTreeMap<&str, ItemRecord>, violations: &mut Vec<String>) {
         for attempt in &self.attempts {
-            let order = &self.orders[attempt.order];
-            let record = &records[order.item.as_str()];
-            let told = |what: &str| format!("{what}: {order:?} at {} in {:?}", attempt.at, attempt.asked);
+            let change = &self.changes[attempt.change];
+            let record = &records[change.item.as_str()];
+            let describe = |problem: &str| {
+                format!("{problem}: {change:?} at {}, sent at {:?}", attempt.member, attempt.started)
+            };
             match attempt.status {
                 Some(200 | 503) => {}
-                None if attempt.reachable => faults.push(told("no answer in time")),
+                None if attempt.was_reachable => violations.push(describe("no reply in time")),
                 None => {}
                 Some(409) => {
-                    let same_number = record.ordered.range((order.version, 0)..=(order.version, u64::MAX));
-                    let mut rivals = same_number.filter(|((_, content), _)| *content != order.content);
-                    if !rivals.any(|(_, (asked, _))| *asked < attempt.answered) {
-                        faults.push(told("refused without a rival"));
+                    let same_version =
+                        record.requested.range((change.version, 0)..=(change.version, u64::MAX));
+                    let mut rivals = same_version.filter(|((_, content), _)| *content != change.content);
+                    if !rivals.any(|(_, (started, _))| *started < attempt.finished) {
+                        violations.push(describe("conflict without a rival"));
                     }
-                    let same = |(_, version, content): &(Duration, u64, u64)| {
-                        (*version, *content) == (order.version, order.content)
+                    let is_same = |(_, version, content): &(Duration, u64, u64)| {
+                        (*version, *content) == (change.version, change.content)
                     };
-                    if record.confirmed.iter().any(same) {
-                        faults.push(told("confirmed and refused"));
+                    if record.confirmed.iter().any(is_same) {
+                        violations.push(describe("confirmed and rejected"));
                     }
                 }
-                // Somebody else's key: whoever has it may have had it then.
-                Some(400) if self.has_rival_for_key(order, attempt.answered) => {}
-                Some(status) => faults.push(told(&format!("answered {status}"))),
+                // The key may have belonged to another tenant at that time.
+                Some(400) if self.has_rival_for_key(change, attempt.finished) => {}
+                Some(status) => violations.push(describe(&format!("unexpected status {status}"))),
             }
         }
     }
 
-    /// Another tenant's order for the same key was under way, or had come, by then.
-    fn has_rival_for_key(&self, order: &Order, by: Duration) -> bool {
-        let rival = |other: &Order| other.key == order.key && other.item != order.item && other.content != 0;
-        self.attempts.iter().any(|attempt| attempt.asked < by && rival(&self.orders[attempt.order]))
+    /// Whether another tenant's request for the same key had been sent by the given time.
+    fn has_rival_for_key(&self, change: &ConfigChange, by: Duration) -> bool {
+        let rival = |other: &ConfigChange| {
+            other.api_key == change.api_key && other.item != change.item && other.content != 0
+        };
+        self.attempts.iter().any(|attempt| attempt.started < by && rival(&self.changes[attempt.change]))
     }
 
-    /// Under one number of an item there is one content, wherever it is seen.
-    fn check_contents(&self, records: &BTreeMap<&str, Record>, faults: &mut Vec<String>) {
+    /// One version of an item has one content, in confirmations, reads and gateways alike.
+    fn check_contents(&self, records: &BTreeMap<&str, ItemRecord>, violations: &mut Vec<String>) {
         let mut known: BTreeMap<(&str, u64), u64> = BTreeMap::new();
-        let mut see = |item, version, content, how: &str| {
+        let mut check = |item, version, content, source: &str| {
             let first = *known.entry((item, version)).or_insert(content);
             if first != content {
-                let what = format!("{item} r{version}: {first}, then {how} {content}");
-                faults.push(format!("two contents under one number: {what}"));
+                violations.push(format!(
+                    "two contents of one version: {item} r{version}: {first}, then {source} {content}"
+                ));
             }
         };
         for (item, record) in records {
-            record.confirmed.iter().for_each(|(_, v, content)| see(*item, *v, *content, "confirmed"));
+            record
+                .confirmed
+                .iter()
+                .for_each(|(_, version, content)| check(*item, *version, *content, "confirmed"));
         }
         for (item, (version, content)) in self.reads.iter().flat_map(|read| &read.items) {
-            see(item, *version, *content, "read");
+            check(item, *version, *content, "read");
         }
-        for (item, (version, content)) in self.in_force.iter().flat_map(|seen| &seen.items) {
-            see(item, *version, *content, "in force");
+        for (item, (version, content)) in self.gateway_samples.iter().flat_map(|sample| &sample.items) {
+            check(item, *version, *content, "in effect");
         }
     }
 
-    /// A read tells all that was confirmed, and all that was read, before it was asked.
-    fn check_reads(&self, records: &BTreeMap<&str, Record>, faults: &mut Vec<String>) {
+    /// A read returns at least what had been confirmed or read before it started.
+    fn check_reads(&self, records: &BTreeMap<&str, ItemRecord>, violations: &mut Vec<String>) {
         for (item, record) in records {
-            let mut told: Vec<(Duration, u64)> = Vec::new();
+            let mut earlier_reads: Vec<(Duration, u64)> = Vec::new();
             for read in &self.reads {
-                let before = told.iter().filter(|(at, _)| *at <= read.asked).map(|(_, version)| *version);
-                let least = before.max().unwrap_or_default().max(record.least(read.asked));
-                match record.stands(read.items.get(*item).copied(), least, read.answered) {
-                    Ok(version) => told.push((read.answered, version)),
-                    Err(why) => faults.push(format!("read at {} in {:?}: {item} {why}", read.at, read.asked)),
+                let earlier = earlier_reads.iter().filter(|(at, _)| *at <= read.started);
+                let last_read = earlier.map(|(_, version)| *version).max().unwrap_or_default();
+                let min_version = last_read.max(record.min_version(read.started));
+                match record.check_observed(read.items.get(*item).copied(), min_version, read.finished) {
+                    Ok(version) => earlier_reads.push((read.finished, version)),
+                    Err(problem) => violations.push(format!(
+                        "read at {}, sent at {:?}: {item} {problem}",
+                        read.member, read.started
+                    )),
                 }
             }
         }
     }
 
-    /// At a gateway nothing older comes into force in one life, nothing later than agreed on while it is in touch, and it
-    /// does not begin to serve with what is older.
-    fn check_gateways(&self, records: &BTreeMap<&str, Record>, faults: &mut Vec<String>) {
+    /// In one process of a gateway no item goes back to an older version. A gateway that is linked long enough, or
+    /// becomes ready, has every change confirmed at least [`APPLY_LIMIT`] earlier.
+    fn check_gateways(&self, records: &BTreeMap<&str, ItemRecord>, violations: &mut Vec<String>) {
         for (item, record) in records {
             let mut known: BTreeMap<(usize, u64), (u64, bool)> = BTreeMap::new();
-            for seen in &self.in_force {
-                let (version, ready) = known.entry((seen.gateway, seen.life)).or_default();
-                let begins = seen.ready && !std::mem::replace(ready, seen.ready);
-                let owed = begins || seen.in_touch >= APPLY;
-                let before = seen.at.checked_sub(APPLY).filter(|_| owed);
-                let owed = before.map_or(0, |before| record.least(before));
-                let at =
-                    |what, why| format!("{what} at gateway {} in {:?}: {item} {why}", seen.gateway, seen.at);
-                let there = seen.items.get(*item).copied();
-                match record.stands(there, *version, seen.at) {
-                    Ok(now) => *version = now,
-                    Err(why) => faults.push(at("back", why)),
+            for sample in &self.gateway_samples {
+                let (version, ready) = known.entry((sample.gateway, sample.incarnation)).or_default();
+                let becomes_ready = sample.ready && !std::mem::replace(ready, sample.ready);
+                let must_be_current = becomes_ready || sample.linked_to_one_for >= APPLY_LIMIT;
+                let confirmed_by = sample.time.checked_sub(APPLY_LIMIT).filter(|_| must_be_current);
+                let min_version = confirmed_by.map_or(0, |by| record.min_version(by));
+                let describe = |rule, problem| {
+                    format!("{rule}: gateway {} at {:?}: {item} {problem}", sample.gateway, sample.time)
+                };
+                let observed = sample.items.get(*item).copied();
+                match record.check_observed(observed, *version, sample.time) {
+                    Ok(newer) => *version = newer,
+                    Err(problem) => violations.push(describe("went back to an older version", problem)),
                 }
-                if let Err(why) = record.stands(there, owed, seen.at) {
-                    faults.push(at(if begins { "begins with old state" } else { "late" }, why));
+                if let Err(problem) = record.check_observed(observed, min_version, sample.time) {
+                    let rule = if becomes_ready { "became ready with old state" } else { "applied too late" };
+                    violations.push(describe(rule, problem));
                 }
             }
         }
     }
 
-    /// One holder at a time: once a later term was held, an earlier one is over.
-    fn check_holders(&self, faults: &mut Vec<String>) {
-        for early in &self.held {
-            let later = |later: &&Held| later.term > early.term && later.answered <= early.asked;
-            if let Some(later) = self.held.iter().find(later) {
-                faults.push(format!("two holders of the count: {early:?} after {later:?}"));
+    /// Only one registry holds the counter at a time: after a later term was reported, no earlier one is.
+    fn check_holders(&self, violations: &mut Vec<String>) {
+        for sample in &self.holder_samples {
+            let later = |later: &&HolderSample| later.term > sample.term && later.finished <= sample.started;
+            if let Some(later) = self.holder_samples.iter().find(later) {
+                violations.push(format!("two holders of the quota counter: {sample:?} after {later:?}"));
             }
         }
     }
 
-    /// In no window more was granted than the rules allow, whoever held the count.
-    fn check_quota(&self, faults: &mut Vec<String>) {
-        let ration = RATION as f64;
-        let quota = ration * QUOTA_WINDOW.as_secs_f64() + ration;
-        let allowed = quota * (1.0 + QUOTA_EXCESS) + QUOTA_EXTRA;
-        let mut granted = self.granted.clone();
-        granted.sort_unstable();
-        for (i, last) in granted.iter().enumerate() {
-            let first = granted.partition_point(|at| *at + QUOTA_WINDOW < *last);
+    /// In no window does the number of grants exceed what the rules allow, whichever registries granted them.
+    fn check_quota(&self, violations: &mut Vec<String>) {
+        let rate = QUOTA_RATE as f64;
+        let quota = rate * QUOTA_WINDOW.as_secs_f64() + rate;
+        let allowed = quota * (1.0 + QUOTA_EXCESS_RATIO) + QUOTA_EXTRA_REQUESTS;
+        let mut grants = self.quota_grants.clone();
+        grants.sort_unstable();
+        for (i, last) in grants.iter().enumerate() {
+            let first = grants.partition_point(|at| *at + QUOTA_WINDOW < *last);
             let count = i + 1 - first;
             if count as f64 > allowed {
-                faults.push(format!("quota passed: {count} granted until {last:?}, allowed {allowed}"));
+                violations.push(format!(
+                    "quota exceeded: {count} grants in the window until {last:?}, allowed {allowed}"
+                ));
                 return;
             }
         }
     }
 
-    /// A gateway in touch sends nothing to a backend that drains, and none begins to.
-    fn check_drains(&self, faults: &mut Vec<String>) {
+    /// A gateway linked to every member that reaches a majority stops routing to a draining backend within
+    /// [`DRAIN_LIMIT`]. No gateway becomes ready while it still routes to one that drained before.
+    fn check_drains(&self, violations: &mut Vec<String>) {
         let mut ready: BTreeMap<(usize, u64), bool> = BTreeMap::new();
-        for seen in &self.in_force {
-            let was = std::mem::replace(ready.entry((seen.gateway, seen.life)).or_default(), seen.ready);
-            let begins = seen.ready && !was;
-            if !begins && seen.in_full_touch < DRAIN {
+        for sample in &self.gateway_samples {
+            let was_ready = ready.entry((sample.gateway, sample.incarnation)).or_default();
+            let becomes_ready = !std::mem::replace(was_ready, sample.ready) && sample.ready;
+            if !becomes_ready && sample.linked_to_all_for < DRAIN_LIMIT {
                 continue;
             }
-            for id in &seen.backends {
-                let drained = self.drained.get(id).filter(|at| **at + DRAIN < seen.at);
-                if let Some(at) = drained {
-                    let how = if begins { "begins to send" } else { "sends" };
-                    let (gateway, now) = (seen.gateway, seen.at);
-                    faults.push(format!("gateway {gateway} {how} to {id} in {now:?}, drained in {at:?}"));
+            for id in &sample.backends {
+                let drained_at = self.drained_at.get(id).filter(|at| **at + DRAIN_LIMIT < sample.time);
+                if let Some(drained_at) = drained_at {
+                    let problem = if becomes_ready { "became ready while it routes" } else { "still routes" };
+                    let (gateway, now) = (sample.gateway, sample.time);
+                    violations.push(format!(
+                        "gateway {gateway} {problem} to {id} at {now:?}, drained at {drained_at:?}"
+                    ));
                 }
             }
         }
--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -1,9 +1,9 @@
-//! The machines of a control side and its gateways, played in one thread: the programs' own code over links, disks and
-//! lives that somebody else decides.
+//! The simulated machines: core machines, each with a configuration store, a registry and a disk, and gateways with
+//! their registry clients. The programs' own code runs here, in one thread.
 
-use crate::checker::{self, Items, RATIONED};
-use crate::network::Fabric;
-use crate::processes::{mount, Platter, Process};
+use crate::checker::{self, Items, QUOTA_TENANT};
+use crate::network::SimulatedNetwork;
+use crate::processes::{start_writer, Disk, Process};
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::{CustomerId, Listed, Micros, Outcome, ServiceId};
 use starlinghill_decision::bucket_name;
@@ -31,100 +31,102 @@
 use tokio::time::{sleep, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Where operators and backends call.
-const CONTROL: u16 = 7000;
-/// A machine that is new, or back, counts as lost for so long.
+/// The port on which registries serve operators and backends.
+const CONTROL_PORT: u16 = 7000;
+/// How long a new or returned machine counts as lost while it catches up.
 const SYNC_TIME: Duration = Duration::from_secs(4);
-/// The first of the system's own ports.
-const OWN: u16 = 7100;
-/// So many machines a settings file names.
-const SEEDS: usize = 3;
-/// How often a gateway draws, in milliseconds at most: all of them together far more than the quota gives.
-const DRAWS_MS: u64 = 60;
-
-/// A machine of the core: a store, a registry, a disk.
+/// The first of the ports that the machines use among themselves.
+const FIRST_INTERNAL_PORT: u16 = 7100;
+/// How many machines a settings file lists as seeds.
+const SEED_COUNT: usize = 3;
+/// The longest pause between two draws of a gateway, in milliseconds. All gateways together ask for far more than the
+/// quota.
+const MAX_DRAW_PAUSE_MS: u64 = 60;
+
+/// A core machine.
 pub struct Core {
     /// Its address.
     pub ip: IpAddr,
-    /// Its disk.
-    pub disk: Rc<RefCell<Platter>>,
-    /// Its store.
+    /// The store's disk.
+    pub disk: Rc<RefCell<Disk>>,
+    /// The process of its configuration store.
     pub store: RefCell<Process>,
-    /// Its registry.
+    /// The process of its registry.
     pub registry: RefCell<Process>,
-    /// The machine is there: it runs, or will run again.
-    pub is_there: Cell<bool>,
-    /// It was started before.
-    started: Cell<bool>,
-    /// Tells the store, and the registry, to end.
-    ends: RefCell<[Option<oneshot::Sender<()>>; 2]>,
+    /// Whether the machine exists at present. It may be powered off and still exist.
+    pub is_present: Cell<bool>,
+    /// Whether its store was started before. True from the beginning for spare machines, which join a running
+    /// cluster.
+    was_started: Cell<bool>,
+    /// Ask the store and the registry, in this order, to shut down in order.
+    stop_senders: RefCell<[Option<oneshot::Sender<()>>; 2]>,
 }
 
-/// A gateway: its news.
+/// A gateway machine, with the parts of the proxy that follow the registries.
 pub struct Gateway {
     /// Its address.
     pub ip: IpAddr,
-    /// Its process.
+    /// The process of its proxy.
     pub process: RefCell<Process>,
-    /// In which life.
-    pub life: Cell<u64>,
+    /// A random number that identifies the current process.
+    pub incarnation: Cell<u64>,
     shared: Rc<RefCell<Option<Rc<Shared>>>>,
-    /// The backends that it may send work to, by their ids.
-    listed: Rc<RefCell<BTreeSet<String>>>,
+    /// The ids of the backends that it may route requests to.
+    routable_backends: Rc<RefCell<BTreeSet<String>>>,
 }
 
-/// All of it.
-pub struct World {
-    /// The links.
-    pub fabric: Rc<Fabric>,
-    /// The core.
+/// All simulated machines and the network between them.
+pub struct Cluster {
+    /// The network between all machines.
+    pub network: Rc<SimulatedNetwork>,
+    /// The core machines, spare ones included.
     pub cores: Vec<Core>,
     /// The gateways.
     pub gateways: Vec<Gateway>,
-    /// What ended though nobody ended it.
-    pub ended: Rc<RefCell<Vec<String>>>,
-    /// When whoever keeps the count granted something.
-    pub granted: Rc<RefCell<Vec<Duration>>>,
-    begun: Instant,
+    /// Processes that ended without having been stopped, with their errors.
+    pub unexpected_exits: Rc<RefCell<Vec<String>>>,
+    /// When the counter granted a draw, counted from the start of the run.
+    pub quota_grants: Rc<RefCell<Vec<Duration>>>,
+    started: Instant,
 }
 
-/// An address of a machine.
-pub fn ip(kind: u8, i: usize) -> IpAddr {
+/// The address of a machine. Kinds: 0 core, 1 gateway, 2 operator, 3 backend.
+pub fn machine_ip(kind: u8, i: usize) -> IpAddr {
     IpAddr::from([10, 0, kind, i as u8 + 1])
 }
 
-impl World {
-    /// Machines that were never started: founders, addresses for core machines that come later, and gateways.
-    pub fn new(seed: u64, founders: usize, spares: usize, gateways: usize) -> World {
+impl Cluster {
+    /// Creates machines without starting them. Spare core machines are addresses for machines that join later.
+    pub fn new(seed: u64, initial_cores: usize, spare_cores: usize, gateways: usize) -> Cluster {
         let core = |i| Core {
-            ip: ip(0, i),
+            ip: machine_ip(0, i),
             disk: Rc::default(),
             store: RefCell::default(),
             registry: RefCell::default(),
-            is_there: Cell::new(i < founders),
-            started: Cell::new(i >= founders),
-            ends: RefCell::default(),
+            is_present: Cell::new(i < initial_cores),
+            was_started: Cell::new(i >= initial_cores),
+            stop_senders: RefCell::default(),
         };
         let gateway = |i| Gateway {
-            ip: ip(1, i),
+            ip: machine_ip(1, i),
             process: RefCell::default(),
-            life: Cell::new(0),
+            incarnation: Cell::new(0),
             shared: Rc::default(),
-            listed: Rc::default(),
+            routable_backends: Rc::default(),
         };
-        World {
-            fabric: Fabric::new(seed),
-            cores: (0..founders + spares).map(core).collect(),
+        Cluster {
+            network: SimulatedNetwork::new(seed),
+            cores: (0..initial_cores + spare_cores).map(core).collect(),
             gateways: (0..gateways).map(gateway).collect(),
-            ended: Rc::default(),
-            granted: Rc::default(),
-            begun: Instant::now(),
+            unexpected_exits: Rc::default(),
+            quota_grants: Rc::default(),
+            started: Instant::now(),
         }
     }
 
-    fn node(&self, ip: IpAddr, first_start: bool) -> NodeSettings {
-        let there = self.cores.iter().filter(|core| core.is_there.get());
-        let seeds = there.map(|core| SocketAddr::new(core.ip, CONTROL)).take(SEEDS).collect();
+    fn node_settings(&self, ip: IpAddr, first_start: bool) -> NodeSettings {
+        let present = self.cores.iter().filter(|core| core.is_present.get());
+        let seeds = present.map(|core| SocketAddr::new(core.ip, CONTROL_PORT)).take(SEED_COUNT).collect();
         NodeSettings {
             name: ip.to_string(),
             ip,
@@ -133,255 +135,267 @@
             data_dir: None,
             memory_mb: 256,
             open_files: 2048,
-            local_ports: (OWN, OWN + 9),
+            local_ports: (FIRST_INTERNAL_PORT, FIRST_INTERNAL_PORT + 9),
             seeds,
             front: None,
             ready: None,
-            control: Some(SocketAddr::new(ip, CONTROL)),
-            beat: checker::BEAT,
+            control: Some(SocketAddr::new(ip, CONTROL_PORT)),
+            beat: checker::HEARTBEAT_INTERVAL,
             bounds: Bounds {
-                drain: checker::DRAIN,
-                apply: checker::APPLY,
+                drain: checker::DRAIN_LIMIT,
+                apply: checker::APPLY_LIMIT,
                 sync_time: SYNC_TIME,
                 grace: Duration::from_secs(6),
                 retry_ratio: 0.2,
                 retry_extra: 62.0,
                 quota_window: checker::QUOTA_WINDOW,
-                quota_excess: checker::QUOTA_EXCESS,
-                quota_extra: checker::QUOTA_EXTRA,
+                quota_excess: checker::QUOTA_EXCESS_RATIO,
+                quota_extra: checker::QUOTA_EXTRA_REQUESTS,
             },
         }
     }
 
     fn net(&self, ip: IpAddr) -> NetworkHandle {
-        self.fabric.at(ip)
+        self.network.handle_for(ip)
     }
 
-    /// Where a registry takes calls from outside.
-    pub fn control(&self, core: usize) -> SocketAddr {
-        SocketAddr::new(self.cores[core].ip, CONTROL)
+    /// The address on which a registry serves operators and backends.
+    pub fn control_address(&self, core: usize) -> SocketAddr {
+        SocketAddr::new(self.cores[core].ip, CONTROL_PORT)
     }
 
-    /// Where a registry takes calls of the system itself.
-    pub fn own(&self, core: usize) -> SocketAddr {
-        SocketAddr::new(self.cores[core].ip, OWN + REGISTRY_PORT_OFFSET)
+    /// The address on which a registry serves other machines of the system.
+    pub fn registry_address(&self, core: usize) -> SocketAddr {
+        SocketAddr::new(self.cores[core].ip, FIRST_INTERNAL_PORT + REGISTRY_PORT_OFFSET)
     }
 
-    /// Where a store takes calls of the system itself.
-    pub fn store(&self, core: usize) -> SocketAddr {
-        SocketAddr::new(self.cores[core].ip, OWN + CONFIG_STORE_PORT_OFFSET)
+    /// The address on which a store serves other machines of the system.
+    pub fn store_address(&self, core: usize) -> SocketAddr {
+        SocketAddr::new(self.cores[core].ip, FIRST_INTERNAL_PORT + CONFIG_STORE_PORT_OFFSET)
     }
 
-    /// The core machines that are there.
-    pub fn there(&self) -> Vec<usize> {
-        (0..self.cores.len()).filter(|i| self.cores[*i].is_there.get()).collect()
+    /// The indexes of the core machines that exist at present.
+    pub fn present_cores(&self) -> Vec<usize> {
+        (0..self.cores.len()).filter(|i| self.cores[*i].is_present.get()).collect()
     }
 
-    /// Has a process note where it ends by itself.
-    fn watched<E: std::fmt::Display>(
+    /// Runs a program and records its error if it ends on its own.
+    fn spawn_watched<E: std::fmt::Display>(
         &self,
-        what: String,
-        run: impl std::future::Future<Output = Result<(), E>> + 'static,
+        name: String,
+        program: impl std::future::Future<Output = Result<(), E>> + 'static,
     ) -> Process {
-        let ended = self.ended.clone();
-        Process::begin(async move {
-            if let Err(error) = run.await {
-                ended.borrow_mut().push(format!("{what} ended: {error}"));
+        let exits = self.unexpected_exits.clone();
+        Process::spawn(async move {
+            if let Err(error) = program.await {
+                exits.borrow_mut().push(format!("{name} ended: {error}"));
             }
         })
     }
 
-    /// Starts a store that does not run.
+    /// Starts the store if the machine exists and the store is not running.
     pub fn start_store(&self, i: usize) {
         let core = &self.cores[i];
-        if core.store.borrow().is_alive() || !core.is_there.get() {
+        if core.store.borrow().is_alive() || !core.is_present.get() {
             return;
         }
-        let (node, net) = (self.node(core.ip, !core.started.replace(true)), self.net(core.ip));
+        let (node, net) = (self.node_settings(core.ip, !core.was_started.replace(true)), self.net(core.ip));
         let disk = core.disk.clone();
-        let found = disk.borrow().found();
-        let (end, ends) = oneshot::channel();
-        core.ends.borrow_mut()[0] = Some(end);
-        let run = async move {
-            // Nobody sends it SIGHUP.
-            let (_told, reread) = watch::channel(None);
-            run_store(&node, &net, reread, found, mount(disk), async move { drop(ends.await) }).await
+        let stored = disk.borrow().stored_state();
+        let (stop, stopped) = oneshot::channel();
+        core.stop_senders.borrow_mut()[0] = Some(stop);
+        let program = async move {
+            // No SIGHUP is simulated, so the settings are never read again.
+            let (_sender, settings_changes) = watch::channel(None);
+            run_store(&node, &net, settings_changes, stored, start_writer(disk), async move {
+                drop(stopped.await)
+            })
+            .await
         };
-        *core.store.borrow_mut() = self.watched(format!("store {i}"), run);
+        *core.store.borrow_mut() = self.spawn_watched(format!("store {i}"), program);
     }
 
-    /// Starts a registry that does not run; `first`: the whole system starts.
-    pub fn start_registry(&self, i: usize, first: bool) {
+    /// Starts the registry if the machine exists and the registry is not running. `first_start` is set when the whole
+    /// system starts.
+    pub fn start_registry(&self, i: usize, first_start: bool) {
         let core = &self.cores[i];
-        if core.registry.borrow().is_alive() || !core.is_there.get() {
+        if core.registry.borrow().is_alive() || !core.is_present.get() {
             return;
         }
-        let (node, net) = (self.node(core.ip, first), self.net(core.ip));
-        let (end, ends) = oneshot::channel();
-        core.ends.borrow_mut()[1] = Some(end);
-        let run = async move {
-            let ended = async move { drop(ends.await) };
-            registry(&node, &net, ended).await
+        let (node, net) = (self.node_settings(core.ip, first_start), self.net(core.ip));
+        let (stop, stopped) = oneshot::channel();
+        core.stop_senders.borrow_mut()[1] = Some(stop);
+        let program = async move {
+            let stopped = async move { drop(stopped.await) };
+            registry(&node, &net, stopped).await
         };
-        *core.registry.borrow_mut() = self.watched(format!("registry {i}"), run);
+        *core.registry.borrow_mut() = self.spawn_watched(format!("registry {i}"), program);
     }
 
-    /// Starts all that does not run on a machine of the core.
+    /// Starts the programs of a core machine that are not running.
     pub fn start_core(&self, i: usize) {
         self.start_store(i);
         self.start_registry(i, false);
     }
 
-    /// Kills a store; what it was writing is there afterwards, or not.
-    pub fn kill_store(&self, i: usize, there: bool) {
+    /// Kills the store. `write_survives` decides whether an unsynced write is on the disk afterwards.
+    pub fn kill_store(&self, i: usize, write_survives: bool) {
         self.cores[i].store.borrow().kill();
-        self.cores[i].disk.borrow_mut().settle(there);
+        self.cores[i].disk.borrow_mut().settle_pending(write_survives);
     }
 
-    /// Tells a registry to end in order.
-    pub fn end_registry(&self, i: usize) {
-        self.end(i, 1);
+    /// Asks a registry to shut down in order.
+    pub fn stop_registry(&self, i: usize) {
+        self.stop(i, 1);
     }
 
-    /// Tells a store to end in order.
-    pub fn end_store(&self, i: usize) {
-        self.end(i, 0);
+    /// Asks a store to shut down in order.
+    pub fn stop_store(&self, i: usize) {
+        self.stop(i, 0);
     }
 
-    fn end(&self, i: usize, which: usize) {
-        if let Some(end) = self.cores[i].ends.borrow_mut()[which].take() {
-            // It may be dead.
-            let _ = end.send(());
+    fn stop(&self, i: usize, program: usize) {
+        if let Some(stop) = self.cores[i].stop_senders.borrow_mut()[program].take() {
+            // The program may have been killed already.
+            let _ = stop.send(());
         }
     }
 
-    /// A machine of the core goes for good, and its disk with it.
-    pub fn remove(&self, i: usize) {
+    /// Removes a core machine for good, with its disk.
+    pub fn remove_machine(&self, i: usize) {
         self.power_off(i, false);
         self.cores[i].disk.borrow_mut().wipe();
-        self.cores[i].is_there.set(false);
+        self.cores[i].is_present.set(false);
     }
 
-    /// One comes with an empty disk, at an address that no other one has now.
-    pub fn come(&self, i: usize) {
-        self.cores[i].is_there.set(true);
+    /// Adds a machine with an empty disk at an address that is not in use.
+    pub fn add_machine(&self, i: usize) {
+        self.cores[i].is_present.set(true);
         self.power_on(i);
     }
 
-    /// Takes the power from a machine of the core.
-    pub fn power_off(&self, i: usize, there: bool) {
-        self.fabric.power_off(self.cores[i].ip);
+    /// Cuts the power of a core machine. `write_survives` decides whether an unsynced write is on the disk
+    /// afterwards.
+    pub fn power_off(&self, i: usize, write_survives: bool) {
+        self.network.power_off(self.cores[i].ip);
         self.cores[i].registry.borrow().kill();
-        self.kill_store(i, there);
+        self.kill_store(i, write_survives);
     }
 
-    /// Gives it back.
+    /// Restores the power and starts the programs.
     pub fn power_on(&self, i: usize) {
-        self.fabric.power_on(self.cores[i].ip);
+        self.network.power_on(self.cores[i].ip);
         self.start_core(i);
     }
 
-    /// A machine of the core runs, both programs, with a disk that writes, and takes itself for a member.
-    pub fn is_well(&self, i: usize) -> bool {
+    /// Whether both programs run, the disk accepts writes, and the stored state lists the machine itself as a member.
+    pub fn is_healthy(&self, i: usize) -> bool {
         let core = &self.cores[i];
         let disk = core.disk.borrow();
-        core.store.borrow().is_awake()
-            && core.registry.borrow().is_awake()
+        core.store.borrow().is_responsive()
+            && core.registry.borrow().is_responsive()
             && !disk.is_stalled()
-            && !disk.refuses
-            && disk.kept().is_some_and(|kept| kept.members.contains(kept.me))
+            && !disk.rejects_writes
+            && disk.acceptor_state().is_some_and(|acceptor| acceptor.members.contains(acceptor.me))
     }
 
-    /// The newest members of which a disk says that they were agreed on.
-    pub fn members(&self) -> Members {
+    /// The members of the highest epoch that is stored on any disk.
+    pub fn latest_members(&self) -> Members {
         let mut newest = Members::default();
         for core in &self.cores {
             let disk = core.disk.borrow();
-            let Some(kept) = disk.kept() else { continue };
-            if newest.voters.is_empty() || kept.members.epoch > newest.epoch {
-                newest = kept.members.clone();
+            let Some(acceptor) = disk.acceptor_state() else { continue };
+            if newest.voters.is_empty() || acceptor.members.epoch > newest.epoch {
+                newest = acceptor.members.clone();
             }
         }
         newest
     }
 
-    /// Of these members a disk is there.
-    fn has_disk(&self, members: &Members, i: usize) -> bool {
-        self.cores[i].disk.borrow().kept().is_some_and(|kept| members.contains(kept.me))
+    /// Whether the disk belongs to one of these members.
+    fn holds_member_disk(&self, members: &Members, i: usize) -> bool {
+        self.cores[i].disk.borrow().acceptor_state().is_some_and(|acceptor| members.contains(acceptor.me))
     }
 
-    /// All disks hold what their members promised, and a majority knows that they are members: one more may be lost.
-    pub fn is_whole(&self) -> bool {
-        let members = self.members();
-        let all = || (0..self.cores.len()).filter(|i| self.has_disk(&members, *i));
-        let knows = |i: &usize| {
-            self.cores[*i].disk.borrow().kept().is_some_and(|kept| kept.members.epoch == members.epoch)
+    /// Whether every voter still has its disk and a majority has stored the current epoch. Only then can one more
+    /// disk be lost safely.
+    pub fn is_fully_replicated(&self) -> bool {
+        let members = self.latest_members();
+        let holders = || (0..self.cores.len()).filter(|i| self.holds_member_disk(&members, *i));
+        let is_current = |i: &usize| {
+            self.cores[*i]
+                .disk
+                .borrow()
+                .acceptor_state()
+                .is_some_and(|acceptor| acceptor.members.epoch == members.epoch)
         };
-        let (voters, disks, know) = (members.voters.len(), all().count(), all().filter(knows).count());
-        disks == voters && know > voters / 2
+        let (voters, disks) = (members.voters.len(), holders().count());
+        disks == voters && holders().filter(is_current).count() > voters / 2
     }
 
-    /// Messages pass both ways.
-    pub fn linked(&self, a: IpAddr, b: IpAddr) -> bool {
-        self.fabric.is_up(a, b) && self.fabric.is_up(b, a)
+    /// Whether messages pass in both directions.
+    pub fn is_linked(&self, a: IpAddr, b: IpAddr) -> bool {
+        self.network.can_reach(a, b) && self.network.can_reach(b, a)
     }
 
-    /// A well member of the core that reaches so many others that they are a majority.
-    pub fn has_majority(&self, i: usize) -> bool {
-        let members = self.members();
-        let well = |j: usize| self.has_disk(&members, j) && self.is_well(j);
+    /// Whether a member is healthy and reaches, with itself, a majority of healthy voters.
+    pub fn reaches_majority(&self, i: usize) -> bool {
+        let members = self.latest_members();
+        let is_voting = |j: usize| self.holds_member_disk(&members, j) && self.is_healthy(j);
         let reached = (0..self.cores.len())
-            .filter(|j| well(*j) && (*j == i || self.linked(self.cores[i].ip, self.cores[*j].ip)));
-        well(i) && reached.count() > members.voters.len() / 2
+            .filter(|j| is_voting(*j) && (*j == i || self.is_linked(self.cores[i].ip, self.cores[*j].ip)));
+        is_voting(i) && reached.count() > members.voters.len() / 2
     }
 
-    /// Starts a gateway that does not run.
+    /// Starts the gateway if it is not running.
     pub fn start_gateway(&self, i: usize) {
         let gateway = &self.gateways[i];
         if gateway.process.borrow().is_alive() {
             return;
         }
-        let life = fastrand::u64(1..);
-        gateway.life.set(life);
+        let incarnation = fastrand::u64(1..);
+        gateway.incarnation.set(incarnation);
         *gateway.shared.borrow_mut() = None;
-        gateway.listed.borrow_mut().clear();
-        let listed = gateway.listed.clone();
-        let (node, net, slot) = (self.node(gateway.ip, false), self.net(gateway.ip), gateway.shared.clone());
-        let (granted, begun, ended) = (self.granted.clone(), self.begun, self.ended.clone());
-        *gateway.process.borrow_mut() = Process::begin(async move {
-            let (_stop, stopping) = watch::channel(false);
+        gateway.routable_backends.borrow_mut().clear();
+        let routable_backends = gateway.routable_backends.clone();
+        let (node, net, shared_slot) =
+            (self.node_settings(gateway.ip, false), self.net(gateway.ip), gateway.shared.clone());
+        let (quota_grants, started, exits) =
+            (self.quota_grants.clone(), self.started, self.unexpected_exits.clone());
+        *gateway.process.borrow_mut() = Process::spawn(async move {
+            let (_sender, stopping) = watch::channel(false);
             let view = View { table: RoutingTable::default(), places: Places::default(), gateways: 1 };
             let shared =
                 Rc::new(Shared { view: RefCell::new(view), ready: watch::channel(false).0, stopping });
-            *slot.borrow_mut() = Some(shared.clone());
-            let (holder, held) = registry_client::nowhere();
+            *shared_slot.borrow_mut() = Some(shared.clone());
+            let (holder, holder_updates) = registry_client::nowhere();
             let essentials = EssentialTasks::default();
-            let counter = Counter::start(net.clone(), life, held, &essentials);
-            // What the module would hear of it.
+            let counter = Counter::start(net.clone(), incarnation, holder_updates, &essentials);
+            // The messages that the decision module would receive.
             let (driver, mut inputs) = mpsc::channel(64);
             let clock = Clock::from(Micros(100_000_000));
-            let ring = Rc::new(Ring::new(node.port(node.ip, PROXY_PORT_OFFSET), life));
-            spawn_local(draw(counter.clone(), granted, begun));
+            let ring = Rc::new(Ring::new(node.port(node.ip, PROXY_PORT_OFFSET), incarnation));
+            spawn_local(draw_from_quota(counter.clone(), quota_grants, started));
             let ways = Ways { net, driver, clock, counter, holder, ring };
-            registry_client::start(&node, shared, ways, life, &essentials);
+            registry_client::start(&node, shared, ways, incarnation, &essentials);
             while let Some(input) = inputs.recv().await {
                 let Input::Backends(_, listings) = input else { continue };
                 for Listing { entry, name, .. } in listings {
                     let id = name.to_str().unwrap_or_default().to_string();
                     match entry.listed {
-                        Listed::InService => listed.borrow_mut().insert(id),
-                        _ => listed.borrow_mut().remove(&id),
+                        Listed::InService => routable_backends.borrow_mut().insert(id),
+                        _ => routable_backends.borrow_mut().remove(&id),
                     };
                 }
             }
-            ended.borrow_mut().push(format!("gateway {i} ended: nobody follows the registries any more"));
+            exits.borrow_mut().push(format!("gateway {i} ended: its registry client stopped"));
         });
     }
 
-    /// Whether a gateway serves, and what is in force there; nothing where it does not run.
-    pub fn in_force(&self, i: usize) -> Option<(bool, Items)> {
+    /// Whether a gateway is ready, and its configuration; `None` if it does not run.
+    pub fn gateway_state(&self, i: usize) -> Option<(bool, Items)> {
         let gateway = &self.gateways[i];
-        if !gateway.process.borrow().is_awake() {
+        if !gateway.process.borrow().is_responsive() {
             return None;
         }
         let shared = gateway.shared.borrow();
@@ -394,8 +408,8 @@
         Some((ready, view.table.tenants.iter().map(item).collect()))
     }
 
-    /// No two tenants hold one key at a gateway.
-    pub fn has_keys_apart(&self, i: usize) -> bool {
+    /// Whether the tenants at a gateway all have different keys.
+    pub fn has_distinct_keys(&self, i: usize) -> bool {
         let shared = self.gateways[i].shared.borrow();
         shared.as_ref().is_none_or(|shared| {
             let view = shared.view.borrow();
@@ -404,20 +418,20 @@
         })
     }
 
-    /// The backends that a gateway may send work to.
-    pub fn listed(&self, i: usize) -> BTreeSet<String> {
-        self.gateways[i].listed.borrow().clone()
+    /// The ids of the backends that a gateway may route requests to.
+    pub fn routable_backends(&self, i: usize) -> BTreeSet<String> {
+        self.gateways[i].routable_backends.borrow().clone()
     }
 }
 
-/// Draws from the tenant with a quota as often as clients who want far more, one draw after the other.
-async fn draw(counter: Rc<Counter>, granted: Rc<RefCell<Vec<Duration>>>, begun: Instant) {
-    let name = bucket_name(CustomerId(xxh3_64(RATIONED.as_bytes())));
+/// Draws from the quota of the limited tenant, one draw after the other, and records the grants.
+async fn draw_from_quota(counter: Rc<Counter>, quota_grants: Rc<RefCell<Vec<Duration>>>, started: Instant) {
+    let name = bucket_name(CustomerId(xxh3_64(QUOTA_TENANT.as_bytes())));
     loop {
-        sleep(Duration::from_millis(fastrand::u64(1..=DRAWS_MS))).await;
-        let counted = counter.clone().draw(name, 1.0, (ServiceId(0), Micros(1_000_000))).await;
-        if counted.outcome == Outcome::Ok && counted.total >= 0.0 {
-            granted.borrow_mut().push(begun.elapsed());
+        sleep(Duration::from_millis(fastrand::u64(1..=MAX_DRAW_PAUSE_MS))).await;
+        let result = counter.clone().draw(name, 1.0, (ServiceId(0), Micros(1_000_000))).await;
+        if result.outcome == Outcome::Ok && result.total >= 0.0 {
+            quota_grants.borrow_mut().push(started.elapsed());
         }
     }
 }
--- a/crates/starlinghill-simulator/src/fleet.rs
+++ b/crates/starlinghill-simulator/src/fleet.rs
@@ -1,7 +1,8 @@
-//! A fleet of gateways' decisions and one counter in simulated time: messages take time, gateways stand still, are cut off
-//! or started again, and the count moves. What went on to backends is held against the rules of one tenant's quota.
+//! Simulates the request decisions of many gateways with one quota counter, to check how far one tenant can exceed
+//! its quota. Messages take time; gateways are paused, cut off or restarted, and the counter moves.
 //!
-//! Decisions, the gateways' side of the count and the counter are the real ones; connections are simulated here.
+//! The decision module, the quota client and the counter are the real ones; connections are simulated here. Times are
+//! in microseconds unless a type or a name says otherwise.
 
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
@@ -11,105 +12,113 @@
 use starlinghill_runtime::settings::Bounds;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
+use std::ops::Range;
 use std::time::Duration;
 
-/// The tenant's quota: units a second, and at once.
+/// The tenant's quota, in requests per second.
 pub const RATE: f64 = 100.0;
-/// The same.
+/// How many requests the quota allows at once.
 pub const BURST: f64 = 100.0;
-const EXCESS: f64 = 0.1;
-const EXTRA: f64 = 20.0;
+const EXCESS_RATIO: f64 = 0.1;
+const EXTRA_REQUESTS: f64 = 20.0;
 const WINDOW: Duration = Duration::from_secs(5);
 const CUSTOMER: CustomerId = CustomerId(5);
+/// The time within which a request must be answered.
+const REQUEST_DEADLINE_US: u64 = 2_000_000;
 const SERVERS: u64 = 8;
-/// Where the clocks begin.
-const BEGINNING: u64 = 100_000_000;
-/// A connection on which no answer comes for so long is given up, as the proxy's line to the counter does.
-const SILENCE: u64 = 450_000;
-/// A gateway that is gone is known to be after so long.
-const DEAD_AFTER: u64 = 2_200_000;
-const ON_THE_WAY: u64 = 1_000;
-/// Debts are told so long after they were made, or with the next draw.
-const TELL: u64 = 20_000;
-
-/// What the rules allow in one window.
-pub fn allowed() -> f64 {
-    (RATE * WINDOW.as_secs_f64() + BURST) * (1.0 + EXCESS) + EXTRA
+/// Where the simulated clock starts.
+const START_US: u64 = 100_000_000;
+/// A connection without a reply for this long is closed, as the proxy's connection to the counter is.
+const CONNECTION_SILENCE_US: u64 = 450_000;
+/// How long after its end a gateway is still listed among the running ones.
+const DEAD_AFTER_US: u64 = 2_200_000;
+/// How long a gateway pauses.
+const PAUSE_US: Range<u64> = 40_000..260_000;
+/// The one-way delay of a message.
+const MESSAGE_DELAY_US: u64 = 1_000;
+/// A charge is reported to the counter after this time, or with the next draw.
+const REPORT_DELAY_US: u64 = 20_000;
+/// How often the counter expires old state and the gateways check their connections.
+const TICK_INTERVAL_US: u64 = 50_000;
+
+/// The highest number of requests that the rules allow in one window.
+pub fn allowed_per_window() -> f64 {
+    (RATE * WINDOW.as_secs_f64() + BURST) * (1.0 + EXCESS_RATIO) + EXTRA_REQUESTS
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum SimulationEvent {
     Request(usize),
-    /// The counter's answer to the oldest message of that connection.
-    Answered(usize, u64),
-    GivenUp(usize, u64),
+    /// The counter's reply to the oldest message on the connection.
+    Reply(usize, u64),
+    DrawTimeout(usize, u64),
     Timer(usize, u64),
-    KeepInTouch(usize),
-    TellDebts(usize),
+    Keepalive(usize),
+    ReportCharges(usize),
     Tick,
-    /// A gateway that was killed is started again.
-    Starts(usize),
-    /// Another counter begins.
-    CounterBegins,
+    /// A killed gateway starts again.
+    GatewayStart(usize),
+    /// A new counter takes over.
+    CounterStart,
 }
 
-/// One message to the counter that is out, with the answer that will come; none where it is lost.
-struct Sent {
-    call: Option<u64>,
+/// A message to the counter and the reply that it will get; no reply if either is lost.
+struct PendingMessage {
+    draw_id: Option<u64>,
     draw: Option<Draw>,
-    answer: Option<QuotaLevel>,
+    reply: Option<QuotaLevel>,
 }
 
-struct Proxy {
+struct SimulatedGateway {
     incarnation: u64,
     module: Gateway,
     client: QuotaClient,
-    /// The connection to the counter, where there is one.
+    /// The connection to the counter.
     connection: Option<u64>,
-    /// Something was lost on it: no answer comes any more.
-    broken: bool,
-    sent: VecDeque<Sent>,
-    heard: u64,
-    /// Draws that the module waits for, the oldest first.
-    calls: Vec<u64>,
-    stands_still_until: u64,
+    /// A message on the connection was lost, so no more replies arrive on it.
+    is_broken: bool,
+    in_flight: VecDeque<PendingMessage>,
+    last_reply: u64,
+    /// The draws that the module waits for, the oldest first. The module knows a draw by its position here.
+    pending_draws: Vec<u64>,
+    paused_until: u64,
     cut_until: u64,
-    /// Its messages still arrive while it is cut off, and no answer comes back.
+    /// During the cut its messages still reach the counter, but no replies come back.
     cut_one_way: bool,
-    runs: bool,
+    is_running: bool,
 }
 
-/// What a fleet is to be played with.
+/// The parameters of a fleet.
 #[derive(Debug, Clone, Copy)]
-pub struct Play {
-    /// All chance comes from it.
+pub struct FleetScenario {
+    /// Decides all random choices.
     pub seed: u64,
-    /// How many there are.
+    /// The number of gateways.
     pub gateways: usize,
-    /// Of how many answers one finds its gateway standing still.
-    pub one_late_in: u64,
+    /// One message in this many finds its gateway paused when the reply arrives.
+    pub late_one_in: u64,
 }
 
-/// The fleet, with the clients of one tenant.
+/// Gateways, counter and the requests of one tenant.
 pub struct Fleet {
     rng: fastrand::Rng,
     now: u64,
     serial: u64,
-    one_late_in: u64,
-    gauge: Option<QuotaCounter>,
+    late_one_in: u64,
+    counter: Option<QuotaCounter>,
     term: u64,
-    /// Of counters that are gone.
+    /// Violations seen by earlier counters.
     violations: u64,
-    /// Incarnations that are gone, and since when.
-    gone: Vec<(u64, u64)>,
-    proxies: Vec<Proxy>,
-    queue: BinaryHeap<Reverse<(u64, u64, What)>>,
-    /// When each request went on to a backend.
-    pub granted: Vec<u64>,
+    /// Gateway processes that have ended, with the time of their end.
+    ended_incarnations: Vec<(u64, u64)>,
+    gateways: Vec<SimulatedGateway>,
+    queue: BinaryHeap<Reverse<(u64, u64, SimulationEvent)>>,
+    /// When each request was forwarded to a backend.
+    pub forwarded: Vec<u64>,
     /// How many requests were refused or failed.
     pub refused: u64,
-    /// How many draws were answered too late for their requests.
-    pub late: u64,
+    /// How many draws were answered after the request had timed out.
+    pub late_draws: u64,
 }
 
 fn bounds() -> Bounds {
@@ -121,15 +130,15 @@
         retry_ratio: 0.2,
         retry_extra: 60.0,
         quota_window: WINDOW,
-        quota_excess: EXCESS,
-        quota_extra: EXTRA,
+        quota_excess: EXCESS_RATIO,
+        quota_extra: EXTRA_REQUESTS,
     }
 }
 
 fn module(seed: u64, me: u32, gateways: u32) -> Gateway {
     let class = Class {
         target: Micros(400_000),
-        deadline: Micros(2_000_000),
+        deadline: Micros(REQUEST_DEADLINE_US),
         worth: 1.0,
         late_worth: 0.5,
         effect: Effect::Safe,
@@ -137,8 +146,8 @@
         window: Micros(0),
         stream: false,
     };
-    let nobody = decision_settings::settings(ZoneId(0), &bounds()).plans.remove(0);
-    let plans = vec![nobody.clone(), Plan { rate: RATE, burst: BURST, ..nobody }];
+    let default_plan = decision_settings::settings(ZoneId(0), &bounds()).plans.remove(0);
+    let plans = vec![default_plan.clone(), Plan { rate: RATE, burst: BURST, ..default_plan }];
     let settings = Settings {
         gateways,
         me,
@@ -146,7 +155,7 @@
         classes: vec![class],
         ..decision_settings::settings(ZoneId(0), &bounds())
     };
-    let mut module = Gateway::new(seed, settings).expect("sound settings");
+    let mut module = Gateway::new(seed, settings).expect("valid settings");
     let server = |i| ServerEntry {
         server: ServerId(i),
         service: ServiceId(1),
@@ -157,221 +166,235 @@
         started: None,
     };
     let servers = (1..=SERVERS).map(server).collect();
-    module.handle(Micros(BEGINNING), Event::Servers(ListScope::Complete, servers), &mut Vec::new());
+    module.handle(Micros(START_US), Event::Servers(ListScope::Complete, servers), &mut Vec::new());
     module
 }
 
-impl Proxy {
-    fn new(seed: u64, now: u64, at: usize, gateways: usize) -> Proxy {
-        Proxy {
-            incarnation: at as u64 + 1,
-            module: module(seed ^ at as u64, at as u32, gateways as u32),
+impl SimulatedGateway {
+    fn new(seed: u64, now: u64, index: usize, gateways: usize) -> SimulatedGateway {
+        SimulatedGateway {
+            incarnation: index as u64 + 1,
+            module: module(seed ^ index as u64, index as u32, gateways as u32),
             client: QuotaClient::new(Duration::from_micros(now)),
             connection: None,
-            broken: false,
-            sent: VecDeque::new(),
-            heard: now,
-            calls: Vec::new(),
-            stands_still_until: 0,
+            is_broken: false,
+            in_flight: VecDeque::new(),
+            last_reply: now,
+            pending_draws: Vec::new(),
+            paused_until: 0,
             cut_until: 0,
             cut_one_way: false,
-            runs: true,
+            is_running: true,
         }
     }
 }
 
 impl Fleet {
-    /// One that begins, with all gateways in touch with the counter.
-    pub fn new(play: Play) -> Fleet {
-        let Play { seed, gateways, one_late_in } = play;
-        let lives = 1..=gateways as u64;
-        let began = Duration::from_micros(BEGINNING);
+    /// Creates a fleet in which all gateways are connected to the counter.
+    pub fn new(config: FleetScenario) -> Fleet {
+        let FleetScenario { seed, gateways, late_one_in } = config;
+        let incarnations = 1..=gateways as u64;
+        let start = Duration::from_micros(START_US);
         let mut fleet = Fleet {
             rng: fastrand::Rng::with_seed(seed),
-            now: BEGINNING,
+            now: START_US,
             serial: 0,
-            one_late_in,
-            gauge: Some(QuotaCounter::start(began, 1, true, bounds().allowance(), lives)),
+            late_one_in,
+            counter: Some(QuotaCounter::start(start, 1, true, bounds().allowance(), incarnations)),
             term: 1,
             violations: 0,
-            gone: Vec::new(),
-            proxies: (0..gateways).map(|i| Proxy::new(seed, BEGINNING, i, gateways)).collect(),
+            ended_incarnations: Vec::new(),
+            gateways: (0..gateways).map(|i| SimulatedGateway::new(seed, START_US, i, gateways)).collect(),
             queue: BinaryHeap::new(),
-            granted: Vec::new(),
+            forwarded: Vec::new(),
             refused: 0,
-            late: 0,
+            late_draws: 0,
         };
-        (0..gateways).for_each(|at| fleet.connect(at));
-        fleet.after(0, What::Tick);
+        (0..gateways).for_each(|index| fleet.connect(index));
+        fleet.schedule(0, SimulationEvent::Tick);
         fleet
     }
 
-    /// The first so many gateways reach the counter no more for so long.
-    pub fn cut(&mut self, gateways: usize, span: Duration) {
-        (0..gateways).for_each(|at| self.cut_one(at, span, false));
+    /// Cuts the first `gateways` gateways off from the counter.
+    pub fn cut_off_first(&mut self, gateways: usize, span: Duration) {
+        (0..gateways).for_each(|index| self.cut_off(index, span, false));
     }
 
-    /// A gateway does not hear the counter for so long, and is not heard either, but where it is cut off one way.
-    pub fn cut_one(&mut self, at: usize, span: Duration, one_way: bool) {
+    /// Cuts one gateway off from the counter. With `one_way` the counter still receives its messages.
+    pub fn cut_off(&mut self, index: usize, span: Duration, one_way: bool) {
         let until = self.now + span.as_micros() as u64;
-        let proxy = &mut self.proxies[at];
-        (proxy.cut_until, proxy.cut_one_way) = (until, one_way);
+        let gateway = &mut self.gateways[index];
+        (gateway.cut_until, gateway.cut_one_way) = (until, one_way);
     }
 
-    /// A gateway's process is killed, and another one starts there after so long.
-    pub fn restart(&mut self, at: usize, after: Duration) {
-        if self.proxies[at].runs {
-            self.gone.push((self.proxies[at].incarnation, self.now));
-            self.proxies[at].runs = false;
-            self.proxies[at].connection = None;
-            self.after(after.as_micros() as u64, What::Starts(at));
+    /// Kills a gateway's process and starts a new one after `delay`.
+    pub fn restart(&mut self, index: usize, delay: Duration) {
+        if self.gateways[index].is_running {
+            self.ended_incarnations.push((self.gateways[index].incarnation, self.now));
+            self.gateways[index].is_running = false;
+            self.gateways[index].connection = None;
+            self.schedule(delay.as_micros() as u64, SimulationEvent::GatewayStart(index));
         }
     }
 
-    /// Whoever keeps the count is lost, and another one begins after so long.
-    pub fn move_counter(&mut self, after: Duration) {
-        if let Some(gauge) = self.gauge.take() {
-            self.violations += gauge.violations();
-            self.after(after.as_micros() as u64, What::CounterBegins);
+    /// Stops the counter and starts another one after `delay`.
+    pub fn move_counter(&mut self, delay: Duration) {
+        if let Some(counter) = self.counter.take() {
+            self.violations += counter.violations();
+            self.schedule(delay.as_micros() as u64, SimulationEvent::CounterStart);
         }
     }
 
-    /// How many gateways there are.
-    pub fn gateways(&self) -> usize {
-        self.proxies.len()
+    /// The number of gateways.
+    pub fn gateway_count(&self) -> usize {
+        self.gateways.len()
     }
 
-    fn starts(&mut self, at: usize) {
+    fn start_gateway(&mut self, index: usize) {
         self.serial += 1;
-        let cut_until = self.proxies[at].cut_until;
-        let new = Proxy::new(self.serial, self.now, at, self.proxies.len());
-        self.proxies[at] = Proxy { incarnation: self.serial + 1_000, cut_until, ..new };
+        let cut_until = self.gateways[index].cut_until;
+        let gateway = SimulatedGateway::new(self.serial, self.now, index, self.gateways.len());
+        self.gateways[index] = SimulatedGateway { incarnation: self.serial + 1_000, cut_until, ..gateway };
     }
 
-    fn counter_begins(&mut self) {
+    fn start_counter(&mut self) {
         self.term += 1;
-        let lives = self.proxies.iter().map(|proxy| proxy.incarnation).collect::<Vec<_>>();
-        self.gauge = Some(QuotaCounter::start(self.instant(), self.term, false, bounds().allowance(), lives));
-        // The connections to the one before are of no use.
-        (0..self.proxies.len()).for_each(|at| self.lose(at));
+        let incarnations = self.gateways.iter().map(|gateway| gateway.incarnation).collect::<Vec<_>>();
+        self.counter =
+            Some(QuotaCounter::start(self.instant(), self.term, false, bounds().allowance(), incarnations));
+        // Connections to the previous counter are useless now.
+        (0..self.gateways.len()).for_each(|index| self.close_connection(index));
     }
 
-    /// So many requests a second come, at any gateway.
+    /// Runs the fleet for `span` while `per_s` requests per second arrive at random gateways.
     pub fn run(&mut self, span: Duration, per_s: f64) {
         let until = self.now + span.as_micros() as u64;
         for _ in 0..(per_s * span.as_secs_f64()) as usize {
-            let (at, after) = (self.rng.usize(0..self.proxies.len()), self.rng.u64(0..until - self.now));
-            self.after(after, What::Request(at));
+            let (index, delay) = (self.rng.usize(0..self.gateways.len()), self.rng.u64(0..until - self.now));
+            self.schedule(delay, SimulationEvent::Request(index));
         }
-        while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
-            let Some(Reverse((at, _, what))) = self.queue.pop() else { break };
-            self.now = at;
-            self.take(what);
+        while self.queue.peek().is_some_and(|Reverse((time, ..))| *time <= until) {
+            let Some(Reverse((time, _, event))) = self.queue.pop() else { break };
+            self.now = time;
+            self.handle(event);
         }
         self.now = until;
     }
 
-    /// The most requests that went on in any window.
-    pub fn busiest(&self) -> usize {
+    /// The highest number of requests forwarded in any window.
+    pub fn peak_per_window(&self) -> usize {
         let window = WINDOW.as_micros() as u64;
-        let sent_until = |i: usize| self.granted.partition_point(|at| *at <= self.granted[i] + window);
-        (0..self.granted.len()).map(|i| sent_until(i) - i).max().unwrap_or_default()
+        let forwarded_until =
+            |i: usize| self.forwarded.partition_point(|time| *time <= self.forwarded[i] + window);
+        (0..self.forwarded.len()).map(|i| forwarded_until(i) - i).max().unwrap_or_default()
     }
 
-    fn after(&mut self, micros: u64, what: What) {
+    fn schedule(&mut self, delay_us: u64, event: SimulationEvent) {
         self.serial += 1;
-        self.queue.push(Reverse((self.now + micros, self.serial, what)));
+        self.queue.push(Reverse((self.now + delay_us, self.serial, event)));
     }
 
     fn instant(&self) -> Duration {
         Duration::from_micros(self.now)
     }
 
-    fn take(&mut self, what: What) {
-        match what {
-            What::Request(at) => self.request(at),
-            What::Answered(at, connection) if self.proxies[at].connection == Some(connection) => {
-                self.answered(at)
+    fn handle(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Request(index) => self.handle_request(index),
+            SimulationEvent::Reply(index, connection)
+                if self.gateways[index].connection == Some(connection) =>
+            {
+                self.handle_reply(index)
             }
-            What::Answered(..) => {}
-            What::GivenUp(at, call) => {
-                if self.proxies[at].calls.contains(&call) {
-                    self.late += 1;
-                    self.counted(at, call, Outcome::Timeout, 0.0, None);
+            SimulationEvent::Reply(..) => {}
+            SimulationEvent::DrawTimeout(index, draw_id) => {
+                if self.gateways[index].pending_draws.contains(&draw_id) {
+                    self.late_draws += 1;
+                    self.finish_draw(index, draw_id, Outcome::Timeout, 0.0, None);
                 }
             }
-            What::Timer(at, timer) => self.tell(at, Event::Timer(TimerId(timer))),
-            What::KeepInTouch(at) => {
-                if self.proxies[at].connection.is_some() {
-                    self.send(at, None, None);
-                    self.after(KEEPALIVE_INTERVAL.as_micros() as u64, What::KeepInTouch(at));
+            SimulationEvent::Timer(index, timer) => self.notify_module(index, Event::Timer(TimerId(timer))),
+            SimulationEvent::Keepalive(index) => {
+                if self.gateways[index].connection.is_some() {
+                    self.send_to_counter(index, None, None);
+                    self.schedule(KEEPALIVE_INTERVAL.as_micros() as u64, SimulationEvent::Keepalive(index));
                 }
             }
-            What::TellDebts(at) => {
-                if self.proxies[at].connection.is_some() && self.proxies[at].client.has_unreported() {
-                    self.send(at, None, None);
+            SimulationEvent::ReportCharges(index) => {
+                if self.gateways[index].connection.is_some() && self.gateways[index].client.has_unreported() {
+                    self.send_to_counter(index, None, None);
                 }
             }
-            What::Tick => self.tick(),
-            What::Starts(at) => self.starts(at),
-            What::CounterBegins => self.counter_begins(),
+            SimulationEvent::Tick => self.tick(),
+            SimulationEvent::GatewayStart(index) => self.start_gateway(index),
+            SimulationEvent::CounterStart => self.start_counter(),
         }
     }
 
     fn tick(&mut self) {
         let now = self.now;
-        self.gone.retain(|(_, since)| since + DEAD_AFTER > now);
-        let gone = self.gone.iter().map(|(incarnation, _)| *incarnation);
-        let runs = self.proxies.iter().filter(|proxy| proxy.runs).map(|proxy| proxy.incarnation);
-        let lives: BTreeSet<u64> = runs.chain(gone).collect();
+        self.ended_incarnations.retain(|(_, since)| since + DEAD_AFTER_US > now);
+        let ended = self.ended_incarnations.iter().map(|(incarnation, _)| *incarnation);
+        let running =
+            self.gateways.iter().filter(|gateway| gateway.is_running).map(|gateway| gateway.incarnation);
+        let incarnations: BTreeSet<u64> = running.chain(ended).collect();
         let instant = self.instant();
-        self.gauge.iter_mut().for_each(|gauge| gauge.tick(instant, &lives));
-        for at in 0..self.proxies.len() {
-            let proxy = &self.proxies[at];
-            match proxy.connection {
-                Some(_) if !proxy.sent.is_empty() && proxy.heard + SILENCE < self.now => self.lose(at),
-                None if proxy.cut_until < self.now && proxy.runs && self.gauge.is_some() => self.connect(at),
+        self.counter.iter_mut().for_each(|counter| counter.tick(instant, &incarnations));
+        for index in 0..self.gateways.len() {
+            let gateway = &self.gateways[index];
+            match gateway.connection {
+                Some(_)
+                    if !gateway.in_flight.is_empty()
+                        && gateway.last_reply + CONNECTION_SILENCE_US < self.now =>
+                {
+                    self.close_connection(index)
+                }
+                None if gateway.cut_until < self.now && gateway.is_running && self.counter.is_some() => {
+                    self.connect(index)
+                }
                 _ => {}
             }
         }
-        self.after(50_000, What::Tick);
+        self.schedule(TICK_INTERVAL_US, SimulationEvent::Tick);
     }
 
-    fn recall(&mut self, at: usize) {
+    fn send_readings(&mut self, index: usize) {
         let now = self.instant();
-        let proxy = &mut self.proxies[at];
-        let readings = proxy.client.readings_for_recovery(now, self.now);
-        if let Some(gauge) = &mut self.gauge {
-            gauge.apply_readings(now, proxy.incarnation, &readings);
+        let gateway = &mut self.gateways[index];
+        let readings = gateway.client.readings_for_recovery(now, self.now);
+        if let Some(counter) = &mut self.counter {
+            counter.apply_readings(now, gateway.incarnation, &readings);
         }
     }
 
-    fn connect(&mut self, at: usize) {
+    fn connect(&mut self, index: usize) {
         self.serial += 1;
         let connection = self.serial;
         let (now, term) = (self.instant(), self.term);
-        self.proxies[at].client.on_connect(now, term);
-        self.recall(at);
-        let proxy = &mut self.proxies[at];
-        (proxy.connection, proxy.broken, proxy.heard) = (Some(connection), false, self.now);
-        self.after(KEEPALIVE_INTERVAL.as_micros() as u64, What::KeepInTouch(at));
+        self.gateways[index].client.on_connect(now, term);
+        self.send_readings(index);
+        let gateway = &mut self.gateways[index];
+        (gateway.connection, gateway.is_broken, gateway.last_reply) = (Some(connection), false, self.now);
+        self.schedule(KEEPALIVE_INTERVAL.as_micros() as u64, SimulationEvent::Keepalive(index));
     }
 
-    /// The connection to the counter is given up: what is out is decided here.
-    fn lose(&mut self, at: usize) {
-        self.proxies[at].connection = None;
-        for sent in std::mem::take(&mut self.proxies[at].sent) {
+    /// Closes the connection to the counter. Draws without a reply fail.
+    fn close_connection(&mut self, index: usize) {
+        self.gateways[index].connection = None;
+        for sent in std::mem::take(&mut self.gateways[index].in_flight) {
             if let Some(draw) = sent.draw {
-                self.proxies[at].client.on_draw_failed(&draw);
+                self.gateways[index].client.on_draw_failed(&draw);
             }
-            if let Some(call) = sent.call.filter(|call| self.proxies[at].calls.contains(call)) {
-                self.counted(at, call, Outcome::Reset, 0.0, None);
+            if let Some(draw_id) =
+                sent.draw_id.filter(|draw_id| self.gateways[index].pending_draws.contains(draw_id))
+            {
+                self.finish_draw(index, draw_id, Outcome::Reset, 0.0, None);
             }
         }
     }
 
-    fn request(&mut self, at: usize) {
-        if !self.proxies[at].runs {
+    fn handle_request(&mut self, index: usize) {
+        if !self.gateways[index].is_running {
             return;
         }
         self.serial += 1;
@@ -380,48 +403,48 @@
             service: ServiceId(1),
             plan: PlanId(1),
             customer: CUSTOMER,
-            spread: self.proxies.len() as u32,
-            deadline: Micros(self.now + 2_000_000),
+            spread: self.gateways.len() as u32,
+            deadline: Micros(self.now + REQUEST_DEADLINE_US),
             units: 1.0,
             ..Arrival::default()
         };
-        self.tell(at, Event::Request(arrival));
+        self.notify_module(index, Event::Request(arrival));
     }
 
-    fn tell(&mut self, at: usize, event: Event) {
-        let mut out = Vec::new();
-        self.proxies[at].module.handle(Micros(self.now), event, &mut out);
-        out.into_iter().for_each(|action| self.act(at, action));
+    fn notify_module(&mut self, index: usize, event: Event) {
+        let mut actions = Vec::new();
+        self.gateways[index].module.handle(Micros(self.now), event, &mut actions);
+        actions.into_iter().for_each(|action| self.apply_action(index, action));
     }
 
-    fn act(&mut self, at: usize, action: Action) {
+    fn apply_action(&mut self, index: usize, action: Action) {
         match action {
             Action::Send(id, server, _) => {
-                self.granted.push(self.now);
+                self.forwarded.push(self.now);
                 let (took, report) = (Micros(0), Report::default());
                 let (outcome, ended) = (Outcome::Ok, true);
                 let end =
                     AttemptEnd { id, attempt: 0, server, outcome, took, ended, actual_units: None, report };
-                self.tell(at, Event::AttemptEnded(end));
+                self.notify_module(index, Event::AttemptEnded(end));
             }
             Action::Refuse(..) | Action::Fail(_) => self.refused += 1,
-            Action::SetTimer(timer, after) => self.after(after.0, What::Timer(at, timer.0)),
-            Action::Draw(name, units, _) => self.draw(at, name, units),
+            Action::SetTimer(timer, delay) => self.schedule(delay.0, SimulationEvent::Timer(index, timer.0)),
+            Action::Draw(name, units, _) => self.start_draw(index, name, units),
             Action::Charge(name, units) => {
-                let gateways = self.proxies.len();
-                self.proxies[at].client.add_unreported(name.0, units, RATE, gateways);
-                self.after(TELL, What::TellDebts(at));
+                let gateways = self.gateways.len();
+                self.gateways[index].client.add_unreported(name.0, units, RATE, gateways);
+                self.schedule(REPORT_DELAY_US, SimulationEvent::ReportCharges(index));
             }
             _ => {}
         }
     }
 
-    fn draw(&mut self, at: usize, name: CountName, units: f64) {
+    fn start_draw(&mut self, index: usize, name: CountName, units: f64) {
         self.serial += 1;
-        let call = self.serial;
-        self.proxies[at].calls.push(call);
-        if self.proxies[at].connection.is_none() {
-            return self.counted(at, call, Outcome::ConnectFailed, 0.0, None);
+        let draw_id = self.serial;
+        self.gateways[index].pending_draws.push(draw_id);
+        if self.gateways[index].connection.is_none() {
+            return self.finish_draw(index, draw_id, Outcome::ConnectFailed, 0.0, None);
         }
         let draw = Draw {
             bucket: name.0,
@@ -432,18 +455,18 @@
             service: 0,
             max_response_ms: 0,
         };
-        self.send(at, Some(call), Some(draw));
-        self.after(PATIENCE.as_micros() as u64, What::GivenUp(at, call));
+        self.send_to_counter(index, Some(draw_id), Some(draw));
+        self.schedule(PATIENCE.as_micros() as u64, SimulationEvent::DrawTimeout(index, draw_id));
     }
 
-    /// A message goes to the counter, and its answer comes behind all earlier ones.
-    fn send(&mut self, at: usize, call: Option<u64>, draw: Option<Draw>) {
-        let (now, late) = (self.instant(), self.rng.u64(0..self.one_late_in) == 0);
-        let proxy = &mut self.proxies[at];
-        let hears = proxy.cut_until <= self.now;
-        let reached = (hears || proxy.cut_one_way) && !(proxy.broken && hears);
+    /// Sends a message to the counter. Its reply arrives after all earlier replies.
+    fn send_to_counter(&mut self, index: usize, draw_id: Option<u64>, draw: Option<Draw>) {
+        let (now, is_late) = (self.instant(), self.rng.u64(0..self.late_one_in) == 0);
+        let gateway = &mut self.gateways[index];
+        let is_connected = gateway.cut_until <= self.now;
+        let reached = (is_connected || gateway.cut_one_way) && !(gateway.is_broken && is_connected);
         let name = starlinghill_decision::bucket_name(CUSTOMER).0;
-        let nothing = Draw {
+        let empty = Draw {
             bucket: name,
             unreported: 0.0,
             units: 0.0,
@@ -453,72 +476,78 @@
             max_response_ms: 0,
         };
         let mut draws = Vec::from_iter(draw);
-        let others = proxy.client.on_send(now, draws.iter_mut(), 1);
-        draws.extend(others.into_iter().map(|(_, owed)| Draw { unreported: owed, ..nothing }));
+        let reports = gateway.client.on_send(now, draws.iter_mut(), 1);
+        draws.extend(reports.into_iter().map(|(_, unreported)| Draw { unreported, ..empty }));
         let draw = draws.first().copied();
-        let gauge = self.gauge.as_mut().filter(|_| reached);
-        let levels = gauge.and_then(|gauge| gauge.draw(now, proxy.incarnation, &draws));
-        if late {
-            proxy.stands_still_until = self.now + self.rng.u64(40_000..260_000);
+        let counter = self.counter.as_mut().filter(|_| reached);
+        let levels = counter.and_then(|counter| counter.draw(now, gateway.incarnation, &draws));
+        if is_late {
+            gateway.paused_until = self.now + self.rng.u64(PAUSE_US);
         }
-        let answer = levels.as_ref().and_then(|levels| levels.first().cloned());
-        proxy.sent.push_back(Sent { call, draw, answer });
-        proxy.broken |= !hears || self.gauge.is_none();
-        if let (Some(connection), false) = (proxy.connection, proxy.broken) {
-            let comes = (self.now + ON_THE_WAY).max(proxy.stands_still_until);
-            self.after(comes - self.now, What::Answered(at, connection));
+        let reply = levels.as_ref().and_then(|levels| levels.first().cloned());
+        gateway.in_flight.push_back(PendingMessage { draw_id, draw, reply });
+        gateway.is_broken |= !is_connected || self.counter.is_none();
+        if let (Some(connection), false) = (gateway.connection, gateway.is_broken) {
+            let arrival = (self.now + MESSAGE_DELAY_US).max(gateway.paused_until);
+            self.schedule(arrival - self.now, SimulationEvent::Reply(index, connection));
         }
     }
 
-    fn answered(&mut self, at: usize) {
+    fn handle_reply(&mut self, index: usize) {
         let (now, term) = (self.instant(), self.term);
-        self.proxies[at].heard = self.now;
-        let Some(Sent { call, draw, answer }) = self.proxies[at].sent.pop_front() else { return };
-        let Some(draw) = draw else { return self.proxies[at].client.on_reply(now, term) };
-        let waits = call.filter(|call| self.proxies[at].calls.contains(call));
-        let Some(level) = answer else {
-            // The counter took nothing in. It is told again what was heard, as it may have forgotten this gateway.
-            self.recall(at);
-            self.proxies[at].client.on_draw_failed(&draw);
-            return waits.into_iter().for_each(|call| self.counted(at, call, Outcome::Rejected, 0.0, None));
+        self.gateways[index].last_reply = self.now;
+        let Some(PendingMessage { draw_id, draw, reply }) = self.gateways[index].in_flight.pop_front() else {
+            return;
+        };
+        let Some(draw) = draw else { return self.gateways[index].client.on_reply(now, term) };
+        let pending = draw_id.filter(|draw_id| self.gateways[index].pending_draws.contains(draw_id));
+        let Some(level) = reply else {
+            // The counter rejected the message, perhaps because it does not know this gateway. The gateway's readings
+            // let it recover.
+            self.send_readings(index);
+            self.gateways[index].client.on_draw_failed(&draw);
+            return pending
+                .into_iter()
+                .for_each(|draw_id| self.finish_draw(index, draw_id, Outcome::Rejected, 0.0, None));
         };
-        let client = &mut self.proxies[at].client;
+        let client = &mut self.gateways[index].client;
         client.on_reply(now, term);
-        client.on_draw_answered(self.now, &draw, &level, waits.is_some());
-        if let Some(call) = waits {
-            self.counted(at, call, Outcome::Ok, level.level, Some(level.share));
+        client.on_draw_answered(self.now, &draw, &level, pending.is_some());
+        if let Some(draw_id) = pending {
+            self.finish_draw(index, draw_id, Outcome::Ok, level.level, Some(level.share));
         }
     }
 
-    /// How often the counter saw more in a window than the rules allow.
+    /// How often a counter saw more requests in a window than the rules allow.
     pub fn violations(&self) -> u64 {
-        self.violations + self.gauge.as_ref().map_or(0, QuotaCounter::violations)
+        self.violations + self.counter.as_ref().map_or(0, QuotaCounter::violations)
     }
 
-    fn counted(&mut self, at: usize, call: u64, outcome: Outcome, total: f64, share: Option<f64>) {
+    fn finish_draw(&mut self, index: usize, draw_id: u64, outcome: Outcome, total: f64, share: Option<f64>) {
         let name = starlinghill_decision::bucket_name(CUSTOMER);
-        let calls = &mut self.proxies[at].calls;
-        let Some(nth) = calls.iter().position(|known| *known == call) else { return };
-        calls.remove(nth);
-        share.into_iter().for_each(|share| self.tell(at, Event::Share(name, share)));
-        self.tell(at, Event::Counted(name, nth, outcome, total));
+        let pending_draws = &mut self.gateways[index].pending_draws;
+        let Some(position) = pending_draws.iter().position(|known| *known == draw_id) else { return };
+        pending_draws.remove(position);
+        share.into_iter().for_each(|share| self.notify_module(index, Event::Share(name, share)));
+        self.notify_module(index, Event::Counted(name, position, outcome, total));
     }
 }
 
-/// Up to three troubles at a time befall the fleet while a tenant asks for far more than its quota now and then.
-pub fn troubled(seed: u64) -> Fleet {
+/// Injects up to three random faults at a time while one tenant's load changes between below and far above its quota.
+pub fn run_with_random_faults(seed: u64) -> Fleet {
     let mut rng = fastrand::Rng::with_seed(seed);
     let gateways = rng.usize(3..30);
-    let mut fleet = Fleet::new(Play { seed, gateways, one_late_in: rng.u64(20..2_000) });
+    let mut fleet = Fleet::new(FleetScenario { seed, gateways, late_one_in: rng.u64(20..2_000) });
     for _ in 0..12 {
         for _ in 0..rng.usize(0..=3) {
-            let (at, span) = (rng.usize(0..fleet.gateways()), Duration::from_millis(rng.u64(50..4_000)));
+            let (index, span) =
+                (rng.usize(0..fleet.gateway_count()), Duration::from_millis(rng.u64(50..4_000)));
             match rng.u32(0..5) {
-                0 => (0..fleet.gateways() / 4).for_each(|at| fleet.cut_one(at, span, false)),
-                1 => fleet.cut_one(at, span, true),
-                2 => fleet.restart(at, span),
+                0 => (0..fleet.gateway_count() / 4).for_each(|index| fleet.cut_off(index, span, false)),
+                1 => fleet.cut_off(index, span, true),
+                2 => fleet.restart(index, span),
                 3 => fleet.move_counter(span / 3),
-                _ => fleet.cut_one(at, span, false),
+                _ => fleet.cut_off(index, span, false),
             }
         }
         let (span, per_s) = (rng.u64(100..2_500), rng.choice([30.0, 90.0, 400.0, 900.0]).unwrap_or(90.0));
--- a/crates/starlinghill-simulator/src/lib.rs
+++ b/crates/starlinghill-simulator/src/lib.rs
@@ -1,10 +1,11 @@
-//! Workshop: a mock-up is a piece built whole before the real one, to see whether it holds. Here it is one control side,
-//! simulated: the real code of stores, registries and gateways' news in one thread and in virtual time, over links, disks
-//! and process lives that a seed decides. What was asked and answered is checked afterwards. No program depends on it.
+//! A deterministic simulation of one control plane with its gateways. The real code of the configuration stores, the
+//! registries and the gateways' registry clients runs in one thread and in virtual time; a seed decides how the
+//! simulated links, disks and processes behave. Requests and replies are recorded and checked afterwards, so one seed
+//! repeats the same run. No program depends on this crate.
 //!
-//! Beside it, [`fleet`]: the decisions of all gateways and the counter, for quotas.
+//! [`fleet`] is a second simulation: the request decisions of many gateways with one quota counter.
 //!
-//! One seed plays the same run again and again; `tests/control.rs` says how to play one.
+//! `tests/control.rs` gives the command that repeats a seed.
 
 pub mod backends;
 pub mod checker;
--- a/crates/starlinghill-simulator/src/network.rs
+++ b/crates/starlinghill-simulator/src/network.rs
@@ -1,5 +1,5 @@
-//! Links between machines that are played in one thread: streams stay streams, and what a link does is decided by whoever
-//! plays. What is cut is sent again once the link is back, as TCP does it.
+//! A simulated network in one thread. Connections are byte streams; cuts, delays and losses are set by the scenario.
+//! As with TCP, data sent during a cut arrives after the cut has ended.
 
 use starlinghill_runtime::net::{Connection, IoFuture, Listener, Network, NetworkHandle, Stream};
 use std::cell::RefCell;
@@ -15,33 +15,39 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, sleep_until, Instant, Sleep};
 
-/// An opening packet that found no way is sent again after this.
-const AGAIN: Duration = Duration::from_secs(1);
-/// What is sent again after a cut comes within this, and a lost packet after it.
-const RESENT_MS: u64 = 400;
+/// The pause before a connection attempt is repeated while the peer cannot be reached.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// The longest delay, in milliseconds, until lost data or data held up by a cut is sent again.
+const MAX_RETRANSMIT_MS: u64 = 400;
 
-/// A network of one site takes no longer, in milliseconds.
-const CALM_MS: u64 = 4;
+/// The longest one-way delay on a network without injected faults, in milliseconds.
+const DEFAULT_MAX_DELAY_MS: u64 = 4;
+
+/// The one-way delay between programs on one machine.
+const LOOPBACK_DELAY: Duration = Duration::from_micros(100);
+/// Client ports are counted up from here.
+const FIRST_PORT: u16 = 1024;
+/// Closed connections are dropped from the list of pipes once it is longer than this.
+const PIPE_CLEANUP_LENGTH: usize = 4_096;
 
 type Accepted = (Stream, SocketAddr);
 
-/// All links and ports.
-pub struct Fabric {
-    state: RefCell<State>,
+/// All links, listeners and connections.
+pub struct SimulatedNetwork {
+    state: RefCell<NetworkState>,
 }
 
-struct State {
+struct NetworkState {
     rng: fastrand::Rng,
-    /// Directed pairs between which nothing passes.
-    cut: BTreeSet<(IpAddr, IpAddr)>,
-    /// Machines without power.
-    off: BTreeSet<IpAddr>,
-    /// The longest time on the way, in milliseconds, and of how many packets in a thousand one is lost.
-    slow_ms: u64,
-    lossy: u64,
-    ports: BTreeMap<SocketAddr, mpsc::UnboundedSender<Accepted>>,
+    /// Directed pairs of machines between which nothing passes.
+    blocked: BTreeSet<(IpAddr, IpAddr)>,
+    powered_off: BTreeSet<IpAddr>,
+    /// The longest one-way delay in milliseconds, and how many packets in a thousand are lost.
+    max_delay_ms: u64,
+    lost_per_thousand: u64,
+    listeners: BTreeMap<SocketAddr, mpsc::UnboundedSender<Accepted>>,
     pipes: Vec<Weak<RefCell<Pipe>>>,
-    opened: u16,
+    last_port: u16,
 }
 
 /// One direction of a connection.
@@ -49,10 +55,10 @@
     from: IpAddr,
     to: IpAddr,
     chunks: VecDeque<(Instant, Vec<u8>)>,
-    /// The last that was sent comes then.
-    last: Instant,
-    ended: Option<Instant>,
-    broken: bool,
+    /// When the last byte sent so far arrives. Later data never overtakes it.
+    last_due: Instant,
+    closed_at: Option<Instant>,
+    is_reset: bool,
     reader: Option<Waker>,
 }
 
@@ -64,88 +70,95 @@
     }
 }
 
-impl Fabric {
-    /// Whose chances a seed decides.
-    pub fn new(seed: u64) -> Rc<Fabric> {
-        let state = State {
+impl SimulatedNetwork {
+    /// Creates a network whose delays and losses are derived from the seed.
+    pub fn new(seed: u64) -> Rc<SimulatedNetwork> {
+        let state = NetworkState {
             rng: fastrand::Rng::with_seed(seed),
-            cut: BTreeSet::new(),
-            off: BTreeSet::new(),
-            slow_ms: CALM_MS,
-            lossy: 0,
-            ports: BTreeMap::new(),
+            blocked: BTreeSet::new(),
+            powered_off: BTreeSet::new(),
+            max_delay_ms: DEFAULT_MAX_DELAY_MS,
+            lost_per_thousand: 0,
+            listeners: BTreeMap::new(),
             pipes: Vec::new(),
-            opened: 1024,
+            last_port: FIRST_PORT,
         };
-        Rc::new(Fabric { state: RefCell::new(state) })
+        Rc::new(SimulatedNetwork { state: RefCell::new(state) })
     }
 
-    /// The network as a machine sees it.
-    pub fn at(self: &Rc<Self>, ip: IpAddr) -> NetworkHandle {
-        Rc::new(Machine { fabric: self.clone(), ip })
+    /// The network as seen from one machine.
+    pub fn handle_for(self: &Rc<Self>, ip: IpAddr) -> NetworkHandle {
+        Rc::new(MachineNetwork { network: self.clone(), ip })
     }
 
-    /// Whether anything passes that way.
-    pub fn is_up(&self, from: IpAddr, to: IpAddr) -> bool {
+    /// Whether data passes in this direction.
+    pub fn can_reach(&self, from: IpAddr, to: IpAddr) -> bool {
         let state = self.state.borrow();
-        !state.cut.contains(&(from, to)) && !state.off.contains(&from) && !state.off.contains(&to)
+        !state.blocked.contains(&(from, to))
+            && !state.powered_off.contains(&from)
+            && !state.powered_off.contains(&to)
     }
 
-    /// Nothing passes that way from now on.
-    pub fn cut(&self, from: IpAddr, to: IpAddr) {
-        self.state.borrow_mut().cut.insert((from, to));
+    /// Blocks one direction between two machines.
+    pub fn block(&self, from: IpAddr, to: IpAddr) {
+        self.state.borrow_mut().blocked.insert((from, to));
     }
 
-    /// All cuts are mended: what was held up is sent again.
-    pub fn mend(&self) {
-        self.state.borrow_mut().cut.clear();
+    /// Ends all cuts. Data held up by them arrives after a random retransmission delay.
+    pub fn unblock_all(&self) {
+        self.state.borrow_mut().blocked.clear();
         for pipe in self.pipes() {
-            let ms = self.state.borrow_mut().rng.u64(1..=RESENT_MS);
+            let ms = self.state.borrow_mut().rng.u64(1..=MAX_RETRANSMIT_MS);
             let resumed = Instant::now() + Duration::from_millis(ms);
             let mut pipe = pipe.borrow_mut();
-            if pipe.chunks.front().map(|(due, _)| *due).or(pipe.ended).is_some_and(|due| due < Instant::now())
+            if pipe
+                .chunks
+                .front()
+                .map(|(due, _)| *due)
+                .or(pipe.closed_at)
+                .is_some_and(|due| due < Instant::now())
             {
                 pipe.chunks.iter_mut().for_each(|(due, _)| *due = resumed.max(*due));
-                pipe.ended = pipe.ended.map(|due| due.max(resumed));
-                pipe.last = pipe.last.max(resumed);
+                pipe.closed_at = pipe.closed_at.map(|due| due.max(resumed));
+                pipe.last_due = pipe.last_due.max(resumed);
             }
             pipe.wake();
         }
     }
 
-    /// How slow links are, in milliseconds at most, and of how many packets in a thousand they lose one; or as ever.
-    pub fn weather(&self, slow_and_lossy: Option<(u64, u64)>) {
+    /// Sets the longest delay in milliseconds and the packets lost in a thousand; `None` restores the defaults.
+    pub fn set_link_quality(&self, delay_and_loss: Option<(u64, u64)>) {
         let mut state = self.state.borrow_mut();
-        (state.slow_ms, state.lossy) = slow_and_lossy.unwrap_or((CALM_MS, 0));
+        (state.max_delay_ms, state.lost_per_thousand) = delay_and_loss.unwrap_or((DEFAULT_MAX_DELAY_MS, 0));
     }
 
-    /// Links are as quick and as sure as they are meant to be.
-    pub fn is_calm(&self) -> bool {
+    /// Whether no extra delay or loss is set.
+    pub fn has_default_quality(&self) -> bool {
         let state = self.state.borrow();
-        state.slow_ms <= CALM_MS && state.lossy == 0
+        state.max_delay_ms <= DEFAULT_MAX_DELAY_MS && state.lost_per_thousand == 0
     }
 
-    /// The power of a machine goes: nobody hears of it.
+    /// Cuts the power of a machine. Its peers get no notice.
     pub fn power_off(&self, ip: IpAddr) {
-        self.state.borrow_mut().off.insert(ip);
+        self.state.borrow_mut().powered_off.insert(ip);
     }
 
-    /// It is back, and knows none of the connections that it had.
+    /// Restores the power. Connections from before are reset.
     pub fn power_on(&self, ip: IpAddr) {
-        self.state.borrow_mut().off.remove(&ip);
+        self.state.borrow_mut().powered_off.remove(&ip);
         self.reset(|pipe| pipe.from == ip || pipe.to == ip);
     }
 
-    /// Ends all connections between two machines.
+    /// Resets all connections between two machines.
     pub fn reset_between(&self, a: IpAddr, b: IpAddr) {
         self.reset(|pipe| (pipe.from, pipe.to) == (a, b) || (pipe.from, pipe.to) == (b, a));
     }
 
-    fn reset(&self, which: impl Fn(&Pipe) -> bool) {
+    fn reset(&self, matches: impl Fn(&Pipe) -> bool) {
         for pipe in self.pipes() {
             let mut pipe = pipe.borrow_mut();
-            if which(&pipe) {
-                pipe.broken = true;
+            if matches(&pipe) {
+                pipe.is_reset = true;
                 pipe.wake();
             }
         }
@@ -160,19 +173,20 @@
     fn delay(&self, from: IpAddr, to: IpAddr) -> Duration {
         let state = &mut *self.state.borrow_mut();
         if from == to {
-            return Duration::from_micros(100);
+            return LOOPBACK_DELAY;
         }
-        let lost = state.rng.u64(0..1000) < state.lossy;
-        let ms = state.rng.u64(1..=state.slow_ms) + if lost { state.rng.u64(1..=RESENT_MS) } else { 0 };
+        let lost = state.rng.u64(0..1000) < state.lost_per_thousand;
+        let ms = state.rng.u64(1..=state.max_delay_ms)
+            + if lost { state.rng.u64(1..=MAX_RETRANSMIT_MS) } else { 0 };
         Duration::from_millis(ms)
     }
 
     fn pipe(&self, from: IpAddr, to: IpAddr) -> Rc<RefCell<Pipe>> {
-        let (chunks, last) = (VecDeque::new(), Instant::now());
-        let pipe = Pipe { from, to, chunks, last, ended: None, broken: false, reader: None };
+        let (chunks, last_due) = (VecDeque::new(), Instant::now());
+        let pipe = Pipe { from, to, chunks, last_due, closed_at: None, is_reset: false, reader: None };
         let pipe = Rc::new(RefCell::new(pipe));
         let mut state = self.state.borrow_mut();
-        if state.pipes.len() > 4_096 {
+        if state.pipes.len() > PIPE_CLEANUP_LENGTH {
             state.pipes.retain(|pipe| pipe.strong_count() > 0);
         }
         state.pipes.push(Rc::downgrade(&pipe));
@@ -180,134 +194,136 @@
     }
 }
 
-struct Machine {
-    fabric: Rc<Fabric>,
+struct MachineNetwork {
+    network: Rc<SimulatedNetwork>,
     ip: IpAddr,
 }
 
-impl Network for Machine {
+impl Network for MachineNetwork {
     fn connect(&self, to: SocketAddr) -> IoFuture<'_, Stream> {
         Box::pin(async move {
-            let fabric = &self.fabric;
+            let network = &self.network;
             let (here, there) = (self.ip, to.ip());
             loop {
-                if fabric.is_up(here, there) && fabric.is_up(there, here) {
-                    sleep(fabric.delay(here, there) + fabric.delay(there, here)).await;
+                if network.can_reach(here, there) && network.can_reach(there, here) {
+                    sleep(network.delay(here, there) + network.delay(there, here)).await;
                     break;
                 }
-                sleep(AGAIN).await;
+                sleep(CONNECT_RETRY_DELAY).await;
             }
-            let port = fabric.state.borrow().ports.get(&to).cloned();
-            let port = port.ok_or(io::ErrorKind::ConnectionRefused)?;
-            let (out, back) = (fabric.pipe(here, there), fabric.pipe(there, here));
+            let listener = network.state.borrow().listeners.get(&to).cloned();
+            let listener = listener.ok_or(io::ErrorKind::ConnectionRefused)?;
+            let (out, back) = (network.pipe(here, there), network.pipe(there, here));
             let from = {
-                let mut state = fabric.state.borrow_mut();
-                state.opened = state.opened.checked_add(1).unwrap_or(1024);
-                SocketAddr::new(here, state.opened)
+                let mut state = network.state.borrow_mut();
+                state.last_port = state.last_port.checked_add(1).unwrap_or(FIRST_PORT);
+                SocketAddr::new(here, state.last_port)
             };
-            let end = |input: &Rc<RefCell<Pipe>>, output: &Rc<RefCell<Pipe>>| -> Stream {
-                let (fabric, input, output) = (fabric.clone(), input.clone(), output.clone());
-                Box::new(End { fabric, input, output, due: None })
+            let stream_end = |input: &Rc<RefCell<Pipe>>, output: &Rc<RefCell<Pipe>>| -> Stream {
+                let (network, input, output) = (network.clone(), input.clone(), output.clone());
+                Box::new(StreamEnd { network, input, output, read_timer: None })
             };
-            port.send((end(&out, &back), from)).map_err(|_| io::ErrorKind::ConnectionRefused)?;
-            Ok(end(&back, &out))
+            listener.send((stream_end(&out, &back), from)).map_err(|_| io::ErrorKind::ConnectionRefused)?;
+            Ok(stream_end(&back, &out))
         })
     }
 
     fn listen(&self, at: SocketAddr) -> IoFuture<'_, Box<dyn Listener>> {
         Box::pin(async move {
-            let (tell, told) = mpsc::unbounded_channel();
-            if self.fabric.state.borrow_mut().ports.insert(at, tell).is_some() {
+            let (sender, incoming) = mpsc::unbounded_channel();
+            if self.network.state.borrow_mut().listeners.insert(at, sender).is_some() {
                 return Err(io::ErrorKind::AddrInUse.into());
             }
-            let port = Port { fabric: self.fabric.clone(), at, told: RefCell::new(told) };
-            Ok(Box::new(port) as Box<dyn Listener>)
+            let listener =
+                PortListener { network: self.network.clone(), at, incoming: RefCell::new(incoming) };
+            Ok(Box::new(listener) as Box<dyn Listener>)
         })
     }
 }
 
-struct Port {
-    fabric: Rc<Fabric>,
+struct PortListener {
+    network: Rc<SimulatedNetwork>,
     at: SocketAddr,
-    told: RefCell<mpsc::UnboundedReceiver<Accepted>>,
+    incoming: RefCell<mpsc::UnboundedReceiver<Accepted>>,
 }
 
-impl Listener for Port {
+impl Listener for PortListener {
     fn accept(&self) -> IoFuture<'_, Accepted> {
         Box::pin(async move {
-            let next = std::future::poll_fn(|cx| self.told.borrow_mut().poll_recv(cx)).await;
+            let next = std::future::poll_fn(|cx| self.incoming.borrow_mut().poll_recv(cx)).await;
             next.ok_or(io::ErrorKind::NotConnected.into())
         })
     }
 }
 
-impl Drop for Port {
+impl Drop for PortListener {
     fn drop(&mut self) {
-        let port = self.fabric.state.borrow_mut().ports.remove(&self.at);
-        // Connections that nobody took end here, and look at the fabric.
-        drop(port);
+        let sender = self.network.state.borrow_mut().listeners.remove(&self.at);
+        // Dropped only here, after the borrow has ended: connections that were never accepted close now and borrow
+        // the state.
+        drop(sender);
     }
 }
 
 /// One end of a connection.
-struct End {
-    fabric: Rc<Fabric>,
+struct StreamEnd {
+    network: Rc<SimulatedNetwork>,
     input: Rc<RefCell<Pipe>>,
     output: Rc<RefCell<Pipe>>,
-    due: Option<Pin<Box<Sleep>>>,
+    read_timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl End {
-    fn finish(&self) {
+impl StreamEnd {
+    fn close(&self) {
         let (from, to) = (self.output.borrow().from, self.output.borrow().to);
-        if self.fabric.state.borrow().off.contains(&from) {
+        if self.network.state.borrow().powered_off.contains(&from) {
             return;
         }
-        let due = Instant::now() + self.fabric.delay(from, to);
+        let due = Instant::now() + self.network.delay(from, to);
         let mut output = self.output.borrow_mut();
-        let due = due.max(output.last);
-        output.ended.get_or_insert(due);
+        let due = due.max(output.last_due);
+        output.closed_at.get_or_insert(due);
         output.wake();
     }
 }
 
-impl Drop for End {
+impl Drop for StreamEnd {
     fn drop(&mut self) {
-        self.finish();
+        self.close();
     }
 }
 
-impl Connection for End {
+impl Connection for StreamEnd {
     fn tune(&self) {}
 }
 
-impl AsyncRead for End {
+impl AsyncRead for StreamEnd {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let mut pipe = this.input.borrow_mut();
-        if pipe.broken {
+        if pipe.is_reset {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
         pipe.reader = Some(cx.waker().clone());
-        let Some(due) = pipe.chunks.front().map(|(due, _)| *due).or(pipe.ended) else {
+        let Some(due) = pipe.chunks.front().map(|(due, _)| *due).or(pipe.closed_at) else {
             return Poll::Pending;
         };
-        // Whoever mends a cut wakes all readers.
-        if !this.fabric.is_up(pipe.from, pipe.to) {
+        // Ending a cut wakes all readers.
+        if !this.network.can_reach(pipe.from, pipe.to) {
             return Poll::Pending;
         }
         if due > Instant::now() {
             let mut timer = Box::pin(sleep_until(due));
             if timer.as_mut().poll(cx).is_pending() {
-                this.due = Some(timer);
+                this.read_timer = Some(timer);
                 return Poll::Pending;
             }
         }
         if let Some((_, mut chunk)) = pipe.chunks.pop_front() {
-            let most = chunk.len().min(buf.remaining());
-            buf.put_slice(&chunk[..most]);
-            if most < chunk.len() {
-                chunk.drain(..most);
+            let count = chunk.len().min(buf.remaining());
+            buf.put_slice(&chunk[..count]);
+            if count < chunk.len() {
+                chunk.drain(..count);
                 pipe.chunks.push_front((due, chunk));
             }
         }
@@ -315,16 +331,16 @@
     }
 }
 
-impl AsyncWrite for End {
+impl AsyncWrite for StreamEnd {
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let (from, to) = (self.output.borrow().from, self.output.borrow().to);
-        let due = Instant::now() + self.fabric.delay(from, to);
+        let due = Instant::now() + self.network.delay(from, to);
         let mut output = self.output.borrow_mut();
-        if output.broken {
+        if output.is_reset {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
-        let due = due.max(output.last);
-        output.last = due;
+        let due = due.max(output.last_due);
+        output.last_due = due;
         output.chunks.push_back((due, bytes.to_vec()));
         output.wake();
         Poll::Ready(Ok(bytes.len()))
@@ -335,7 +351,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.finish();
+        self.close();
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/starlinghill-simulator/src/processes.rs
+++ b/crates/starlinghill-simulator/src/processes.rs
@@ -1,5 +1,5 @@
-//! Processes and disks that are played: a process is one future with all of its tasks inside, so that it can be dropped as
-//! by a kill, or not be looked at as while it is frozen.
+//! Simulated processes and disks. A process is one future that contains all of its tasks: dropping it acts as a kill,
+//! and not polling it acts as a frozen process.
 
 use starlinghill_config_store::disk::{SaveRequest, StorageQueue, StoredState};
 use starlinghill_consensus::AcceptorState;
@@ -13,170 +13,171 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until, Instant};
 
-type Running = Pin<Box<dyn Future<Output = ()>>>;
+type ProcessFuture = Pin<Box<dyn Future<Output = ()>>>;
 
-/// A process.
+/// A handle to a simulated process.
 #[derive(Clone, Default)]
 pub struct Process {
-    inner: Rc<RefCell<Inner>>,
+    state: Rc<RefCell<ProcessState>>,
 }
 
 #[derive(Default)]
-struct Inner {
-    running: Option<Running>,
+struct ProcessState {
+    future: Option<ProcessFuture>,
     frozen: bool,
     waker: Option<Waker>,
 }
 
 impl Process {
-    /// Begins one.
-    pub fn begin(run: impl Future<Output = ()> + 'static) -> Process {
+    /// Starts a process on the current `LocalSet`.
+    pub fn spawn(run: impl Future<Output = ()> + 'static) -> Process {
         let tasks = LocalSet::new();
-        let running: Running = Box::pin(async move { tasks.run_until(run).await });
-        let inner = Inner { running: Some(running), ..Inner::default() };
-        let process = Process { inner: Rc::new(RefCell::new(inner)) };
-        let inner = process.inner.clone();
+        let future: ProcessFuture = Box::pin(async move { tasks.run_until(run).await });
+        let state = ProcessState { future: Some(future), ..ProcessState::default() };
+        let process = Process { state: Rc::new(RefCell::new(state)) };
+        let state = process.state.clone();
         spawn_local(std::future::poll_fn(move |cx| {
-            let mut running = {
-                let mut inner = inner.borrow_mut();
-                inner.waker = Some(cx.waker().clone());
-                if inner.frozen && inner.running.is_some() {
+            let mut future = {
+                let mut state = state.borrow_mut();
+                state.waker = Some(cx.waker().clone());
+                if state.frozen && state.future.is_some() {
                     return Poll::Pending;
                 }
-                match inner.running.take() {
-                    Some(running) => running,
+                match state.future.take() {
+                    Some(future) => future,
                     None => return Poll::Ready(()),
                 }
             };
-            let polled = running.as_mut().poll(cx);
+            let polled = future.as_mut().poll(cx);
             if polled.is_pending() {
-                inner.borrow_mut().running = Some(running);
+                state.borrow_mut().future = Some(future);
             }
             polled
         }));
         process
     }
 
-    /// It runs, frozen or not.
+    /// Whether the process exists, frozen or not.
     pub fn is_alive(&self) -> bool {
-        self.inner.borrow().running.is_some()
+        self.state.borrow().future.is_some()
     }
 
-    /// It runs and is looked at.
-    pub fn is_awake(&self) -> bool {
-        self.is_alive() && !self.inner.borrow().frozen
+    /// Whether the process exists and is not frozen.
+    pub fn is_responsive(&self) -> bool {
+        self.is_alive() && !self.state.borrow().frozen
     }
 
-    /// Ends it where it stands.
+    /// Ends the process at once, without any cleanup beyond dropping its future.
     pub fn kill(&self) {
-        let running = self.inner.borrow_mut().running.take();
-        drop(running);
+        // The state may not be borrowed while the future is dropped: its destructors may use it.
+        let future = self.state.borrow_mut().future.take();
+        drop(future);
         self.wake();
     }
 
-    /// Nothing of it goes on, until it does again and finds the clock moved.
-    pub fn freeze(&self, frozen: bool) {
-        self.inner.borrow_mut().frozen = frozen;
+    /// Stops polling the process, or resumes it. A resumed process finds that the clock has moved on.
+    pub fn set_frozen(&self, frozen: bool) {
+        self.state.borrow_mut().frozen = frozen;
         self.wake();
     }
 
     fn wake(&self) {
-        if let Some(waker) = self.inner.borrow_mut().waker.take() {
+        if let Some(waker) = self.state.borrow_mut().waker.take() {
             waker.wake();
         }
     }
 }
 
-/// A disk, which outlives processes.
+/// A disk with the state of one store. It outlives the processes that write to it.
 #[derive(Default)]
-pub struct Platter {
-    /// What survives a loss of power.
+pub struct Disk {
+    /// Survives a power loss.
     synced: Option<StoredState>,
-    /// What was written behind it.
+    /// Written but not synced yet; a kill or a power loss may drop it.
     unsynced: Option<StoredState>,
-    stalled: Option<Instant>,
-    /// It says that it has synced before it has: for the fault that must be found.
-    pub lies: bool,
-    /// It refuses to write.
-    pub refuses: bool,
+    stalled_until: Option<Instant>,
+    /// Acknowledges writes before they are synced: a disk fault that the checker must detect.
+    pub acks_before_sync: bool,
+    /// Rejects every write.
+    pub rejects_writes: bool,
 }
 
-/// How long a sync takes at most, in milliseconds.
-const SYNC_MS: u64 = 9;
-/// After this a write that was refused is tried again.
-const REFUSED: Duration = Duration::from_millis(100);
-/// When a disk that lies has synced.
-const LATE: Duration = Duration::from_millis(400);
+/// The longest duration of a sync, in milliseconds.
+const MAX_SYNC_MS: u64 = 9;
+/// The pause before a rejected write is tried again.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long after its acknowledgement a write is synced on a disk that acknowledges too early.
+const LATE_SYNC_DELAY: Duration = Duration::from_millis(400);
 
-impl Platter {
-    /// What a process finds that starts here.
-    pub fn found(&self) -> Option<StoredState> {
+impl Disk {
+    /// What a process reads when it starts on this disk.
+    pub fn stored_state(&self) -> Option<StoredState> {
         self.synced.clone()
     }
 
-    /// What a voter keeps here, as a process would find it.
-    pub fn kept(&self) -> Option<&AcceptorState> {
-        self.synced.as_ref().map(|found| &found.acceptor)
+    /// The stored votes and members, as a starting process would read them.
+    pub fn acceptor_state(&self) -> Option<&AcceptorState> {
+        self.synced.as_ref().map(|stored| &stored.acceptor)
     }
 
-    /// Nothing is there any more.
+    /// Erases all content.
     pub fn wipe(&mut self) {
         (self.synced, self.unsynced) = (None, None);
     }
 
-    /// It takes nothing until then.
+    /// Blocks writes until the given time.
     pub fn stall(&mut self, until: Instant) {
-        self.stalled = Some(until);
+        self.stalled_until = Some(until);
     }
 
-    /// It takes nothing just now.
+    /// Whether writes are blocked at present.
     pub fn is_stalled(&self) -> bool {
-        self.stalled.is_some_and(|until| Instant::now() < until)
+        self.stalled_until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// A process ends, or power goes: what was under way is there, or not.
-    pub fn settle(&mut self, there: bool) {
-        if let Some(unsynced) = self.unsynced.take().filter(|_| there) {
+    /// Decides what a killed process or a power loss leaves of an unsynced write.
+    pub fn settle_pending(&mut self, write_survives: bool) {
+        if let Some(unsynced) = self.unsynced.take().filter(|_| write_survives) {
             self.synced = Some(unsynced);
         }
     }
 }
 
-/// A process begins to write.
-pub fn mount(platter: Rc<RefCell<Platter>>) -> StorageQueue {
-    let (orders, mut queue) = mpsc::unbounded_channel::<SaveRequest>();
+/// Starts the task that writes a process's state to the disk, and returns the queue to it.
+pub fn start_writer(disk: Rc<RefCell<Disk>>) -> StorageQueue {
+    let (queue, mut requests) = mpsc::unbounded_channel::<SaveRequest>();
     spawn_local(async move {
-        while let Some(SaveRequest { acceptor: kept, state, done }) = queue.recv().await {
-            let stalled = platter.borrow().stalled;
-            if let Some(until) = stalled.filter(|until| *until > Instant::now()) {
+        while let Some(SaveRequest { acceptor, state, done }) = requests.recv().await {
+            let stalled_until = disk.borrow().stalled_until;
+            if let Some(until) = stalled_until.filter(|until| *until > Instant::now()) {
                 sleep_until(until).await;
             }
-            // As the thread that writes: it tries until all is kept.
-            while platter.borrow().refuses {
-                sleep(REFUSED).await;
+            // The real writer thread also retries until the write succeeds.
+            while disk.borrow().rejects_writes {
+                sleep(WRITE_RETRY_DELAY).await;
             }
-            let lies = {
-                let mut platter = platter.borrow_mut();
-                let before = platter.unsynced.as_ref().or(platter.synced.as_ref());
-                let before = before.map(|found| found.state.clone());
-                let state = state.or(before).unwrap_or_default();
-                platter.unsynced = Some(StoredState { acceptor: kept, state });
-                platter.lies
+            let acks_before_sync = {
+                let mut disk = disk.borrow_mut();
+                let previous = disk.unsynced.as_ref().or(disk.synced.as_ref());
+                let previous = previous.map(|stored| stored.state.clone());
+                let state = state.or(previous).unwrap_or_default();
+                disk.unsynced = Some(StoredState { acceptor, state });
+                disk.acks_before_sync
             };
-            if lies {
+            if acks_before_sync {
                 let _ = done.send(Ok(()));
-                let platter = platter.clone();
+                let disk = disk.clone();
                 spawn_local(async move {
-                    sleep(LATE).await;
-                    platter.borrow_mut().settle(true);
+                    sleep(LATE_SYNC_DELAY).await;
+                    disk.borrow_mut().settle_pending(true);
                 });
                 continue;
             }
-            sleep(Duration::from_millis(fastrand::u64(1..=SYNC_MS))).await;
-            platter.borrow_mut().settle(true);
-            // Whoever waited may have gone.
+            sleep(Duration::from_millis(fastrand::u64(1..=MAX_SYNC_MS))).await;
+            disk.borrow_mut().settle_pending(true);
+            // The requester may be gone by now.
             let _ = done.send(Ok(()));
         }
     });
-    orders
+    queue
 }
--- a/crates/starlinghill-simulator/src/scenario.rs
+++ b/crates/starlinghill-simulator/src/scenario.rs
@@ -1,7 +1,11 @@
-//! A run: operators who order and read, troubles that a seed decides, and a quiet end after which all must be well.
+//! Runs one scenario: operators change and read the configuration, backends come and go and faults are injected, all
+//! as the seed decides. Afterwards the system gets time to recover, and everything must work again.
 
-use crate::checker::{Attempt, Held, History, InForce, Items, Order, Read, APPLY, RATION, RATIONED};
-use crate::cluster::{ip, World};
+use crate::checker::{
+    Attempt, ConfigChange, GatewaySample, History, HolderSample, Items, Read, APPLY_LIMIT, QUOTA_RATE,
+    QUOTA_TENANT,
+};
+use crate::cluster::{machine_ip, Cluster};
 use crate::{backends, faults};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -21,319 +25,351 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// What is played.
+/// The parameters of a run.
 #[derive(Debug, Clone)]
-pub struct Play {
-    /// What decides all of it.
+pub struct Scenario {
+    /// Decides all random choices of the run.
     pub seed: u64,
-    /// For how long there are troubles.
-    pub troubled: Duration,
-    /// Disks say that they have synced before they have: a fault that must be found.
-    pub disks_lie: bool,
-    /// Disks are lost before what was lost last is made up for: more than is borne, which must be found.
-    pub losses_overlap: bool,
-    /// How many times longer cuts may last, and backends live, than by default.
-    pub stretch: u64,
+    /// How long faults are injected.
+    pub fault_period: Duration,
+    /// Disks acknowledge writes before they are synced, which the checker must detect.
+    pub disks_ack_early: bool,
+    /// A disk may be lost before the previous loss is repaired. The system does not tolerate this, so the checker
+    /// must detect it.
+    pub allow_overlapping_losses: bool,
+    /// Multiplies the longest cut and the longest lifetime of a backend.
+    pub duration_factor: u64,
 }
 
-impl Play {
-    /// As it is played by default.
-    pub fn of(seed: u64) -> Play {
-        Play { seed, troubled: Duration::from_secs(16), disks_lie: false, losses_overlap: false, stretch: 1 }
+impl Scenario {
+    /// The default scenario: 16 seconds of faults.
+    pub fn new(seed: u64) -> Scenario {
+        Scenario {
+            seed,
+            fault_period: Duration::from_secs(16),
+            disks_ack_early: false,
+            allow_overlapping_losses: false,
+            duration_factor: 1,
+        }
     }
 
-    /// A long day, with cuts that outlast all that registries and gateways wait for.
-    pub fn long(seed: u64) -> Play {
-        Play { troubled: Duration::from_secs(90), stretch: 8, ..Play::of(seed) }
+    /// A longer run, with cuts that outlast all timeouts of registries and gateways.
+    pub fn long(seed: u64) -> Scenario {
+        Scenario { fault_period: Duration::from_secs(90), duration_factor: 8, ..Scenario::new(seed) }
     }
 }
 
-/// The machines of the core at the beginning, addresses for those that come later, and gateways.
-const FOUNDERS: usize = 3;
-const SPARES: usize = 3;
+/// Core machines at the start, spare addresses for machines that join later, and gateways.
+const INITIAL_CORES: usize = 3;
+const SPARE_CORES: usize = 3;
 const GATEWAYS: usize = 2;
-/// Backends at a time.
+/// Backends that run at the same time.
 const BACKENDS: usize = 3;
-/// Orders that are under way at once, by two operators.
-const SLOTS: usize = 6;
-const ITEMS: usize = 3;
-const CONFIG: &str = "/api/config";
-/// An operator goes elsewhere after this.
-const PATIENCE: Duration = Duration::from_millis(1_000);
-/// So often an order is sent again where no clear answer came.
-const TRIES: usize = 8;
-/// Before the first trouble, and after the last.
-const CALM: Duration = Duration::from_millis(2_000);
-/// What a store that was wiped, a count and a gateway may take until all is well again.
-const RECOVERY: Duration = Duration::from_secs(6);
-/// How often gateways and holders are looked at.
-const LOOK: Duration = Duration::from_millis(100);
+/// Changes that are submitted at the same time, from two operator machines.
+const CONCURRENT_CHANGES: usize = 6;
+/// Items that the operators change.
+const ITEM_COUNT: usize = 3;
+const CONFIG_PATH: &str = "/api/config";
+/// How long an operator waits for a reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How often a change is submitted while no final answer comes.
+const MAX_ATTEMPTS: usize = 8;
+/// The time before the first fault.
+const START_UP_TIME: Duration = Duration::from_millis(2_000);
+/// The time after the last fault within which a wiped store, the quota counter and the gateways must have recovered.
+const RECOVERY_TIME: Duration = Duration::from_secs(6);
+/// How often the state of gateways and counter holders is recorded.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A run under way.
+/// A run in progress.
 pub struct Run {
-    /// The machines.
-    pub world: World,
-    /// What was seen.
-    pub seen: RefCell<History>,
-    /// Chances of callers and troubles.
+    /// The machines and their network.
+    pub cluster: Cluster,
+    /// What has been recorded so far.
+    pub history: RefCell<History>,
+    /// Random choices of clients and fault injection. The network has a generator of its own.
     pub rng: RefCell<fastrand::Rng>,
     start: Instant,
-    /// Counts troubles of each member's programs and of its links to operators.
-    pub disturbed: RefCell<Vec<u64>>,
-    /// A machine is about to go for good: until it has, no other disk may be lost.
-    pub is_losing: Cell<bool>,
-    /// Disks are lost whatever was lost before.
-    pub losses_overlap: bool,
-    /// How many times longer cuts may last, and backends live, than by default.
-    pub stretch: u64,
-    highest: RefCell<BTreeMap<String, u64>>,
-    /// Callers end.
-    pub over: Cell<bool>,
-    /// Backends that beat now, and since when one of their beats was acknowledged.
-    pub beating: RefCell<BTreeMap<String, Duration>>,
+    /// For each core machine, the number of injected faults that affected its programs or its links to operators.
+    pub disturbances: RefCell<Vec<u64>>,
+    /// A machine is about to be removed for good. Until that is done, no other disk may be lost.
+    pub loss_in_progress: Cell<bool>,
+    /// See [`Scenario::allow_overlapping_losses`].
+    pub allow_overlapping_losses: bool,
+    /// See [`Scenario::duration_factor`].
+    pub duration_factor: u64,
+    /// The highest version requested so far for each item.
+    highest_versions: RefCell<BTreeMap<String, u64>>,
+    /// Tells the client tasks to end.
+    pub is_over: Cell<bool>,
+    /// The backends that send heartbeats at present, each with the start of the first acknowledged one.
+    pub heartbeating: RefCell<BTreeMap<String, Duration>>,
 }
 
-/// Plays it, and tells what was seen.
-pub fn play(play: &Play) -> History {
-    fastrand::seed(play.seed);
+/// Runs a scenario to its end in virtual time and returns its history.
+pub fn run_scenario(scenario: &Scenario) -> History {
+    fastrand::seed(scenario.seed);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    let runtime = runtime.expect("a runtime");
+    let runtime = runtime.expect("build the runtime");
     let tasks = LocalSet::new();
-    let seen = tasks.block_on(&runtime, run(play));
+    let history = tasks.block_on(&runtime, run(scenario));
     drop(tasks);
-    seen
+    history
 }
 
-async fn run(play: &Play) -> History {
+async fn run(scenario: &Scenario) -> History {
     let run = Rc::new(Run {
-        world: World::new(play.seed, FOUNDERS, SPARES, GATEWAYS),
-        seen: RefCell::default(),
-        rng: RefCell::new(fastrand::Rng::with_seed(!play.seed)),
+        cluster: Cluster::new(scenario.seed, INITIAL_CORES, SPARE_CORES, GATEWAYS),
+        history: RefCell::default(),
+        rng: RefCell::new(fastrand::Rng::with_seed(!scenario.seed)),
         start: Instant::now(),
-        disturbed: RefCell::new(vec![0; FOUNDERS + SPARES]),
-        is_losing: Cell::new(false),
-        losses_overlap: play.losses_overlap,
-        stretch: play.stretch,
-        highest: RefCell::default(),
-        over: Cell::new(false),
-        beating: RefCell::default(),
+        disturbances: RefCell::new(vec![0; INITIAL_CORES + SPARE_CORES]),
+        loss_in_progress: Cell::new(false),
+        allow_overlapping_losses: scenario.allow_overlapping_losses,
+        duration_factor: scenario.duration_factor,
+        highest_versions: RefCell::default(),
+        is_over: Cell::new(false),
+        heartbeating: RefCell::default(),
     });
-    run.world.cores.iter().for_each(|core| core.disk.borrow_mut().lies = play.disks_lie);
-    for i in 0..FOUNDERS {
-        run.world.start_store(i);
-        run.world.start_registry(i, true);
+    run.cluster
+        .cores
+        .iter()
+        .for_each(|core| core.disk.borrow_mut().acks_before_sync = scenario.disks_ack_early);
+    for i in 0..INITIAL_CORES {
+        run.cluster.start_store(i);
+        run.cluster.start_registry(i, true);
     }
-    (0..GATEWAYS).for_each(|i| run.world.start_gateway(i));
-    faults::first_start(&run).await;
-    let mut callers = Vec::new();
-    for slot in 0..SLOTS {
-        callers.push(spawn_local(operator(run.clone(), ip(2, slot % 2))));
+    (0..GATEWAYS).for_each(|i| run.cluster.start_gateway(i));
+    faults::kill_in_first_start(&run).await;
+    let mut clients = Vec::new();
+    for slot in 0..CONCURRENT_CHANGES {
+        clients.push(spawn_local(submit_changes(run.clone(), machine_ip(2, slot % 2))));
     }
-    callers.push(spawn_local(reader(run.clone(), ip(2, 2))));
-    (0..BACKENDS).for_each(|slot| callers.push(spawn_local(backends::lives(run.clone(), slot))));
-    spawn_local(watch_gateways(run.clone()));
-    (0..FOUNDERS + SPARES).for_each(|i| drop(spawn_local(watch_holder(run.clone(), i))));
-    sleep(CALM).await;
-    run.give_ration().await;
-    faults::all(run.clone(), play.troubled).await;
-    sleep(RECOVERY).await;
+    clients.push(spawn_local(read_configs(run.clone(), machine_ip(2, 2))));
+    (0..BACKENDS).for_each(|slot| clients.push(spawn_local(backends::run_lifetimes(run.clone(), slot))));
+    spawn_local(sample_gateways(run.clone()));
+    (0..INITIAL_CORES + SPARE_CORES).for_each(|i| drop(spawn_local(sample_holder(run.clone(), i))));
+    sleep(START_UP_TIME).await;
+    run.set_quota().await;
+    faults::inject_all(run.clone(), scenario.fault_period).await;
+    sleep(RECOVERY_TIME).await;
     for i in 0..GATEWAYS {
-        let listed = run.world.listed(i);
-        for (id, since) in run.beating.borrow().iter() {
-            if run.now() - *since > APPLY && !listed.contains(id) {
-                let what = format!("gateway {i} does not know {id}, which beats since {since:?}");
-                run.seen.borrow_mut().at_once.push(what);
+        let listed = run.cluster.routable_backends(i);
+        for (id, since) in run.heartbeating.borrow().iter() {
+            if run.now() - *since > APPLY_LIMIT && !listed.contains(id) {
+                let violation =
+                    format!("gateway {i} does not list {id}, which sends heartbeats since {since:?}");
+                run.history.borrow_mut().run_violations.push(violation);
             }
         }
     }
-    run.over.set(true);
-    for caller in callers {
-        caller.await.expect("callers end");
+    run.is_over.set(true);
+    for client in clients {
+        client.await.expect("client tasks end without a panic");
     }
-    last_words(&run).await;
-    let ended = run.world.ended.take();
-    run.seen.borrow_mut().at_once.extend(ended);
-    run.seen.borrow_mut().granted = run.world.granted.take();
-    run.seen.borrow_mut().epoch = run.world.members().epoch;
-    // What still runs ends here, and holds the run no longer.
-    (0..FOUNDERS + SPARES).for_each(|i| run.world.power_off(i, true));
-    run.world.gateways.iter().for_each(|gateway| gateway.process.borrow().kill());
-    run.seen.take()
+    check_recovery(&run).await;
+    let exits = run.cluster.unexpected_exits.take();
+    run.history.borrow_mut().run_violations.extend(exits);
+    run.history.borrow_mut().quota_grants = run.cluster.quota_grants.take();
+    run.history.borrow_mut().membership_epoch = run.cluster.latest_members().epoch;
+    // The tasks that still run share ownership of the run, so they must end for it to be freed.
+    (0..INITIAL_CORES + SPARE_CORES).for_each(|i| run.cluster.power_off(i, true));
+    run.cluster.gateways.iter().for_each(|gateway| gateway.process.borrow().kill());
+    run.history.take()
 }
 
-/// All is well again: each member takes an order and tells all, and gateways go by it.
-async fn last_words(run: &Rc<Run>) {
-    if !run.world.is_whole() {
-        let what = format!("not all that is promised is on disks: {:?}", run.world.members());
-        run.seen.borrow_mut().at_once.push(what);
+/// After recovery each member must accept a change and answer a read, and each gateway must be ready.
+async fn check_recovery(run: &Rc<Run>) {
+    if !run.cluster.is_fully_replicated() {
+        let violation = format!(
+            "not every voter has its disk and a majority the epoch: {:?}",
+            run.cluster.latest_members()
+        );
+        run.history.borrow_mut().run_violations.push(violation);
     }
-    for core in run.world.there() {
-        let order = run.order(true);
-        if run.attempt(ip(2, 0), order, core).await != Some(200) {
-            let what = format!("member {core} takes no order though all is well");
-            run.seen.borrow_mut().at_once.push(what);
+    for core in run.cluster.present_cores() {
+        let change = run.new_change(true);
+        if run.submit_change(machine_ip(2, 0), change, core).await != Some(200) {
+            let violation = format!("member {core} accepts no change after recovery");
+            run.history.borrow_mut().run_violations.push(violation);
         }
-        if !run.read(ip(2, 2), core).await {
-            let what = format!("member {core} reads nothing though all is well");
-            run.seen.borrow_mut().at_once.push(what);
+        if !run.read_config(machine_ip(2, 2), core).await {
+            let violation = format!("member {core} answers no read after recovery");
+            run.history.borrow_mut().run_violations.push(violation);
         }
     }
-    sleep(APPLY + LOOK + LOOK).await;
+    sleep(APPLY_LIMIT + SAMPLE_INTERVAL + SAMPLE_INTERVAL).await;
     for i in 0..GATEWAYS {
-        if run.world.in_force(i).is_none_or(|(ready, _)| !ready) {
-            run.seen.borrow_mut().at_once.push(format!("gateway {i} does not serve though all is well"));
+        if run.cluster.gateway_state(i).is_none_or(|(ready, _)| !ready) {
+            run.history.borrow_mut().run_violations.push(format!("gateway {i} is not ready after recovery"));
         }
     }
 }
 
 impl Run {
-    /// Since the beginning.
+    /// The virtual time since the start of the run.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Some machine of the core.
-    pub fn any_core(&self) -> usize {
-        let there = self.world.there();
-        there[self.draw(there.len())]
+    /// A random core machine that exists at present.
+    pub fn random_core(&self) -> usize {
+        let present = self.cluster.present_cores();
+        present[self.random_below(present.len())]
     }
 
-    /// The tenant that gateways draw from gets its quota.
-    async fn give_ration(&self) {
-        let key = format!("k-{RATIONED}");
-        let order = Order { item: RATIONED.into(), version: RATION, content: RATION, key };
-        let number = {
-            let mut seen = self.seen.borrow_mut();
-            seen.orders.push(order);
-            seen.orders.len() - 1
+    /// Submits the quota of [`QUOTA_TENANT`], which the gateways draw from.
+    async fn set_quota(&self) {
+        let api_key = format!("k-{QUOTA_TENANT}");
+        let change =
+            ConfigChange { item: QUOTA_TENANT.into(), version: QUOTA_RATE, content: QUOTA_RATE, api_key };
+        let index = {
+            let mut history = self.history.borrow_mut();
+            history.changes.push(change);
+            history.changes.len() - 1
         };
-        for _ in 0..TRIES {
-            if self.attempt(ip(2, 0), number, self.any_core()).await == Some(200) {
+        for _ in 0..MAX_ATTEMPTS {
+            if self.submit_change(machine_ip(2, 0), index, self.random_core()).await == Some(200) {
                 return;
             }
         }
-        self.seen.borrow_mut().at_once.push("the first order is not taken".into());
+        self.history
+            .borrow_mut()
+            .run_violations
+            .push("the first change, which sets the quota, is not accepted".into());
     }
 
-    /// A number below another one.
-    pub fn draw(&self, below: usize) -> usize {
-        self.rng.borrow_mut().usize(0..below)
+    /// A random number below `limit`.
+    pub fn random_below(&self, limit: usize) -> usize {
+        self.rng.borrow_mut().usize(0..limit)
     }
 
-    /// A time between two, in milliseconds.
-    pub fn ms(&self, from: u64, to: u64) -> Duration {
+    /// A random duration between two limits in milliseconds, both included.
+    pub fn random_ms(&self, from: u64, to: u64) -> Duration {
         Duration::from_millis(self.rng.borrow_mut().u64(from..=to))
     }
 
-    /// A new order: mostly under the next number, at times, unless that is wanted, under one that somebody else has or had.
-    fn order(&self, fresh: bool) -> usize {
-        // What is ordered when all is well is nobody else's: it must be taken.
-        let item = if fresh { "last".to_string() } else { format!("t-{}", self.draw(ITEMS)) };
-        let mut highest = self.highest.borrow_mut();
-        let highest = highest.entry(item.clone()).or_default();
-        let version = match self.draw(8) {
-            _ if fresh => *highest + 1,
+    /// Creates a change and returns its index. Most changes have the next version of their item; some reuse an older
+    /// version unless `must_succeed` is set.
+    fn new_change(&self, must_succeed: bool) -> usize {
+        // The clients never change this item, so nothing can conflict with it.
+        let item =
+            if must_succeed { "last".to_string() } else { format!("t-{}", self.random_below(ITEM_COUNT)) };
+        let mut highest_versions = self.highest_versions.borrow_mut();
+        let highest = highest_versions.entry(item.clone()).or_default();
+        let version = match self.random_below(8) {
+            _ if must_succeed => *highest + 1,
             0 => (*highest).max(1),
             1 => highest.saturating_sub(1).max(1),
             _ => *highest + 1,
         };
         *highest = version.max(*highest);
-        let mut seen = self.seen.borrow_mut();
-        let number = seen.orders.len();
-        let content = if self.draw(12) == 0 { 0 } else { number as u64 + 1 };
-        // At times a key that another tenant has, or may have.
-        let owner =
-            if !fresh && self.draw(6) == 0 { format!("t-{}", self.draw(ITEMS)) } else { item.clone() };
-        seen.orders.push(Order { item, version, content, key: format!("k-{owner}") });
-        number
+        let mut history = self.history.borrow_mut();
+        let index = history.changes.len();
+        let content = if self.random_below(12) == 0 { 0 } else { index as u64 + 1 };
+        // Some changes use a key that another tenant has or requests.
+        let owner = if !must_succeed && self.random_below(6) == 0 {
+            format!("t-{}", self.random_below(ITEM_COUNT))
+        } else {
+            item.clone()
+        };
+        history.changes.push(ConfigChange { item, version, content, api_key: format!("k-{owner}") });
+        index
     }
 
-    async fn attempt(&self, from: IpAddr, order: usize, core: usize) -> Option<u16> {
-        let Order { item, version, content, key } = self.seen.borrow().orders[order].clone();
+    async fn submit_change(&self, from: IpAddr, change: usize, core: usize) -> Option<u16> {
+        let ConfigChange { item, version, content, api_key } = self.history.borrow().changes[change].clone();
         let body = match content {
             0 => format!(r#"{{"remove":{{"customers":[{{"name":"{item}","version":"r{version}"}}]}}}}"#),
             _ => format!(
-                r#"{{"upsert":{{"customers":[{{"name":"{item}","api_keys":["{key}"],"priority":0,"rate_per_s":{content},"burst":{version},"version":"r{version}"}}]}}}}"#
+                r#"{{"upsert":{{"customers":[{{"name":"{item}","api_keys":["{api_key}"],"priority":0,"rate_per_s":{content},"burst":{version},"version":"r{version}"}}]}}}}"#
             ),
         };
-        let (asked, before) = (self.now(), self.disturbed.borrow()[core]);
-        let net = self.world.fabric.at(from);
-        let answer = call(&net, self.world.control(core), Method::PATCH, CONFIG, body.into_bytes()).await;
-        let reachable = before == self.disturbed.borrow()[core]
-            && self.world.fabric.is_calm()
-            && self.world.is_well(core)
-            && self.world.linked(from, self.world.cores[core].ip);
-        let status = answer.map(|(status, _)| status);
-        let (at, answered) = (self.world.cores[core].ip, self.now());
-        let attempt = Attempt { order, at, asked, answered, status, reachable };
-        self.seen.borrow_mut().attempts.push(attempt);
+        let (started, disturbances) = (self.now(), self.disturbances.borrow()[core]);
+        let net = self.cluster.network.handle_for(from);
+        let reply =
+            call(&net, self.cluster.control_address(core), Method::PATCH, CONFIG_PATH, body.into_bytes())
+                .await;
+        let was_reachable = disturbances == self.disturbances.borrow()[core]
+            && self.cluster.network.has_default_quality()
+            && self.cluster.is_healthy(core)
+            && self.cluster.is_linked(from, self.cluster.cores[core].ip);
+        let status = reply.map(|(status, _)| status);
+        let (member, finished) = (self.cluster.cores[core].ip, self.now());
+        let attempt = Attempt { change, member, started, finished, status, was_reachable };
+        self.history.borrow_mut().attempts.push(attempt);
         status
     }
 
-    async fn read(&self, from: IpAddr, core: usize) -> bool {
-        let asked = self.now();
-        let net = self.world.fabric.at(from);
-        let answer = call(&net, self.world.control(core), Method::GET, CONFIG, Vec::new()).await;
-        let Some((200, body)) = answer else { return false };
-        let (at, answered) = (self.world.cores[core].ip, self.now());
-        match items(&body) {
-            Some(items) => self.seen.borrow_mut().reads.push(Read { at, asked, answered, items }),
-            None => self.seen.borrow_mut().at_once.push(format!("read at {at}: {body:?}")),
+    async fn read_config(&self, from: IpAddr, core: usize) -> bool {
+        let started = self.now();
+        let net = self.cluster.network.handle_for(from);
+        let reply =
+            call(&net, self.cluster.control_address(core), Method::GET, CONFIG_PATH, Vec::new()).await;
+        let Some((200, body)) = reply else { return false };
+        let (member, finished) = (self.cluster.cores[core].ip, self.now());
+        match parse_items(&body) {
+            Some(items) => self.history.borrow_mut().reads.push(Read { member, started, finished, items }),
+            None => self
+                .history
+                .borrow_mut()
+                .run_violations
+                .push(format!("malformed reply to a read at {member}: {body:?}")),
         }
         true
     }
 }
 
-async fn operator(run: Rc<Run>, from: IpAddr) {
-    while !run.over.get() {
-        sleep(run.ms(20, 900)).await;
-        let order = run.order(false);
-        for _ in 0..TRIES {
-            let core = run.any_core();
-            match run.attempt(from, order, core).await {
+async fn submit_changes(run: Rc<Run>, from: IpAddr) {
+    while !run.is_over.get() {
+        sleep(run.random_ms(20, 900)).await;
+        let change = run.new_change(false);
+        for _ in 0..MAX_ATTEMPTS {
+            let core = run.random_core();
+            match run.submit_change(from, change, core).await {
                 Some(status) if status < 500 => break,
-                _ => sleep(run.ms(1, 250)).await,
+                _ => sleep(run.random_ms(1, 250)).await,
             }
         }
     }
 }
 
-async fn reader(run: Rc<Run>, from: IpAddr) {
-    while !run.over.get() {
-        sleep(run.ms(20, 400)).await;
-        run.read(from, run.any_core()).await;
+async fn read_configs(run: Rc<Run>, from: IpAddr) {
+    while !run.is_over.get() {
+        sleep(run.random_ms(20, 400)).await;
+        run.read_config(from, run.random_core()).await;
     }
 }
 
-/// One call from outside, over a connection of its own; `None` where no answer came in time.
+/// Sends one HTTP request over a new connection. `None` means that no reply came in time.
 pub async fn call(
     net: &NetworkHandle,
-    to: SocketAddr,
+    address: SocketAddr,
     method: Method,
     path: &str,
     body: Vec<u8>,
 ) -> Option<(u16, Bytes)> {
-    let called = async {
-        let stream = net.connect(to).await.ok()?;
+    let exchange = async {
+        let stream = net.connect(address).await.ok()?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         let connection = spawn_local(connection);
         let request = Request::builder().method(method).uri(path).header("host", "core");
         let request = request.body(Full::new(Bytes::from(body))).ok()?;
-        let answer = sender.send_request(request).await.ok();
-        let answer = match answer {
-            Some(answer) => {
-                Some((answer.status().as_u16(), answer.into_body().collect().await.ok()?.to_bytes()))
+        let reply = sender.send_request(request).await.ok();
+        let reply = match reply {
+            Some(reply) => {
+                Some((reply.status().as_u16(), reply.into_body().collect().await.ok()?.to_bytes()))
             }
             None => None,
         };
         connection.abort();
-        answer
+        reply
     };
-    timeout(PATIENCE, called).await.ok()?
+    timeout(REPLY_TIMEOUT, exchange).await.ok()?
 }
 
-/// Reads what an operator reads back; nothing where it makes no sense, as where two tenants hold one key.
-fn items(body: &[u8]) -> Option<Items> {
+/// Parses the reply to a read. `None` if it is malformed or two tenants have the same key.
+fn parse_items(body: &[u8]) -> Option<Items> {
     let value = simd_json::to_owned_value(&mut body.to_vec()).ok()?;
     let item = |customer: &OwnedValue| {
         let name = customer.get_str("name")?.to_string();
@@ -345,64 +381,77 @@
     customers.iter().map(item).collect::<Option<Items>>().filter(|_| keys.len() == customers.len())
 }
 
-/// Looks again and again at what is in force, and at whom gateways are in touch with.
-async fn watch_gateways(run: Rc<Run>) {
-    let world = &run.world;
-    let mut since = vec![vec![None; FOUNDERS + SPARES]; GATEWAYS];
-    let mut lives = [0; GATEWAYS];
+/// Records regularly what each gateway has in effect, and how long it has been linked to which members.
+async fn sample_gateways(run: Rc<Run>) {
+    let cluster = &run.cluster;
+    let mut linked_since = vec![vec![None; INITIAL_CORES + SPARE_CORES]; GATEWAYS];
+    let mut incarnations = [0; GATEWAYS];
     loop {
-        sleep(LOOK).await;
-        for (i, gateway) in world.gateways.iter().enumerate() {
+        sleep(SAMPLE_INTERVAL).await;
+        for (i, gateway) in cluster.gateways.iter().enumerate() {
             let now = run.now();
-            if std::mem::replace(&mut lives[i], gateway.life.get()) != gateway.life.get() {
-                since[i].fill(None);
+            let incarnation = gateway.incarnation.get();
+            if std::mem::replace(&mut incarnations[i], incarnation) != incarnation {
+                linked_since[i].fill(None);
             }
-            let Some((ready, items)) = world.in_force(i) else {
-                since[i].fill(None);
+            let Some((ready, items)) = cluster.gateway_state(i) else {
+                linked_since[i].fill(None);
                 continue;
             };
-            if !world.has_keys_apart(i) {
-                let what = format!("two tenants hold one key at gateway {i} in {now:?}");
-                run.seen.borrow_mut().at_once.push(what);
+            if !cluster.has_distinct_keys(i) {
+                let violation = format!("two tenants have the same key at gateway {i} at {now:?}");
+                run.history.borrow_mut().run_violations.push(violation);
             }
-            let (mut longest, mut all) = (Duration::ZERO, None::<Duration>);
-            for (j, since) in since[i].iter_mut().enumerate() {
-                let touches = world.fabric.is_calm()
-                    && world.has_majority(j)
-                    && world.linked(gateway.ip, world.cores[j].ip);
-                let began = *since.get_or_insert(now);
-                match touches {
-                    true => longest = longest.max(now - began),
+            let (mut linked_to_one_for, mut shortest) = (Duration::ZERO, None::<Duration>);
+            for (j, since) in linked_since[i].iter_mut().enumerate() {
+                let is_linked = cluster.network.has_default_quality()
+                    && cluster.reaches_majority(j)
+                    && cluster.is_linked(gateway.ip, cluster.cores[j].ip);
+                let linked_start = *since.get_or_insert(now);
+                match is_linked {
+                    true => linked_to_one_for = linked_to_one_for.max(now - linked_start),
                     false => *since = None,
                 }
-                if world.has_majority(j) {
-                    let long = if touches { now - began } else { Duration::ZERO };
-                    all = Some(all.map_or(long, |all| all.min(long)));
+                if cluster.reaches_majority(j) {
+                    let linked_for = if is_linked { now - linked_start } else { Duration::ZERO };
+                    shortest = Some(shortest.map_or(linked_for, |shortest| shortest.min(linked_for)));
                 }
             }
-            let in_full_touch = all.unwrap_or_default();
-            let (life, at) = (gateway.life.get(), now);
-            let backends = world.listed(i);
-            let seen =
-                InForce { gateway: i, life, at, ready, in_touch: longest, in_full_touch, items, backends };
-            run.seen.borrow_mut().in_force.push(seen);
+            let linked_to_all_for = shortest.unwrap_or_default();
+            let backends = cluster.routable_backends(i);
+            let sample = GatewaySample {
+                gateway: i,
+                incarnation,
+                time: now,
+                ready,
+                linked_to_one_for,
+                linked_to_all_for,
+                items,
+                backends,
+            };
+            run.history.borrow_mut().gateway_samples.push(sample);
         }
     }
 }
 
-/// Asks a registry, on its own machine, whether it holds the count.
-async fn watch_holder(run: Rc<Run>, core: usize) {
-    let at = run.world.cores[core].ip;
-    let caller = RpcClient::new(&run.world.fabric.at(at), run.world.own(core));
+/// Asks a registry regularly, from its own machine, whether it holds the quota counter.
+async fn sample_holder(run: Rc<Run>, core: usize) {
+    let member = run.cluster.cores[core].ip;
+    let client = RpcClient::new(&run.cluster.network.handle_for(member), run.cluster.registry_address(core));
     loop {
-        sleep(LOOK).await;
-        let asked = run.now();
+        sleep(SAMPLE_INTERVAL).await;
+        let started = run.now();
         if let Ok(RegistryResponse::Status(status)) =
-            caller.call(&RegistryRequest::Status, Duration::from_secs(30)).await
+            client.call(&RegistryRequest::Status, Duration::from_secs(30)).await
         {
-            let (answered, rack) = (run.now(), at);
+            let finished = run.now();
             if let Some((term, _)) = status.holder.filter(|_| status.count.is_some()) {
-                run.seen.borrow_mut().held.push(Held { rack, term, asked, answered });
+                run.history.borrow_mut().holder_samples.push(HolderSample {
+                    member,
+                    term,
+                    started,
+                    finished,
+                });
             }
         }
     }
