--- a/crates/starlinghill-config-store/src/acceptor.rs
+++ b/crates/starlinghill-config-store/src/acceptor.rs
@@ -85,7 +85,7 @@
     let mut unsaved = false;
     let mut gauge = QueueGauge::new("votes", QUEUE_CAPACITY);
     while let Some((to, request, reply)) = commands.recv().await {
-        gauge.log(commands.len() + 1);
+        gauge.observe_and_log(commands.len() + 1);
         if reply.is_closed() {
             // The caller has given up. To it, this is the same as a request lost on the network.
             continue;
--- a/crates/starlinghill-config-store/src/program.rs
+++ b/crates/starlinghill-config-store/src/program.rs
@@ -13,7 +13,7 @@
 use starlinghill_runtime::net::{self, NetworkHandle};
 use starlinghill_runtime::rpc::serve;
 use starlinghill_runtime::settings::{NodeSettings, SettingsError};
-use starlinghill_runtime::signals::{Reread, Signals};
+use starlinghill_runtime::signals::{SettingsUpdates, Signals};
 use starlinghill_runtime::CONFIG_STORE_PORT_OFFSET;
 use std::future::Future;
 use std::net::IpAddr;
@@ -73,11 +73,11 @@
 
 /// Like [`run`], on a given network.
 pub async fn run_on(net: NetworkHandle, mut signals: Signals) -> Result<(), StartError> {
-    let reread = signals.reread();
+    let reread = signals.settings_updates();
     let node = NodeSettings::from_environment().context(SettingsSnafu)?;
     let folder = node.data_dir.clone().ok_or(StartError::NoDataDir)?;
     std::fs::create_dir_all(&folder).context(SystemSnafu { action: folder.display().to_string() })?;
-    let end = signals.end();
+    let end = signals.wait_for_shutdown();
     tokio::pin!(end);
     let (storage, stored) = tokio::select! {
         () = &mut end => return Ok(()),
@@ -104,13 +104,13 @@
 pub async fn run_store(
     node: &NodeSettings,
     net: &NetworkHandle,
-    reread: Reread,
+    reread: SettingsUpdates,
     stored: Option<StoredState>,
     storage: StorageQueue,
     end: impl Future<Output = ()>,
 ) -> Result<(), StartError> {
     tokio::pin!(end);
-    let address = node.port(node.ip, CONFIG_STORE_PORT_OFFSET);
+    let address = node.internal_address(node.ip, CONFIG_STORE_PORT_OFFSET);
     let listener =
         net.listen(address).await.context(SystemSnafu { action: format!("listen on {address}") })?;
     let seeds = |node: &NodeSettings| -> Vec<IpAddr> { node.seeds.iter().map(|seed| seed.ip()).collect() };
@@ -136,7 +136,7 @@
         !had_state,
         node.first_start
     );
-    let (essentials, mut first_end) = EssentialTasks::new();
+    let (essentials, mut first_ended) = EssentialTasks::new();
     let acceptor = AcceptorHandle::start(acceptor, storage, &essentials);
     let proposer_id = fastrand::u32(1..);
     let budget = StalenessBudget::from_apply_bound(node.bounds.apply);
@@ -155,11 +155,11 @@
         let store = server.clone();
         async move { answer(request, &store, budget).await }
     };
-    essentials.spawn("calls", serve(listener, node.most_peers(), is_change, handler));
+    essentials.spawn("calls", serve(listener, node.max_peers(), is_change, handler));
     tokio::select! {
         biased;
         () = &mut end => {}
-        task = first_end.name() => return TaskSnafu { task }.fail(),
+        task = first_ended.wait() => return TaskSnafu { task }.fail(),
     }
     store.hand_over().await;
     Ok(())
--- a/crates/starlinghill-config-store/tests/acceptor.rs
+++ b/crates/starlinghill-config-store/tests/acceptor.rs
@@ -132,13 +132,13 @@
     let task = LocalSet::new();
     task.run_until(async {
         let members = Members::founding((1..4).map(|i| IpAddr::from([10, 0, 0, i])));
-        let (essentials, mut first_end) = EssentialTasks::new();
+        let (essentials, mut first_ended) = EssentialTasks::new();
         let acceptor =
             AcceptorHandle::start(Acceptor::new(members.voters[0], members.clone()), storage, &essentials);
         let state = State { members, value: Vec::new() };
         let accept = AcceptorRequest::Accept { ballot: Ballot { round: 1, proposer: 1 }, epoch: 0, state };
         assert!(acceptor.call(accept).await.is_none());
-        assert_eq!(first_end.name().await, "vote");
+        assert_eq!(first_ended.wait().await, "vote");
     })
     .await;
 }
--- a/crates/starlinghill-console/src/client.rs
+++ b/crates/starlinghill-console/src/client.rs
@@ -62,7 +62,7 @@
 impl RegistryClient {
     /// Takes the addresses from the seeds in a machine's settings.
     pub fn of(node: &NodeSettings) -> RegistryClient {
-        let ports = |offset| node.seeds.iter().map(|seed| node.port(seed.ip(), offset)).collect();
+        let ports = |offset| node.seeds.iter().map(|seed| node.internal_address(seed.ip(), offset)).collect();
         RegistryClient {
             registries: ports(REGISTRY_PORT_OFFSET),
             stores: ports(CONFIG_STORE_PORT_OFFSET),
@@ -90,9 +90,9 @@
         let (mut noted, mut unknown) = (0, 0);
         for registry in &self.registries {
             let client = RpcClient::new(&net::tcp(), *registry);
-            match client.call(&RegistryRequest::Drain(id.into()), REQUEST_TIMEOUT).await {
-                Ok(RegistryResponse::Noted) => noted += 1,
-                Ok(RegistryResponse::Unknown) => unknown += 1,
+            match client.call(&RegistryRequest::DrainBackend(id.into()), REQUEST_TIMEOUT).await {
+                Ok(RegistryResponse::Acknowledged) => noted += 1,
+                Ok(RegistryResponse::UnknownBackend) => unknown += 1,
                 _ => {}
             }
         }
--- a/crates/starlinghill-console/src/explain.rs
+++ b/crates/starlinghill-console/src/explain.rs
@@ -66,8 +66,9 @@
                 tenant.name, tenant.rate, tenant.burst
             ));
             let name = bucket_name(CustomerId(xxh3_64(tenant.name.as_bytes()))).0;
-            let counters = statuses.iter().filter_map(|status| status.count.as_ref());
-            let bucket = counters.flat_map(|counter| &counter.stores).find(|(bucket, ..)| *bucket == name);
+            let counters = statuses.iter().filter_map(|status| status.counter.as_ref());
+            let bucket =
+                counters.flat_map(|counter| &counter.token_buckets).find(|(bucket, ..)| *bucket == name);
             lines.push(match bucket {
                 None if tenant.rate <= 0.0 => "its quota: none".into(),
                 None => "its token bucket: full, unused of late, or no quota counter is running".into(),
--- a/crates/starlinghill-console/src/status.rs
+++ b/crates/starlinghill-console/src/status.rs
@@ -69,7 +69,10 @@
     /// Merges the status of all registries; `None` stands for a registry that did not answer.
     pub fn of(statuses: &[(SocketAddr, Option<RegistryStatus>)]) -> Overview {
         let mut overview = Overview {
-            registries: statuses.iter().map(|(at, status)| (*at, status.as_ref().map(|s| s.fresh))).collect(),
+            registries: statuses
+                .iter()
+                .map(|(at, status)| (*at, status.as_ref().map(|s| s.has_quorum_contact)))
+                .collect(),
             ..Overview::default()
         };
         let all = || statuses.iter().filter_map(|(_, status)| status.as_ref());
@@ -80,7 +83,7 @@
                     *newest = (*version, *in_force);
                 }
             }
-            if let Some((term, ip)) = status.holder {
+            if let Some((term, ip)) = status.counter_holder {
                 if overview.counter.is_none_or(|(_, known, _)| known < term) {
                     overview.counter = Some((ip, term, 0));
                 }
@@ -93,7 +96,7 @@
                     overview.items.get(&(*kind, name.clone())).is_some_and(|(known, _)| known == version)
                 })
         });
-        let digest = newest.map(|status| status.digest);
+        let digest = newest.map(|status| status.items_digest);
         for status in all() {
             for (gateway, ago_ms, applied_digest) in &status.gateways {
                 let known = overview.gateways.get(&gateway.ip);
@@ -115,12 +118,12 @@
                 };
                 ids.insert(seen.instance.id.clone());
             }
-            if let Some(count) = &status.count {
+            if let Some(count) = &status.counter {
                 let instances =
                     status.backends.iter().map(|(seen, _)| (seen.instance.id_hash(), &seen.instance));
-                overview.add_loads(&instances.collect(), &count.rooms);
-                overview.buckets = count.stores.clone();
-                overview.counter.iter_mut().for_each(|counter| counter.2 = count.silent);
+                overview.add_loads(&instances.collect(), &count.backend_loads);
+                overview.buckets = count.token_buckets.clone();
+                overview.counter.iter_mut().for_each(|counter| counter.2 = count.silent_gateways);
             }
         }
         for service in overview.services.values_mut() {
--- a/crates/starlinghill-console/tests/status.rs
+++ b/crates/starlinghill-console/tests/status.rs
@@ -56,15 +56,15 @@
     RegistryStatus {
         members: Default::default(),
         ip: ip(registry),
-        life: 1,
+        incarnation: 1,
         time: 0,
-        fresh: true,
+        has_quorum_contact: true,
         items: list,
-        digest: versions_digest(items.iter()),
+        items_digest: versions_digest(items.iter()),
         backends: vec![seen("i-1", BackendState::Ready, Liveness::Alive)],
         gateways: vec![(gateway, 100, versions_digest([item("r-1", 8)].iter()))],
-        holder: Some((3, ip(1))),
-        count: None,
+        counter_holder: Some((3, ip(1))),
+        counter: None,
     }
 }
 
@@ -81,8 +81,11 @@
 fn the_explanation_of_a_request_names_the_cause(host: &str, path: &str, key: Option<&str>, wanted: &str) {
     let mut status = status(1, &[]);
     let store = bucket_name(CustomerId(xxh3_64(b"studio"))).0;
-    status.count =
-        Some(CounterStatus { silent: 0, stores: vec![(store, 0.2, 10.0, 55.0)], rooms: Vec::new() });
+    status.counter = Some(CounterStatus {
+        silent_gateways: 0,
+        token_buckets: vec![(store, 0.2, 10.0, 55.0)],
+        backend_loads: Vec::new(),
+    });
     let lines = explain(&items(), &[status], RequestQuery { host, path, key }).unwrap_or_default();
     assert!(lines.iter().any(|line| line.contains(wanted)), "{lines:#?}");
 }
@@ -95,7 +98,7 @@
     let overview = Overview::of(&all);
     assert!(overview.gateways[&ip(20)].current && overview.registries[2].1.is_none());
     let mut behind = status(1, &newest);
-    behind.gateways[0].2 = old.digest;
+    behind.gateways[0].2 = old.items_digest;
     assert!(!Overview::of(&[(at(1), Some(behind))]).gateways[&ip(20)].current);
 }
 
@@ -128,7 +131,8 @@
     };
     let unknown = BackendLoad { backend: 7, outstanding: 9, capacity: 9, slowdown: 9.0, failure_rate: 1.0 };
     let rooms = vec![load(0, 1.0, 0.0), load(1, 2.5, 0.1), load(2, 0.8, 0.4), unknown];
-    status.count = Some(CounterStatus { silent: 0, stores: Vec::new(), rooms });
+    status.counter =
+        Some(CounterStatus { silent_gateways: 0, token_buckets: Vec::new(), backend_loads: rooms });
     let after = Overview::of(&[(at(1), Some(status))]);
     let ledger = &after.services["ledger"];
     assert_eq!((ledger.outstanding, ledger.capacity), (6, 9));
@@ -144,7 +148,7 @@
     let before = Overview::of(&[(at(1), Some(status(1, &[item("r-1", 7)])))]);
     let mut next = status(1, &[item("r-1", 8)]);
     next.backends = vec![seen("i-1", BackendState::Draining, Liveness::Alive)];
-    next.holder = Some((4, ip(2)));
+    next.counter_holder = Some((4, ip(2)));
     next.gateways[0].0.incarnation = 2;
     let after = Overview::of(&[(at(1), Some(next))]);
     let lines = after.changes(&before);
--- a/crates/starlinghill-simulator/src/checker.rs
+++ b/crates/starlinghill-simulator/src/checker.rs
@@ -328,13 +328,14 @@
                 let must_be_current = becomes_ready || sample.linked_to_one_for >= APPLY_LIMIT;
                 let confirmed_by = sample.time.checked_sub(APPLY_LIMIT).filter(|_| must_be_current);
                 let min_version = confirmed_by.map_or(0, |by| record.min_version(by));
+                // `rule` names the violated rule; "back" stands for a version older than one seen before.
                 let describe = |rule, problem| {
                     format!("{rule}: gateway {} at {:?}: {item} {problem}", sample.gateway, sample.time)
                 };
                 let observed = sample.items.get(*item).copied();
                 match record.check_observed(observed, *version, sample.time) {
                     Ok(newer) => *version = newer,
-                    Err(problem) => violations.push(describe("went back to an older version", problem)),
+                    Err(problem) => violations.push(describe("back", problem)),
                 }
                 if let Err(problem) = record.check_observed(observed, min_version, sample.time) {
                     let rule = if becomes_ready { "became ready with old state" } else { "applied too late" };
@@ -386,7 +387,7 @@
             for id in &sample.backends {
                 let drained_at = self.drained_at.get(id).filter(|at| **at + DRAIN_LIMIT < sample.time);
                 if let Some(drained_at) = drained_at {
-                    let problem = if becomes_ready { "became ready while it routes" } else { "still routes" };
+                    let problem = if becomes_ready { "becomes ready and sends" } else { "sends" };
                     let (gateway, now) = (sample.gateway, sample.time);
                     violations.push(format!(
                         "gateway {gateway} {problem} to {id} at {now:?}, drained at {drained_at:?}"
--- a/crates/starlinghill-simulator/src/cluster.rs
+++ b/crates/starlinghill-simulator/src/cluster.rs
@@ -8,7 +8,7 @@
 use starlinghill_decision::api::{CustomerId, Listed, Micros, Outcome, ServiceId};
 use starlinghill_decision::bucket_name;
 use starlinghill_gateway::counter::CounterTransport;
-use starlinghill_gateway::inbox::{Clock, Input, Listing};
+use starlinghill_gateway::inbox::{BackendListing, Clock, Input};
 use starlinghill_runtime::essential_tasks::EssentialTasks;
 use starlinghill_runtime::net::NetworkHandle;
 use starlinghill_runtime::settings::{Bounds, NodeSettings};
@@ -16,11 +16,11 @@
 
 use starlinghill_config_model::RoutingTable;
 use starlinghill_config_store::program::run_store;
-use starlinghill_proxy::decision_settings::Places;
-use starlinghill_proxy::heartbeat::Ring;
-use starlinghill_proxy::quota_client::Counter;
-use starlinghill_proxy::registry_client::{self, Shared, View, Ways};
-use starlinghill_registry::program::registry;
+use starlinghill_proxy::decision_settings::DecisionIndex;
+use starlinghill_proxy::heartbeat::HeartbeatRing;
+use starlinghill_proxy::quota_client::CounterClient;
+use starlinghill_proxy::registry_client::{self, ProxyState, RegistryClientContext, RoutingView};
+use starlinghill_registry::program::run_registry;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -70,7 +70,7 @@
     pub process: RefCell<Process>,
     /// A random number that identifies the current process.
     pub incarnation: Cell<u64>,
-    shared: Rc<RefCell<Option<Rc<Shared>>>>,
+    shared: Rc<RefCell<Option<Rc<ProxyState>>>>,
     /// The ids of the backends that it may route requests to.
     routable_backends: Rc<RefCell<BTreeSet<String>>>,
 }
@@ -227,7 +227,7 @@
         core.stop_senders.borrow_mut()[1] = Some(stop);
         let program = async move {
             let stopped = async move { drop(stopped.await) };
-            registry(&node, &net, stopped).await
+            run_registry(&node, &net, stopped).await
         };
         *core.registry.borrow_mut() = self.spawn_watched(format!("registry {i}"), program);
     }
@@ -364,23 +364,25 @@
             (self.quota_grants.clone(), self.started, self.unexpected_exits.clone());
         *gateway.process.borrow_mut() = Process::spawn(async move {
             let (_sender, stopping) = watch::channel(false);
-            let view = View { table: RoutingTable::default(), places: Places::default(), gateways: 1 };
+            let view =
+                RoutingView { table: RoutingTable::default(), index: DecisionIndex::default(), gateways: 1 };
             let shared =
-                Rc::new(Shared { view: RefCell::new(view), ready: watch::channel(false).0, stopping });
+                Rc::new(ProxyState { view: RefCell::new(view), ready: watch::channel(false).0, stopping });
             *shared_slot.borrow_mut() = Some(shared.clone());
-            let (holder, holder_updates) = registry_client::nowhere();
+            let (holder, holder_updates) = registry_client::no_holder();
             let essentials = EssentialTasks::default();
-            let counter = Counter::start(net.clone(), incarnation, holder_updates, &essentials);
+            let counter = CounterClient::start(net.clone(), incarnation, holder_updates, &essentials);
             // The messages that the decision module would receive.
             let (driver, mut inputs) = mpsc::channel(64);
-            let clock = Clock::from(Micros(100_000_000));
-            let ring = Rc::new(Ring::new(node.port(node.ip, PROXY_PORT_OFFSET), incarnation));
+            let clock = Clock::starting_at(Micros(100_000_000));
+            let ring =
+                Rc::new(HeartbeatRing::new(node.internal_address(node.ip, PROXY_PORT_OFFSET), incarnation));
             spawn_local(draw_from_quota(counter.clone(), quota_grants, started));
-            let ways = Ways { net, driver, clock, counter, holder, ring };
-            registry_client::start(&node, shared, ways, incarnation, &essentials);
+            let context = RegistryClientContext { net, driver, clock, counter, holder, ring };
+            registry_client::start(&node, shared, context, incarnation, &essentials);
             while let Some(input) = inputs.recv().await {
                 let Input::Backends(_, listings) = input else { continue };
-                for Listing { entry, name, .. } in listings {
+                for BackendListing { entry, name, .. } in listings {
                     let id = name.to_str().unwrap_or_default().to_string();
                     match entry.listed {
                         Listed::InService => routable_backends.borrow_mut().insert(id),
@@ -425,7 +427,11 @@
 }
 
 /// Draws from the quota of the limited tenant, one draw after the other, and records the grants.
-async fn draw_from_quota(counter: Rc<Counter>, quota_grants: Rc<RefCell<Vec<Duration>>>, started: Instant) {
+async fn draw_from_quota(
+    counter: Rc<CounterClient>,
+    quota_grants: Rc<RefCell<Vec<Duration>>>,
+    started: Instant,
+) {
     let name = bucket_name(CustomerId(xxh3_64(QUOTA_TENANT.as_bytes())));
     loop {
         sleep(Duration::from_millis(fastrand::u64(1..=MAX_DRAW_PAUSE_MS))).await;
--- a/crates/starlinghill-simulator/src/fleet.rs
+++ b/crates/starlinghill-simulator/src/fleet.rs
@@ -7,7 +7,7 @@
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
 use starlinghill_proxy::decision_settings;
-use starlinghill_proxy::quota_client::PATIENCE;
+use starlinghill_proxy::quota_client::DRAW_TIMEOUT;
 use starlinghill_quota_counter::{Draw, QuotaClient, QuotaCounter, QuotaLevel, KEEPALIVE_INTERVAL};
 use starlinghill_runtime::settings::Bounds;
 use std::cmp::Reverse;
@@ -456,7 +456,7 @@
             max_response_ms: 0,
         };
         self.send_to_counter(index, Some(draw_id), Some(draw));
-        self.schedule(PATIENCE.as_micros() as u64, SimulationEvent::DrawTimeout(index, draw_id));
+        self.schedule(DRAW_TIMEOUT.as_micros() as u64, SimulationEvent::DrawTimeout(index, draw_id));
     }
 
     /// Sends a message to the counter. Its reply arrives after all earlier replies.
--- a/crates/starlinghill-simulator/src/scenario.rs
+++ b/crates/starlinghill-simulator/src/scenario.rs
@@ -445,7 +445,7 @@
             client.call(&RegistryRequest::Status, Duration::from_secs(30)).await
         {
             let finished = run.now();
-            if let Some((term, _)) = status.holder.filter(|_| status.count.is_some()) {
+            if let Some((term, _)) = status.counter_holder.filter(|_| status.counter.is_some()) {
                 run.history.borrow_mut().holder_samples.push(HolderSample {
                     member,
                     term,
--- a/crates/starlinghill-simulator/tests/control.rs
+++ b/crates/starlinghill-simulator/tests/control.rs
@@ -229,7 +229,7 @@
 
 #[test_case(vec![sample(9, true, APPLY_LIMIT, None)], "became ready with old state"; "a gateway becomes ready with old state")]
 #[test_case(vec![sample(1, true, secs(1), None), sample(9, true, APPLY_LIMIT, None)], "applied too late"; "a linked gateway applies a change too late")]
-#[test_case(vec![sample(3, false, secs(0), Some((2, 22))), sample(4, false, secs(0), Some((1, 11)))], "went back"; "a gateway goes back to an older version")]
+#[test_case(vec![sample(3, false, secs(0), Some((2, 22))), sample(4, false, secs(0), Some((1, 11)))], "back: gateway"; "a gateway goes back to an older version")]
 fn a_wrong_configuration_at_a_gateway_is_detected(samples: Vec<GatewaySample>, expected: &str) {
     let violations = history(vec![attempt(0, 1, 200), attempt(1, 2, 200)], Vec::new(), samples).violations();
     assert!(violations.iter().any(|violation| violation.contains(expected)), "{violations:?}");
@@ -330,9 +330,10 @@
         cluster.network.unblock_all();
         sleep(secs(3)).await;
         let net = cluster.network.handle_for(machine_ip(0, 1));
-        let reply =
-            RpcClient::new(&net, cluster.registry_address(1)).call(&RegistryRequest::All, secs(1)).await;
-        let Ok(RegistryResponse::All(known)) = reply else { panic!("{reply:?}") };
+        let reply = RpcClient::new(&net, cluster.registry_address(1))
+            .call(&RegistryRequest::FullReport, secs(1))
+            .await;
+        let Ok(RegistryResponse::FullReport(known)) = reply else { panic!("{reply:?}") };
         let states: Vec<_> =
             known.backends.iter().map(|(instance, _)| (instance.id.as_str(), instance.state)).collect();
         assert_eq!(states, [("b", BackendState::Gone)]);
--- a/crates/starlinghill-testkit/src/balancing.rs
+++ b/crates/starlinghill-testkit/src/balancing.rs
@@ -259,7 +259,7 @@
         max_response_ms: 500,
     };
     let question =
-        RegistryRequest::Count { term: 1 << 20, from: u64::MAX, draws: vec![draw], words: Vec::new() };
+        RegistryRequest::Draw { term: 1 << 20, from: u64::MAX, draws: vec![draw], load_reports: Vec::new() };
     let level = QuotaLevel { level: 10.0, share: 0.1, offers: rooms };
     let answer = RegistryResponse::Levels(vec![level], 1 << 30);
     // Each has a length and a version.
