--- a/crates/starlinghill-gateway/src/driver.rs
+++ b/crates/starlinghill-gateway/src/driver.rs
@@ -15,7 +15,7 @@
 use crate::maintenance_file::MaintenanceFile;
 use starlinghill_decision::api::*;
 use starlinghill_decision::Gateway;
-use starlinghill_maintenance::{Book, Roster};
+use starlinghill_maintenance::{DiscoveredList, MaintenanceOrders};
 use starlinghill_settings::members::{MemberList, Phase};
 use starlinghill_settings::NamedSettings;
 use std::cmp::Reverse;
@@ -86,8 +86,8 @@
     peer_sender: Option<Rc<dyn PeerSender>>,
     backends: HashMap<ServerId, Rc<Backend>>,
     /// The list of backends as discovery sent it, and the maintenance orders that apply to it.
-    roster: Roster,
-    book: Book,
+    roster: DiscoveredList,
+    book: MaintenanceOrders,
     maintenance_file: Option<MaintenanceFile>,
     /// The file for the process that replaces this one, where several processes share the client socket.
     handover: Option<Handover>,
@@ -141,7 +141,7 @@
             pending_calls: PendingCalls::default(),
             peer_sender: None,
             backends: HashMap::new(),
-            roster: Roster::default(),
+            roster: DiscoveredList::default(),
             book,
             maintenance_file,
             handover,
@@ -189,8 +189,8 @@
             pending_calls: PendingCalls::default(),
             peer_sender: None,
             backends: HashMap::new(),
-            roster: Roster::default(),
-            book: Book::default(),
+            roster: DiscoveredList::default(),
+            book: MaintenanceOrders::default(),
             maintenance_file: None,
             handover: None,
             requests: HashMap::new(),
@@ -400,7 +400,7 @@
     }
 
     fn apply_member_list(&mut self, list: MemberList) {
-        let list = self.roster.take(list, &self.book);
+        let list = self.roster.apply(list, &self.book);
         self.queue_members(list);
     }
 
@@ -410,21 +410,21 @@
         if !*self.ready.borrow() {
             return MaintenanceResult::NotReady;
         }
-        if !self.roster.holds(id) && !self.book.is_out(id) {
+        if !self.roster.contains(id) && !self.book.is_out(id) {
             return MaintenanceResult::Unknown;
         }
         let now = self.clock.now();
         let mut new_book = self.book.clone();
         let (mut changed, mut ordered) = (Vec::new(), Ok(false));
-        let mut change = |file_book: Book| {
+        let mut change = |file_book: MaintenanceOrders| {
             changed = new_book.merge(&file_book);
-            ordered = new_book.order(id, out, now);
+            ordered = new_book.set_order(id, out, now);
             new_book.clone()
         };
         let saved = match &mut self.maintenance_file {
             Some(file) => file.replace(change).map_err(|problem| problem.to_string()),
             None => {
-                change(Book::default());
+                change(MaintenanceOrders::default());
                 Ok(())
             }
         };
@@ -434,7 +434,7 @@
         }
         self.book = new_book;
         changed.push(id.to_string());
-        self.queue_members(self.roster.again(&changed, &self.book));
+        self.queue_members(self.roster.changes_for(&changed, &self.book));
         MaintenanceResult::Done
     }
 
@@ -458,7 +458,7 @@
         let changed = self.book.merge(&file_book);
         if !changed.is_empty() {
             info!(?changed, "orders came in at another process");
-            self.queue_members(self.roster.again(&changed, &self.book));
+            self.queue_members(self.roster.changes_for(&changed, &self.book));
         }
     }
 
--- a/crates/starlinghill-gateway/src/lib.rs
+++ b/crates/starlinghill-gateway/src/lib.rs
@@ -125,7 +125,8 @@
     let bodies = config.memory / BODY_MEMORY_DIVISOR;
     let peers = config.peers.clone();
     let follower = config.follower();
-    let driver = Driver::new(config, clock, ready, follower.wait(), observer).map_err(RunError::Config)?;
+    let driver = Driver::new(config, clock, ready, follower.first_answer_timeout(), observer)
+        .map_err(RunError::Config)?;
     let driver_sender = driver.sender();
     match peers {
         // The process that this one replaces may still hold the socket.
--- a/crates/starlinghill-gateway/src/maintenance_file.rs
+++ b/crates/starlinghill-gateway/src/maintenance_file.rs
@@ -1,7 +1,7 @@
 //! The file of maintenance orders that the processes of one gateway share.
 
 use crate::handover::file_name;
-use starlinghill_maintenance::Book;
+use starlinghill_maintenance::MaintenanceOrders;
 use std::fs::{self, File, TryLockError};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -32,7 +32,7 @@
     }
 
     /// Reads the orders if the file changed since it was last read.
-    pub fn read_if_changed(&mut self) -> Option<Book> {
+    pub fn read_if_changed(&mut self) -> Option<MaintenanceOrders> {
         let version = self.version()?;
         if self.last_read == Some(version) {
             return None;
@@ -50,7 +50,7 @@
 
     /// Replaces the file. `change` gets the orders in it, which other processes may have written, and returns
     /// the new ones.
-    pub fn replace(&mut self, change: impl FnOnce(Book) -> Book) -> io::Result<()> {
+    pub fn replace(&mut self, change: impl FnOnce(MaintenanceOrders) -> MaintenanceOrders) -> io::Result<()> {
         let lock = File::create(&self.lock)?;
         let mut tries = 0;
         loop {
@@ -67,10 +67,10 @@
             }
         }
         let current = match self.read() {
-            Err(problem) if problem.kind() == io::ErrorKind::NotFound => Book::default(),
+            Err(problem) if problem.kind() == io::ErrorKind::NotFound => MaintenanceOrders::default(),
             current => current?,
         };
-        let text = change(current).write();
+        let text = change(current).to_json();
         let new = self.path.with_extension("new");
         fs::write(&new, text)?;
         // Readers see the old file or the new one, complete, also after a kill.
@@ -85,11 +85,11 @@
         Some((metadata.modified().ok()?, metadata.ino(), metadata.len()))
     }
 
-    fn read(&self) -> io::Result<Book> {
+    fn read(&self) -> io::Result<MaintenanceOrders> {
         let length = fs::metadata(&self.path)?.len();
         if length > MAX_FILE_BYTES {
             return Err(io::Error::other(format!("expected at most {MAX_FILE_BYTES} bytes, found {length}")));
         }
-        Book::read(&fs::read_to_string(&self.path)?).map_err(io::Error::other)
+        MaintenanceOrders::from_json(&fs::read_to_string(&self.path)?).map_err(io::Error::other)
     }
 }
--- a/crates/starlinghill-quota-counter/src/audit.rs
+++ b/crates/starlinghill-quota-counter/src/audit.rs
@@ -31,7 +31,7 @@
         let longer = Allowance { window_s: allowance.window_s + slot_length.as_secs_f64(), ..allowance };
         Audit {
             slot_length,
-            max_units: longer.most(quota),
+            max_units: longer.max_units(quota),
             slots: VecDeque::new(),
             sum: 0.0,
             is_exceeded: false,
