--- a/crates/starlinghill-proxy/src/backend_protocol.rs
+++ b/crates/starlinghill-proxy/src/backend_protocol.rs
@@ -22,14 +22,14 @@
 pub struct NativeProtocol;
 
 impl BackendProtocol for NativeProtocol {
-    fn address(&self, headers: &mut HeaderMap, backend: &Backend, left_ms: u64) {
+    fn set_headers(&self, headers: &mut HeaderMap, backend: &Backend, left_ms: u64) {
         headers.insert(TIME_LEFT, HeaderValue::from(left_ms));
         if let Some(name) = &backend.name {
             headers.insert(TARGET_BACKEND, name.clone());
         }
     }
 
-    fn read(&self, request: &HeaderMap, head: &Parts) -> ResponseVerdict {
+    fn classify(&self, request: &HeaderMap, head: &Parts) -> ResponseVerdict {
         let (attempt_id, refused) = (head.headers.get(ATTEMPT_ID), head.headers.contains_key(NOT_RUN));
         let refused = refused || head.status == StatusCode::MISDIRECTED_REQUEST;
         // On a reused connection an extra response can arrive in place of the expected one; only the id tells them
@@ -41,12 +41,17 @@
             // Another process has the address, so this backend is gone.
             let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
             let outcome = if misdirected { Outcome::ConnectFailed } else { Outcome::Rejected };
-            return ResponseVerdict { outcome, pass: false, head: false, own };
+            return ResponseVerdict { outcome, keep_body: false, keep_head: false, matches_request: own };
         }
         // A success without the seal, or with an encoding, was made or changed by something else than the backend.
         let authentic = head.headers.contains_key(SEAL) && !head.headers.contains_key(CONTENT_ENCODING);
         let success = head.status.is_success();
         let outcome = if head.status.is_server_error() { Outcome::Error } else { Outcome::Ok };
-        ResponseVerdict { outcome, pass: true, head: true, own: own && (authentic || !success) }
+        ResponseVerdict {
+            outcome,
+            keep_body: true,
+            keep_head: true,
+            matches_request: own && (authentic || !success),
+        }
     }
 }
--- a/crates/starlinghill-proxy/src/program.rs
+++ b/crates/starlinghill-proxy/src/program.rs
@@ -10,7 +10,7 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 use starlinghill_config_model::RoutingTable;
 use starlinghill_decision::api::Micros;
-use starlinghill_gateway::backend::{Counts, Pool};
+use starlinghill_gateway::backend::{ConnectionCounts, Pool};
 use starlinghill_gateway::config::ConfigError;
 use starlinghill_gateway::driver::Driver;
 use starlinghill_gateway::inbox::{Clock, Input};
@@ -92,12 +92,12 @@
 
 /// Logs the number of connections to backends since the start whenever it has changed.
 async fn log_connections(pool: Rc<Pool>) {
-    let mut logged = Counts::default();
+    let mut logged = ConnectionCounts::default();
     loop {
         tokio::time::sleep(CONNECTION_LOG_INTERVAL).await;
         let counts = pool.counts();
         if std::mem::replace(&mut logged, counts) != counts {
-            let Counts { opened, passed_over, reused, broke, died } = counts;
+            let ConnectionCounts { opened, passed_over, reused, broke, died } = counts;
             log::info!(
                 "event=connections opened={opened} passed_over={passed_over} reused={reused} broke={broke} died={died}"
             );
@@ -142,13 +142,13 @@
     let (holder, holder_updates) = registry_client::no_holder();
     let (essentials, mut first_ended) = EssentialTasks::new();
     let counter = CounterClient::start(net.clone(), incarnation, holder_updates, &essentials);
-    let clock = Clock::from(CLOCK_START);
+    let clock = Clock::starting_at(CLOCK_START);
     let sockets = node.open_files.saturating_sub(RESERVED_DESCRIPTORS).max(16) as usize;
     let pool = Pool::new(sockets / 3, CONNECT_TIMEOUT, DEFAULT_IDLE_TIMEOUT, Rc::new(NativeProtocol));
     let settings = decision_settings::settings(registry_client::zone_id(&node.zone), &node.bounds);
     let driver =
-        Driver::hosted(settings, incarnation, clock, pool, counter.clone()).context(DecisionSnafu)?;
-    let inbox = driver.inbox();
+        Driver::embedded(settings, incarnation, clock, pool, counter.clone()).context(DecisionSnafu)?;
+    let inbox = driver.sender();
     spawn_local(log_connections(driver.pool()));
     spawn_local(log_draws(counter.clone()));
     let rejections = Rc::new(RejectionCounters::default());
@@ -162,21 +162,21 @@
     essentials.spawn("ready", crate::readiness::serve(readiness_checks, shared.clone()));
     let body_bytes = (node.memory_mb << 20) / BODY_MEMORY_FRACTION;
     let intake = RequestIntake {
-        inbox: inbox.clone(),
+        driver: inbox.clone(),
         clock,
-        bodies: Semaphore::new(body_bytes as usize),
-        last: Default::default(),
+        body_memory: Semaphore::new(body_bytes as usize),
+        last_request_id: Default::default(),
     };
     let rng = RefCell::new(fastrand::Rng::with_seed(incarnation));
     let handler = Rc::new(ProxyRequestHandler { intake, shared, grace: node.bounds.grace, rng, rejections });
-    let last_answer = handler.last_answer();
+    let shutdown_limit = handler.shutdown_limit();
     spawn_local(async move {
         signals.wait_for_shutdown().await;
         // The server may have ended already.
         let _ = stop.send(true);
-        let remaining = last_answer.saturating_sub(GIVE_UP_MARGIN);
+        let remaining = shutdown_limit.saturating_sub(GIVE_UP_MARGIN);
         let deadline = clock.now() + Micros(remaining.as_micros() as u64);
-        let _ = inbox.send(Input::Closing(deadline)).await;
+        let _ = inbox.send(Input::Shutdown(deadline)).await;
         std::future::pending::<()>().await;
     });
     essentials.spawn("driver", driver.run());
--- a/crates/starlinghill-proxy/src/quota_client.rs
+++ b/crates/starlinghill-proxy/src/quota_client.rs
@@ -373,7 +373,7 @@
         let rooms = self.choose_unknown_backends(draw.service).unwrap_or_else(offered);
         let asked = pending.reply.is_some();
         let (outcome, total, share) = (Outcome::Ok, level.level, Some(level.share));
-        let waited = pending.answer(CounterResult { outcome, total, share, rooms });
+        let waited = pending.answer(CounterResult { outcome, total, share, fastest_servers: rooms });
         if asked {
             self.count_answer(waited, granted);
         }
@@ -482,12 +482,12 @@
         self.report_due.notify_one();
     }
 
-    fn sent(&self, server: ServerId) {
+    fn attempt_sent(&self, server: ServerId) {
         self.count_draws(|counts| counts.attempts += 1);
         self.update_load(server, |load| load.outstanding = load.outstanding.saturating_add(1));
     }
 
-    fn came_back(&self, server: ServerId, outcome: Outcome, took: Micros) {
+    fn attempt_ended(&self, server: ServerId, outcome: Outcome, took: Micros) {
         self.update_load(server, |load| {
             load.outstanding = load.outstanding.saturating_sub(1);
             match outcome {
--- a/crates/starlinghill-proxy/src/registry_client.rs
+++ b/crates/starlinghill-proxy/src/registry_client.rs
@@ -14,7 +14,7 @@
 use starlinghill_consensus::Members;
 use starlinghill_decision::api::*;
 use starlinghill_decision::bucket_name;
-use starlinghill_gateway::inbox::{Clock, Inbox, Input, Listing};
+use starlinghill_gateway::inbox::{BackendListing, Clock, DriverSender, Input};
 use starlinghill_lease::contact::{LastQuorumContact, StalenessBudget};
 use starlinghill_registry::wire::{KnownState, RegistryRequest, RegistryResponse, RegistryUpdate};
 use starlinghill_runtime::essential_tasks::EssentialTasks;
@@ -80,7 +80,7 @@
     /// The network on which the registries are called.
     pub net: NetworkHandle,
     /// Input of the driver that runs the decision module.
-    pub driver: Inbox,
+    pub driver: DriverSender,
     /// The decision module's clock.
     pub clock: Clock,
     /// The quota counter's client, which needs the system's time and the quotas.
@@ -254,7 +254,7 @@
     registries: PolledRegistries,
     node: NodeSettings,
     shared: Rc<ProxyState>,
-    driver: Inbox,
+    driver: DriverSender,
     clock: Clock,
     counter: Rc<CounterClient>,
     holder: watch::Sender<CounterHolder>,
@@ -428,7 +428,7 @@
                 weight: f64::from(instance.capacity),
                 started,
             };
-            Some(Listing {
+            Some(BackendListing {
                 entry,
                 address: instance.address,
                 name: HeaderValue::from_str(&instance.id).ok()?,
@@ -459,7 +459,7 @@
         let isolated = self.ring.is_isolated() && !self.counter.is_available();
         if std::mem::replace(&mut self.isolated, isolated) != isolated {
             log::warn!("event=alone alone={isolated}");
-            let _ = self.driver.send(Input::Alone(isolated)).await;
+            let _ = self.driver.send(Input::Isolated(isolated)).await;
         }
     }
 
--- a/crates/starlinghill-proxy/src/request_handler.rs
+++ b/crates/starlinghill-proxy/src/request_handler.rs
@@ -16,7 +16,8 @@
 use starlinghill_gateway::idle::Reuse;
 use starlinghill_gateway::inbox::Answer;
 use starlinghill_gateway::server::{
-    body_of, come_back, last, plain, unless_read, Malformed, RequestHandler, RequestIntake, Wanted,
+    close_after, close_if_unread, response_body, set_retry_after, text_response, RequestError,
+    RequestHandler, RequestIntake, ValidatedRequest,
 };
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -51,7 +52,7 @@
 }
 
 struct ParsedRequest {
-    wanted: Wanted,
+    wanted: ValidatedRequest,
 }
 
 impl ProxyRequestHandler {
@@ -59,7 +60,7 @@
         &self,
         head: &hyper::http::request::Parts,
         connection: &Rc<ConnectionHandle>,
-    ) -> Result<ParsedRequest, Malformed> {
+    ) -> Result<ParsedRequest, RequestError> {
         let bad = |message| Err((StatusCode::BAD_REQUEST, message));
         // A process without configuration would answer 404 or 401 to valid requests. Clients also connect to a
         // gateway that isn't ready, and stay connected to it.
@@ -129,7 +130,12 @@
         }
         let reuse = if route.idempotent { Reuse::Repeatable } else { Reuse::Once };
         Ok(ParsedRequest {
-            wanted: Wanted { arrival, budget: time_left.min(timeout) - TRANSPORT_TIME, headers, reuse },
+            wanted: ValidatedRequest {
+                arrival,
+                budget: time_left.min(timeout) - TRANSPORT_TIME,
+                headers,
+                reuse,
+            },
         })
     }
 
@@ -157,19 +163,23 @@
         let parsed = match self.read(&head, connection) {
             Ok(parsed) => parsed,
             Err((status, message)) => {
-                let mut response = plain(status, message).map(AnswerBody::Left);
+                let mut response = text_response(status, message).map(AnswerBody::Left);
                 if status == StatusCode::SERVICE_UNAVAILABLE {
-                    come_back(response.headers_mut(), Some(STARTUP_RETRY_AFTER));
+                    set_retry_after(response.headers_mut(), Some(STARTUP_RETRY_AFTER));
                 }
                 // The body was not read, so the connection can't be reused.
-                return if hyper::body::Body::is_end_stream(&body) { response } else { last(response) };
+                return if hyper::body::Body::is_end_stream(&body) {
+                    response
+                } else {
+                    close_after(response)
+                };
             }
         };
         let answer =
-            self.intake.take((head.method, head.uri), body, parsed.wanted, connection, || Ok(())).await;
+            self.intake.handle((head.method, head.uri), body, parsed.wanted, connection, || Ok(())).await;
         let response = match answer {
             Ok(Answer::Served(served, Some(head))) => {
-                let mut response = Response::new(body_of(served, connection));
+                let mut response = Response::new(response_body(served, connection));
                 *response.status_mut() = head.status;
                 *response.headers_mut() = client_headers(head.headers);
                 response
@@ -180,17 +190,19 @@
                     None => (StatusCode::SERVICE_UNAVAILABLE, RejectionCause::NoCapacity),
                 };
                 self.rejections.record(cause);
-                let mut response = plain(status, "refused\n").map(AnswerBody::Left);
-                come_back(response.headers_mut(), wait.or(Some(NO_CAPACITY_RETRY_AFTER)));
+                let mut response = text_response(status, "refused\n").map(AnswerBody::Left);
+                set_retry_after(response.headers_mut(), wait.or(Some(NO_CAPACITY_RETRY_AFTER)));
                 response
             }
             Ok(Answer::Served(_, None) | Answer::Failed) => {
                 self.rejections.record(RejectionCause::Failed);
-                plain(StatusCode::BAD_GATEWAY, "failed\n").map(AnswerBody::Left)
+                text_response(StatusCode::BAD_GATEWAY, "failed\n").map(AnswerBody::Left)
+            }
+            Err((status, message)) => {
+                return close_after(text_response(status, message).map(AnswerBody::Left))
             }
-            Err((status, message)) => return last(plain(status, message).map(AnswerBody::Left)),
         };
-        unless_read(response, connection)
+        close_if_unread(response, connection)
     }
     fn stopping(&self) -> watch::Receiver<bool> {
         self.shared.stopping.clone()
@@ -201,10 +213,10 @@
     fn is_shared(&self) -> bool {
         false
     }
-    fn last_call(&self) -> Duration {
+    fn accept_grace(&self) -> Duration {
         ACCEPT_AFTER_SHUTDOWN
     }
-    fn last_answer(&self) -> Duration {
+    fn shutdown_limit(&self) -> Duration {
         self.grace.saturating_sub(LAST_RESPONSE_MARGIN)
     }
 }
--- a/crates/starlinghill-proxy/tests/backend_protocol.rs
+++ b/crates/starlinghill-proxy/tests/backend_protocol.rs
@@ -40,6 +40,6 @@
     }
     let mut request = HeaderMap::new();
     request.insert("attempt-id", "a".parse().expect("an id"));
-    let reading = NativeProtocol.read(&request, &response.into_parts().0);
-    assert_eq!((reading.outcome, reading.pass, reading.own), (outcome, pass, own));
+    let reading = NativeProtocol.classify(&request, &response.into_parts().0);
+    assert_eq!((reading.outcome, reading.keep_body, reading.matches_request), (outcome, pass, own));
 }
--- a/crates/starlinghill-proxy/tests/quota_client.rs
+++ b/crates/starlinghill-proxy/tests/quota_client.rs
@@ -166,7 +166,7 @@
         let unknown = UnknownBackends { capacity_fraction: part, backends: vec![7, 8, 9, 10] };
         let observed = run_counter(offers_one, Duration::from_millis(1_500), Duration::ZERO, Some(unknown));
         let first: Vec<_> =
-            observed.results.iter().filter_map(|result| result.rooms.first().copied()).collect();
+            observed.results.iter().filter_map(|result| result.fastest_servers.first().copied()).collect();
         assert!(first.len() > 20, "{}", first.len());
         let to_unknown = first.iter().filter(|(id, takes)| *id != ServerId(1) && *takes == Micros(0)).count();
         to_unknown as f64 / first.len() as f64
