--- a/crates/starlinghill-failover/src/bounds.rs
+++ b/crates/starlinghill-failover/src/bounds.rs
@@ -67,11 +67,11 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             TimingProblem::ElectionTimeoutTooShort => {
-                f.write_str("expected election_ms of at least three times heartbeat_ms")
+                f.write_str("expected election_ms of three times heartbeat_ms at least")
             }
             TimingProblem::FreshLimitTooShort { minimum } => write!(
                 f,
-                "expected fresh_ms of at least {}, the highest age between two answers",
+                "expected fresh_ms of {} at least, the highest age between two answers",
                 minimum.0.div_ceil(1_000)
             ),
             TimingProblem::StaleLimitTooShort => f.write_str("expected stale_ms above fresh_ms"),
--- a/crates/starlinghill-failover/src/rejection.rs
+++ b/crates/starlinghill-failover/src/rejection.rs
@@ -119,7 +119,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Cause::BadId => write!(f, "the order's id must have 1 to {MAX_ID_BYTES} bytes"),
-            Cause::IdReused => f.write_str("an earlier order with this id had another content"),
+            Cause::IdReused => f.write_str("another order had this id"),
             Cause::BadAuthor => write!(f, "the author must have 1 to {MAX_TEXT_BYTES} bytes"),
             Cause::BadReason => write!(f, "the reason must have 1 to {MAX_TEXT_BYTES} bytes"),
             Cause::BadTopology { topology_problems } => {
--- a/crates/starlinghill-failover/src/wire.rs
+++ b/crates/starlinghill-failover/src/wire.rs
@@ -53,7 +53,7 @@
                 write!(f, "a message of {n} bytes, at most {MAX_MESSAGE_BYTES} are allowed")
             }
             WireError::Version(found) => {
-                write!(f, "a message of version {found}; this program reads only version {VERSION}")
+                write!(f, "a message of version {found}; this program knows version {VERSION} alone")
             }
             WireError::Kind(found) => {
                 write!(
