--- a/crates/starlinghill-control/tests/clocks.rs
+++ b/crates/starlinghill-control/tests/clocks.rs
@@ -5,7 +5,7 @@
 use starlinghill_failover::bounds::Timing;
 use starlinghill_failover::Micros;
 use starlinghill_failover_client::wall_clock;
-use starlinghill_testkit::audit::wrongs;
+use starlinghill_testkit::audit::violations;
 use starlinghill_testkit::failover::{Fault, Fleet};
 use starlinghill_testkit::group::LIMIT;
 use std::process::ExitCode;
@@ -65,7 +65,7 @@
         // Steps are stamped by whoever leads. Leaders change twice, so that two clocks at the least make some.
         let (mut changes, mut stamps) = (0, Vec::new());
         let begun = Instant::now();
-        let mut seen = orders[0].at.map_or(0, |(_, epoch)| epoch);
+        let mut seen = orders[0].position.map_or(0, |(_, epoch)| epoch);
         loop {
             let zones = fleet.group.zones();
             let b = &zones["zones"]["b"];
@@ -76,9 +76,9 @@
                 if changes < 2 {
                     changes += 1;
                     let leader = fleet.group.wait_for_leader();
-                    fleet.suffer(&Fault::StopMember(leader));
+                    fleet.inject(&Fault::StopMember(leader));
                     fleet.group.wait_for_leader();
-                    fleet.suffer(&Fault::MembersAgain);
+                    fleet.inject(&Fault::ResumeMembers);
                 }
             }
             if b["phase"] == "out" {
@@ -98,11 +98,11 @@
         let zones = fleet.wait_until_all_follow();
         let number = |key: &str| zones["position"][key].as_u64().unwrap_or(0);
         let last = (number("generation"), number("epoch"));
-        let found = wrongs(&orders, &fleet.followed(), last, FRESH, SLACK);
+        let found = violations(&orders, &fleet.followed(), last, FRESH, SLACK);
         assert!(found.is_empty(), "{found:#?}");
         assert!(zones["age_ms"].as_u64().is_some_and(|ms| ms < 1_000), "{}", zones["age_ms"]);
         // A group that is gone is gone for as long on every clock.
-        fleet.suffer(&Fault::KillGroup);
+        fleet.inject(&Fault::KillGroup);
         let away = Instant::now();
         let timing = Timing { stale: Micros(3_000_000), fresh: Micros(1_000_000), ..Timing::default() };
         for gateway in &fleet.gateways {
--- a/crates/starlinghill-control/tests/common/mod.rs
+++ b/crates/starlinghill-control/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-pub use starlinghill_testkit::nodes::listed as nodes;
+pub use starlinghill_testkit::nodes::start_nodes as nodes;
 pub use starlinghill_testkit::stubs::member_since as member;
 
 /// The operators' file round this discovery, with more lines at its end.
--- a/crates/starlinghill-control/tests/failover.rs
+++ b/crates/starlinghill-control/tests/failover.rs
@@ -3,12 +3,12 @@
 
 use starlinghill_failover::bounds::Timing;
 use starlinghill_failover::Micros;
-use starlinghill_testkit::audit::{wrongs, Ordered};
+use starlinghill_testkit::audit::{violations, OrderRecord};
 use starlinghill_testkit::failover::{Fault, Fleet};
 use starlinghill_testkit::group::{Group, LIMIT};
 use starlinghill_testkit::nodes::SaveNode;
 use starlinghill_testkit::processes::Process;
-use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
+use starlinghill_testkit::proxy::{Proxy, Settings, XdsVariant};
 use starlinghill_testkit::stubs::{control_file, list, member, Discovery};
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -24,11 +24,11 @@
 }
 
 #[track_caller]
-fn audit(fleet: &Fleet, orders: &[Ordered]) {
+fn audit(fleet: &Fleet, orders: &[OrderRecord]) {
     let zones = fleet.wait_until_all_follow();
     let number = |key: &str| zones["position"][key].as_u64().unwrap_or(0);
     let last = (number("generation"), number("epoch"));
-    let found = wrongs(orders, &fleet.followed(), last, FRESH, SLACK);
+    let found = violations(orders, &fleet.followed(), last, FRESH, SLACK);
     assert!(found.is_empty(), "{found:#?}");
 }
 
@@ -40,7 +40,7 @@
         pause(500);
         let drain = ["b", "--reason", "a drill", "--step", "25", "--every-ms", "600"];
         let mut orders = vec![fleet.order(&["zone", "drain"], &drain)];
-        let suffer = |fleet: &mut Fleet, fault: Fault| fleet.suffer(&fault);
+        let suffer = |fleet: &mut Fleet, fault: Fault| fleet.inject(&fault);
         suffer(&mut fleet, Fault::RestartGateway(0));
         pause(300);
         suffer(&mut fleet, Fault::KillGateway(2));
@@ -60,11 +60,11 @@
         pause(500);
         (orders, out_at, back_at)
     });
-    let sent = fleet.rest().await;
-    let found = fleet.wrongs(&sent);
-    assert!((found.lost, found.doubled) == (0, 0), "{found:?}");
+    let sent = fleet.finish().await;
+    let found = fleet.request_outcomes(&sent);
+    assert!((found.lost, found.duplicated) == (0, 0), "{found:?}");
     assert!(found.served * 10 > found.sent * 8, "{found:?}");
-    let came = fleet.came_to("b");
+    let came = fleet.arrivals_in("b");
     let grace = Duration::from_secs(1);
     let late = came.iter().filter(|at| **at > out_at + grace && **at < back_at).count();
     assert_eq!(late, 0, "new requests to a zone that every gateway was told is out");
@@ -80,23 +80,23 @@
         pause(1_500);
         let mut orders = vec![fleet.order(&["zone", "out"], &["b", "--reason", "a drill", "--wait", "20"])];
         pause(1_000);
-        fleet.suffer(&Fault::Cold("b".into()));
+        fleet.inject(&Fault::RestartNodes("b".into()));
         // At once, while gateways restart: one that knows nothing of rates must not make up for it.
         let back = ["b", "--reason", "over", "--step", "100", "--wait", "20"];
         orders.push(fleet.order(&["zone", "return"], &back));
-        fleet.suffer(&Fault::KillGateway(0));
+        fleet.inject(&Fault::KillGateway(0));
         pause(700);
-        fleet.suffer(&Fault::KillGateway(3));
+        fleet.inject(&Fault::KillGateway(3));
         pause(3_500);
         orders
     });
-    let sent = fleet.rest().await;
-    let loads = fleet.cold_loads();
+    let sent = fleet.finish().await;
+    let loads = fleet.cold_node_loads();
     assert_eq!(loads.len(), 3, "each node of the zone is used again: {loads:?}");
     assert!(loads.iter().all(|(_, share, _)| *share <= 1.0), "{loads:?}");
-    let found = fleet.wrongs(&sent);
-    assert!((found.lost, found.doubled) == (0, 0), "{found:?}");
-    assert!(found.served * 100 >= (found.sent - found.ended_with_their_gateway) * 98, "{found:?}");
+    let found = fleet.request_outcomes(&sent);
+    assert!((found.lost, found.duplicated) == (0, 0), "{found:?}");
+    assert!(found.served * 100 >= (found.sent - found.gateway_ended) * 98, "{found:?}");
     tokio::task::block_in_place(|| audit(&fleet, &orders));
 }
 
@@ -107,24 +107,24 @@
     let orders = tokio::task::block_in_place(|| {
         let out = ["b", "--reason", "a drill", "--wait", "20"];
         let orders = vec![fleet.order(&["zone", "out"], &out)];
-        fleet.suffer(&Fault::KillGroup);
+        fleet.inject(&Fault::KillGroup);
         let away = Instant::now();
         fleet.gateways[0].wait_for_log("mode=keeping", LIMIT);
         let own = fleet.gateways[0].wait_for_log("mode=own sight position=1.2", LIMIT);
         let timing = Timing { stale: Micros(3_000_000), fresh: Micros(1_000_000), ..Timing::default() };
         let bound = Duration::from_micros(timing.never_older_than().0) + SLACK;
         assert!(own.at - away < bound, "{:?} of {bound:?}", own.at - away);
-        fleet.suffer(&Fault::RestartGateway(1));
+        fleet.inject(&Fault::RestartGateway(1));
         fleet.gateways[1].wait_for_log("ready", LIMIT);
         pause(1_000);
-        fleet.suffer(&Fault::MembersAgain);
+        fleet.inject(&Fault::ResumeMembers);
         orders
     });
     tokio::task::block_in_place(|| audit(&fleet, &orders));
-    let sent = fleet.rest().await;
-    let found = fleet.wrongs(&sent);
-    assert!((found.lost, found.doubled) == (0, 0), "{found:?}");
-    let whole = found.sent - found.ended_with_their_gateway;
+    let sent = fleet.finish().await;
+    let found = fleet.request_outcomes(&sent);
+    assert!((found.lost, found.duplicated) == (0, 0), "{found:?}");
+    let whole = found.sent - found.gateway_ended;
     assert!(found.served * 100 >= whole * 99, "{found:?}");
 }
 
@@ -138,20 +138,20 @@
             orders.push(fleet.order(&["zone", word], &["b", "--reason", "a drill"]));
             // Told to some by now: it is killed in one round, stopped and woken after its term in the next.
             match round % 2 {
-                0 => fleet.suffer(&Fault::KillMember(leader)),
-                _ => fleet.suffer(&Fault::StopMember(leader)),
+                0 => fleet.inject(&Fault::KillMember(leader)),
+                _ => fleet.inject(&Fault::StopMember(leader)),
             }
             let told = Instant::now();
             fleet.group.wait_for_leader();
-            let position = orders.last().and_then(|o| o.at);
+            let position = orders.last().and_then(|o| o.position);
             let all = |fleet: &Fleet| {
-                fleet.followed().iter().all(|f| f.last().is_some_and(|f| Some(f.at) >= position))
+                fleet.followed().iter().all(|f| f.last().is_some_and(|f| Some(f.position) >= position))
             };
             while !all(&fleet) {
                 assert!(told.elapsed() < LIMIT, "{:?}", fleet.followed());
                 pause(20);
             }
-            fleet.suffer(&Fault::MembersAgain);
+            fleet.inject(&Fault::ResumeMembers);
             pause(300);
         }
         audit(&fleet, &orders);
@@ -165,14 +165,14 @@
         let file = fleet.group.folder().join("gateway-1.toml");
         let text = std::fs::read_to_string(&file).expect("a file");
         std::fs::write(&file, text.replace("name = \"b\"", "name = \"bb\"")).expect("a file");
-        fleet.suffer(&Fault::RestartGateway(1));
+        fleet.inject(&Fault::RestartGateway(1));
         let told =
             fleet.gateways[1].wait_for_log("gateway 'n1' has zones a, bb, c; the group has a, b, c", LIMIT);
         assert!(told.text.contains("goes to another member"), "{}", told.text);
     });
     fleet.load(10);
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let sent = fleet.rest().await;
+    let sent = fleet.finish().await;
     let served = sent.iter().filter(|s| s.gateway == 1 && matches!(s.answer, Some((200, _)))).count();
     assert!(served > 0, "{sent:?}");
 }
@@ -188,7 +188,7 @@
             let text = std::fs::read_to_string(file).expect("a file");
             put(file, &text.replace(old, &format!("{old}\n  {new}")));
         };
-        widened(&fleet.group.operators());
+        widened(&fleet.group.operators_file());
         let adopted = fleet.group.command(&["group", "adopt"], &["--reason", "a new wing"]);
         assert!(adopted.status.success(), "{adopted:?}");
         // Whoever has to come again is refused as long as it knows the old map.
@@ -214,19 +214,19 @@
         fleet.wait_until_all_follow();
         let orders = vec![fleet.order(&["zone", "out"], &["d", "--reason", "a drill", "--wait", "20"])];
         // The epoch of the map's change stands between the first one and the order's.
-        assert_eq!(orders[0].at, Some((1, 3)));
+        assert_eq!(orders[0].position, Some((1, 3)));
         audit(&fleet, &orders);
     });
-    let sent = fleet.rest().await;
-    let found = fleet.wrongs(&sent);
-    assert!((found.lost, found.doubled) == (0, 0), "{found:?}");
+    let sent = fleet.finish().await;
+    let found = fleet.request_outcomes(&sent);
+    assert!((found.lost, found.duplicated) == (0, 0), "{found:?}");
     assert_eq!(found.served, found.sent, "{found:?}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn proxies_follow_orders_by_the_control_service_and_zones_that_are_out_stand_in_by_own_sight_alone() {
     let mut group = Group::new(Path::new(PROGRAM), &["a", "b", "c"], 6).await;
-    tokio::task::block_in_place(|| group.begin());
+    tokio::task::block_in_place(|| group.start());
     let mut nodes = Vec::new();
     for _ in 0..3 {
         nodes.push(SaveNode::start().await);
@@ -248,14 +248,14 @@
     let line = tokio::task::block_in_place(|| service.wait_for_log("listening", LIMIT)).text;
     let address = line.split("address=").nth(1).and_then(|a| a.trim().parse().ok()).expect("an address");
     let proxy =
-        |node: &str, flavour| Proxy::start(Settings::new(address, node, flavour)).forwarding(100.0, 1);
-    let proxies = [proxy("whole", Flavour::Whole), proxy("delta", Flavour::Delta)];
+        |node: &str, flavour| Proxy::start(Settings::new(address, node, flavour)).with_traffic(100.0, 1);
+    let proxies = [proxy("whole", XdsVariant::StateOfTheWorld), proxy("delta", XdsVariant::Incremental)];
     let serves = |proxy: &Proxy| {
-        let mirror = proxy.mirror();
+        let mirror = proxy.state();
         let all = mirror.targets.iter().filter(|t| t.healthy);
         let mut all: Vec<(u32, String)> = all.map(|t| (t.priority, t.id.clone())).collect();
         all.sort();
-        assert_eq!(mirror.refused, 0);
+        assert_eq!(mirror.rejected, 0);
         all
     };
     let until = async |wanted: &[(u32, &str)]| {
@@ -284,7 +284,7 @@
     until(&[(0, "s-a")]).await;
     // The rest of the fleet drains: by order the others stay out, whatever that costs.
     let drains = [entry(0, "draining"), entry(1, "ready"), entry(2, "ready")].join(",");
-    discovery.say(42, &list(42, true, &drains));
+    discovery.set_answer(42, &list(42, true, &drains));
     until(&[]).await;
     tokio::task::block_in_place(|| {
         group.members.iter_mut().for_each(Process::kill);
@@ -297,7 +297,10 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     assert_eq!(nodes[2].requests(), c, "work in a region that stands in after another one");
-    discovery.say(43, &list(43, true, &[entry(0, "ready"), entry(1, "ready"), entry(2, "ready")].join(",")));
+    discovery.set_answer(
+        43,
+        &list(43, true, &[entry(0, "ready"), entry(1, "ready"), entry(2, "ready")].join(",")),
+    );
     until(&[(0, "s-a")]).await;
     let ended = tokio::task::block_in_place(|| {
         service.terminate();
@@ -310,42 +313,42 @@
 async fn what_is_wrong_with_a_zone_is_found_from_what_all_gateways_see() {
     let mut fleet = Fleet::start(Path::new(PROGRAM), &["a", "b", "c"], 6, 9, true).await;
     // So that each gateway has something out at servers of every zone: of what is idle it takes what answered fastest.
-    fleet.nodes.iter().for_each(|(_, node)| node.takes(80));
+    fleet.nodes.iter().for_each(|(_, node)| node.set_delay_ms(80));
     fleet.load(120);
     tokio::task::block_in_place(|| {
-        fleet.wait_until_found(["well", "well", "well"]);
+        fleet.wait_until_findings(["well", "well", "well"]);
         let cut = |fleet: &mut Fleet, pairs: &[(&str, &str)]| {
             for (from, to) in pairs {
-                fleet.suffer(&Fault::Cut((*from).into(), (*to).into()));
-                fleet.suffer(&Fault::Cut((*to).into(), (*from).into()));
+                fleet.inject(&Fault::Cut((*from).into(), (*to).into()));
+                fleet.inject(&Fault::Cut((*to).into(), (*from).into()));
             }
         };
         // Two zones do not see each other, and the third one sees both.
         cut(&mut fleet, &[("a", "b")]);
-        fleet.wait_until_found(["cut from b", "cut from a", "well"]);
+        fleet.wait_until_findings(["cut from b", "cut from a", "well"]);
         // One is silent to both others; of these nobody can say more than that.
         cut(&mut fleet, &[("c", "b")]);
-        fleet.wait_until_found(["cut from b", "cut off", "cut from b"]);
-        fleet.suffer(&Fault::Heal);
-        fleet.wait_until_found(["well", "well", "well"]);
+        fleet.wait_until_findings(["cut from b", "cut off", "cut from b"]);
+        fleet.inject(&Fault::Heal);
+        fleet.wait_until_findings(["well", "well", "well"]);
         // Its servers fail, for all and for their own zone.
         let of_b = |fleet: &Fleet, fails: bool| {
-            fleet.nodes.iter().filter(|(zone, _)| *zone == "b").for_each(|(_, node)| node.fail(fails));
+            fleet.nodes.iter().filter(|(zone, _)| *zone == "b").for_each(|(_, node)| node.set_failing(fails));
         };
         of_b(&fleet, true);
-        fleet.wait_until_found(["well", "sick", "well"]);
+        fleet.wait_until_findings(["well", "sick", "well"]);
         of_b(&fleet, false);
-        fleet.wait_until_found(["well", "well", "well"]);
+        fleet.wait_until_findings(["well", "well", "well"]);
         // All fail: no zone is to blame.
-        fleet.nodes.iter().for_each(|(_, node)| node.fail(true));
-        fleet.wait_until_found(["trouble everywhere", "trouble everywhere", "trouble everywhere"]);
+        fleet.nodes.iter().for_each(|(_, node)| node.set_failing(true));
+        fleet.wait_until_findings(["trouble everywhere", "trouble everywhere", "trouble everywhere"]);
         // In between, answers from before and what is asked again look like more work than usual: "loaded".
-        fleet.wait_until_said("b", &["sees it sick", "6 of 6 gateways say"]);
+        fleet.wait_until_why_contains("b", &["sees it sick", "6 of 6 gateways say"]);
         let none = fleet.group.command(&["why"], &["x"]);
         assert_eq!(none.status.code(), Some(1));
         assert!(
             String::from_utf8_lossy(&none.stderr).contains("expected one of the zones a, b, c, found 'x'")
         );
     });
-    fleet.rest().await;
+    fleet.finish().await;
 }
--- a/crates/starlinghill-control/tests/group.rs
+++ b/crates/starlinghill-control/tests/group.rs
@@ -15,7 +15,7 @@
 
 async fn group(zones: &[&str]) -> Group {
     let mut group = Group::new(Path::new(PROGRAM), zones, 1).await;
-    tokio::task::block_in_place(|| group.begin());
+    tokio::task::block_in_place(|| group.start());
     group
 }
 
@@ -82,7 +82,7 @@
         let text = group.text(1, &group.listen[..1]);
         std::fs::write(&minority, text).expect("a file");
         let order = ["c", "--reason", "a drill", "--next", "east"];
-        let refused = group.command_by(&minority, &["zone", "out"], &order);
+        let refused = group.command_with_file(&minority, &["zone", "out"], &order);
         ends(&refused, 4, "not reached");
         assert!(
             said(&refused).contains("knows no leader") || said(&refused).contains("majority"),
@@ -212,7 +212,7 @@
         for member in &mut group.members {
             member.kill();
         }
-        tokio::runtime::Handle::current().block_on(group.raise(2));
+        tokio::runtime::Handle::current().block_on(group.set_generation(2));
         for member in &mut group.members {
             member.start();
         }
@@ -258,7 +258,7 @@
             let before = rng.bool();
             let order = std::thread::scope(|scope| {
                 let group = &mut group;
-                let (program, file) = (Path::new(PROGRAM), group.operators());
+                let (program, file) = (Path::new(PROGRAM), group.operators_file());
                 let given = scope.spawn(move || {
                     let words = ["zone", word];
                     let more = [zone, "--reason", "a drill", "--force", "--id", &id];
@@ -342,7 +342,7 @@
     const FOLLOWERS: usize = 1_000;
     let mut group = group(&["a", "b", "c"]).await;
     let file =
-        starlinghill_operator_config::read(&group.operators()).expect("a file").group.expect("a group");
+        starlinghill_operator_config::read(&group.operators_file()).expect("a file").group.expect("a group");
     let mut views = Vec::new();
     for i in 0..FOLLOWERS {
         let (tx, rx) = tokio::sync::watch::channel(View::of_own_sight());
@@ -414,7 +414,7 @@
                 let file = group.folder().join("alone.toml");
                 std::fs::write(&file, group.text(1, &group.listen[..1])).expect("a file");
                 ends(
-                    &group.command_by(&file, &["zone", "hold"], &["c", "--reason", "a drill"]),
+                    &group.command_with_file(&file, &["zone", "hold"], &["c", "--reason", "a drill"]),
                     4,
                     "not reached",
                 );
@@ -452,7 +452,7 @@
 async fn what_a_gateway_says_of_zones_is_kept_within_bounds_and_nonsense_ends_no_stream() {
     let group = group(&["a"]).await;
     let file =
-        starlinghill_operator_config::read(&group.operators()).expect("a file").group.expect("a group");
+        starlinghill_operator_config::read(&group.operators_file()).expect("a file").group.expect("a group");
     let good = AttemptCounts { answered: 90, late: 2, ..AttemptCounts::default() };
     let absurd = AttemptCounts { answered: 1, late: 2, ..AttemptCounts::default() };
     let said = [
--- a/crates/starlinghill-control/tests/grpc_client.rs
+++ b/crates/starlinghill-control/tests/grpc_client.rs
@@ -69,7 +69,7 @@
     // Routes are by class: one that does not exist has none.
     assert!(call(&mut client, "nothing").await.is_err());
     let told = Instant::now();
-    discovery.say(42, &list(42, false, &member("s-1", second.0, "draining", 0)));
+    discovery.set_answer(42, &list(42, false, &member("s-1", second.0, "draining", 0)));
     let mut last = told;
     while told.elapsed() < Duration::from_millis(1_500) {
         let before = second.1.load(Relaxed);
--- a/crates/starlinghill-control/tests/hostile.rs
+++ b/crates/starlinghill-control/tests/hostile.rs
@@ -9,7 +9,7 @@
 use envoy_types::pb::envoy::service::rate_limit_quota::v3::rate_limit_quota_service_client::RateLimitQuotaServiceClient;
 use envoy_types::pb::envoy::service::rate_limit_quota::v3::RateLimitQuotaUsageReports;
 use starlinghill_control::{prepare, start};
-use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
+use starlinghill_testkit::proxy::{Proxy, Settings, XdsVariant};
 use starlinghill_testkit::stubs::list;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -63,7 +63,7 @@
 async fn each_ill_request_gets_its_status_and_nobody_else_notices() {
     let (nodes, discovery) = nodes(2).await;
     let running = service(&discovery).await;
-    let good = Proxy::start(Settings::new(running.address, "whole", Flavour::Whole));
+    let good = Proxy::start(Settings::new(running.address, "whole", XdsVariant::StateOfTheWorld));
     good.wait_for("both", |m| m.targets.len() == 2).await;
     let at = running.address;
 
@@ -116,9 +116,9 @@
     raw.set_read_timeout(Some(starlinghill_testkit::stubs::LIMIT)).expect("a socket");
     let _ = raw.read_to_end(&mut answer);
 
-    discovery.say(42, &list(42, false, &member("s-1", nodes[1].address, "gone", 0)));
+    discovery.set_answer(42, &list(42, false, &member("s-1", nodes[1].address, "gone", 0)));
     good.wait_for("news", |m| m.targets.len() == 1).await;
-    assert!(good.mirror().ends.is_empty(), "undisturbed");
+    assert!(good.state().stream_errors.is_empty(), "undisturbed");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -140,7 +140,7 @@
     }
     assert_eq!((held.len(), refused), (40, 20));
     drop(held);
-    let good = Proxy::start(Settings::new(running.address, "whole", Flavour::Whole));
+    let good = Proxy::start(Settings::new(running.address, "whole", XdsVariant::StateOfTheWorld));
     good.wait_for("a place", |m| m.targets.len() == 1).await;
 }
 
@@ -151,8 +151,8 @@
     let running = start(prepare(&path).expect("sound")).await.expect("it starts");
     let idle: Vec<TcpStream> =
         (0..30).map(|_| TcpStream::connect(running.address).expect("accepted")).collect();
-    let good = Proxy::start(Settings::new(running.address, "whole", Flavour::Whole));
-    good.wait_for("being turned away", |m| !m.ends.is_empty()).await;
+    let good = Proxy::start(Settings::new(running.address, "whole", XdsVariant::StateOfTheWorld));
+    good.wait_for("being turned away", |m| !m.stream_errors.is_empty()).await;
     drop(idle);
     good.wait_for("a place", |m| m.targets.len() == 1).await;
 }
@@ -171,9 +171,9 @@
     // Hundreds of states pass while it reads nothing.
     for revision in 42..342 {
         let up = 1_000 + revision;
-        discovery.tell(revision, false, &member("s-0", nodes[0].address, "ready", up));
+        discovery.announce(revision, false, &member("s-0", nodes[0].address, "ready", up));
     }
-    discovery.tell(342, false, &member("s-0", nodes[0].address, "draining", 0));
+    discovery.announce(342, false, &member("s-0", nodes[0].address, "draining", 0));
     let published = || running.hub.published.borrow().clone();
     until("the last state", || {
         published().is_some_and(|p| {
--- a/crates/starlinghill-control/tests/program.rs
+++ b/crates/starlinghill-control/tests/program.rs
@@ -4,7 +4,7 @@
 
 use common::{file, nodes};
 use starlinghill_control::{prepare, start};
-use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
+use starlinghill_testkit::proxy::{Proxy, Settings, XdsVariant};
 use starlinghill_testkit::stubs::{self, Node};
 use std::process::{Command, Output};
 
@@ -74,10 +74,10 @@
     let mut command = Command::new(PROGRAM);
     command.args(["run", path.to_str().expect("text")]).stderr(std::process::Stdio::piped());
     let mut program = tokio::task::block_in_place(|| Node::spawn(command));
-    let p = Proxy::start(Settings::new(program.address, "whole", Flavour::Delta));
-    let late = Proxy::start(Settings::new(program.address, "late", Flavour::Whole));
+    let p = Proxy::start(Settings::new(program.address, "whole", XdsVariant::Incremental));
+    let late = Proxy::start(Settings::new(program.address, "late", XdsVariant::StateOfTheWorld));
     p.wait_for("both", |m| m.targets.len() == 2).await;
-    late.wait_for("its refusal", |m| !m.ends.is_empty()).await;
+    late.wait_for("its refusal", |m| !m.stream_errors.is_empty()).await;
     let text = std::fs::read_to_string(&path).expect("text");
     // First one that can't be used: what was read before stays.
     std::fs::write(&path, "[control").expect("written");
@@ -87,8 +87,8 @@
     late.wait_for("its turn", |m| m.targets.len() == 2).await;
     program.signal("TERM");
     assert_eq!(tokio::task::block_in_place(|| program.ended()), Some(0));
-    p.wait_for("the end", |m| !m.ends.is_empty()).await;
-    assert_eq!(p.mirror().targets.len(), 2, "it keeps what it has");
+    p.wait_for("the end", |m| !m.stream_errors.is_empty()).await;
+    assert_eq!(p.state().targets.len(), 2, "it keeps what it has");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -122,13 +122,13 @@
         let endpoint = tonic::transport::Endpoint::from_shared(url.clone()).expect("an address");
         let channel = endpoint.tls_config(config).expect("sound").connect().await;
         let answer = match channel {
-            Ok(channel) => starlinghill_testkit::proxy::ask_clusters(channel, "whole").await,
+            Ok(channel) => starlinghill_testkit::proxy::request_clusters(channel, "whole").await,
             Err(e) => Err(tonic::Status::unavailable(e.to_string())),
         };
         assert_eq!(answer.is_ok(), welcome, "{answer:?}");
     }
     // Without encryption nothing comes in at all.
-    let plain = Proxy::start(Settings::new(running.address, "whole", Flavour::Whole));
-    plain.wait_for("its failure", |m| !m.ends.is_empty()).await;
-    assert!(plain.mirror().targets.is_empty());
+    let plain = Proxy::start(Settings::new(running.address, "whole", XdsVariant::StateOfTheWorld));
+    plain.wait_for("its failure", |m| !m.stream_errors.is_empty()).await;
+    assert!(plain.state().targets.is_empty());
 }
--- a/crates/starlinghill-control/tests/proxies.rs
+++ b/crates/starlinghill-control/tests/proxies.rs
@@ -5,26 +5,26 @@
 use common::{file, member, nodes, service, until};
 use starlinghill_control::{prepare, Running};
 use starlinghill_testkit::nodes::SaveNode;
-use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
+use starlinghill_testkit::proxy::{Proxy, Settings, XdsVariant};
 use starlinghill_testkit::stubs::{list, Discovery};
 use std::time::{Duration, Instant};
 
-const BOTH: [Flavour; 2] = [Flavour::Whole, Flavour::Delta];
+const BOTH: [XdsVariant; 2] = [XdsVariant::StateOfTheWorld, XdsVariant::Incremental];
 /// The cutoff of the rule on drains.
 const CUTOFF: Duration = Duration::from_secs(1);
 
-fn name(flavour: Flavour) -> &'static str {
+fn name(flavour: XdsVariant) -> &'static str {
     match flavour {
-        Flavour::Whole => "whole",
-        Flavour::Delta => "delta",
+        XdsVariant::StateOfTheWorld => "whole",
+        XdsVariant::Incremental => "delta",
     }
 }
 
-fn proxy(running: &Running, flavour: Flavour) -> Proxy {
+fn proxy(running: &Running, flavour: XdsVariant) -> Proxy {
     Proxy::start(Settings::new(running.address, name(flavour), flavour))
 }
 
-fn has(mirror: &starlinghill_testkit::proxy::Mirror, id: &str) -> Option<bool> {
+fn has(mirror: &starlinghill_testkit::proxy::ProxyState, id: &str) -> Option<bool> {
     mirror.targets.iter().find(|t| t.id == id).map(|t| t.healthy)
 }
 
@@ -40,16 +40,16 @@
 async fn proxies_of_both_flavours_follow_the_list_and_keep_off_what_drains() {
     let (nodes, discovery) = nodes(3).await;
     let running = service(&discovery).await;
-    let proxies = BOTH.map(|f| proxy(&running, f).forwarding(300.0, 1));
-    until("work at all nodes", || nodes.iter().all(|n| n.seen().len() == 2)).await;
+    let proxies = BOTH.map(|f| proxy(&running, f).with_traffic(300.0, 1));
+    until("work at all nodes", || nodes.iter().all(|n| n.by_sender().len() == 2)).await;
     let told = Instant::now();
-    discovery.say(42, &list(42, false, &member("s-1", nodes[1].address, "draining", 0)));
+    discovery.set_answer(42, &list(42, false, &member("s-1", nodes[1].address, "draining", 0)));
     for p in &proxies {
         p.wait_for("the drain", |m| has(m, "s-1") == Some(false)).await;
-        assert!(p.mirror().told.expect("told") - told < CUTOFF);
+        assert!(p.state().updated_at.expect("told") - told < CUTOFF);
     }
     quiet(&nodes[1], told).await;
-    discovery.say(43, &list(43, false, &member("s-1", nodes[1].address, "gone", 0)));
+    discovery.set_answer(43, &list(43, false, &member("s-1", nodes[1].address, "gone", 0)));
     for p in &proxies {
         p.wait_for("its end", |m| has(m, "s-1").is_none()).await;
     }
@@ -69,11 +69,11 @@
     let told = Instant::now();
     let news =
         [member("s-9", nodes[1].address, "ready", now_ms), member("s-1", nodes[1].address, "draining", 0)];
-    discovery.say(42, &list(42, false, &news.join(",")));
+    discovery.set_answer(42, &list(42, false, &news.join(",")));
     for p in &proxies {
         p.wait_for("the newcomer", |m| has(m, "s-9") == Some(true) && has(m, "s-1").is_none()).await;
         assert!(told.elapsed() < CUTOFF + Duration::from_secs(1));
-        let mirror = p.mirror();
+        let mirror = p.state();
         let weight = |id: &str| mirror.targets.iter().find(|t| t.id == id).expect("there").weight;
         assert!(weight("s-9") * 3 < weight("s-0"), "it is cold: {:?}", mirror.targets);
     }
@@ -84,26 +84,26 @@
     let (nodes, discovery) = nodes(3).await;
     let running = service(&discovery).await;
     let stuck = Proxy::start(Settings {
-        slow: Duration::from_secs(3600),
-        ..Settings::new(running.address, "third", Flavour::Delta)
+        read_delay: Duration::from_secs(3600),
+        ..Settings::new(running.address, "third", XdsVariant::Incremental)
     });
-    let proxies = BOTH.map(|f| proxy(&running, f).counting().forwarding(200.0, 2));
+    let proxies = BOTH.map(|f| proxy(&running, f).with_quotas().with_traffic(200.0, 2));
     for p in &proxies {
         p.wait_for("all", |m| m.targets.len() == 3).await;
     }
-    until("work", || nodes[2].seen().len() == 2).await;
+    until("work", || nodes[2].by_sender().len() == 2).await;
     // A thousand customers' slices come and change.
     for customer in 0..1000 {
         proxies[0].admit(&(customer, "team".into(), 1));
     }
     let told = Instant::now();
-    discovery.say(42, &list(42, false, &member("s-2", nodes[2].address, "draining", 0)));
-    proxies[1].cut();
+    discovery.set_answer(42, &list(42, false, &member("s-2", nodes[2].address, "draining", 0)));
+    proxies[1].reset_streams();
     for p in &proxies {
         p.wait_for("the drain", |m| has(m, "s-2") == Some(false)).await;
     }
     quiet(&nodes[2], told).await;
-    assert!(stuck.mirror().targets.is_empty(), "it has read nothing");
+    assert!(stuck.state().targets.is_empty(), "it has read nothing");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -111,26 +111,26 @@
     let (nodes, discovery) = nodes(2).await;
     let running = service(&discovery).await;
     let proxies = BOTH.map(|f| proxy(&running, f));
-    let sound = Proxy::start(Settings::new(running.address, "third", Flavour::Delta));
+    let sound = Proxy::start(Settings::new(running.address, "third", XdsVariant::Incremental));
     for p in proxies.iter().chain([&sound]) {
         p.wait_for("both", |m| m.targets.len() == 2).await;
     }
-    proxies.iter().for_each(|p| p.refuse(Some("s-7")));
+    proxies.iter().for_each(|p| p.reject_endpoint(Some("s-7")));
     let third = SaveNode::start().await;
-    discovery.say(42, &list(42, false, &member("s-7", third.address, "ready", 0)));
+    discovery.set_answer(42, &list(42, false, &member("s-7", third.address, "ready", 0)));
     sound.wait_for("the newcomer", |m| m.targets.len() == 3).await;
     for p in &proxies {
-        p.wait_for("its refusal", |m| m.refused == 1).await;
+        p.wait_for("its refusal", |m| m.rejected == 1).await;
     }
     tokio::time::sleep(Duration::from_millis(200)).await;
     for p in &proxies {
-        let mirror = p.mirror();
-        assert_eq!((mirror.refused, mirror.targets.len()), (1, 2), "said once, and the old state stays");
-        assert!(mirror.ends.is_empty());
+        let mirror = p.state();
+        assert_eq!((mirror.rejected, mirror.targets.len()), (1, 2), "said once, and the old state stays");
+        assert!(mirror.stream_errors.is_empty());
     }
-    discovery.say(43, &list(43, false, &member("s-7", third.address, "gone", 0)));
+    discovery.set_answer(43, &list(43, false, &member("s-7", third.address, "gone", 0)));
     discovery.wait_for_watch(43);
-    discovery.say(44, &list(44, false, &member("s-0", nodes[0].address, "draining", 0)));
+    discovery.set_answer(44, &list(44, false, &member("s-0", nodes[0].address, "draining", 0)));
     for p in proxies.iter().chain([&sound]) {
         p.wait_for("the next state", |m| has(m, "s-0") == Some(false) && has(m, "s-7").is_none()).await;
     }
@@ -145,16 +145,16 @@
         p.wait_for("both", |m| m.targets.len() == 2).await;
     }
     // No list at all, then a list of changes that is empty: no news.
-    discovery.say(42, "no list");
-    discovery.say(42, &list(42, false, ""));
+    discovery.set_answer(42, "no list");
+    discovery.set_answer(42, &list(42, false, ""));
     discovery.wait_for_watch(42);
-    proxies.iter().for_each(|p| assert_eq!(p.mirror().targets.len(), 2));
-    discovery.say(43, &list(43, true, ""));
+    proxies.iter().for_each(|p| assert_eq!(p.state().targets.len(), 2));
+    discovery.set_answer(43, &list(43, true, ""));
     for p in &proxies {
         p.wait_for("the empty fleet", |m| m.targets.is_empty()).await;
     }
     discovery.wait_for_watch(43);
-    discovery.say(44, &list(44, true, &member("s-0", nodes[0].address, "ready", 0)));
+    discovery.set_answer(44, &list(44, true, &member("s-0", nodes[0].address, "ready", 0)));
     for p in &proxies {
         p.wait_for("its return", |m| m.targets.len() == 1).await;
     }
@@ -164,7 +164,7 @@
 async fn a_service_that_is_killed_and_comes_back_takes_nothing_away() {
     let (nodes, discovery) = nodes(2).await;
     let running = service(&discovery).await;
-    let proxies = BOTH.map(|f| proxy(&running, f).counting().forwarding(200.0, 3));
+    let proxies = BOTH.map(|f| proxy(&running, f).with_quotas().with_traffic(200.0, 3));
     for p in &proxies {
         p.wait_for("both", |m| m.targets.len() == 2).await;
     }
@@ -176,13 +176,13 @@
     until("work without the service", || nodes[0].requests() > before + 50).await;
     // It comes back, empty, at another address, and discovery answers it late.
     let silent = Discovery::start("");
-    silent.say(41, "no list yet");
+    silent.set_answer(41, "no list yet");
     let again = service(&silent).await;
     proxies.iter().for_each(|p| p.move_to(again.address));
-    let counts: Vec<u64> = proxies.iter().map(|p| p.mirror().responses).collect();
+    let counts: Vec<u64> = proxies.iter().map(|p| p.state().responses).collect();
     tokio::time::sleep(Duration::from_millis(500)).await;
     for (p, before) in proxies.iter().zip(&counts) {
-        let mirror = p.mirror();
+        let mirror = p.state();
         assert_eq!(
             (mirror.targets.len(), mirror.responses),
             (2, *before),
@@ -194,14 +194,14 @@
         .enumerate()
         .map(|(i, node)| member(&format!("s-{i}"), node.address, "ready", 0))
         .collect();
-    silent.say(42, &list(42, true, &members.join(",")));
+    silent.set_answer(42, &list(42, true, &members.join(",")));
     until("the list", || again.hub.published.borrow().is_some()).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     for (p, before) in proxies.iter().zip(&counts) {
-        let mirror = p.mirror();
+        let mirror = p.state();
         assert_eq!((mirror.targets.len(), mirror.responses), (2, *before), "they have just that: no storm");
     }
-    silent.say(43, &list(43, false, &member("s-1", nodes[1].address, "draining", 0)));
+    silent.set_answer(43, &list(43, false, &member("s-1", nodes[1].address, "draining", 0)));
     for p in &proxies {
         p.wait_for("news from the new one", |m| has(m, "s-1") == Some(false)).await;
     }
@@ -211,14 +211,14 @@
 async fn a_server_that_fails_at_the_proxies_is_ejected_for_all() {
     let (nodes, discovery) = nodes(3).await;
     let running = service(&discovery).await;
-    let sending = proxy(&running, Flavour::Whole).reporting().forwarding(300.0, 4);
-    let idle = proxy(&running, Flavour::Delta);
+    let sending = proxy(&running, XdsVariant::StateOfTheWorld).with_load_reports().with_traffic(300.0, 4);
+    let idle = proxy(&running, XdsVariant::Incremental);
     idle.wait_for("all", |m| m.targets.iter().filter(|t| t.healthy).count() == 3).await;
-    nodes[1].fail(true);
+    nodes[1].set_failing(true);
     idle.wait_for("the ejection", |m| has(m, "s-1") == Some(false)).await;
-    assert_eq!(has(&idle.mirror(), "s-0"), Some(true));
-    nodes[1].fail(false);
-    let whole = |m: &starlinghill_testkit::proxy::Mirror| {
+    assert_eq!(has(&idle.state(), "s-0"), Some(true));
+    nodes[1].set_failing(false);
+    let whole = |m: &starlinghill_testkit::proxy::ProxyState| {
         let weights: Vec<u32> = m.targets.iter().filter(|t| t.healthy).map(|t| t.weight).collect();
         weights.len() == 3 && weights.iter().all(|w| *w == weights[0])
     };
@@ -230,15 +230,15 @@
 async fn who_is_not_on_the_list_is_refused_with_a_clear_status() {
     let (_nodes, discovery) = nodes(1).await;
     let running = service(&discovery).await;
-    for (flavour, id) in [(Flavour::Whole, "stranger"), (Flavour::Delta, "other")] {
-        let p = Proxy::start(Settings::new(running.address, id, flavour)).reporting().counting();
+    for (flavour, id) in [(XdsVariant::StateOfTheWorld, "stranger"), (XdsVariant::Incremental, "other")] {
+        let p = Proxy::start(Settings::new(running.address, id, flavour)).with_load_reports().with_quotas();
         p.admit(&(1, "team".into(), 1));
-        p.wait_for("refusals", |m| m.ends.len() >= 6).await;
-        for status in p.mirror().ends {
+        p.wait_for("refusals", |m| m.stream_errors.len() >= 6).await;
+        for status in p.state().stream_errors {
             assert_eq!(status.code(), tonic::Code::PermissionDenied, "{status}");
             assert_eq!(status.message(), format!("node.id: '{id}' is not on the operators' list"));
         }
-        assert!(p.mirror().targets.is_empty());
+        assert!(p.state().targets.is_empty());
     }
 }
 
@@ -246,7 +246,7 @@
 async fn a_new_file_takes_a_proxy_off_the_list_and_leaves_the_others() {
     let (_nodes, discovery) = nodes(1).await;
     let mut running = service(&discovery).await;
-    let proxies = BOTH.map(|f| proxy(&running, f).reporting().counting().forwarding(100.0, 5));
+    let proxies = BOTH.map(|f| proxy(&running, f).with_load_reports().with_quotas().with_traffic(100.0, 5));
     for p in &proxies {
         p.wait_for("one", |m| m.targets.len() == 1).await;
         until("a slice", || p.admit(&(1, "team".into(), 1))).await;
@@ -256,9 +256,11 @@
     std::fs::write(&path, text).expect("written");
     running.reload(prepare(&path).expect("sound")).await;
     proxies[0]
-        .wait_for("its refusal", |m| m.ends.iter().any(|s| s.code() == tonic::Code::PermissionDenied))
+        .wait_for("its refusal", |m| {
+            m.stream_errors.iter().any(|s| s.code() == tonic::Code::PermissionDenied)
+        })
         .await;
-    assert_eq!(proxies[0].mirror().targets.len(), 1, "it keeps what it has");
+    assert_eq!(proxies[0].state().targets.len(), 1, "it keeps what it has");
     // Its quota stream ends too: once its slices have lapsed, nothing is let through for longer than any lives.
     let mut last = Instant::now();
     until("the lapse", || {
@@ -268,8 +270,10 @@
         last.elapsed() > Duration::from_millis(1_500)
     })
     .await;
-    assert!(proxies[1].mirror().ends.is_empty(), "the other is left alone");
+    assert!(proxies[1].state().stream_errors.is_empty(), "the other is left alone");
     running.stop().await;
-    proxies[1].wait_for("the end", |m| m.ends.iter().any(|s| s.code() == tonic::Code::Unavailable)).await;
-    assert_eq!(proxies[1].mirror().targets.len(), 1, "it keeps what it has");
+    proxies[1]
+        .wait_for("the end", |m| m.stream_errors.iter().any(|s| s.code() == tonic::Code::Unavailable))
+        .await;
+    assert_eq!(proxies[1].state().targets.len(), 1, "it keeps what it has");
 }
--- a/crates/starlinghill-control/tests/quotas.rs
+++ b/crates/starlinghill-control/tests/quotas.rs
@@ -4,7 +4,7 @@
 
 use common::{nodes, until};
 use starlinghill_control::{prepare, start, Running};
-use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
+use starlinghill_testkit::proxy::{Proxy, Settings, XdsVariant};
 use starlinghill_testkit::quota::Key;
 use starlinghill_testkit::stubs::{self, Discovery};
 use std::time::{Duration, Instant};
@@ -21,10 +21,10 @@
 
 fn proxies(running: &Running) -> Vec<Proxy> {
     let settings = |i: usize| Settings {
-        interval: Duration::from_millis(200),
-        ..Settings::new(running.address, &format!("p-{i}"), Flavour::Delta)
+        report_interval: Duration::from_millis(200),
+        ..Settings::new(running.address, &format!("p-{i}"), XdsVariant::Incremental)
     };
-    (0..3).map(|i| Proxy::start(settings(i)).counting()).collect()
+    (0..3).map(|i| Proxy::start(settings(i)).with_quotas()).collect()
 }
 
 /// The quota's own bucket, fed with all that goes on.
@@ -71,11 +71,11 @@
     surge(&[&proxies[0], &proxies[1], &proxies[2]], &key, 2.0, &mut quota).await;
     let before = quota.passed;
     // One is cut off and goes on with what it has; one is killed.
-    proxies[0].apart(true);
+    proxies[0].set_isolated(true);
     drop(proxies.remove(2));
     surge(&[&proxies[0], &proxies[1]], &key, 3.0, &mut quota).await;
     assert!(quota.passed - before > 25, "the third still serves: {}", quota.passed - before);
-    proxies[0].apart(false);
+    proxies[0].set_isolated(false);
     surge(&[&proxies[0], &proxies[1]], &key, 1.0, &mut quota).await;
     // The service dies with slices out and comes back empty.
     running.kill();
@@ -108,5 +108,5 @@
         proxies[0].admit(&good)
     })
     .await;
-    assert!(proxies[0].mirror().ends.is_empty(), "the stream goes on");
+    assert!(proxies[0].state().stream_errors.is_empty(), "the stream goes on");
 }
--- a/crates/starlinghill-gateway/tests/operators.rs
+++ b/crates/starlinghill-gateway/tests/operators.rs
@@ -20,7 +20,7 @@
 
 /// The gateway program with an operators' port and a shared folder.
 fn with_operator_port(path: &std::path::Path, folder: &std::path::Path) -> Command {
-    let mut command = told_by(PROGRAM, path);
+    let mut command = program_with_file(PROGRAM, path);
     command.env("NODE_OPS", "127.0.0.1:0").env("TMPDIR", folder).env("NODE_NAME", "n0");
     command
 }
@@ -103,7 +103,7 @@
 fn silent_connections_to_the_operator_port_do_not_block_others() {
     let services = Services::new();
     let node = services.node(&folder());
-    let door = node.door.expect("a door");
+    let door = node.operators_address.expect("a door");
     let silent: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(door).expect("it listens")).collect();
     let start = Instant::now();
     assert_eq!(node.call("GET", "/status", ""), 200);
@@ -122,12 +122,12 @@
     let before = services.first.requests().len();
     assert!(answers(&mut client, 40).iter().all(|backend| backend == "s-2"));
     // Discovery sends the backend as ready, in a list of changes, in a whole list, and as restarted.
-    services.discovery.tell(42, false, &member("s-1", services.first.address, "ready"));
+    services.discovery.announce(42, false, &member("s-1", services.first.address, "ready"));
     let both = [
         member_since("s-1", services.first.address, "ready", 1),
         member("s-2", services.second.address, "ready"),
     ];
-    services.discovery.tell(43, true, &both.join(","));
+    services.discovery.announce(43, true, &both.join(","));
     assert!(answers(&mut client, 40).iter().all(|backend| backend == "s-2"));
     assert_eq!(services.first.requests().len(), before);
     assert_eq!(node.call("POST", "/maintenance/exit", "s-1"), 200);
@@ -328,7 +328,7 @@
 fn classes_follow_the_configuration_file_at_sighup() {
     let services = Services::new();
     let path = file(&services.config());
-    let node = Node::spawn(told_by(PROGRAM, &path));
+    let node = Node::spawn(program_with_file(PROGRAM, &path));
     node.wait_ready();
     let mut client = node.client();
     assert_eq!(client.ask(&request_with_id("stream", 1)).status(), 400, "the class does not exist yet");
@@ -361,7 +361,7 @@
     let counter = counter();
     let text = config(discovery.stub.address, counter.address);
     let path = file(&text);
-    let node = Node::spawn(told_by(PROGRAM, &path));
+    let node = Node::spawn(program_with_file(PROGRAM, &path));
     node.wait_ready();
     assert_ne!(node.client().ask(&request_with_id("look", 1)).status(), 200);
     assert!(broken.requests().len() > 1, "further attempts");
@@ -382,7 +382,7 @@
 fn a_broken_configuration_file_changes_nothing_at_sighup() {
     let services = Services::new();
     let path = file(&services.config());
-    let node = Node::spawn(told_by(PROGRAM, &path));
+    let node = Node::spawn(program_with_file(PROGRAM, &path));
     node.wait_ready();
     let good = services.config();
     // The new class would exist if anything of a broken file took effect.
--- a/crates/starlinghill-gateway/tests/sockets.rs
+++ b/crates/starlinghill-gateway/tests/sockets.rs
@@ -197,7 +197,7 @@
     let mut client = node.client();
     (0..20).for_each(|_| drop(client.ask(&request("look", 3000))));
     assert!(!old.requests().is_empty() && !new.requests().is_empty(), "both are used");
-    discovery.tell(42, false, &member("s-1", old.address, "draining"));
+    discovery.announce(42, false, &member("s-1", old.address, "draining"));
     let before = old.requests().len();
     for _ in 0..20 {
         assert_eq!(client.ask(&request("look", 3000)).body, "new");
@@ -205,7 +205,7 @@
     assert_eq!(old.requests().len(), before);
     old.wait_for("the idle connections to the old backend to close", |log| log.closed == log.opened);
     // A whole list also removes the backends that it leaves out.
-    discovery.tell(43, true, &member("s-1", old.address, "ready"));
+    discovery.announce(43, true, &member("s-1", old.address, "ready"));
     assert_eq!(client.ask(&request("look", 3000)).body, "old");
 }
 
@@ -214,7 +214,7 @@
     let (backend, discovery, _counter, node) = gateway_with(|_| http("200 OK", "here"));
     assert_eq!(node.client().ask(&request("once", 3000)).body, "here");
     let moved = Stub::start(|_| http("200 OK", "there"));
-    discovery.tell(42, false, &member("s-1", moved.address, "ready"));
+    discovery.announce(42, false, &member("s-1", moved.address, "ready"));
     assert_eq!(node.client().ask(&request("once", 3000)).body, "there");
     assert_eq!(backend.requests().len(), 1);
 }
@@ -222,16 +222,16 @@
 #[test]
 fn invalid_or_outdated_lists_from_discovery_change_nothing() {
     let (backend, discovery, _counter, node) = gateway_with(|_| http("200 OK", "ok"));
-    discovery.say(42, "{\"revision\":42,\"members\":7}");
+    discovery.set_answer(42, "{\"revision\":42,\"members\":7}");
     discovery.stub.wait_for("discovery to be called again", |log| log.requests.len() >= 4);
     assert_eq!(node.client().ask(&request("look", 3000)).status(), 200);
     // An older list that lacks the backend: the gateway requests the whole list and applies that.
-    discovery.tell(43, false, "");
+    discovery.announce(43, false, "");
     let asked = |log: &Log| log.requests.iter().filter(|r| !r.line.contains("from=")).count();
-    discovery.say(40, &list(40, false, &member("s-1", backend.address, "gone")));
+    discovery.set_answer(40, &list(40, false, &member("s-1", backend.address, "gone")));
     discovery.stub.wait_for("a call for the whole list", |log| asked(log) >= 2);
     assert_eq!(node.client().ask(&request("look", 3000)).status(), 200);
-    discovery.tell(44, true, &member("s-1", backend.address, "ready"));
+    discovery.announce(44, true, &member("s-1", backend.address, "ready"));
     assert_eq!(node.client().ask(&request("look", 3000)).status(), 200);
 }
 
@@ -451,7 +451,7 @@
     let discovery = Discovery::start(&member("s-1", old.address, "ready"));
     let first = counter();
     let path = file(&config(discovery.stub.address, first.address));
-    let mut command = told_by(PROGRAM, &path);
+    let mut command = program_with_file(PROGRAM, &path);
     command.env("NODE_DISCOVERY", discovery.stub.address.to_string());
     let node = Node::spawn(command);
     node.wait_ready();
@@ -464,7 +464,7 @@
     assert_eq!(client.ask(&request("look", 3000)).body, "old");
     // The new discovery numbers its revisions differently, and starts lower than the old one.
     let (moved, second) = (Discovery::start(""), counter());
-    moved.say(3, &list(3, true, &member("s-2", new.address, "ready")));
+    moved.set_answer(3, &list(3, true, &member("s-2", new.address, "ready")));
     std::fs::write(&path, config(moved.stub.address, second.address)).expect("written");
     let start = Instant::now();
     node.signal("HUP");
@@ -537,7 +537,7 @@
 
 #[test]
 fn without_a_counter_a_customer_gets_the_quota_that_other_gateways_did_not_use() {
-    let (totals, down) = (counter_that_adds(), Arc::new(AtomicBool::new(false)));
+    let (totals, down) = (counting_answers(), Arc::new(AtomicBool::new(false)));
     let refuses = down.clone();
     let counter = Stub::start(move |request| match refuses.load(Relaxed) {
         true => http("503 Service Unavailable", ""),
@@ -620,7 +620,7 @@
 
 /// How many requests of a customer the first of two gateways serves while the counter rejects all calls.
 fn served_without_counter(peers: bool) -> usize {
-    let (totals, down) = (counter_that_adds(), Arc::new(AtomicBool::new(false)));
+    let (totals, down) = (counting_answers(), Arc::new(AtomicBool::new(false)));
     let refuses = down.clone();
     let counter = Stub::start(move |request| match refuses.load(Relaxed) {
         true => http("503 Service Unavailable", ""),
--- a/crates/starlinghill-testkit/src/audit.rs
+++ b/crates/starlinghill-testkit/src/audit.rs
@@ -1,170 +1,186 @@
-//! The audit of a run: what was ordered, what became of it, and what each gateway followed when, held against each
-//! other. It knows nothing of how the programs come to it.
+//! Audit of a failover run. It compares the orders that were given, their outcomes and the positions that each gateway
+//! logged, and reports every contradiction. It works on records alone and starts no process.
 
 use crate::processes::Line;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// A position: generation and epoch.
-pub type At = (u64, u64);
+/// A position in the group's history: generation and epoch.
+pub type Position = (u64, u64);
 
-/// An order as whoever gave it saw it.
+/// An order as the operator who gave it observed it.
 #[derive(Debug, Clone)]
-pub struct Ordered {
-    /// When it was given.
-    pub given: Instant,
-    /// When its outcome was known.
-    pub answered: Instant,
-    /// The position from which it counts; `None`: refused.
-    pub at: Option<At>,
+pub struct OrderRecord {
+    /// When the command was started.
+    pub sent_at: Instant,
+    /// When the command's outcome was known.
+    pub answered_at: Instant,
+    /// The position at which the order takes effect; `None` if it was refused.
+    pub position: Option<Position>,
 }
 
-/// What a gateway followed from a moment on.
+/// One entry of a gateway's log about the position that it follows.
 #[derive(Debug, Clone)]
-pub struct Follows {
-    /// Which of its process's lives.
-    pub life: usize,
-    /// When.
+pub struct FollowRecord {
+    /// The number of the gateway's process run, from 1; it grows with each restart.
+    pub run: usize,
+    /// When the entry was logged. It holds until the next entry of the same run.
     pub since: Instant,
-    /// How: `started` (it knows nothing yet), `following`, `keeping` or `own`.
+    /// `started` (no position known yet) or the logged mode: `following`, `keeping` or `own`.
     pub mode: String,
-    /// The position.
-    pub at: At,
+    /// The position followed; (0, 0) for `started`.
+    pub position: Position,
 }
 
-/// From which position an order counts, by what its command printed.
-pub fn accepted(printed: &[u8]) -> Option<At> {
-    let said = String::from_utf8_lossy(printed);
-    let at = said.split("accepted at ").nth(1)?.split(' ').next()?;
-    let (generation, epoch) = at.split_once('.')?;
+fn parse_position(text: &str) -> Option<Position> {
+    let (generation, epoch) = text.split_once('.')?;
     Some((generation.parse().ok()?, epoch.parse().ok()?))
 }
 
-/// What a gateway's log says of it.
-pub fn follows(lines: &[Line]) -> Vec<Follows> {
-    let mut found = Vec::new();
-    let mut life = 0;
+/// The position of an accepted order, read from its command's standard output; `None` if it was not accepted.
+pub fn accepted_position(stdout: &[u8]) -> Option<Position> {
+    let text = String::from_utf8_lossy(stdout);
+    parse_position(text.split("accepted at ").nth(1)?.split(' ').next()?)
+}
+
+/// Reads the records of one gateway from its log.
+pub fn follow_records(lines: &[Line]) -> Vec<FollowRecord> {
+    let mut records = Vec::new();
+    let mut run = 0;
     for line in lines {
         if line.text.contains("follows the group") {
-            life += 1;
-            found.push(Follows { life, since: line.at, mode: "started".into(), at: (0, 0) });
+            run += 1;
+            records.push(FollowRecord { run, since: line.at, mode: "started".into(), position: (0, 0) });
         }
         if !line.text.contains("zones by the group") {
             continue;
         }
-        let word = |key: &str| {
+        let value = |key: &str| {
             let rest = line.text.split(key).nth(1)?;
             rest.split_whitespace().next().map(ToString::to_string)
         };
-        let at = word("position=").and_then(|p| {
-            let (generation, epoch) = p.split_once('.')?;
-            Some((generation.parse().ok()?, epoch.parse().ok()?))
-        });
-        let (Some(mode), Some(at)) = (word("mode="), at) else { continue };
-        found.push(Follows { life, since: line.at, mode, at });
+        let position = value("position=").and_then(|text| parse_position(&text));
+        let (Some(mode), Some(position)) = (value("mode="), position) else { continue };
+        records.push(FollowRecord { run, since: line.at, mode, position });
     }
-    found
+    records
 }
 
-/// Since when a gateway knows of a position at this moment; `None`: its present life was not told of it yet.
-pub fn told_since(follows: &[Follows], at: At, now: Instant) -> Option<Instant> {
-    let life = follows.iter().rev().find(|f| f.since <= now)?.life;
-    let told = follows.iter().filter(|f| f.life == life && f.since <= now && f.mode == "following");
-    told.filter(|f| f.at >= at).map(|f| f.since).min()
+/// When the gateway's process that runs at `now` first followed `position` or a later one; `None` if it has not yet.
+pub fn following_since(records: &[FollowRecord], position: Position, now: Instant) -> Option<Instant> {
+    let run = records.iter().rev().find(|r| r.since <= now)?.run;
+    let followed = records.iter().filter(|r| r.run == run && r.since <= now && r.mode == "following");
+    followed.filter(|r| r.position >= position).map(|r| r.since).min()
 }
 
-/// How servers bear work after a start, as the platform's settings say it of them.
+/// The load that a server tolerates after a start, as the platform's settings state it.
 #[derive(Debug, Clone, Copy)]
-pub struct Cold {
-    /// The part of its capacity that one has at its start.
-    pub from: f64,
-    /// When it has all of it.
+pub struct ColdStartRule {
+    /// The share of its full capacity that a server has right after its start.
+    pub initial_capacity: f64,
+    /// The time until it has its full capacity; it grows linearly until then.
     pub warm_after: Duration,
-    /// It falls over at so many times what it can do at the moment...
-    pub multiple: f64,
-    /// ...for so long.
-    pub within: Duration,
+    /// A server fails when its load stays above this multiple of its present capacity...
+    pub overload_multiple: f64,
+    /// ...for this long.
+    pub window: Duration,
 }
 
-impl Cold {
-    /// The most that came within any span of the rule's length after a start, against what the rule allows there, and
-    /// when that span began. `capacity` is what a warm server bears a second.
-    pub fn worst(&self, came: &[Instant], started: Instant, capacity: f64) -> Option<(f64, Duration)> {
-        let mut came: Vec<Instant> = came.iter().copied().filter(|at| *at >= started).collect();
-        came.sort_unstable();
+impl ColdStartRule {
+    /// The heaviest load within any window during the warm-up that began at `started`, as a ratio to the load that the
+    /// rule allows there (above 1.0: broken), and the server's age at the window's begin. `capacity` is the rate of a
+    /// warm server in requests per second.
+    pub fn worst_load(
+        &self,
+        arrivals: &[Instant],
+        started: Instant,
+        capacity: f64,
+    ) -> Option<(f64, Duration)> {
+        let mut arrivals: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= started).collect();
+        arrivals.sort_unstable();
         let mut end = 0;
         let mut worst: Option<(f64, Duration)> = None;
-        for (i, first) in came.iter().enumerate() {
+        for (i, first) in arrivals.iter().enumerate() {
             let age = *first - started;
             if age > self.warm_after {
                 break;
             }
-            while came.get(end).is_some_and(|at| *at - *first <= self.within) {
+            while arrivals.get(end).is_some_and(|at| *at - *first <= self.window) {
                 end += 1;
             }
-            // Over the span it warms up; its middle stands for it.
-            let at = (age + self.within / 2).as_secs_f64() / self.warm_after.as_secs_f64();
-            let part = self.from + (1.0 - self.from) * at.min(1.0);
-            let allowed = self.multiple * part * capacity * self.within.as_secs_f64();
-            // Chance: three deviations of as many as are allowed.
-            let share = (end - i) as f64 / (allowed + 3.0 * allowed.sqrt()).max(1.0);
-            if worst.is_none_or(|(most, _)| share > most) {
-                worst = Some((share, age));
+            // The capacity grows during the window; its value in the middle of the window is used.
+            let progress = (age + self.window / 2).as_secs_f64() / self.warm_after.as_secs_f64();
+            let share = self.initial_capacity + (1.0 - self.initial_capacity) * progress.min(1.0);
+            let allowed = self.overload_multiple * share * capacity * self.window.as_secs_f64();
+            // Arrivals are random: three standard deviations of the allowed number are tolerated.
+            let ratio = (end - i) as f64 / (allowed + 3.0 * allowed.sqrt()).max(1.0);
+            if worst.is_none_or(|(most, _)| ratio > most) {
+                worst = Some((ratio, age));
             }
         }
         worst
     }
 }
 
-/// What is wrong with a run, one line each.
-pub fn wrongs(
-    orders: &[Ordered],
-    gateways: &[Vec<Follows>],
-    last: At,
+/// All contradictions of a run, one line each. `last` is the group's position at the end of the run. A gateway that
+/// is in mode `following` must follow an order at most `fresh` plus `slack` after the order was answered.
+pub fn violations(
+    orders: &[OrderRecord],
+    gateways: &[Vec<FollowRecord>],
+    last: Position,
     fresh: Duration,
     slack: Duration,
 ) -> Vec<String> {
-    let mut wrong = Vec::new();
-    let counted: Vec<&Ordered> = orders.iter().filter(|o| o.at.is_some()).collect();
-    let distinct: BTreeSet<At> = counted.iter().filter_map(|o| o.at).collect();
-    if distinct.len() != counted.len() {
-        wrong.push("two orders count from one position".into());
+    let mut violations = Vec::new();
+    let accepted: Vec<&OrderRecord> = orders.iter().filter(|o| o.position.is_some()).collect();
+    let distinct: BTreeSet<Position> = accepted.iter().filter_map(|o| o.position).collect();
+    if distinct.len() != accepted.len() {
+        violations.push("two orders have the same position".into());
     }
-    for a in &counted {
-        // An order that was answered before another was given came before it.
-        for b in counted.iter().filter(|b| a.answered < b.given && a.at > b.at) {
-            wrong.push(format!("{:?} was answered before {:?} was given, and counts after it", a.at, b.at));
+    for a in &accepted {
+        // An order that was answered before another one was sent must have the lower position.
+        for b in accepted.iter().filter(|b| a.answered_at < b.sent_at && a.position > b.position) {
+            violations.push(format!(
+                "{:?} was answered before {:?} was sent, but has the higher position",
+                a.position, b.position
+            ));
         }
-        if a.at > Some(last) {
-            wrong.push(format!("{:?} was accepted, and the group ended at {last:?}", a.at));
+        if a.position > Some(last) {
+            violations.push(format!("{:?} was accepted, but the group ended at {last:?}", a.position));
         }
     }
-    for (g, follows) in gateways.iter().enumerate() {
-        for pair in follows.windows(2) {
+    for (g, records) in gateways.iter().enumerate() {
+        for pair in records.windows(2) {
             let (before, after) = (&pair[0], &pair[1]);
-            if before.life == after.life && after.at < before.at {
-                wrong.push(format!("gateway {g} went back from {:?} to {:?}", before.at, after.at));
+            if before.run == after.run && after.position < before.position {
+                violations.push(format!(
+                    "gateway {g} went back from {:?} to {:?}",
+                    before.position, after.position
+                ));
             }
         }
-        for (i, f) in follows.iter().enumerate() {
-            if f.at > last {
-                wrong.push(format!("gateway {g} followed {:?}, which nobody decided", f.at));
+        for (i, record) in records.iter().enumerate() {
+            if record.position > last {
+                violations
+                    .push(format!("gateway {g} followed {:?}, which was never decided", record.position));
             }
-            if f.mode != "following" {
+            if record.mode != "following" {
                 continue;
             }
-            // Until it said something else, or its life ended, it followed this; no order that was answered so long
-            // before may be missing.
-            let Some(next) = follows.get(i + 1).filter(|n| n.life == f.life) else { continue };
-            let late = counted.iter().find(|o| o.at > Some(f.at) && o.answered + fresh + slack < next.since);
-            if let Some(order) = late {
-                let by = next.since - order.answered;
-                wrong.push(format!(
-                    "gateway {g} followed {:?} for {by:?} after {:?} was answered",
-                    f.at, order.at
+            // The gateway followed this position until its next record. An order that was answered more than `fresh`
+            // plus `slack` before that is one that it missed.
+            let Some(next) = records.get(i + 1).filter(|n| n.run == record.run) else { continue };
+            let missed = accepted
+                .iter()
+                .find(|o| o.position > Some(record.position) && o.answered_at + fresh + slack < next.since);
+            if let Some(order) = missed {
+                let delay = next.since - order.answered_at;
+                violations.push(format!(
+                    "gateway {g} followed {:?} for {delay:?} after {:?} was answered",
+                    record.position, order.position
                 ));
             }
         }
     }
-    wrong
+    violations
 }
--- a/crates/starlinghill-testkit/src/counter.rs
+++ b/crates/starlinghill-testkit/src/counter.rs
@@ -1,6 +1,7 @@
-//! The shared counter as a service with a capacity, and everything that may happen to it: it can refuse, stall,
-//! crawl, turn calls away, spoil answers, be replaced by an empty one or by an older copy of itself, or be two that
-//! disagree and are merged again. What it counted is never lost to the test.
+//! A shared quota counter for tests: an HTTP service of limited capacity whose faults a test controls. It can refuse
+//! connections, stall, slow down, reject calls, corrupt answers, lose its totals or go back to older ones, or be two
+//! counters that diverge and are merged again. Every counted call is kept in a record, so that a test can compare what
+//! was counted with what the counter says.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -14,54 +15,54 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
-use tokio::sync::{watch, Mutex as Turn};
+use tokio::sync::{watch, Mutex as AsyncMutex};
 use tokio::task::JoinHandle;
 
-/// The longest life of a name.
-const LONGEST_LIFE: Duration = Duration::from_secs(60);
+/// The longest time for which a total is kept, whatever the call asks for.
+const MAX_TTL: Duration = Duration::from_secs(60);
 
-/// How the counter behaves.
+/// How the counter answers calls.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Mode {
-    /// As it should.
-    Sound,
-    /// Connections are refused, and those that stand are reset.
+    /// Counts each call and answers with the new total.
+    Normal,
+    /// Refuses new connections and drops the open ones.
     Refuse,
-    /// Calls are taken and counted, and answered only when this is over.
+    /// Counts calls, but answers them only when this mode ends.
     Stall,
-    /// Each call takes so many times its time.
-    Crawl(f64),
-    /// Calls are turned away with 503; nothing is added.
-    TurnAway,
-    /// Every so many-th answer holds no number; its amount is added.
-    Spoil(u64),
+    /// Takes this many times the normal time for each call.
+    Slow(f64),
+    /// Answers 503 and counts nothing.
+    Unavailable,
+    /// Counts each call, but every n-th answer of a partition holds no number.
+    CorruptAnswers(u64),
 }
 
-/// What it has counted, by name: totals, and when each is forgotten.
+/// The totals of a counter by name, each with the time at which it expires.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Totals {
     names: BTreeMap<String, (f64, Instant)>,
 }
 
 impl Totals {
-    fn add(&mut self, now: Instant, name: &str, amount: f64, life: Duration) -> f64 {
-        self.names.retain(|_, (_, until)| *until > now);
-        let entry = self.names.entry(name.to_string()).or_insert((0.0, now + life.min(LONGEST_LIFE)));
+    fn add(&mut self, now: Instant, name: &str, amount: f64, ttl: Duration) -> f64 {
+        self.names.retain(|_, (_, expires)| *expires > now);
+        let entry = self.names.entry(name.to_string()).or_insert((0.0, now + ttl.min(MAX_TTL)));
         entry.0 += amount;
         entry.0
     }
 
-    /// The total of a name; 0 where it is not known.
-    pub fn of(&self, name: &str) -> f64 {
+    /// The total of a name; 0 if it is unknown.
+    pub fn total(&self, name: &str) -> f64 {
         self.names.get(name).map_or(0.0, |(total, _)| *total)
     }
 
-    /// What two halves of a split counter hold together: what each added since `before` on top of that.
+    /// Merges the totals of two counters that diverged from `before`: what either added since then counts once.
     pub fn merged(&self, other: &Totals, before: &Totals) -> Totals {
         let mut merged = self.clone();
-        for (name, (total, until)) in &other.names {
-            let entry = merged.names.entry(name.clone()).or_insert((0.0, *until));
-            entry.0 += total - before.of(name);
+        for (name, (total, expires)) in &other.names {
+            let entry = merged.names.entry(name.clone()).or_insert((0.0, *expires));
+            entry.0 += total - before.total(name);
         }
         merged
     }
@@ -70,85 +71,91 @@
 /// One call that was counted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Counted {
-    /// Its name.
+    /// The name under which it was counted.
     pub name: String,
-    /// What it added.
+    /// The amount that it added.
     pub amount: f64,
-    /// When.
+    /// When it was counted.
     pub at: Instant,
 }
 
 struct Shared {
     mode: watch::Sender<Mode>,
-    /// Two counters of one cluster hold the same; parted they do not.
+    /// Shared by two counters of one cluster; the outer lock guards which totals this counter uses.
     totals: Mutex<Arc<Mutex<Totals>>>,
     counted: Mutex<Vec<Counted>>,
-    /// Calls wait for their part's turn.
-    parts: Vec<Turn<u64>>,
-    per_call: Duration,
+    /// Calls counted by each partition. A partition's lock is held while it works on a call.
+    partitions: Vec<AsyncMutex<u64>>,
+    time_per_call: Duration,
 }
 
-/// A running counter. It ends when dropped.
+/// A running counter. Dropping it stops the service.
 pub struct Counter {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     task: JoinHandle<()>,
 }
 
 impl Shared {
-    fn held(&self) -> Arc<Mutex<Totals>> {
-        whole(&self.totals).clone()
+    fn totals(&self) -> Arc<Mutex<Totals>> {
+        locked(&self.totals).clone()
     }
 }
 
-fn whole<T>(lock: &Mutex<T>) -> MutexGuard<'_, T> {
-    lock.lock().expect("whole")
+fn locked<T>(lock: &Mutex<T>) -> MutexGuard<'_, T> {
+    lock.lock().expect("no thread panicked under the lock")
 }
 
 impl Counter {
-    /// Starts an empty one of so many parts, of which each takes one call at a time and so long for it.
-    pub async fn start(parts: usize, per_call: Duration) -> Counter {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("bound");
-        let (mode, _) = watch::channel(Mode::Sound);
-        let parts = (0..parts.max(1)).map(|_| Turn::new(0)).collect();
-        let shared =
-            Arc::new(Shared { mode, totals: Mutex::default(), counted: Mutex::default(), parts, per_call });
+    /// Starts a counter without totals. Each of its partitions works on one call at a time and takes `time_per_call`
+    /// for it; a name always belongs to the same partition.
+    pub async fn start(partitions: usize, time_per_call: Duration) -> Counter {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let address = listener.local_addr().expect("a bound address");
+        let (mode, _) = watch::channel(Mode::Normal);
+        let partitions = (0..partitions.max(1)).map(|_| AsyncMutex::new(0)).collect();
+        let shared = Arc::new(Shared {
+            mode,
+            totals: Mutex::default(),
+            counted: Mutex::default(),
+            partitions,
+            time_per_call,
+        });
         let task = tokio::spawn(run(listener, address, shared.clone()));
         Counter { address, shared, task }
     }
 
-    /// From now on it behaves so.
-    pub fn set(&self, mode: Mode) {
+    /// Changes how calls are answered from now on.
+    pub fn set_mode(&self, mode: Mode) {
         self.shared.mode.send_replace(mode);
     }
 
-    /// A copy of what it holds now.
-    pub fn copy(&self) -> Totals {
-        whole(&self.shared.held()).clone()
+    /// A copy of the present totals.
+    pub fn snapshot(&self) -> Totals {
+        locked(&self.shared.totals()).clone()
     }
 
-    /// From now on it holds this: nothing, an older copy, or two halves merged.
+    /// Replaces the totals, by empty, older or merged ones.
     pub fn replace(&self, totals: Totals) {
-        *whole(&self.shared.held()) = totals;
+        *locked(&self.shared.totals()) = totals;
     }
 
-    /// From now on it holds what the other one holds, and each call to either counts at both.
-    pub fn join(&self, other: &Counter) {
-        let held = other.shared.held();
-        *whole(&self.shared.totals) = held;
+    /// Gives up its own totals and shares those of another counter, so that a call to either counts at both.
+    pub fn share_totals_of(&self, other: &Counter) {
+        let totals = other.shared.totals();
+        *locked(&self.shared.totals) = totals;
     }
 
-    /// From now on it counts by itself, beginning with what it holds.
-    pub fn part(&self) {
-        let own = Arc::new(Mutex::new(self.copy()));
-        *whole(&self.shared.totals) = own;
+    /// Stops sharing totals: it counts on its own from now on, starting from a copy of the shared ones.
+    pub fn separate_totals(&self) {
+        let own = Arc::new(Mutex::new(self.snapshot()));
+        *locked(&self.shared.totals) = own;
     }
 
-    /// All that was ever counted here, whatever became of it.
-    pub fn counted(&self) -> Vec<Counted> {
-        whole(&self.shared.counted).clone()
+    /// All calls ever counted here, also those whose totals were replaced or whose answers were lost.
+    pub fn counted_calls(&self) -> Vec<Counted> {
+        locked(&self.shared.counted).clone()
     }
 }
 
@@ -161,12 +168,12 @@
 async fn run(listener: TcpListener, address: SocketAddr, shared: Arc<Shared>) {
     let mut listener = Some(listener);
     let mut mode = shared.mode.subscribe();
-    let mut served = tokio::task::JoinSet::new();
+    let mut connections = tokio::task::JoinSet::new();
     loop {
         if *mode.borrow_and_update() == Mode::Refuse {
-            // Neither the port nor what stands is there until it is back.
+            // Closes the port and all connections until the mode changes.
             listener = None;
-            served.shutdown().await;
+            connections.shutdown().await;
             if mode.wait_for(|mode| *mode != Mode::Refuse).await.is_err() {
                 return;
             }
@@ -184,7 +191,7 @@
         tokio::select! {
             accepted = open.accept() => if let Ok((stream, _)) = accepted {
                 let shared = shared.clone();
-                served.spawn(async move {
+                connections.spawn(async move {
                     let service = service_fn(|request| {
                         let shared = shared.clone();
                         async move { Ok::<_, Infallible>(answer(&shared, &request).await) }
@@ -198,52 +205,55 @@
     }
 }
 
-fn plain(status: StatusCode, text: String) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
     response
 }
 
-/// Name, amount and life of a call.
-fn call<B>(request: &Request<B>) -> Option<(String, f64, Duration)> {
+/// Reads the name, amount and time to live from `/v1/count/NAME?add=AMOUNT&ttl_ms=MS`; `None` if the call is invalid.
+fn parse_call<B>(request: &Request<B>) -> Option<(String, f64, Duration)> {
     let name = request.uri().path().strip_prefix("/v1/count/")?;
-    let (mut amount, mut life) = (None, None);
+    let (mut amount, mut ttl) = (None, None);
     for pair in request.uri().query()?.split('&') {
         match pair.split_once('=')? {
             ("add", v) => amount = v.parse::<f64>().ok().filter(|a| a.abs() <= 1e9),
-            ("ttl_ms", v) => life = v.parse().ok().filter(|ms| *ms >= 1).map(Duration::from_millis),
+            ("ttl_ms", v) => ttl = v.parse().ok().filter(|ms| *ms >= 1).map(Duration::from_millis),
             _ => {}
         }
     }
-    let fits = (1..=64).contains(&name.len());
-    fits.then_some(())?;
-    Some((name.to_string(), amount?, life?))
+    if !(1..=64).contains(&name.len()) {
+        return None;
+    }
+    Some((name.to_string(), amount?, ttl?))
 }
 
 async fn answer<B>(shared: &Shared, request: &Request<B>) -> Response<Full<Bytes>> {
-    let Some((name, amount, life)) = call(request) else {
-        return plain(StatusCode::NOT_FOUND, "no such call".into());
+    let Some((name, amount, ttl)) = parse_call(request) else {
+        return text_response(StatusCode::NOT_FOUND, "no such call".into());
     };
     let mode = *shared.mode.borrow();
-    if mode == Mode::TurnAway {
-        return plain(StatusCode::SERVICE_UNAVAILABLE, String::new());
+    if mode == Mode::Unavailable {
+        return text_response(StatusCode::SERVICE_UNAVAILABLE, String::new());
     }
     let hash = name.bytes().fold(0_usize, |h, b| h.wrapping_mul(31).wrapping_add(b.into()));
-    let mut turn = shared.parts[hash % shared.parts.len()].lock().await;
-    *turn += 1;
-    let nth = *turn;
-    let slow = if let Mode::Crawl(times) = mode { times } else { 1.0 };
-    tokio::time::sleep(shared.per_call.mul_f64(slow)).await;
+    let mut calls = shared.partitions[hash % shared.partitions.len()].lock().await;
+    *calls += 1;
+    let call_number = *calls;
+    let slowdown = if let Mode::Slow(factor) = mode { factor } else { 1.0 };
+    tokio::time::sleep(shared.time_per_call.mul_f64(slowdown)).await;
     let now = Instant::now();
-    let total = whole(&shared.held()).add(now, &name, amount, life);
-    whole(&shared.counted).push(Counted { name, amount, at: now });
-    drop(turn);
+    let total = locked(&shared.totals()).add(now, &name, amount, ttl);
+    locked(&shared.counted).push(Counted { name, amount, at: now });
+    drop(calls);
     if mode == Mode::Stall {
-        // The sender lives as long as the counter.
+        // Fails only when the counter is dropped; the answer doesn't matter then.
         let _ = shared.mode.subscribe().wait_for(|mode| *mode != Mode::Stall).await;
     }
     match mode {
-        Mode::Spoil(every) if nth % every.max(1) == 0 => plain(StatusCode::OK, "\u{1}?".into()),
-        _ => plain(StatusCode::OK, total.to_string()),
+        Mode::CorruptAnswers(every) if call_number % every.max(1) == 0 => {
+            text_response(StatusCode::OK, "\u{1}?".into())
+        }
+        _ => text_response(StatusCode::OK, total.to_string()),
     }
 }
--- a/crates/starlinghill-testkit/src/failover.rs
+++ b/crates/starlinghill-testkit/src/failover.rs
@@ -1,9 +1,10 @@
-//! A fleet of real gateway processes in zones, which follow a group of real members, before save nodes in every zone, with
-//! load through all of them; orders to the group; and faults by scripts, which are data and can be played again.
+//! A fleet for failover tests: real gateway processes in three zones that follow a group of real members, in front of save
+//! nodes in every zone, with load through all gateways. Operators' orders and faults are applied to it; scripts of
+//! faults are plain data, so a run can be repeated.
 
-use crate::audit::{accepted, Cold, Ordered};
+use crate::audit::{accepted_position, ColdStartRule, OrderRecord};
 use crate::group::{free_address, Group, LIMIT};
-use crate::load::{Load, Sent, WAITS};
+use crate::load::{Load, SentRequest, ANSWER_TIMEOUT};
 use crate::nodes::SaveNode;
 use crate::processes::Process;
 use crate::stubs::{self, Discovery, Stub};
@@ -17,79 +18,82 @@
 
 /// The zones of the fleet, as in [`crate::group::MAP`].
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
-/// The time of a request's class that is on time.
+/// Answers within this time count as on time.
 const ON_TIME: Duration = Duration::from_secs(1);
 
-/// One fault.
+/// A fault, or the end of one. Members and gateways are given by index, zones by name; links have a direction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// The member that leads is killed.
+    /// Kills the group's leader, if there is one.
     KillLeader,
-    /// A member is killed.
+    /// Kills a member.
     KillMember(usize),
-    /// A member is stopped (SIGSTOP).
+    /// Suspends a member (SIGSTOP).
     StopMember(usize),
-    /// All members that don't run, or are stopped, run again.
-    MembersAgain,
-    /// All members are killed.
+    /// Continues suspended members and starts killed ones.
+    #[serde(rename = "members_again")]
+    ResumeMembers,
+    /// Kills all members.
     KillGroup,
-    /// A gateway is killed, and started again at once.
+    /// Kills a gateway and starts it again at once.
     KillGateway(usize),
-    /// A gateway is told to end, and started again.
+    /// Ends a gateway by SIGTERM, waits for its end and starts it again.
     RestartGateway(usize),
-    /// A gateway is stopped.
+    /// Suspends a gateway (SIGSTOP).
     StopGateway(usize),
-    /// It goes on.
+    /// Continues a suspended gateway.
     ContinueGateway(usize),
-    /// Nothing goes from one zone to another any more.
+    /// Drops all traffic from one zone to another.
     Cut(String, String),
-    /// What goes from one zone to another is late by so many milliseconds.
+    /// Delays traffic from one zone to another by this many milliseconds.
     Delay(String, String, u64),
-    /// No more than so many bytes a second of each connection go from one zone to another.
+    /// Limits each connection from one zone to another to this many bytes per second.
     Trickle(String, String, u64),
-    /// Connections over a link are reset.
+    /// Resets the open connections from one zone to another.
     Reset(String, String),
-    /// The save nodes of a zone are started again, and are cold.
-    Cold(String),
-    /// All links are whole.
+    /// Tells gateways that the save nodes of a zone have restarted and are cold.
+    #[serde(rename = "cold")]
+    RestartNodes(String),
+    /// Ends all faults of links.
     Heal,
 }
 
-/// A fault and when it comes, in milliseconds from the start.
+/// A step of a script.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// When.
+    /// When it is applied, in milliseconds from the start.
     pub at_ms: u64,
-    /// What.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// The fleet.
+/// The fleet. Dropping it ends its processes and the load.
 pub struct Fleet {
-    /// The group.
+    /// The group that gateways follow.
     pub group: Group,
-    /// The gateways; two in each zone, one after the other.
+    /// The gateway processes, an equal number per zone, ordered by zone.
     pub gateways: Vec<Process>,
-    /// Where each gateway listens.
+    /// The address that each gateway listens on.
     pub listen: Vec<SocketAddr>,
-    /// The save nodes with their zones.
+    /// The save nodes, each with its zone; three per zone.
     pub nodes: Vec<(&'static str, SaveNode)>,
-    /// When the load began.
-    pub begun: Instant,
-    /// When each gateway was killed or told to end: what it had open then ends with it.
-    pub ended: Vec<Vec<Instant>>,
+    /// When the load was started.
+    pub load_started: Instant,
+    /// When each gateway was killed, ended or suspended. Requests open at that time may get no answer.
+    pub interrupted: Vec<Vec<Instant>>,
     load: Option<Load>,
-    lists: Vec<List>,
+    lists: Vec<NodeList>,
+    /// The revision of the node lists that discovery has announced last.
     revision: u64,
-    /// The last start of each node that was started again.
-    cold: Vec<Option<(Instant, u64)>>,
+    /// For each node its last announced restart, also as Unix time in milliseconds; `None` if it had none.
+    restarts: Vec<Option<(Instant, u64)>>,
     _counter: Stub,
 }
 
-/// What gateways of one zone are told of the servers: its links lead to them.
-struct List {
+/// The list of save nodes for the gateways of one zone, with the addresses of that zone's links to them.
+struct NodeList {
     discovery: Discovery,
     nodes: Vec<SocketAddr>,
 }
@@ -98,17 +102,22 @@
     ZONES[gateway * ZONES.len() / gateways]
 }
 
-/// How a server of this fleet warms up, as gateways are told.
-pub const COLD: Cold =
-    Cold { from: 0.17, warm_after: Duration::from_secs(14), multiple: 2.0, within: Duration::from_secs(2) };
+/// The warm-up of save nodes; gateways get the same values in their settings.
+pub const COLD: ColdStartRule = ColdStartRule {
+    initial_capacity: 0.17,
+    warm_after: Duration::from_secs(14),
+    overload_multiple: 2.0,
+    window: Duration::from_secs(2),
+};
 
-/// One member of a list: a node of a zone, where it is seen, since when it runs.
-fn entry(i: usize, zone: &str, at: SocketAddr, up_since_ms: u64) -> String {
+/// A save node in discovery's form: its zone, its address and its start as Unix time in milliseconds.
+fn node_entry(i: usize, zone: &str, at: SocketAddr, up_since_ms: u64) -> String {
     let member = stubs::member_since(&format!("s-{i}"), at, "ready", up_since_ms);
     member.replace("\"locality\":\"a\"", &format!("\"locality\":\"{zone}\""))
 }
 
-fn config(
+/// The platform configuration of gateway `i`, as JSON.
+fn gateway_config(
     i: usize,
     gateways: usize,
     listen: SocketAddr,
@@ -122,7 +131,7 @@
             "\"zone\":\"a\",\"zones\":[\"a\",\"b\"]",
             &format!("\"zone\":\"{zone}\",\"zones\":[\"a\",\"b\",\"c\"]"),
         )
-        .replace("\"fall_multiple\":4.0", &format!("\"fall_multiple\":{:.1}", COLD.multiple));
+        .replace("\"fall_multiple\":4.0", &format!("\"fall_multiple\":{:.1}", COLD.overload_multiple));
     format!(
         r#"{{"name":"n{i}","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be96{i}",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"counter":"{counter}","settings":{settings}}}"#
@@ -130,40 +139,42 @@
 }
 
 impl Fleet {
-    /// Starts the group in these zones, so many gateways (a multiple of the zones), and three save nodes in each zone.
-    /// `follows` says whether gateways are told of the group at all.
+    /// Starts a group with a member in each of the zones `members`, three save nodes in each zone and `gateways`
+    /// gateways, a multiple of the number of zones. With `follows` the gateways know the group's addresses; without,
+    /// they work without a group.
     pub async fn start(program: &Path, members: &[&str], gateways: usize, seed: u64, follows: bool) -> Fleet {
         let mut group = Group::new(program, members, seed).await;
-        tokio::task::block_in_place(|| group.begin());
+        tokio::task::block_in_place(|| group.start());
         let mut nodes = Vec::new();
         for i in 0..3 * ZONES.len() {
             nodes.push((ZONES[i / 3], SaveNode::start().await));
         }
         let mut lists = Vec::new();
         for zone in ZONES {
-            let (mut listed, mut seen) = (Vec::new(), Vec::new());
-            for (i, (there, node)) in nodes.iter().enumerate() {
-                let at = group.net.tcp(zone, there, node.address).await;
-                listed.push(entry(i, there, at, 0));
-                seen.push(at);
+            let (mut listed, mut addresses) = (Vec::new(), Vec::new());
+            for (i, (node_zone, node)) in nodes.iter().enumerate() {
+                let at = group.net.tcp(zone, node_zone, node.address).await;
+                listed.push(node_entry(i, node_zone, at, 0));
+                addresses.push(at);
             }
-            lists.push(List { discovery: Discovery::start(&listed.join(",")), nodes: seen });
+            lists.push(NodeList { discovery: Discovery::start(&listed.join(",")), nodes: addresses });
         }
         let counter = stubs::counter();
         let (mut processes, mut listen) = (Vec::new(), Vec::new());
         for i in 0..gateways {
             let zone = zone_of(i, gateways);
             let at = free_address();
-            let place = ZONES.iter().position(|z| *z == zone).unwrap_or(0);
-            let config = config(i, gateways, at, lists[place].discovery.stub.address, counter.address);
+            let zone_index = ZONES.iter().position(|z| *z == zone).unwrap_or(0);
+            let config =
+                gateway_config(i, gateways, at, lists[zone_index].discovery.stub.address, counter.address);
             let file = group.folder().join(format!("gateway-{i}.json"));
-            std::fs::write(&file, config).expect("a file");
+            std::fs::write(&file, config).expect("the file can be written");
             let operators = group.folder().join(format!("gateway-{i}.toml"));
             let text = match follows {
-                true => group.text(1, &group.seen_from(zone, None).await),
+                true => group.text(1, &group.addresses_from(zone, None).await),
                 false => String::new(),
             };
-            std::fs::write(&operators, text).expect("a file");
+            std::fs::write(&operators, text).expect("the file can be written");
             let (program, name) = (program.to_path_buf(), format!("n{i}"));
             let mut process = Process::new(&name.clone(), move || {
                 let mut command = Command::new(&program);
@@ -176,13 +187,13 @@
             listen.push(at);
         }
         let fleet = Fleet {
-            ended: vec![Vec::new(); gateways],
+            interrupted: vec![Vec::new(); gateways],
             group,
             gateways: processes,
             listen,
-            cold: vec![None; nodes.len()],
+            restarts: vec![None; nodes.len()],
             nodes,
-            begun: Instant::now(),
+            load_started: Instant::now(),
             load: None,
             lists,
             revision: 41,
@@ -199,22 +210,22 @@
         fleet
     }
 
-    /// Load through every gateway: so many requests a second each, of all classes.
+    /// Starts a load of `per_s` requests per second through each gateway, of all classes.
     pub fn load(&mut self, per_s: u64) {
-        self.begun = Instant::now();
+        self.load_started = Instant::now();
         self.load = Some(Load::start(&self.listen, per_s));
     }
 
-    /// Ends the load, waits for what is open, and tells all that was sent.
-    pub async fn rest(&mut self) -> Vec<Sent> {
+    /// Stops the load, waits for open requests and returns all requests that were sent.
+    pub async fn finish(&mut self) -> Vec<SentRequest> {
         match &mut self.load {
-            Some(load) => load.rest().await,
+            Some(load) => load.finish().await,
             None => Vec::new(),
         }
     }
 
-    /// Carries a fault out.
-    pub fn suffer(&mut self, fault: &Fault) {
+    /// Applies a fault.
+    pub fn inject(&mut self, fault: &Fault) {
         match fault {
             Fault::KillLeader => {
                 if let Some(leader) = self.group.leader() {
@@ -223,7 +234,7 @@
             }
             Fault::KillMember(i) => self.group.members[*i].kill(),
             Fault::StopMember(i) => self.group.members[*i].stop(),
-            Fault::MembersAgain => {
+            Fault::ResumeMembers => {
                 for member in &mut self.group.members {
                     member.go_on();
                     member.start();
@@ -231,18 +242,18 @@
             }
             Fault::KillGroup => self.group.members.iter_mut().for_each(Process::kill),
             Fault::KillGateway(i) => {
-                self.ended[*i].push(Instant::now());
+                self.interrupted[*i].push(Instant::now());
                 self.gateways[*i].kill();
                 self.gateways[*i].start();
             }
             Fault::RestartGateway(i) => {
-                self.ended[*i].push(Instant::now());
+                self.interrupted[*i].push(Instant::now());
                 self.gateways[*i].terminate();
                 self.gateways[*i].ended(LIMIT);
                 self.gateways[*i].start();
             }
             Fault::StopGateway(i) => {
-                self.ended[*i].push(Instant::now());
+                self.interrupted[*i].push(Instant::now());
                 self.gateways[*i].stop();
             }
             Fault::ContinueGateway(i) => self.gateways[*i].go_on(),
@@ -252,101 +263,102 @@
                 self.group.net.change(from, to, |c| c.bytes_per_s = Some(*rate));
             }
             Fault::Reset(from, to) => self.group.net.reset(from, to),
-            Fault::Cold(zone) => self.start_again(zone),
+            Fault::RestartNodes(zone) => self.restart_nodes(zone),
             Fault::Heal => self.group.net.heal(),
         }
     }
 
-    fn start_again(&mut self, zone: &str) {
-        let wall = wall_clock::system();
-        for (i, (there, _)) in self.nodes.iter().enumerate() {
-            if *there == zone {
-                self.cold[i] = Some((Instant::now(), wall));
+    /// Announces a restart of a zone's save nodes. Only discovery says so; the nodes themselves run on.
+    fn restart_nodes(&mut self, zone: &str) {
+        let unix_ms = wall_clock::system();
+        for (i, (node_zone, _)) in self.nodes.iter().enumerate() {
+            if *node_zone == zone {
+                self.restarts[i] = Some((Instant::now(), unix_ms));
             }
         }
         self.revision += 1;
         for list in &self.lists {
-            let members = self.nodes.iter().enumerate().map(|(i, (there, _))| {
-                entry(i, there, list.nodes[i], self.cold[i].map_or(0, |(_, since)| since))
+            let members = self.nodes.iter().enumerate().map(|(i, (node_zone, _))| {
+                node_entry(i, node_zone, list.nodes[i], self.restarts[i].map_or(0, |(_, since)| since))
             });
-            // Whole: a gateway that starts later is told the same, and can do nothing with changes alone.
+            // A complete list, as a gateway that starts later gets the same answer and can't apply changes alone.
             let members = members.collect::<Vec<_>>().join(",");
-            list.discovery.say(self.revision, &stubs::list(self.revision, true, &members));
+            list.discovery.set_answer(self.revision, &stubs::list(self.revision, true, &members));
         }
     }
 
-    /// For each node that was started again, the most that came to it within a span of the rule on cold servers, against
-    /// what the rule allows there, and how old it was then. What warm ones bear is taken to be what they got in the
-    /// mean in this run, so it is no more than they do bear.
-    pub fn cold_loads(&self) -> Vec<(String, f64, Duration)> {
+    /// The heaviest load on each restarted node during its warm-up: its name, the ratio to what [`COLD`] allows, and its
+    /// age then (see [`ColdStartRule::worst_load`]). The capacity of a warm node is taken to be the mean rate at which
+    /// nodes without a restart received requests; they can do at least that, so the check is on the strict side.
+    pub fn cold_node_loads(&self) -> Vec<(String, f64, Duration)> {
         let until = Instant::now();
-        let warm = self.nodes.iter().zip(&self.cold).filter(|(_, cold)| cold.is_none());
+        let warm = self.nodes.iter().zip(&self.restarts).filter(|(_, restart)| restart.is_none());
         let rates = warm.map(|((_, node), _)| {
-            let came = node.came().iter().filter(|came| came.at >= self.begun).count();
-            came as f64 / (until - self.begun).as_secs_f64().max(1.0)
+            let received = node.attempts().iter().filter(|a| a.at >= self.load_started).count();
+            received as f64 / (until - self.load_started).as_secs_f64().max(1.0)
         });
         let rates: Vec<f64> = rates.collect();
         let capacity = rates.iter().sum::<f64>() / rates.len().max(1) as f64;
-        let cold = self.nodes.iter().zip(&self.cold).enumerate();
-        cold.filter_map(|(i, ((_, node), cold))| {
-            let came: Vec<Instant> = node.came().iter().map(|came| came.at).collect();
-            let (share, age) = COLD.worst(&came, (*cold)?.0, capacity)?;
-            Some((format!("s-{i}"), share, age))
+        let all = self.nodes.iter().zip(&self.restarts).enumerate();
+        all.filter_map(|(i, ((_, node), restart))| {
+            let arrivals: Vec<Instant> = node.attempts().iter().map(|a| a.at).collect();
+            let (ratio, age) = COLD.worst_load(&arrivals, (*restart)?.0, capacity)?;
+            Some((format!("s-{i}"), ratio, age))
         })
         .collect()
     }
 
-    /// Requests that came to the nodes of a zone, by when.
-    pub fn came_to(&self, zone: &str) -> Vec<Instant> {
+    /// The arrival times of all attempts at the nodes of a zone, ordered by node.
+    pub fn arrivals_in(&self, zone: &str) -> Vec<Instant> {
         let nodes = self.nodes.iter().filter(|(z, _)| *z == zone);
-        nodes.flat_map(|(_, node)| node.came()).map(|came| came.at).collect()
+        nodes.flat_map(|(_, node)| node.attempts()).map(|a| a.at).collect()
     }
 
-    /// Gives an order that has to be accepted.
-    pub fn order(&self, words: &[&str], more: &[&str]) -> Ordered {
-        let given = Instant::now();
-        let output = self.group.command(words, more);
-        let answered = Instant::now();
-        let at = accepted(&output.stdout);
-        assert!(output.status.success() && at.is_some(), "{output:?}");
-        Ordered { given, answered, at }
+    /// Gives an order by an operator's command, see [`Group::command`]. Panics if the order is not accepted.
+    pub fn order(&self, words: &[&str], arguments: &[&str]) -> OrderRecord {
+        let sent_at = Instant::now();
+        let output = self.group.command(words, arguments);
+        let answered_at = Instant::now();
+        let position = accepted_position(&output.stdout);
+        assert!(output.status.success() && position.is_some(), "{output:?}");
+        OrderRecord { sent_at, answered_at, position }
     }
 
-    /// What is found of each zone by what all gateways see.
-    pub fn found(&self) -> Vec<String> {
+    /// The finding of `why --json` about each zone, in the order of [`ZONES`]; `-` if there is none.
+    pub fn findings(&self) -> Vec<String> {
         let output = self.group.command(&["why"], &["--json"]);
-        let told: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
-        let finding = |zone: &&str| told["zones"][zone]["finding"].as_str().unwrap_or("-").to_string();
+        let report: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
+        let finding = |zone: &&str| report["zones"][zone]["finding"].as_str().unwrap_or("-").to_string();
         ZONES.iter().map(finding).collect()
     }
 
-    /// Waits until that is found of the zones.
-    pub fn wait_until_found(&self, wanted: [&str; 3]) {
-        let until = Instant::now() + LIMIT;
-        while self.found() != wanted {
-            let all = self.group.command(&["why"], &[]);
-            assert!(Instant::now() < until, "{wanted:?}, found {}", String::from_utf8_lossy(&all.stdout));
+    /// Waits until the findings about the zones are these.
+    pub fn wait_until_findings(&self, wanted: [&str; 3]) {
+        let deadline = Instant::now() + LIMIT;
+        while self.findings() != wanted {
+            let why = self.group.command(&["why"], &[]);
+            assert!(Instant::now() < deadline, "{wanted:?}, found {}", String::from_utf8_lossy(&why.stdout));
             std::thread::sleep(Duration::from_millis(100));
         }
     }
 
-    /// Waits until `why` says all of that of a zone at once.
-    pub fn wait_until_said(&self, zone: &str, wanted: &[&str]) {
-        let until = Instant::now() + LIMIT;
+    /// Waits until the output of `why` about a zone contains all of these texts at once.
+    pub fn wait_until_why_contains(&self, zone: &str, wanted: &[&str]) {
+        let deadline = Instant::now() + LIMIT;
         loop {
-            let one = self.group.command(&["why"], &[zone]);
-            let said = String::from_utf8_lossy(&one.stdout);
-            if wanted.iter().all(|text| said.contains(text)) {
+            let output = self.group.command(&["why"], &[zone]);
+            let text = String::from_utf8_lossy(&output.stdout);
+            if wanted.iter().all(|part| text.contains(part)) {
                 return;
             }
-            assert!(Instant::now() < until, "{wanted:?}, found {said}");
+            assert!(Instant::now() < deadline, "{wanted:?}, found {text}");
             std::thread::sleep(Duration::from_millis(100));
         }
     }
 
-    /// What each gateway has followed, from its log: position (generation, epoch), mode, when; by life.
-    pub fn followed(&self) -> Vec<Vec<crate::audit::Follows>> {
-        self.gateways.iter().map(|g| crate::audit::follows(&g.lines())).collect()
+    /// What each gateway followed over time, read from its log.
+    pub fn followed(&self) -> Vec<Vec<crate::audit::FollowRecord>> {
+        self.gateways.iter().map(|g| crate::audit::follow_records(&g.lines())).collect()
     }
 
     /// Waits until every gateway follows the group's newest position.
@@ -361,48 +373,49 @@
         })
     }
 
-    /// What is wrong with what clients and nodes saw: `lost`, a request that a gateway took and that has no answer
-    /// though the gateway went on; `doubled`, one that may not run twice and came to nodes twice.
-    pub fn wrongs(&self, sent: &[Sent]) -> Wrongs {
-        let mut came: BTreeMap<String, usize> = BTreeMap::new();
-        for call in self.nodes.iter().flat_map(|(_, node)| node.came()) {
-            *came.entry(call.call).or_default() += 1;
+    /// Counts the outcomes of these requests, by what clients and save nodes recorded.
+    pub fn request_outcomes(&self, sent: &[SentRequest]) -> RequestOutcomes {
+        let mut attempts: BTreeMap<String, usize> = BTreeMap::new();
+        for attempt in self.nodes.iter().flat_map(|(_, node)| node.attempts()) {
+            *attempts.entry(attempt.call_id).or_default() += 1;
         }
-        let mut wrongs = Wrongs::default();
+        let mut outcomes = RequestOutcomes::default();
         for s in sent {
-            let until = s.answer.map_or(s.at + WAITS, |(_, at)| at);
-            let cut_short = self.ended[s.gateway].iter().any(|end| *end >= s.at - ON_TIME && *end <= until);
+            let until = s.answer.map_or(s.sent_at + ANSWER_TIMEOUT, |(_, at)| at);
+            // The gateway may have been interrupted shortly before the request was sent.
+            let interrupted =
+                self.interrupted[s.gateway].iter().any(|end| *end >= s.sent_at - ON_TIME && *end <= until);
             match s.answer {
-                None if cut_short => wrongs.ended_with_their_gateway += 1,
-                None => wrongs.lost += 1,
-                Some((200, at)) if at - s.at <= ON_TIME => wrongs.served += 1,
-                Some((200, _)) => wrongs.late += 1,
-                Some(_) => wrongs.refused += 1,
+                None if interrupted => outcomes.gateway_ended += 1,
+                None => outcomes.lost += 1,
+                Some((200, at)) if at - s.sent_at <= ON_TIME => outcomes.served += 1,
+                Some((200, _)) => outcomes.late += 1,
+                Some(_) => outcomes.refused += 1,
             }
-            if s.class == "once" && came.get(&s.call).is_some_and(|n| *n > 1) {
-                wrongs.doubled += 1;
+            if s.class == "once" && attempts.get(&s.call_id).is_some_and(|n| *n > 1) {
+                outcomes.duplicated += 1;
             }
         }
-        wrongs.sent = sent.len();
-        wrongs
+        outcomes.sent = sent.len();
+        outcomes
     }
 }
 
-/// What became of all requests.
+/// The number of requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Wrongs {
-    /// All.
+pub struct RequestOutcomes {
+    /// All requests.
     pub sent: usize,
-    /// Served in time.
+    /// Answered 200 within a second.
     pub served: usize,
-    /// Served, and late.
+    /// Answered 200, but later.
     pub late: usize,
-    /// Refused or failed, and told so.
+    /// Answered with another status.
     pub refused: usize,
-    /// Without an answer, as their gateway was killed, told to end or stopped meanwhile.
-    pub ended_with_their_gateway: usize,
-    /// Without an answer though their gateway went on.
+    /// Without an answer, and their gateway was killed, ended or suspended at the time.
+    pub gateway_ended: usize,
+    /// Without an answer although their gateway went on; there should be none.
     pub lost: usize,
-    /// Run twice though they may not.
-    pub doubled: usize,
+    /// Of class `once`, but arrived at save nodes more than once; there should be none.
+    pub duplicated: usize,
 }
--- a/crates/starlinghill-testkit/src/load.rs
+++ b/crates/starlinghill-testkit/src/load.rs
@@ -1,4 +1,5 @@
-//! Load through gateways: clients that keep a connection each, at a steady pace, and note what became of each request.
+//! Load generator: clients that send requests through gateways at a steady rate, each on its own kept-alive connection,
+//! and record the outcome of each request.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -12,58 +13,61 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// How long a client waits for an answer before it counts as lost: the longest deadline of a class, and some.
-pub const WAITS: Duration = Duration::from_secs(9);
-/// One request of a client's.
+/// A request without an answer after this time counts as lost. It is longer than the longest deadline of a class (8 s).
+pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(9);
+
+/// A request and its outcome.
 #[derive(Debug, Clone)]
-pub struct Sent {
-    /// Its id.
-    pub call: String,
-    /// Its class.
+pub struct SentRequest {
+    /// Its `X-Call-Id`, unique within a run.
+    pub call_id: String,
+    /// Its `X-Call-Class`: `look`, `buy` or `once`.
     pub class: &'static str,
-    /// The gateway.
+    /// The index of the gateway that it was sent to.
     pub gateway: usize,
     /// When it was sent.
-    pub at: Instant,
-    /// The answer's status, and when it came; `None`: the connection ended without one, or none came.
+    pub sent_at: Instant,
+    /// The status of the complete answer and when it arrived; `None` if the connection ended without one or
+    /// [`ANSWER_TIMEOUT`] passed.
     pub answer: Option<(u16, Instant)>,
 }
 
-/// Clients under way; they end when this is dropped.
+/// Running clients. Dropping it aborts them.
 pub struct Load {
-    seen: Arc<Mutex<Vec<Sent>>>,
+    results: Arc<Mutex<Vec<SentRequest>>>,
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
 }
 
 impl Load {
-    /// So many requests a second through each gateway, of all classes.
+    /// Starts clients that send `per_s` requests per second through each gateway: half of them `look`, a quarter each
+    /// `buy` and `once`.
     pub fn start(gateways: &[SocketAddr], per_s: u64) -> Load {
-        let mut load = Load { seen: Arc::default(), stop: Arc::default(), clients: Vec::new() };
-        let calls = Arc::new(AtomicU64::new(0));
-        // So many clients that one slow answer does not hold the rate down.
+        let mut load = Load { results: Arc::default(), stop: Arc::default(), clients: Vec::new() };
+        let next_id = Arc::new(AtomicU64::new(0));
+        // Each client sends 4 requests per second, so one slow answer hardly lowers the total rate.
         let clients = (per_s / 4).max(1);
         for (gateway, &at) in gateways.iter().enumerate() {
             for client in 0..clients {
-                let (seen, stop, calls) = (load.seen.clone(), load.stop.clone(), calls.clone());
-                let every = Duration::from_micros(clients * 1_000_000 / per_s.max(1));
-                let first = every.mul_f64(client as f64 / clients as f64);
+                let (results, stop, next_id) = (load.results.clone(), load.stop.clone(), next_id.clone());
+                let interval = Duration::from_micros(clients * 1_000_000 / per_s.max(1));
+                let offset = interval.mul_f64(client as f64 / clients as f64);
                 load.clients.push(tokio::spawn(async move {
-                    tokio::time::sleep(first).await;
-                    ask_always(at, gateway, every, &seen, &stop, &calls).await;
+                    tokio::time::sleep(offset).await;
+                    run_client(at, gateway, interval, &results, &stop, &next_id).await;
                 }));
             }
         }
         load
     }
 
-    /// Ends it, waits for what is open, and tells all that was sent.
-    pub async fn rest(&mut self) -> Vec<Sent> {
+    /// Stops the clients, waits for open requests and returns all requests that were sent.
+    pub async fn finish(&mut self) -> Vec<SentRequest> {
         self.stop.store(true, Ordering::Relaxed);
         for client in self.clients.drain(..) {
             let _ = client.await;
         }
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.results.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
@@ -75,21 +79,21 @@
     }
 }
 
-async fn ask_always(
+async fn run_client(
     at: SocketAddr,
     gateway: usize,
-    every: Duration,
-    seen: &Mutex<Vec<Sent>>,
+    interval: Duration,
+    results: &Mutex<Vec<SentRequest>>,
     stop: &AtomicBool,
-    calls: &AtomicU64,
+    next_id: &AtomicU64,
 ) {
     let mut sender: Option<http1::SendRequest<Full<Bytes>>> = None;
     let mut next = tokio::time::Instant::now();
     while !stop.load(Ordering::Relaxed) {
         tokio::time::sleep_until(next).await;
-        next = (next + every).max(tokio::time::Instant::now());
+        next = (next + interval).max(tokio::time::Instant::now());
         if sender.as_ref().is_none_or(http1::SendRequest::is_closed) {
-            // A gateway that is being started again refuses; nothing was sent then.
+            // A gateway that restarts refuses connections. No request was sent then, so none is recorded.
             let Ok(stream) = TcpStream::connect(at).await else { continue };
             let _ = stream.set_nodelay(true);
             let Ok((new, connection)) = http1::handshake(TokioIo::new(stream)).await else { continue };
@@ -101,26 +105,26 @@
             sender = None;
             continue;
         }
-        let number = calls.fetch_add(1, Ordering::Relaxed);
+        let number = next_id.fetch_add(1, Ordering::Relaxed);
         let class = ["look", "look", "buy", "once"][(number % 4) as usize];
-        let call = format!("{number:016x}");
+        let call_id = format!("{number:016x}");
         let sent_at = Instant::now();
-        let asked = async {
-            let response = open.send_request(request(class, &call, number)).await.ok()?;
+        let exchange = async {
+            let response = open.send_request(request(class, &call_id, number)).await.ok()?;
             let status = response.status().as_u16();
             response.into_body().collect().await.ok()?;
             Some((status, Instant::now()))
         };
-        let answer = tokio::time::timeout(WAITS, asked).await.ok().flatten();
+        let answer = tokio::time::timeout(ANSWER_TIMEOUT, exchange).await.ok().flatten();
         if answer.is_none() {
             sender = None;
         }
-        let sent = Sent { call, class, gateway, at: sent_at, answer };
-        seen.lock().unwrap_or_else(PoisonError::into_inner).push(sent);
+        let sent = SentRequest { call_id, class, gateway, sent_at, answer };
+        results.lock().unwrap_or_else(PoisonError::into_inner).push(sent);
     }
 }
 
-fn request(class: &str, call: &str, number: u64) -> Request<Full<Bytes>> {
+fn request(class: &str, call_id: &str, number: u64) -> Request<Full<Bytes>> {
     let method = if class == "look" { "GET" } else { "POST" };
     let body = if class == "look" { Bytes::new() } else { Bytes::from_static(b"hello") };
     let customer = number % 97;
@@ -128,12 +132,12 @@
         .method(method)
         .uri(format!("/api?customer={customer:016x}&x=1"))
         .header("host", "origin.svc")
-        .header("x-call-id", call)
+        .header("x-call-id", call_id)
         .header("x-call-class", class)
         .header("x-plan", "team")
         .header("x-budget-ms", "4000")
         .header("x-quota", "units=1,spread=2,first=0");
     let request =
         if class == "buy" { request.header("idempotency-key", format!("k-{number}")) } else { request };
-    request.body(Full::new(body)).expect("a sound request")
+    request.body(Full::new(body)).expect("a valid request")
 }
--- a/crates/starlinghill-testkit/src/nodes.rs
+++ b/crates/starlinghill-testkit/src/nodes.rs
@@ -1,4 +1,5 @@
-//! Save nodes: they answer at once, or fail, and note when whose request came.
+//! Save nodes, the servers behind gateways in tests: they answer every request with 200 or, if a test wants it, with 500
+//! or after a delay, and record what arrived.
 
 use crate::stubs::{self, Discovery};
 use bytes::Bytes;
@@ -11,109 +12,119 @@
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// What a node saw of one sender.
+/// The requests of one sender (`X-From` header) to a node.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
-    /// Requests.
+pub struct SenderActivity {
+    /// The number of requests.
     pub requests: u64,
-    /// When the last one came.
-    pub last: Instant,
+    /// When the last one arrived.
+    pub last_at: Instant,
 }
 
-/// One attempt that came in.
+/// One attempt of a request that arrived at a node with an `X-Call-Id`.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Came {
+pub struct ReceivedAttempt {
     /// The request's path and query.
     pub target: String,
     /// Its `X-Call-Id`.
-    pub call: String,
-    /// When.
+    pub call_id: String,
+    /// When it arrived.
     pub at: Instant,
 }
 
-/// A save node. It ends when dropped.
+/// A running save node. Dropping it stops it and closes its connections.
 pub struct SaveNode {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    seen: Arc<Mutex<BTreeMap<String, Seen>>>,
-    came: Arc<Mutex<Vec<Came>>>,
-    fails: Arc<AtomicBool>,
-    takes_ms: Arc<AtomicU64>,
+    shared: Arc<Shared>,
     task: JoinHandle<()>,
 }
 
+#[derive(Default)]
+struct Shared {
+    senders: Mutex<BTreeMap<String, SenderActivity>>,
+    attempts: Mutex<Vec<ReceivedAttempt>>,
+    failing: AtomicBool,
+    delay_ms: AtomicU64,
+}
+
+fn locked<T>(lock: &Mutex<T>) -> MutexGuard<'_, T> {
+    lock.lock().expect("no thread panicked under the lock")
+}
+
 impl SaveNode {
-    /// Starts one on a free port.
+    /// Starts a node on a free port.
     pub async fn start() -> SaveNode {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("bound");
-        let (seen, fails) = (Arc::<Mutex<BTreeMap<String, Seen>>>::default(), Arc::<AtomicBool>::default());
-        let (came, takes_ms) = (Arc::<Mutex<Vec<Came>>>::default(), Arc::<AtomicU64>::default());
-        let (log, bad, list, time) = (seen.clone(), fails.clone(), came.clone(), takes_ms.clone());
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let address = listener.local_addr().expect("a bound address");
+        let shared = Arc::<Shared>::default();
+        let state = shared.clone();
         let task = tokio::spawn(async move {
-            // What it serves ends with it.
-            let mut served = tokio::task::JoinSet::new();
+            // Dropped with this task, which closes the connections.
+            let mut connections = tokio::task::JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
-                let (log, bad, list, time) = (log.clone(), bad.clone(), list.clone(), time.clone());
+                let state = state.clone();
                 let service = service_fn(move |request: Request<hyper::body::Incoming>| {
-                    let from = request.headers().get("x-from").and_then(|v| v.to_str().ok());
-                    let from = from.unwrap_or("nobody").to_string();
+                    let header = |name| request.headers().get(name).and_then(|v| v.to_str().ok());
+                    let sender = header("x-from").unwrap_or("nobody").to_string();
                     let now = Instant::now();
-                    if let Some(call) = request.headers().get("x-call-id").and_then(|v| v.to_str().ok()) {
-                        let (target, call) = (request.uri().to_string(), call.to_string());
-                        list.lock().expect("whole").push(Came { target, call, at: now });
+                    if let Some(call_id) = header("x-call-id") {
+                        let (target, call_id) = (request.uri().to_string(), call_id.to_string());
+                        locked(&state.attempts).push(ReceivedAttempt { target, call_id, at: now });
                     }
-                    let mut log = log.lock().expect("whole");
-                    let seen = log.entry(from).or_insert(Seen { requests: 0, last: now });
-                    (seen.requests, seen.last) = (seen.requests + 1, now);
+                    let mut senders = locked(&state.senders);
+                    let activity =
+                        senders.entry(sender).or_insert(SenderActivity { requests: 0, last_at: now });
+                    (activity.requests, activity.last_at) = (activity.requests + 1, now);
+                    drop(senders);
                     let mut response = Response::new(Full::new(Bytes::from_static(b"ok")));
-                    if bad.load(Ordering::Relaxed) {
+                    if state.failing.load(Ordering::Relaxed) {
                         *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
                     }
-                    let takes = Duration::from_millis(time.load(Ordering::Relaxed));
+                    let delay = Duration::from_millis(state.delay_ms.load(Ordering::Relaxed));
                     async move {
-                        if !takes.is_zero() {
-                            tokio::time::sleep(takes).await;
+                        if !delay.is_zero() {
+                            tokio::time::sleep(delay).await;
                         }
                         Ok::<_, Infallible>(response)
                     }
                 });
-                served.spawn(async move {
+                connections.spawn(async move {
                     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
                 });
             }
         });
-        SaveNode { address, seen, came, fails, takes_ms, task }
+        SaveNode { address, shared, task }
     }
 
-    /// What it saw, by sender.
-    pub fn seen(&self) -> BTreeMap<String, Seen> {
-        self.seen.lock().expect("whole").clone()
+    /// The requests so far, by sender; `nobody` stands for requests without `X-From`.
+    pub fn by_sender(&self) -> BTreeMap<String, SenderActivity> {
+        locked(&self.shared.senders).clone()
     }
 
-    /// All attempts that came in so far, in order.
-    pub fn came(&self) -> Vec<Came> {
-        self.came.lock().expect("whole").clone()
+    /// All attempts so far that had an `X-Call-Id`, in order of arrival.
+    pub fn attempts(&self) -> Vec<ReceivedAttempt> {
+        locked(&self.shared.attempts).clone()
     }
 
-    /// All requests so far.
+    /// The number of requests so far.
     pub fn requests(&self) -> u64 {
-        self.seen.lock().expect("whole").values().map(|s| s.requests).sum()
+        locked(&self.shared.senders).values().map(|s| s.requests).sum()
     }
 
-    /// From now on it takes so long over each answer.
-    pub fn takes(&self, ms: u64) {
-        self.takes_ms.store(ms, Ordering::Relaxed);
+    /// Delays each answer from now on by this many milliseconds.
+    pub fn set_delay_ms(&self, ms: u64) {
+        self.shared.delay_ms.store(ms, Ordering::Relaxed);
     }
 
-    /// From now on it answers 500, or no longer.
-    pub fn fail(&self, fails: bool) {
-        self.fails.store(fails, Ordering::Relaxed);
+    /// Sets whether requests are answered with 500 from now on.
+    pub fn set_failing(&self, failing: bool) {
+        self.shared.failing.store(failing, Ordering::Relaxed);
     }
 }
 
@@ -123,15 +134,17 @@
     }
 }
 
-/// Save nodes `s-0`, `s-1`..., and discovery that lists them.
-pub async fn listed(n: usize) -> (Vec<SaveNode>, Discovery) {
+/// Starts `count` save nodes and a discovery service that lists them as `s-0`, `s-1` and so on, all ready.
+pub async fn start_nodes(count: usize) -> (Vec<SaveNode>, Discovery) {
     let mut nodes = Vec::new();
-    for _ in 0..n {
+    for _ in 0..count {
         nodes.push(SaveNode::start().await);
     }
-    let named = nodes.iter().enumerate();
-    let members: Vec<String> =
-        named.map(|(i, node)| stubs::member(&format!("s-{i}"), node.address, "ready")).collect();
+    let members: Vec<String> = nodes
+        .iter()
+        .enumerate()
+        .map(|(i, node)| stubs::member(&format!("s-{i}"), node.address, "ready"))
+        .collect();
     let discovery = Discovery::start(&members.join(","));
     (nodes, discovery)
 }
--- a/crates/starlinghill-testkit/src/stubs.rs
+++ b/crates/starlinghill-testkit/src/stubs.rs
@@ -1,5 +1,5 @@
-//! What stands round a gateway under test, on loopback sockets: backends, the counter, discovery, a client.
-//! Every read has a time limit, so that a test that fails does so soon.
+//! Stand-ins for the services around a gateway under test, on loopback sockets: backends, the quota counter, discovery and
+//! a client, and the gateway process itself. All waits have a time limit, so that a failing test ends soon.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,36 +9,37 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest wait for anything.
+/// How long helpers wait for an event before they panic.
 pub const LIMIT: Duration = Duration::from_secs(10);
 
-/// Runs what is asynchronous in a test of a part.
+/// Runs a future on a new single-threaded runtime.
 pub fn on_runtime<T>(work: impl std::future::Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime").block_on(work)
 }
 
-/// One HTTP message: its first line, headers in lower case, and body.
+/// An HTTP/1.1 request or response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// Its first line.
+    /// The request or status line.
     pub line: String,
-    /// Names in lower case, and values.
+    /// Header names, in lower case, with their values.
     pub headers: Vec<(String, String)>,
-    /// Its body.
+    /// The decoded body.
     pub body: String,
-    /// Which connection of its server it came on, from 0.
+    /// The number of the connection on which a [`Stub`] received it, from 0.
     pub connection: usize,
 }
 
 impl Message {
-    /// The first header of that name.
+    /// The value of the first header with this name, given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
-    /// The status of an answer.
+    /// The status code of a response.
     pub fn status(&self) -> u16 {
         self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
     }
+    /// Reads one message; `None` if the connection ends before its end.
     fn read(from: &mut BufReader<TcpStream>) -> Option<Message> {
         let mut message = Message::default();
         loop {
@@ -56,7 +57,7 @@
             }
         }
         if message.header("transfer-encoding") == Some("chunked") {
-            message.body = Message::chunks(from)?;
+            message.body = Message::read_chunks(from)?;
             return Some(message);
         }
         let length = message.header("content-length").map_or(0, |v| v.parse().expect("a length"));
@@ -68,8 +69,8 @@
 }
 
 impl Message {
-    /// A chunked body; `None` where it ends before its last chunk.
-    fn chunks(from: &mut BufReader<TcpStream>) -> Option<String> {
+    /// Reads a chunked body; `None` if the connection ends before the last chunk.
+    fn read_chunks(from: &mut BufReader<TcpStream>) -> Option<String> {
         let mut body = Vec::new();
         loop {
             let mut line = String::new();
@@ -85,57 +86,57 @@
     }
 }
 
-/// What a stub does with a request.
+/// How a stub answers a request.
 pub enum Reply {
-    /// These bytes, as they stand.
+    /// Sends these bytes and keeps the connection open.
     Raw(String),
-    /// These bytes, then the connection's end.
+    /// Sends these bytes and closes the connection.
     RawThenClose(String),
-    /// Nothing, until the other side closes.
+    /// Sends nothing and keeps the connection open.
     Silence,
 }
 
-/// A whole answer.
+/// A complete response; `status` is the code and the reason, as in `200 OK`.
 pub fn http(status: &str, body: &str) -> Reply {
     Reply::Raw(format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// What a stub has seen, and a way to wait for more.
+/// What a stub has received so far.
 #[derive(Default)]
 pub struct Log {
-    /// What came in.
+    /// All requests, in order of arrival.
     pub requests: Vec<Message>,
-    /// Connections taken.
+    /// The number of connections accepted.
     pub opened: usize,
-    /// Connections that the other side closed.
+    /// The number of accepted connections that have ended, closed by either side.
     pub closed: usize,
 }
 
+/// An HTTP server that answers each request by a function of the test.
 #[derive(Clone)]
-/// A server that answers each request as a test says.
 pub struct Stub {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     log: Arc<(Mutex<Log>, Condvar)>,
 }
 
 impl Stub {
-    /// Starts it on a free port.
+    /// Starts a server on a free port. It runs until the test process ends.
     pub fn start(answer: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Stub {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let stub = Stub { address: listener.local_addr().expect("bound"), log: Arc::default() };
-        let (answer, seen) = (Arc::new(answer), stub.clone());
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let stub = Stub { address: listener.local_addr().expect("a bound address"), log: Arc::default() };
+        let (answer, server) = (Arc::new(answer), stub.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (answer, seen) = (answer.clone(), seen.clone());
+                let (answer, server) = (answer.clone(), server.clone());
                 let mut connection = 0;
-                seen.note(|log| {
+                server.update_log(|log| {
                     connection = log.opened;
                     log.opened += 1;
                 });
                 thread::spawn(move || {
-                    seen.serve(stream, connection, &*answer);
-                    seen.note(|log| log.closed += 1);
+                    server.serve(stream, connection, &*answer);
+                    server.update_log(|log| log.closed += 1);
                 });
             }
         });
@@ -146,7 +147,7 @@
         let mut stream = stream;
         while let Some(message) = Message::read(&mut reader) {
             let message = Message { connection, ..message };
-            self.note(|log| log.requests.push(message.clone()));
+            self.update_log(|log| log.requests.push(message.clone()));
             match answer(&message) {
                 Reply::Raw(text) => drop(stream.write_all(text.as_bytes())),
                 Reply::RawThenClose(text) => {
@@ -158,80 +159,89 @@
             }
         }
     }
-    fn note(&self, change: impl FnOnce(&mut Log)) {
-        change(&mut self.log.0.lock().expect("whole"));
+    fn update_log(&self, change: impl FnOnce(&mut Log)) {
+        change(&mut self.log.0.lock().expect("no thread panicked under the lock"));
         self.log.1.notify_all();
     }
-    /// Waits until what was seen is as wanted.
-    pub fn wait_for(&self, what: &str, wanted: impl Fn(&Log) -> bool) {
-        let log = self.log.0.lock().expect("whole");
-        let (_log, late) = self.log.1.wait_timeout_while(log, LIMIT, |log| !wanted(log)).expect("whole");
-        assert!(!late.timed_out(), "waited in vain for {what}");
+    /// Waits until the log fulfils a condition; `description` names it in the panic message.
+    pub fn wait_for(&self, description: &str, wanted: impl Fn(&Log) -> bool) {
+        let log = self.log.0.lock().expect("no thread panicked under the lock");
+        let (_log, late) = self
+            .log
+            .1
+            .wait_timeout_while(log, LIMIT, |log| !wanted(log))
+            .expect("no thread panicked under the lock");
+        assert!(!late.timed_out(), "timed out waiting for {description}");
     }
-    /// All requests so far.
+    /// A copy of all requests so far.
     pub fn requests(&self) -> Vec<Message> {
-        self.log.0.lock().expect("whole").requests.clone()
+        self.log.0.lock().expect("no thread panicked under the lock").requests.clone()
     }
 }
 
-/// Discovery whose news a test sets: each watch is answered once there is something newer.
+/// A discovery service whose answer a test sets. A watch is answered as soon as the revision differs from the watcher's.
 #[derive(Clone)]
 pub struct Discovery {
-    /// The server.
+    /// The HTTP server.
     pub stub: Stub,
-    news: Arc<(Mutex<(u64, String)>, Condvar)>,
+    /// The present revision and the answer that leads to it.
+    current: Arc<(Mutex<(u64, String)>, Condvar)>,
 }
 
 impl Discovery {
-    /// Starts it with these members, as revision 41.
+    /// Starts the service with these members, as revision 41.
     pub fn start(members: &str) -> Discovery {
-        let news = Arc::new((Mutex::new((41, list(41, true, members))), Condvar::new()));
-        let told = news.clone();
+        let current = Arc::new((Mutex::new((41, list(41, true, members))), Condvar::new()));
+        let shared = current.clone();
         let stub = Stub::start(move |request| {
             let from = request.line.split("from=").nth(1).and_then(|r| r.split(['&', ' ']).next());
             let from: u64 = from.map_or(0, |from| from.parse().expect("a revision"));
-            let news = told.0.lock().expect("whole");
-            let (news, late) = told.1.wait_timeout_while(news, LIMIT, |n| n.0 == from).expect("whole");
+            let answer = shared.0.lock().expect("no thread panicked under the lock");
+            let (answer, late) = shared
+                .1
+                .wait_timeout_while(answer, LIMIT, |n| n.0 == from)
+                .expect("no thread panicked under the lock");
             if late.timed_out() {
                 return Reply::RawThenClose(String::new());
             }
-            http("200 OK", &news.1)
+            http("200 OK", &answer.1)
         });
-        Discovery { stub, news }
+        Discovery { stub, current }
     }
-    /// Answers the next watch with this text; it leads the watcher to that revision.
-    pub fn say(&self, revision: u64, text: &str) {
-        *self.news.0.lock().expect("whole") = (revision, text.to_string());
-        self.news.1.notify_all();
+    /// Sets the answer to watches from other revisions than `revision`. The text need not be valid.
+    pub fn set_answer(&self, revision: u64, text: &str) {
+        *self.current.0.lock().expect("no thread panicked under the lock") = (revision, text.to_string());
+        self.current.1.notify_all();
     }
-    /// Tells changes and waits until the gateway watches from there, so has taken them in.
-    pub fn tell(&self, revision: u64, complete: bool, members: &str) {
-        self.say(revision, &list(revision, complete, members));
+    /// Announces a list or changes and waits until a watch from this revision arrives, so the gateway has applied them.
+    pub fn announce(&self, revision: u64, complete: bool, members: &str) {
+        self.set_answer(revision, &list(revision, complete, members));
         self.wait_for_watch(revision);
     }
-    /// Waits until a watch from that revision has come.
+    /// Waits until a watch from this revision has arrived.
     pub fn wait_for_watch(&self, revision: u64) {
         let from = format!("from={revision}&");
         self.stub.wait_for("a watch", |log| log.requests.iter().any(|r| r.line.contains(&from)));
     }
 }
 
-/// A list of members in discovery's form.
+/// An answer of discovery. It is the whole list if `complete`, else changes to the previous revision.
 pub fn list(revision: u64, complete: bool, members: &str) -> String {
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#)
 }
-/// One member in discovery's form, long since started.
+/// A member in discovery's form that started long ago.
 pub fn member(id: &str, address: SocketAddr, phase: &str) -> String {
     member_since(id, address, phase, 0)
 }
-/// One member in discovery's form, with its start in Unix time, in milliseconds.
+/// A member in discovery's form, with its start as Unix time in milliseconds.
 pub fn member_since(id: &str, address: SocketAddr, phase: &str, up_since_ms: u64) -> String {
     format!(
         r#"{{"id":"{id}","host_port":"{address}","locality":"a","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":{up_since_ms}}}"#
     )
 }
 
-/// The counter may take long: a slow machine must not look like a slow counter.
+/// Platform settings for gateways; times are in microseconds. The counter has a long time limit (`count_limit`), so that a
+/// busy machine is not taken for a slow counter.
 pub const SETTINGS: &str = r#"{"balancers":2,"my_number":0,"tick":4000,"zone":"a","zones":["a","b"],
     "bounds":{"max_attempts":3,"may_cancel":true,"retry_after":true,"max_retry_after":1000000,
         "dial_timeout":250000,"conn_idle":30000000,"second_copies":false},
@@ -244,36 +254,36 @@
     "specifics":{"counter":true,"count_limit":2000000,"units_top":4},
     "rules":{"answer_slack":16000,"cold":14000000,"cold_from":0.17,"fall_multiple":4.0,"tip_after":2000000}}"#;
 
-/// A counter that adds up and answers at once.
+/// Starts a quota counter that adds up what it gets and answers at once.
 pub fn counter() -> Stub {
-    Stub::start(counter_that_adds())
+    Stub::start(counting_answers())
 }
-/// What such a counter answers.
-pub fn counter_that_adds() -> impl Fn(&Message) -> Reply + Send + Sync + 'static {
+/// The answers of a working counter: the total by name, over all calls.
+pub fn counting_answers() -> impl Fn(&Message) -> Reply + Send + Sync + 'static {
     let totals = Mutex::new(std::collections::HashMap::new());
     move |request| {
         let name = request.line.split(['/', '?']).nth(3).expect("a name").to_string();
         let add = request.line.split(['=', '&']).nth(1).expect("an amount");
-        let mut totals = totals.lock().expect("whole");
+        let mut totals = totals.lock().expect("no thread panicked under the lock");
         let total = totals.entry(name).or_insert(0.0);
         *total += add.parse::<f64>().expect("a number");
         http("200 OK", &total.to_string())
     }
 }
 
-/// A running gateway; killed when the test is over.
+/// A running gateway process. Dropping it kills the process.
 pub struct Node {
     /// The process.
     pub child: Child,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Where operators are heard, if anywhere.
-    pub door: Option<SocketAddr>,
-    /// What it has logged since.
+    /// The address of its operators' interface, if it has one.
+    pub operators_address: Option<SocketAddr>,
+    /// The lines that it logged after the one with its address.
     log: Arc<(Mutex<Vec<String>>, Condvar)>,
 }
 
-/// A configuration round these services.
+/// A gateway's configuration with these services.
 pub fn config(discovery: SocketAddr, counter: SocketAddr) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -281,8 +291,8 @@
     )
 }
 
-/// An operators' file with a control service for these proxies, before this discovery. `plans` go before those of
-/// the settings, as JSON, each with a comma behind it; `more` stands at the file's end.
+/// Writes an operators' file for a control service that uses this discovery and serves the proxies with these ids.
+/// `plans` are put before those of the settings, as JSON, each followed by a comma; `more` is added at the file's end.
 pub fn control_file(discovery: SocketAddr, proxies: &[&str], plans: &str, more: &str) -> PathBuf {
     let platform = config(discovery, discovery).replace("\"plans\":[", &format!("\"plans\":[{plans}"));
     let platform = file(&platform);
@@ -291,12 +301,12 @@
     file(&format!("[control]\nlisten = \"127.0.0.1:0\"\nplatform = \"{platform}\"\n{proxies}{more}"))
 }
 
-/// A file of its own with this configuration.
+/// Writes a new file with this text.
 pub fn file(config: &str) -> PathBuf {
     use std::sync::atomic::{AtomicUsize, Ordering};
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let name = format!("config-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
-    // Beside the test program, so that `cargo clean` takes them away.
+    // Beside the test program, so that `cargo clean` removes the files.
     let folder = std::env::current_exe().expect("a program").with_file_name("rig-files");
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join(name);
@@ -304,13 +314,13 @@
     path
 }
 
-/// The program, told to read this configuration.
+/// A command that runs the gateway program at `path` with this configuration.
 pub fn program(path: &str, config: &str) -> Command {
-    told_by(path, &file(config))
+    program_with_file(path, &file(config))
 }
 
-/// The program, told to read this file.
-pub fn told_by(path: &str, file: &Path) -> Command {
+/// Like [`program`], with the configuration in a file.
+pub fn program_with_file(path: &str, file: &Path) -> Command {
     let mut command = Command::new(path);
     command.env("NODE_CONFIG", file).env_remove("NODE_LISTEN").env_remove("NODE_DISCOVERY");
     command.stderr(Stdio::piped());
@@ -318,80 +328,84 @@
 }
 
 impl Node {
-    /// Starts it and waits until it listens.
+    /// Starts the process and waits until it has logged the address that it listens on.
     pub fn spawn(mut command: Command) -> Node {
         let child = command.spawn().expect("it starts");
-        // From here on it ends with the test, also if what it says is not understood.
+        // Owned from here on, so that it is killed even if its log can't be parsed.
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut node = Node { child, address, door: None, log: Arc::default() };
+        let mut node = Node { child, address, operators_address: None, log: Arc::default() };
         let mut log = BufReader::new(node.child.stderr.take().expect("piped"));
-        let mut told = String::new();
+        let mut output = String::new();
         node.address = loop {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).expect("text") > 0, "it ended before it listened: {told}");
-            told.push_str(&line);
-            if let Some(door) = line.split("door=").nth(1) {
-                node.door = Some(door.trim().parse().expect("an address"));
+            assert!(
+                log.read_line(&mut line).expect("text") > 0,
+                "the gateway ended before it listened: {output}"
+            );
+            output.push_str(&line);
+            if let Some(address) = line.split("door=").nth(1) {
+                node.operators_address = Some(address.trim().parse().expect("an address"));
             }
             if let Some(address) = line.split("address=").nth(1) {
                 break address.trim().parse().expect("an address");
             }
         };
-        // Its log must not fill the pipe.
+        // Reads the log all the time; a full pipe would block the gateway.
         let lines = node.log.clone();
         thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
-                lines.0.lock().expect("whole").push(line);
+                lines.0.lock().expect("no thread panicked under the lock").push(line);
                 lines.1.notify_all();
             }
         });
         node
     }
-    /// Waits until it has logged so many lines with this text.
+    /// Waits until at least `lines` logged lines contain this text.
     pub fn wait_for_log(&self, text: &str, lines: usize) {
-        let held = self.log.0.lock().expect("whole");
+        let logged = self.log.0.lock().expect("no thread panicked under the lock");
         let few = |log: &mut Vec<String>| log.iter().filter(|line| line.contains(text)).count() < lines;
-        let (_log, late) = self.log.1.wait_timeout_while(held, LIMIT, few).expect("whole");
-        assert!(!late.timed_out(), "waited in vain for {lines} lines of the log with '{text}'");
+        let (_log, late) =
+            self.log.1.wait_timeout_while(logged, LIMIT, few).expect("no thread panicked under the lock");
+        assert!(!late.timed_out(), "timed out waiting for {lines} log lines with '{text}'");
     }
-    /// A gateway with these round it, ready.
+    /// Starts a gateway with these services and waits until it is ready.
     pub fn start(path: &str, discovery: &Discovery, counter: &Stub) -> Node {
         let node = Node::spawn(program(path, &config(discovery.stub.address, counter.address)));
         node.wait_ready();
         node
     }
-    /// Waits until it is ready.
+    /// Waits until its health check answers 200.
     pub fn wait_ready(&self) {
         let until = Instant::now() + LIMIT;
         while self.client().ask("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").status() != 200 {
-            assert!(Instant::now() < until, "never ready");
+            assert!(Instant::now() < until, "the gateway did not become ready");
             thread::sleep(Duration::from_millis(5));
         }
     }
-    /// Connects to it.
+    /// Opens a connection to it.
     pub fn client(&self) -> Client {
         Client::connect(self.address)
     }
-    /// Calls at the operators' door and returns the status.
+    /// Sends a request with body `id` to the operators' interface and returns the status.
     pub fn call(&self, method: &str, path: &str, id: &str) -> u16 {
-        let mut client = Client::connect(self.door.expect("it has a door"));
+        let mut client = Client::connect(self.operators_address.expect("an operators' interface"));
         client
             .ask(&format!("{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n\r\n{id}", id.len()))
             .status()
     }
-    /// Sends it a signal, such as TERM.
+    /// Sends it a signal by name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
-        assert!(sent.expect("kill runs").success());
+        assert!(sent.expect("kill can be run").success());
     }
-    /// Waits for the end and returns the exit code.
+    /// Waits until it ends and returns its exit code; `None` if a signal ended it.
     pub fn ended(&mut self) -> Option<i32> {
         let until = Instant::now() + LIMIT;
         loop {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status.code();
             }
-            assert!(Instant::now() < until, "it did not end");
+            assert!(Instant::now() < until, "the gateway did not end");
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -404,40 +418,40 @@
     }
 }
 
-/// One connection of a client.
+/// A client with one connection.
 pub struct Client {
     stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
 impl Client {
-    /// Connects to a gateway.
+    /// Connects to this address.
     pub fn connect(at: SocketAddr) -> Client {
-        let stream = TcpStream::connect(at).expect("it listens");
+        let stream = TcpStream::connect(at).expect("the address accepts connections");
         stream.set_read_timeout(Some(LIMIT)).expect("a socket");
         Client { reader: BufReader::new(stream.try_clone().expect("a socket")), stream }
     }
-    /// Writes this.
+    /// Sends this text.
     pub fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("it reads");
+        self.stream.write_all(text.as_bytes()).expect("the connection is open");
     }
-    /// The next answer; `None` when the connection ends without one.
+    /// Reads the next response; `None` if the connection ends without one.
     pub fn answer(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
-    /// The answer to a request; `None` when the connection ends without one.
+    /// Sends a request and reads its response; `None` if the connection ends without one.
     pub fn answer_to(&mut self, text: &str) -> Option<Message> {
         self.stream.write_all(text.as_bytes()).ok()?;
         self.answer()
     }
-    /// The answer to a request, which must come.
+    /// Sends a request and reads its response. Panics if there is none.
     pub fn ask(&mut self, text: &str) -> Message {
         self.send(text);
         self.answer().expect("an answer")
     }
 }
 
-/// A request of a class, as clients write it.
+/// A request of class `look`, `buy` or `once` for two units, in plan `team`, with this time budget.
 pub fn request(class: &str, budget_ms: u32) -> String {
     let method = if class == "look" { "GET" } else { "POST" };
     let key = if class == "buy" { "Idempotency-Key: k-17\r\n" } else { "" };
--- a/crates/starlinghill-testkit/tests/balancing.rs
+++ b/crates/starlinghill-testkit/tests/balancing.rs
@@ -1,6 +1,6 @@
 //! A fleet that goes by what the counter names, beside the same fleet by chance.
 
-use starlinghill_testkit::balancing::{Fleet, Way};
+use starlinghill_testkit::balancing::{Fleet, Selection};
 use test_case::test_case;
 
 #[test_case(11, 17; "a small fleet")]
@@ -8,17 +8,23 @@
 #[test_case(850, 400; "ten times as many gateways")]
 fn few_requests_wait_where_gateways_go_by_what_all_have_out(gateways: u64, backends: u64) {
     let fleet = Fleet { gateways, backends, load: 0.5, seconds: 14 };
-    let (named, chance) = (fleet.play(Way::Named), fleet.play(Way::Chance));
-    assert!(named.waited < 0.06 && chance.waited > 0.3, "{named:?} beside {chance:?}");
-    assert!(named.slowest_ms < chance.slowest_ms * 6 / 10, "{named:?} beside {chance:?}");
+    let (named, chance) = (fleet.simulate(Selection::CounterOffer), fleet.simulate(Selection::Random));
+    assert!(named.queued_share < 0.06 && chance.queued_share > 0.3, "{named:?} beside {chance:?}");
+    assert!(named.p99_ms < chance.p99_ms * 6 / 10, "{named:?} beside {chance:?}");
     // Fast ones get more, and none is forgotten.
-    assert!(named.busiest < 2.0, "{named:?}");
+    assert!(named.busiest_ratio < 2.0, "{named:?}");
 }
 
 #[test]
 fn gateways_stay_with_backends_that_they_have_connections_to() {
     let fleet = Fleet { gateways: 87, backends: 235, load: 0.3, seconds: 14 };
-    let (named, chance) = (fleet.play(Way::Named), fleet.play(Way::Chance));
-    assert!(named.opened < chance.opened / 2.0, "{named:?} beside {chance:?}");
-    assert!(named.waited < 0.06 && named.open < chance.open, "{named:?} beside {chance:?}");
+    let (named, chance) = (fleet.simulate(Selection::CounterOffer), fleet.simulate(Selection::Random));
+    assert!(
+        named.connections_per_request < chance.connections_per_request / 2.0,
+        "{named:?} beside {chance:?}"
+    );
+    assert!(
+        named.queued_share < 0.06 && named.open_connections < chance.open_connections,
+        "{named:?} beside {chance:?}"
+    );
 }
