--- a/crates/starlinghill-testkit/examples/catch_up.rs
+++ b/crates/starlinghill-testkit/examples/catch_up.rs
@@ -1,5 +1,7 @@
-//! A core machine that is away, or loses its disk, during many changes, and then has all again while changes go on.
-//! `cargo run --release -p starlinghill-testkit --example catch_up`. Called with the name of a part, it is that part.
+//! Measures how soon a core machine that was away, or lost its disk, during many changes of the configuration is up to
+//! date again while changes go on. The processes that it starts are this program again, with the part's name as argument.
+//!
+//! `cargo run --release -p starlinghill-testkit --example catch_up`
 
 use starlinghill_runtime::program;
 use starlinghill_testkit::catch_up::{catch_up, Changes};
@@ -7,8 +9,8 @@
 use std::process::ExitCode;
 use tokio::task::LocalSet;
 
-async fn show() {
-    let program = std::env::current_exe().expect("a program");
+async fn measure() {
+    let program = std::env::current_exe().expect("the path of this program");
     println!("| changes missed | disk | caught up after (ms) | changes meanwhile | its voice counts after (ms) | files (kB) |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for missed in [0, 100, 300, 1_000] {
@@ -35,7 +37,7 @@
         _ => {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-            LocalSet::new().block_on(&runtime, show());
+            LocalSet::new().block_on(&runtime, measure());
             ExitCode::SUCCESS
         }
     }
--- a/crates/starlinghill-testkit/examples/common/mod.rs
+++ b/crates/starlinghill-testkit/examples/common/mod.rs
@@ -1,33 +1,34 @@
-//! What the measurements share.
+//! Helpers shared by the examples.
 #![allow(dead_code, unused_imports)]
 
 use starlinghill_control::{prepare, start, Running};
 use starlinghill_testkit::stubs::{self, Discovery};
 use std::time::Duration;
 
-pub use starlinghill_testkit::nodes::listed as nodes;
+pub use starlinghill_testkit::nodes::start_nodes as nodes;
 
-/// A control service before this discovery.
+/// Starts a control service that uses this discovery and serves the proxies with these ids. For `plans` and `more` see
+/// [`stubs::control_file`].
 pub async fn service(discovery: &Discovery, proxies: &[&str], plans: &str, more: &str) -> Running {
     let path = stubs::control_file(discovery.stub.address, proxies, plans, more);
     let prepared = match prepare(&path) {
         Ok(prepared) => prepared,
         Err(problems) => panic!("{problems:?}"),
     };
-    start(prepared).await.expect("it starts")
+    start(prepared).await.expect("the control service starts")
 }
 
-/// A number from the command line, by its place.
-pub fn argument(place: usize, default: usize) -> usize {
-    std::env::args().nth(place).map_or(default, |text| text.parse().expect("a number"))
+/// The number at this index of the command line, or the default if there is none.
+pub fn argument(index: usize, default: usize) -> usize {
+    std::env::args().nth(index).map_or(default, |text| text.parse().expect("a number"))
 }
 
-/// Milliseconds, to a hundredth.
+/// A duration in milliseconds with two decimals.
 pub fn ms(span: Duration) -> String {
     format!("{:.2}", span.as_secs_f64() * 1e3)
 }
 
-/// Cores of this machine.
+/// The number of CPU cores that this process may use.
 pub fn cores() -> usize {
     std::thread::available_parallelism().map_or(1, usize::from)
 }
--- a/crates/starlinghill-testkit/examples/followers.rs
+++ b/crates/starlinghill-testkit/examples/followers.rs
@@ -1,8 +1,9 @@
-//! What many followers cost a group, and how fast they hear: three real members, followers as gateways have them inside
-//! this process. Prints the time from an order to each follower, what happens when the leader dies and all that followed
-//! it come to the others, commit latency with every entry on the disk, and memory and CPU of the members.
+//! Measures what many followers cost a group and how soon they follow an order. Three members are real processes; the
+//! followers run in this process with the code of gateways. Prints the commit latency with every entry on disk, the time
+//! from an order to each follower, also after the leader was killed and its followers changed to other members, and memory
+//! and CPU time of the members.
 //!
-//! `followers [--followers N] [--zones N] [--orders N]`.
+//! `followers [--followers N] [--zones N] [--orders N]`
 
 use clap::Parser;
 use hdrhistogram::Histogram;
@@ -26,17 +27,18 @@
 
 #[derive(Parser)]
 struct Cli {
-    /// Followers.
+    /// The number of followers.
     #[arg(long, default_value_t = 1_000)]
     followers: usize,
-    /// Each tells what it sees of so many zones once a second; none: nothing.
+    /// Zones that each follower reports on once a second; 0: no reports.
     #[arg(long, default_value_t = 0)]
     zones: usize,
-    /// Orders, one after the other.
+    /// Orders of the commit measurement, one after the other.
     #[arg(long, default_value_t = 50)]
     orders: u64,
 }
 
+/// Takes zone `b` out if the number is even, and returns it if it is odd.
 fn order(number: u64) -> Order {
     let ramp = Ramp { step: FULL_WEIGHT, every_ms: 1_000 };
     let change = if number.is_multiple_of(2) { Change::Out } else { Change::Return { ramp } };
@@ -50,7 +52,7 @@
     }
 }
 
-fn shown(name: &str, h: &Histogram<u64>) {
+fn print_latency(name: &str, h: &Histogram<u64>) {
     let ms = |q: f64| h.value_at_quantile(q) as f64 / 1_000.0;
     println!(
         "{name}: p50 {:.2} ms, p99 {:.2} ms, worst {:.2} ms ({})",
@@ -61,37 +63,38 @@
     );
 }
 
-/// Waits until every follower follows this position, and tells how long each took.
+/// Waits until every follower follows this position, and records the time that each took since `since`, in microseconds.
 async fn all_follow(
     views: &mut [watch::Receiver<View>],
     position: Position,
     since: Instant,
-    into: &mut Histogram<u64>,
+    histogram: &mut Histogram<u64>,
 ) -> Result<(), Box<dyn Error>> {
     let waits = views.iter_mut().map(|view| {
         let mut view = view.clone();
         tokio::spawn(async move {
-            let there = view.wait_for(|v| v.mode == Mode::Following && v.position >= position).await;
-            there.map(|_| since.elapsed()).ok()
+            let reached = view.wait_for(|v| v.mode == Mode::Following && v.position >= position).await;
+            reached.map(|_| since.elapsed()).ok()
         })
     });
     let waits: Vec<_> = waits.collect();
     for wait in waits {
         let took = tokio::time::timeout(Duration::from_secs(30), wait).await??.ok_or("a follower ended")?;
-        into.record(took.as_micros().max(1) as u64)?;
+        histogram.record(took.as_micros().max(1) as u64)?;
     }
     Ok(())
 }
 
+/// Calls [`measure_group`], with an error that can be sent between threads.
 async fn measure(cli: Cli) -> Result<(), Box<dyn Error + Send + Sync>> {
-    measured(cli).await.map_err(|e| e.to_string().into())
+    measure_group(cli).await.map_err(|e| e.to_string().into())
 }
 
-async fn measured(cli: Cli) -> Result<(), Box<dyn Error>> {
+async fn measure_group(cli: Cli) -> Result<(), Box<dyn Error>> {
     let program: PathBuf = std::env::current_exe()?;
     let mut group = Group::new(&program, &["a", "b", "c"], 1).await;
-    tokio::task::block_in_place(|| group.begin());
-    let file = starlinghill_operator_config::read(&group.operators()).map_err(|p| format!("{p:?}"))?;
+    tokio::task::block_in_place(|| group.start());
+    let file = starlinghill_operator_config::read(&group.operators_file()).map_err(|p| format!("{p:?}"))?;
     let settings = file.group.ok_or("no group")?;
     let members = group.listen.clone();
     let pids: Vec<u32> = group.members.iter().filter_map(|m| m.pid()).collect();
@@ -99,16 +102,17 @@
 
     let mut commits = Histogram::<u64>::new(3)?;
     for number in 0..cli.orders {
-        let given = Instant::now();
+        let sent = Instant::now();
         let outcome = give(&members, &order(number), Duration::from_secs(10)).await?;
-        commits.record(given.elapsed().as_micros().max(1) as u64)?;
+        commits.record(sent.elapsed().as_micros().max(1) as u64)?;
         if let Outcome::Refused { causes, .. } = outcome {
             return Err(format!("{causes:?}").into());
         }
     }
-    shown("order to its outcome, on a majority's disks", &commits);
+    print_latency("order to its outcome, on a majority's disks", &commits);
 
-    // Zones that are not on the group's map are read and left out: what they cost on the way is measured all the same.
+    // The members ignore zones that are not in their settings, but only after they have read the reports, so the cost of
+    // transport is measured.
     let sums = AttemptCounts {
         answered: 812,
         late: 17,
@@ -117,48 +121,48 @@
         usual: 790,
         ..AttemptCounts::default()
     };
-    let seen = Report { zones: (0..cli.zones).map(|i| (format!("zone-{i}"), sums)).collect() };
-    let evidence = (cli.zones > 0).then(|| -> Evidence { Arc::new(move || seen.clone()) });
+    let report = Report { zones: (0..cli.zones).map(|i| (format!("zone-{i}"), sums)).collect() };
+    let evidence = (cli.zones > 0).then(|| -> Evidence { Arc::new(move || report.clone()) });
     let mut views = Vec::new();
     for i in 0..cli.followers {
         let (tx, rx) = watch::channel(View::of_own_sight());
-        let (_fixed, changes) =
+        let (_settings_sender, changes) =
             watch::channel(group_follower::settings(&settings, &format!("f{i}"), "", i as u64)?);
         tokio::spawn(follow(changes, tx, evidence.clone()));
         views.push(rx);
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut first = Histogram::<u64>::new(3)?;
-    all_follow(&mut views, Position { generation: 1, epoch: 1 }, begun, &mut first).await?;
-    shown("all come at once, to following", &first);
+    all_follow(&mut views, Position { generation: 1, epoch: 1 }, started, &mut first).await?;
+    print_latency("all come at once, to following", &first);
 
     let mut changes = Histogram::<u64>::new(3)?;
     let cpu_before: f64 = pids.iter().filter_map(|pid| used(*pid)).map(|u| u.cpu).sum();
-    let span = Instant::now();
+    let measured_from = Instant::now();
     for number in cli.orders..cli.orders + 20 {
-        let given = Instant::now();
+        let sent = Instant::now();
         let Outcome::Accepted { position } = give(&members, &order(number), Duration::from_secs(10)).await?
         else {
             return Err("refused".into());
         };
-        all_follow(&mut views, position, given, &mut changes).await?;
+        all_follow(&mut views, position, sent, &mut changes).await?;
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
     let cpu: f64 = pids.iter().filter_map(|pid| used(*pid)).map(|u| u.cpu).sum::<f64>() - cpu_before;
-    shown("order to each follower", &changes);
+    print_latency("order to each follower", &changes);
     let after: Vec<_> = pids.iter().filter_map(|pid| used(*pid)).collect();
-    let grown: u64 = after.iter().zip(&before).map(|(a, b)| a.memory.saturating_sub(b.memory)).sum();
+    let memory_growth: u64 = after.iter().zip(&before).map(|(a, b)| a.memory.saturating_sub(b.memory)).sum();
     println!(
         "members together: {:.1} kB of memory and {:.3} ms of CPU a second for each follower ({} of them, 5 questions \
          a second each)",
-        grown as f64 / 1e3 / cli.followers as f64,
-        cpu * 1e3 / span.elapsed().as_secs_f64() / cli.followers as f64,
+        memory_growth as f64 / 1e3 / cli.followers as f64,
+        cpu * 1e3 / measured_from.elapsed().as_secs_f64() / cli.followers as f64,
         cli.followers
     );
 
     let leader = tokio::task::block_in_place(|| group.wait_for_leader());
     group.members[leader].kill();
-    let died = Instant::now();
+    let killed = Instant::now();
     let mut changes = Histogram::<u64>::new(3)?;
     let number = cli.orders + 20;
     let Outcome::Accepted { position } = give(&members, &order(number), Duration::from_secs(10)).await?
@@ -167,10 +171,10 @@
     };
     println!(
         "leader killed; the next order has its outcome after {:.0} ms",
-        died.elapsed().as_secs_f64() * 1e3
+        killed.elapsed().as_secs_f64() * 1e3
     );
-    all_follow(&mut views, position, died, &mut changes).await?;
-    shown("from the leader's death to each follower's next position", &changes);
+    all_follow(&mut views, position, killed, &mut changes).await?;
+    print_latency("from the leader's death to each follower's next position", &changes);
     let timing = settings.timing;
     println!(
         "bounds by the settings: {:.0} ms, after a death {:.0} ms",
--- a/crates/starlinghill-testkit/examples/propagation.rs
+++ b/crates/starlinghill-testkit/examples/propagation.rs
@@ -1,6 +1,7 @@
-//! Measures how one drain reaches many streams: 500 endpoints; latency from when the service was told, bytes,
-//! memory and CPU a stream, state-of-the-world beside incremental.
-//! `cargo run --release -p starlinghill-testkit --example propagation [drains] [streams...]`.
+//! Measures how a drain spreads to many xDS streams with 500 endpoints: the latency from the announcement by discovery,
+//! and bytes, memory and CPU time, for state-of-the-world and incremental xDS.
+//!
+//! `cargo run --release -p starlinghill-testkit --example propagation [DRAINS [STREAMS...]]`
 
 mod common;
 
@@ -20,6 +21,7 @@
 use tonic::transport::{Channel, Endpoint};
 
 const ENDPOINTS: usize = 500;
+/// The first argument with which this program runs the control service alone.
 const SERVER: &str = "serve";
 const TYPE: &str = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
 
@@ -27,11 +29,16 @@
     Some(Node { id: "edge".into(), ..Default::default() })
 }
 
-/// One stream that asks for endpoints alone and notes when each response came, and how many bytes it had.
-async fn stream(channel: Channel, delta: bool, tell: mpsc::UnboundedSender<Instant>, bytes: Arc<AtomicU64>) {
+/// Runs a stream that subscribes to endpoints. Reports when each response arrived and adds up the responses' bytes.
+async fn stream(
+    channel: Channel,
+    incremental: bool,
+    arrivals: mpsc::UnboundedSender<Instant>,
+    bytes: Arc<AtomicU64>,
+) {
     let mut client = AggregatedDiscoveryServiceClient::new(channel);
     let names = vec!["save-nodes".to_string()];
-    if delta {
+    if incremental {
         let (tx, rx) = mpsc::channel(4);
         let first = DeltaDiscoveryRequest {
             node: node(),
@@ -39,11 +46,11 @@
             resource_names_subscribe: names,
             ..Default::default()
         };
-        tx.send(first).await.expect("room");
+        tx.send(first).await.expect("an open channel");
         let stream = client.delta_aggregated_resources(ReceiverStream::new(rx)).await;
-        let mut stream = stream.expect("open").into_inner();
+        let mut stream = stream.expect("an open stream").into_inner();
         while let Ok(Some(response)) = stream.message().await {
-            let _ = tell.send(Instant::now());
+            let _ = arrivals.send(Instant::now());
             bytes.fetch_add(response.encoded_len() as u64, Relaxed);
             let nonce = response.nonce;
             let answer =
@@ -58,11 +65,11 @@
             resource_names: names.clone(),
             ..Default::default()
         };
-        tx.send(first).await.expect("room");
+        tx.send(first).await.expect("an open channel");
         let stream = client.stream_aggregated_resources(ReceiverStream::new(rx)).await;
-        let mut stream = stream.expect("open").into_inner();
+        let mut stream = stream.expect("an open stream").into_inner();
         while let Ok(Some(response)) = stream.message().await {
-            let _ = tell.send(Instant::now());
+            let _ = arrivals.send(Instant::now());
             bytes.fetch_add(response.encoded_len() as u64, Relaxed);
             let answer = DiscoveryRequest {
                 type_url: TYPE.into(),
@@ -76,32 +83,35 @@
     }
 }
 
+/// The address of an endpoint; nothing listens there.
 fn address(i: usize) -> SocketAddr {
     SocketAddr::from(([127, 1, (i / 250) as u8, (i % 250 + 1) as u8], 8081))
 }
 
 /// Resident memory in KiB and CPU time in milliseconds of a process.
-fn cost(pid: u32) -> (u64, u64) {
+fn process_usage(pid: u32) -> (u64, u64) {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or("0");
     let kib = resident.split_whitespace().next().and_then(|n| n.parse().ok()).unwrap_or(0);
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<u64> =
         stat.rsplit(')').next().unwrap_or("").split(' ').map(|f| f.parse().unwrap_or(0)).collect();
-    // utime and stime, in ticks of 10 ms.
+    // utime and stime, in clock ticks of 10 ms.
     let ticks = fields.get(12).unwrap_or(&0) + fields.get(13).unwrap_or(&0);
     (kib, ticks * 10)
 }
 
-/// The service in a process of its own, so that its cost is its own: prints its address and serves until killed.
+/// Runs the control service in a process of its own, so that its usage can be measured. Prints its address and serves
+/// until it is killed.
 async fn serve(discovery: &str) {
     let path = stubs::control_file(discovery.parse().expect("an address"), &["edge"], "", "");
-    let running = starlinghill_control::start(starlinghill_control::prepare(&path).expect("sound")).await;
-    println!("{}", running.as_ref().map(|r| r.address).expect("it starts"));
+    let running =
+        starlinghill_control::start(starlinghill_control::prepare(&path).expect("a valid file")).await;
+    println!("{}", running.as_ref().map(|r| r.address).expect("the control service starts"));
     std::future::pending::<()>().await;
 }
 
-async fn measure(streams: usize, delta: bool, drains: usize) {
+async fn measure(streams: usize, incremental: bool, drains: usize) {
     let member = |i: usize, phase: &str| stubs::member(&format!("s-{i:03}"), address(i), phase);
     let members: Vec<String> = (0..ENDPOINTS).map(|i| member(i, "ready")).collect();
     let discovery = Discovery::start(&members.join(","));
@@ -110,44 +120,49 @@
         .args([SERVER, &discovery.stub.address.to_string()])
         .stdout(std::process::Stdio::piped())
         .spawn()
-        .expect("it runs");
+        .expect("the program can be run");
     let mut line = String::new();
     let mut out = std::io::BufReader::new(child.stdout.take().expect("piped"));
     std::io::BufRead::read_line(&mut out, &mut line).expect("a line");
     let at = line.trim().to_string();
-    let (before, _) = cost(child.id());
-    let (tell, mut told) = mpsc::unbounded_channel();
+    let (before, _) = process_usage(child.id());
+    let (sender, mut arrivals) = mpsc::unbounded_channel();
     let bytes = Arc::<AtomicU64>::default();
     let mut tasks = Vec::new();
     for _ in 0..streams {
-        let channel =
-            Endpoint::from_shared(format!("http://{at}")).expect("an address").connect().await.expect("up");
-        tasks.push(tokio::spawn(stream(channel, delta, tell.clone(), bytes.clone())));
+        let channel = Endpoint::from_shared(format!("http://{at}"))
+            .expect("an address")
+            .connect()
+            .await
+            .expect("the service accepts connections");
+        tasks.push(tokio::spawn(stream(channel, incremental, sender.clone(), bytes.clone())));
     }
     for _ in 0..streams {
-        told.recv().await.expect("the first state");
+        arrivals.recv().await.expect("the first state");
     }
-    let (resident, cpu) = cost(child.id());
+    let (resident, cpu) = process_usage(child.id());
     bytes.store(0, Relaxed);
     let mut latency: Histogram<u64> = Histogram::new(3).expect("bounds");
     for drain in 0..drains {
         let revision = 42 + drain as u64;
         let start = Instant::now();
-        discovery.say(revision, &stubs::list(revision, false, &member(drain, "draining")));
+        discovery.set_answer(revision, &stubs::list(revision, false, &member(drain, "draining")));
         for _ in 0..streams {
-            let came = told.recv().await.expect("the drain");
-            latency.record(came.saturating_duration_since(start).as_micros() as u64 + 1).expect("in range");
+            let arrived = arrivals.recv().await.expect("the drain");
+            latency
+                .record(arrived.saturating_duration_since(start).as_micros() as u64 + 1)
+                .expect("in range");
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let (_, cpu_after) = cost(child.id());
+    let (_, cpu_after) = process_usage(child.id());
     let messages = (streams * drains) as f64;
-    let at = |q: f64| ms(Duration::from_micros(latency.value_at_quantile(q)));
+    let quantile = |q: f64| ms(Duration::from_micros(latency.value_at_quantile(q)));
     println!(
         "| {streams} | {} | {} | {} | {} | {:.1} | {:.1} | {:.3} |",
-        if delta { "incremental" } else { "state-of-the-world" },
-        at(0.5),
-        at(0.99),
+        if incremental { "incremental" } else { "state-of-the-world" },
+        quantile(0.5),
+        quantile(0.99),
         ms(Duration::from_micros(latency.max())),
         bytes.load(Relaxed) as f64 / messages / 1024.0,
         (resident.saturating_sub(before)) as f64 / streams as f64,
@@ -171,8 +186,8 @@
     println!("| streams | flavour | median ms | p99 ms | worst ms | KiB a message | KiB a stream | CPU ms a message |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for streams in counts {
-        for delta in [false, true] {
-            measure(streams, delta, drains).await;
+        for incremental in [false, true] {
+            measure(streams, incremental, drains).await;
         }
     }
 }
--- a/crates/starlinghill-testkit/examples/scale/machines.rs
+++ b/crates/starlinghill-testkit/examples/scale/machines.rs
@@ -1,28 +1,33 @@
-//! The real part: three core machines with a registry and a store each, and some proxies. Every machine is a loopback address.
+//! The real processes of a run: three core machines with a registry and a store each, and some proxies. Each machine has a
+//! loopback address.
 
 use starlinghill_testkit::processes::Process;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::Path;
 use std::process::Command;
 
+/// The ports of machines.
 const CONTROL: u16 = 8381;
 const FRONT: u16 = 8388;
 const READY: u16 = 8384;
-const PORTS: u16 = 7_560;
+/// The first of the ports for connections between machines; registries listen on it.
+const LOCAL_PORTS: u16 = 7_560;
+/// The number of core machines.
 pub const CORES: usize = 3;
 
-/// Addresses of one run.
+/// The loopback addresses of a run, which share their second byte.
 #[derive(Clone, Copy)]
 pub struct Net(u8);
 
 impl Net {
-    /// Those of this process: others may run on this machine.
+    /// Addresses that depend on this process's id, as other runs may use the same machine.
     pub fn own() -> Net {
         Net((1 + std::process::id() % 250) as u8)
     }
 
-    fn ip(self, from: usize, i: usize) -> IpAddr {
-        Ipv4Addr::new(127, self.0, (from + i / 250) as u8, (1 + i % 250) as u8).into()
+    /// Address `i` of a range that begins at third byte `start`; a third byte has 250 addresses.
+    fn ip(self, start: usize, i: usize) -> IpAddr {
+        Ipv4Addr::new(127, self.0, (start + i / 250) as u8, (1 + i % 250) as u8).into()
     }
 
     pub fn core(self, i: usize) -> IpAddr {
@@ -33,7 +38,7 @@
         self.ip(0, 10 + i)
     }
 
-    pub fn hollow(self, i: usize) -> IpAddr {
+    pub fn simulated_gateway(self, i: usize) -> IpAddr {
         self.ip(16, i)
     }
 
@@ -41,18 +46,18 @@
         self.ip(48, i)
     }
 
-    /// Where registries are asked by gateways.
-    pub fn racks(self) -> Vec<SocketAddr> {
-        (0..CORES).map(|i| SocketAddr::new(self.core(i), PORTS)).collect()
+    /// The addresses at which gateways poll registries.
+    pub fn registries(self) -> Vec<SocketAddr> {
+        (0..CORES).map(|i| SocketAddr::new(self.core(i), LOCAL_PORTS)).collect()
     }
 
-    /// Where they are called from outside.
+    /// The addresses of the registries' HTTP interface.
     pub fn controls(self) -> Vec<SocketAddr> {
         (0..CORES).map(|i| SocketAddr::new(self.core(i), CONTROL)).collect()
     }
 }
 
-/// What a process is for.
+/// The role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     Registry,
@@ -61,6 +66,7 @@
 }
 
 impl Role {
+    /// The first argument with which this program runs the role.
     fn program(self) -> &'static str {
         match self {
             Role::Registry => "toolrack",
@@ -76,19 +82,20 @@
 }
 
 impl Machines {
-    /// Starts them; a folder keeps their files.
+    /// Starts all processes, with their settings and data below `folder`.
     pub fn start(net: Net, edges: usize, folder: &Path, beat_ms: u64) -> Machines {
-        let program = std::env::current_exe().expect("a program");
+        let program = std::env::current_exe().expect("the path of this program");
         let seeds: Vec<String> = net.controls().iter().map(|at| format!("\"{at}\"")).collect();
         let mut processes = Vec::new();
         let cores = (0..CORES).map(|i| (net.core(i), &[Role::Registry, Role::Store][..]));
         let all = cores.chain((0..edges).map(|i| (net.edge(i), &[Role::Proxy][..])));
         for (number, (ip, roles)) in all.enumerate() {
-            let place = folder.join(ip.to_string());
-            std::fs::create_dir_all(place.join("disk")).expect("a folder");
-            let file = place.join("node.toml");
-            let text = settings(ip, number, &place, &seeds.join(","), beat_ms, roles[0] == Role::Proxy);
-            std::fs::write(&file, text).expect("written");
+            let machine_folder = folder.join(ip.to_string());
+            std::fs::create_dir_all(machine_folder.join("disk")).expect("the folder can be created");
+            let file = machine_folder.join("node.toml");
+            let text =
+                settings(ip, number, &machine_folder, &seeds.join(","), beat_ms, roles[0] == Role::Proxy);
+            std::fs::write(&file, text).expect("the settings file can be used");
             for role in roles {
                 let (program, file, part) = (program.clone(), file.clone(), role.program());
                 let mut process = Process::new(&format!("{part} {ip}"), move || {
@@ -103,51 +110,58 @@
         Machines { processes }
     }
 
-    fn of_core(&mut self) -> impl Iterator<Item = &mut Process> {
+    fn core_processes(&mut self) -> impl Iterator<Item = &mut Process> {
         let core = self.processes.iter_mut().filter(|(role, ..)| *role != Role::Proxy);
         core.map(|(.., process)| process)
     }
 
-    /// Kills all processes of the core at once.
+    /// Kills all core processes, and changes their settings so that their next start is not a first one.
     pub fn kill_core(&mut self, folder: &Path, net: Net) {
-        self.of_core().for_each(Process::kill);
+        self.core_processes().for_each(Process::kill);
         for i in 0..CORES {
             let file = folder.join(net.core(i).to_string()).join("node.toml");
-            let text = std::fs::read_to_string(&file).expect("written");
-            let again = text.replace("first_start = true", "first_start = false");
-            std::fs::write(&file, again).expect("written");
+            let text = std::fs::read_to_string(&file).expect("the settings file can be used");
+            let changed = text.replace("first_start = true", "first_start = false");
+            std::fs::write(&file, changed).expect("the settings file can be used");
         }
     }
 
-    /// Starts what does not run.
+    /// Starts the core processes that don't run.
     pub fn start_core(&mut self) {
-        self.of_core().for_each(Process::start);
+        self.core_processes().for_each(Process::start);
     }
 
-    /// Processes that ended by themselves.
+    /// The names of processes that ended unexpectedly.
     pub fn ended(&mut self) -> Vec<String> {
         let ended = self.processes.iter_mut().filter_map(|(.., p)| (!p.runs()).then(|| p.name.clone()));
         ended.collect()
     }
 }
 
-fn settings(ip: IpAddr, number: usize, place: &Path, seeds: &str, beat_ms: u64, proxy: bool) -> String {
-    let serves = match proxy {
+fn settings(
+    ip: IpAddr,
+    number: usize,
+    machine_folder: &Path,
+    seeds: &str,
+    beat_ms: u64,
+    proxy: bool,
+) -> String {
+    let listen = match proxy {
         true => format!("front = \"{ip}:{FRONT}\"\nready = \"{ip}:{READY}\""),
         false => format!("control = \"{ip}:{CONTROL}\""),
     };
-    let disk = match proxy {
+    let data = match proxy {
         true => String::new(),
-        false => format!("data_dir = \"{}\"", place.join("disk").display()),
+        false => format!("data_dir = \"{}\"", machine_folder.join("disk").display()),
     };
     format!(
-        "[self]\nnode = \"machine-{number}\"\nip = \"{ip}\"\nzone = \"zone-{}\"\nfirst_start = true\n{disk}\n\
+        "[self]\nnode = \"machine-{number}\"\nip = \"{ip}\"\nzone = \"zone-{}\"\nfirst_start = true\n{data}\n\
          [self.limits]\nmemory_mb = 256\nopen_files = 4096\n\
-         [network]\nlocal_ports = [{PORTS},{}]\nseeds = [{seeds}]\n[network.listen]\n{serves}\n\
+         [network]\nlocal_ports = [{LOCAL_PORTS},{}]\nseeds = [{seeds}]\n[network.listen]\n{listen}\n\
          [provider]\nbeat = \"{beat_ms}ms\"\n\
          [terms.bounds]\ndrain = \"2500ms\"\napply = \"2500ms\"\ngrace = \"6s\"\nretry_ratio = 0.2\n\
          retry_extra = 62\nquota_window = \"5s\"\nquota_excess = 0.1\nquota_extra = 20\n",
         number % 3,
-        PORTS + 15,
+        LOCAL_PORTS + 15,
     )
 }
--- a/crates/starlinghill-testkit/examples/scale/pieces.rs
+++ b/crates/starlinghill-testkit/examples/scale/pieces.rs
@@ -1,4 +1,4 @@
-//! What single messages weigh, and what single acts cost.
+//! Prints the encoded size of single messages and the time of single operations of the control side.
 
 use starlinghill_catalog::{
     name_hash, service_hash, BackendState, Catalog, Gateway, Instance, Liveness, Observation,
@@ -16,6 +16,7 @@
 use std::time::{Duration, Instant};
 
 const ALLOWANCE: Allowance = Allowance { window_s: 5.0, excess: 0.1, extra: 20.0 };
+
 fn ip(i: usize) -> IpAddr {
     Ipv4Addr::from(0x0a00_0000 + i as u32).into()
 }
@@ -39,44 +40,45 @@
     }
 }
 
-fn book(items: usize) -> ItemSet {
-    // As at the target: of 85,750 items 950 are services, 9,800 routes and 75,000 tenants.
+/// A configuration with this many items, in the proportions of the target size.
+fn item_set(items: usize) -> ItemSet {
+    // The target size has 85,750 items: 950 services, 9,800 routes and 75,000 tenants.
     let routes = items * 98 / 858;
     let tenants = items - routes - routes.div_ceil(10) - 1;
-    let mut book = ItemSet::default();
+    let mut set = ItemSet::default();
     for call in crate::first_calls(routes.div_ceil(10), routes, tenants) {
         let change = ConfigChange::parse(call.as_bytes()).expect("a change");
-        book.merge(change.items.iter().map(|held| held.item.clone()));
+        set.merge(change.items.iter().map(|held| held.item.clone()));
     }
-    book
+    set
 }
 
-/// The mean time of one of so many.
-fn timed(count: usize, mut act: impl FnMut(usize)) -> Duration {
-    let begun = Instant::now();
-    (0..count).for_each(&mut act);
-    begun.elapsed() / count as u32
+/// The mean time of `count` calls of an operation.
+fn mean_time(count: usize, mut operation: impl FnMut(usize)) -> Duration {
+    let started = Instant::now();
+    (0..count).for_each(&mut operation);
+    started.elapsed() / count as u32
 }
 
 fn us(span: Duration) -> String {
     format!("{:.2} us", span.as_secs_f64() * 1e6)
 }
 
-fn weights() {
+fn message_sizes() {
     println!("| message | bytes in one | each in a thousand |\n| --- | --- | --- |");
-    fn weigh<T: bitcode::Encode>(name: &str, make: impl Fn(usize) -> T) {
+    fn print_size<T: bitcode::Encode>(name: &str, make: impl Fn(usize) -> T) {
         let one = bitcode::encode(&vec![make(0)]).len();
         let all: Vec<T> = (0..1_000).map(make).collect();
         println!("| {name} | {one} | {:.1} |", bitcode::encode(&all).len() as f64 / 1_000.0);
     }
-    weigh("backend in news (`Observation`)", |i| Observation {
+    print_size("backend in news (`Observation`)", |i| Observation {
         instance: instance(i, 950),
         liveness: Liveness::Alive,
     });
-    weigh("backend between registries (`Instance`, age)", |i| (instance(i, 950), 400u64));
-    weigh("gateway (`Gateway`, here)", |i| (gateway(i), true));
-    let items: Vec<Item> = book(8_575).items().map(|held| held.item.clone()).collect();
-    weigh("item, as they are mixed at the target", |i| items[i * 8 % items.len()].clone());
+    print_size("backend between registries (`Instance`, age)", |i| (instance(i, 950), 400u64));
+    print_size("gateway (`Gateway`, here)", |i| (gateway(i), true));
+    let items: Vec<Item> = item_set(8_575).items().map(|held| held.item.clone()).collect();
+    print_size("item, as they are mixed at the target", |i| items[i * 8 % items.len()].clone());
     let draw = |i: usize| Draw {
         bucket: name_hash(&i.to_string()),
         unreported: 0.0,
@@ -86,16 +88,16 @@
         service: 77,
         max_response_ms: 300,
     };
-    weigh("draw", draw);
-    weigh("word on a backend", |i| LoadReport {
+    print_size("draw", draw);
+    print_size("word on a backend", |i| LoadReport {
         backend: name_hash(&i.to_string()),
         outstanding: 2,
         succeeded: 3,
         total_latency_ms: 120,
         failed: 0,
     });
-    let seen = |i: usize| PeerSighting { ip: ip(i), incarnation: fastrand::u64(..), ago_ms: 100 };
-    let have = KnownState {
+    let sighting = |i: usize| PeerSighting { ip: ip(i), incarnation: fastrand::u64(..), ago_ms: 100 };
+    let known_state = KnownState {
         gateway: gateway(1),
         registry_incarnation: 1 << 60,
         seq: 1_000,
@@ -103,9 +105,9 @@
         counter_term: 90_000_000,
         leaving: false,
         items_digest: u64::MAX,
-        sightings: (0..3).map(seen).collect(),
+        sightings: (0..3).map(sighting).collect(),
     };
-    let news = RegistryUpdate {
+    let update = RegistryUpdate {
         registry_incarnation: 1 << 60,
         seq: 1_000,
         contact: None,
@@ -117,20 +119,20 @@
         counter_holder: None,
         time: 90_000_000_000,
     };
-    let frame = |question: &RegistryRequest| frame::encode(question).len();
-    println!("| question for news, as a frame | {} | |", frame(&RegistryRequest::Poll(have)));
+    let frame = |request: &RegistryRequest| frame::encode(request).len();
+    println!("| question for news, as a frame | {} | |", frame(&RegistryRequest::Poll(known_state)));
     println!(
         "| answer without news, as a frame | {} | |",
-        frame::encode(&RegistryResponse::Update(Box::new(news))).len()
+        frame::encode(&RegistryResponse::Update(Box::new(update))).len()
     );
-    let one = RegistryRequest::Draw {
+    let draw_request = RegistryRequest::Draw {
         term: 90_000_000,
         from: 1 << 60,
         draws: vec![draw(1)],
         load_reports: Vec::new(),
     };
-    println!("| one draw, as a frame | {} | |", frame(&one));
-    let heard = |count: usize| PeerReport {
+    println!("| one draw, as a frame | {} | |", frame(&draw_request));
+    let peer_report = |count: usize| PeerReport {
         epoch: 1,
         backends: (0..count).map(|i| (instance(i, 950), 400)).collect(),
         gateways: (0..count / 14).map(|i| (gateway(i), 100)).collect(),
@@ -138,24 +140,24 @@
     };
     println!(
         "| what registries tell each other, 41,000 backends | {} | |",
-        frame(&RegistryRequest::Report(heard(41_000)))
+        frame(&RegistryRequest::Report(peer_report(41_000)))
     );
     let whole: Vec<Item> = items.iter().cycle().take(85_750).cloned().collect();
     println!("| all 85,750 items | {} | |", bitcode::encode(&whole).len());
 }
 
-fn draws() {
+fn draw_times() {
     println!("\n| a draw, with so many backends of its service, gateways | one draw |\n| --- | --- |");
     for (of_service, gateways) in [(4, 100), (43, 100), (43, 300), (43, 1_000), (43, 2_800), (512, 300)] {
         let (now, services) = (Duration::from_secs(10), 20);
-        let mut gauge = QuotaCounter::start(Duration::ZERO, 1, true, ALLOWANCE, []);
-        let lives: BTreeSet<u64> = (1..=gateways).collect();
-        for life in &lives {
-            gauge.apply_readings(now, *life, &[]);
+        let mut counter = QuotaCounter::start(Duration::ZERO, 1, true, ALLOWANCE, []);
+        let gateway_ids: BTreeSet<u64> = (1..=gateways).collect();
+        for id in &gateway_ids {
+            counter.apply_readings(now, *id, &[]);
         }
-        gauge.tick(now, &lives);
+        counter.tick(now, &gateway_ids);
         for i in 0..of_service * services {
-            gauge.loads.update_listing(
+            counter.loads.update_listing(
                 now,
                 ListedBackend {
                     backend: i as u64 + 1,
@@ -181,26 +183,26 @@
             };
             let now = now + Duration::from_micros(i as u64 * 20);
             let from = 1 + fastrand::u64(..gateways);
-            let levels = gauge.draw(now, from, &[draw]);
-            if let Some(room) = levels.as_ref().and_then(|l| l.first()?.offers.first().copied()) {
-                let word = LoadReport {
-                    backend: room.backend,
+            let levels = counter.draw(now, from, &[draw]);
+            if let Some(offer) = levels.as_ref().and_then(|l| l.first()?.offers.first().copied()) {
+                let report = LoadReport {
+                    backend: offer.backend,
                     outstanding: 0,
                     succeeded: 1,
                     total_latency_ms: 40,
                     failed: 0,
                 };
-                gauge.loads.apply_reports(now, from, &[word]);
+                counter.loads.apply_reports(now, from, &[report]);
             }
             black_box(levels);
         };
-        // Stores learn who draws.
-        timed(100_000, &mut draw);
-        println!("| {of_service}, {gateways} | {} |", us(timed(100_000, draw)));
+        // The counter learns first which gateways draw from which quota.
+        mean_time(100_000, &mut draw);
+        println!("| {of_service}, {gateways} | {} |", us(mean_time(100_000, draw)));
     }
 }
 
-fn catalogs() {
+fn catalog_times() {
     println!("\n| backends, gateways | a beat that says nothing new | news since a number, none | who is dead, of all gateways | a time step |");
     println!("| --- | --- | --- | --- | --- |");
     for (backends, gateways) in [(1_000, 100), (3_000, 300), (10_000, 1_000), (19_000, 2_800)] {
@@ -211,42 +213,50 @@
             catalog.record_backend(now, instance.clone(), Duration::ZERO);
         }
         (0..gateways).for_each(|i| catalog.record_gateway(now, gateway(i), Duration::ZERO));
-        let beat = timed(backends, |i| {
+        let beat = mean_time(backends, |i| {
             instances[i].beat_count += 1;
             black_box(catalog.record_backend(now, instances[i].clone(), Duration::ZERO));
         });
         let seq = catalog.seq();
-        let since = timed(50, |_| drop(black_box(catalog.changes_since(seq))));
+        let since = mean_time(50, |_| drop(black_box(catalog.changes_since(seq))));
         let all: BTreeSet<IpAddr> = (0..gateways).map(ip).collect();
-        let mut sight = GatewayLiveness::default();
-        (0..gateways).for_each(|i| sight.record_report(now, ip(i), 1, &[]));
-        let dead = timed(2, |_| drop(black_box(sight.dead_gateways(now, &all))));
-        let tick = timed(20, |_| drop(catalog.tick(now)));
+        let mut liveness = GatewayLiveness::default();
+        (0..gateways).for_each(|i| liveness.record_report(now, ip(i), 1, &[]));
+        let dead = mean_time(2, |_| drop(black_box(liveness.dead_gateways(now, &all))));
+        let tick = mean_time(20, |_| drop(catalog.tick(now)));
         println!("| {backends}, {gateways} | {} | {} | {} | {} |", us(beat), us(since), us(dead), us(tick));
     }
 }
 
-fn checks() {
+fn configuration_times() {
     println!("\n| items | bytes | read again from a message | a change of one item taken in and checked | encoded |");
     println!("| --- | --- | --- | --- | --- |");
     for items in [1_000, 10_000, 20_000] {
-        let book = book(items);
-        let value: Vec<Item> = book.items().map(|held| held.item.clone()).collect();
+        let set = item_set(items);
+        let value: Vec<Item> = set.items().map(|held| held.item.clone()).collect();
         let bytes = bitcode::encode(&value);
-        let again = timed(2, |_| drop(black_box(ItemSet::from_items(value.iter().cloned()))));
-        let one = format!(r#"{{"upsert":{{"ports":[{}]}},"remove":{{}}}}"#, crate::route(0, 1, 2));
-        let change = ConfigChange::parse(one.as_bytes()).expect("a change");
-        let with =
-            timed(5, |_| drop(black_box(book.with_change(&change).map(|next| next.differing_items(&book)))));
-        let encoded = timed(5, |_| drop(black_box(bitcode::encode(&value))));
-        println!("| {} | {} | {} | {} | {} |", value.len(), bytes.len(), us(again), us(with), us(encoded));
+        let decoding = mean_time(2, |_| drop(black_box(ItemSet::from_items(value.iter().cloned()))));
+        let body = format!(r#"{{"upsert":{{"ports":[{}]}},"remove":{{}}}}"#, crate::route(0, 1, 2));
+        let change = ConfigChange::parse(body.as_bytes()).expect("a change");
+        let change_time = mean_time(5, |_| {
+            drop(black_box(set.with_change(&change).map(|next| next.differing_items(&set))))
+        });
+        let encoded = mean_time(5, |_| drop(black_box(bitcode::encode(&value))));
+        println!(
+            "| {} | {} | {} | {} | {} |",
+            value.len(),
+            bytes.len(),
+            us(decoding),
+            us(change_time),
+            us(encoded)
+        );
     }
 }
 
-/// Prints all of it.
+/// Prints all tables.
 pub fn print() {
-    weights();
-    draws();
-    catalogs();
-    checks();
+    message_sizes();
+    draw_times();
+    catalog_times();
+    configuration_times();
 }
--- a/crates/starlinghill-testkit/examples/scale/report.rs
+++ b/crates/starlinghill-testkit/examples/scale/report.rs
@@ -1,4 +1,4 @@
-//! Tables, powers and the plot.
+//! Prints the tables of a measurement and draws its plot.
 
 use crate::measured::{power, Load, COLUMNS};
 use plotters::prelude::*;
@@ -6,53 +6,53 @@
 use std::error::Error;
 use std::path::Path;
 
-/// A role at one size.
+/// The mean load of the processes of a role at one size.
 #[derive(Debug, Clone)]
 pub struct Row {
     pub role: &'static str,
-    /// The mean over its processes, and how many they are.
     pub load: Load,
-    pub of: usize,
+    /// The number of processes.
+    pub processes: usize,
 }
 
 impl Row {
-    pub fn of(role: &'static str, loads: &[Load]) -> Row {
+    pub fn mean(role: &'static str, loads: &[Load]) -> Row {
         Row {
             role,
             load: if loads.is_empty() { Load::default() } else { Load::mean(loads) },
-            of: loads.len(),
+            processes: loads.len(),
         }
     }
 }
 
-/// What was measured at one size.
+/// The measurements at one size.
 #[derive(Debug, Clone, Default)]
 pub struct Size {
     pub gateways: usize,
     pub backends: usize,
     pub items: usize,
-    /// With nothing but beats, questions and draws.
+    /// Loads with nothing but beats, polls and draws.
     pub calm: Vec<Row>,
-    /// The same while backends are replaced.
+    /// Loads while backends are replaced.
     pub churn: Vec<Row>,
-    /// Seconds; none where not all were reached.
+    /// Times by name, in seconds; `None` if not all gateways were reached.
     pub times: Vec<(&'static str, Option<f64>)>,
-    /// Memory after the whole core came back, by role, MB.
+    /// Memory by role after all core machines were killed and restarted, in MB.
     pub memory_after: Vec<(&'static str, f64)>,
-    /// Calls of hollow gateways that failed, a second, while it was calm.
+    /// Failed calls of simulated gateways per second during the calm part.
     pub failed: f64,
 }
 
 impl Size {
     pub fn print(&self) {
         println!("\n{} gateways, {} backends, {} items", self.gateways, self.backends, self.items);
-        for (what, rows) in [("calm", &self.calm), ("backends are replaced", &self.churn)] {
-            println!("\n| {what} | {} |", COLUMNS.join(" | "));
+        for (phase, rows) in [("calm", &self.calm), ("backends are replaced", &self.churn)] {
+            println!("\n| {phase} | {} |", COLUMNS.join(" | "));
             println!("| --- |{}", " --- |".repeat(COLUMNS.len()));
             for row in rows {
                 let figures: Vec<String> =
                     row.load.figures().iter().map(|figure| format!("{figure:.1}")).collect();
-                println!("| {} ({}) | {} |", row.role, row.of, figures.join(" | "));
+                println!("| {} ({}) | {} |", row.role, row.processes, figures.join(" | "));
             }
         }
         let after: Vec<String> =
@@ -61,13 +61,13 @@
     }
 }
 
-/// The power by which each figure grows with the number of gateways, backends and items growing alike.
-pub fn slopes(sizes: &[Size]) {
+/// Prints the exponent by which each figure grows with size; backends and items grow in proportion to gateways.
+pub fn print_growth(sizes: &[Size]) {
     if sizes.len() < 2 {
         return;
     }
-    for (what, rows) in [("calm", 0), ("backends are replaced", 1)] {
-        println!("\n| power with size, {what} | {} |", COLUMNS.join(" | "));
+    for (phase, rows) in [("calm", 0), ("backends are replaced", 1)] {
+        println!("\n| power with size, {phase} | {} |", COLUMNS.join(" | "));
         println!("| --- |{}", " --- |".repeat(COLUMNS.len()));
         let mut points: BTreeMap<&str, Vec<(f64, [f64; 7])>> = BTreeMap::new();
         for size in sizes {
@@ -83,30 +83,31 @@
             println!("| {role} | {} |", powers.join(" | "));
         }
     }
-    println!("\n| seconds, worst | {} | power |", list(sizes, |size| format!("{} gateways", size.gateways)));
+    println!("\n| seconds, worst | {} | power |", cells(sizes, |size| format!("{} gateways", size.gateways)));
     println!("| --- |{} --- |", " --- |".repeat(sizes.len()));
     let names: Vec<&str> = sizes.iter().flat_map(|size| size.times.iter().map(|(name, _)| *name)).collect();
-    let mut told = Vec::new();
+    let mut printed = Vec::new();
     for name in names {
-        if told.contains(&name) {
+        if printed.contains(&name) {
             continue;
         }
-        told.push(name);
-        let of =
+        printed.push(name);
+        let time =
             |size: &Size| size.times.iter().find(|(known, _)| *known == name).and_then(|(_, took)| *took);
-        let shown = list(sizes, |size| of(size).map_or("not all".into(), |took| format!("{took:.3}")));
+        let shown = cells(sizes, |size| time(size).map_or("not all".into(), |took| format!("{took:.3}")));
         let points: Vec<(f64, f64)> =
-            sizes.iter().filter_map(|size| Some((size.gateways as f64, of(size)?))).collect();
+            sizes.iter().filter_map(|size| Some((size.gateways as f64, time(size)?))).collect();
         let power = power(&points).map_or("-".into(), |power| format!("{power:.2}"));
         println!("| {name} | {shown} | {power} |");
     }
 }
 
-fn list(sizes: &[Size], show: impl Fn(&Size) -> String) -> String {
+/// Table cells, one for each size.
+fn cells(sizes: &[Size], show: impl Fn(&Size) -> String) -> String {
     sizes.iter().map(show).collect::<Vec<_>>().join(" | ")
 }
 
-/// Memory, processor time and bytes out of each role, by size, both axes by powers of ten.
+/// Draws memory, CPU time and bytes sent of each role by size, with logarithmic axes.
 pub fn plot(sizes: &[Size], folder: &Path) -> Result<(), Box<dyn Error>> {
     let sizes: Vec<&Size> = sizes.iter().filter(|size| !size.calm.is_empty()).collect();
     let (Some(first), Some(last)) = (sizes.first(), sizes.last()) else {
@@ -118,7 +119,7 @@
     root.fill(&WHITE)?;
     let columns = [0, 1, 3];
     let areas = root.split_evenly((1, columns.len()));
-    let across = first.gateways as f64 * 0.8..last.gateways as f64 * 1.25;
+    let x_range = first.gateways as f64 * 0.8..last.gateways as f64 * 1.25;
     for (area, column) in areas.iter().zip(columns) {
         let figures =
             sizes.iter().flat_map(|size| size.calm.iter().map(move |row| row.load.figures()[column]));
@@ -130,7 +131,7 @@
             .margin(8)
             .x_label_area_size(32)
             .y_label_area_size(52)
-            .build_cartesian_2d(across.clone().log_scale(), (low.min(high) * 0.7..high * 1.6).log_scale())?;
+            .build_cartesian_2d(x_range.clone().log_scale(), (low.min(high) * 0.7..high * 1.6).log_scale())?;
         chart.configure_mesh().x_desc("gateways, with ten backends each").draw()?;
         for (i, color) in [RED, BLUE, GREEN, BLACK].iter().enumerate() {
             let point = |size: &&Size| {
--- a/crates/starlinghill-testkit/examples/scale/hollow.rs
+++ b/crates/starlinghill-testkit/examples/scale/simulated.rs
@@ -1,4 +1,5 @@
-//! Gateways and backends that only speak: tasks of this process, each from a loopback address of its own.
+//! Simulated gateways and backends: tasks of this process that speak the registries' protocols but serve no requests. Each
+//! connects from a loopback address of its own.
 
 use crate::machines::Net;
 use starlinghill_catalog::{name_hash, service_hash, BackendState, Gateway, Observation};
@@ -19,98 +20,117 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// As real gateways and backends have them.
-const PATIENCE: Duration = Duration::from_millis(1_000);
-const PAUSE: Duration = Duration::from_millis(80);
-const CONNECT: Duration = Duration::from_millis(300);
-/// Connections of backends to all registries together; beyond that several share one, as registries take no more.
-const MOST_CALLERS: usize = 3_900;
-/// The route by which changes are followed.
-pub const MARKED: &str = "r-0";
+/// How long a caller waits for an answer, as real gateways and backends do.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The pause after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(80);
+/// How long opening a connection may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// The most connections of backends to all registries together, as registries accept no more. More backends than that
+/// share connections.
+const MAX_BACKEND_CONNECTIONS: usize = 3_900;
+/// The route whose version is changed to measure how changes spread.
+pub const TRACKED_ROUTE: &str = "r-0";
 
-/// What all hollow ones share.
-pub struct Hollow {
+/// The settings and counts that all simulated gateways and backends share.
+pub struct SimulatedFleet {
     pub net: Net,
+    /// The time between two beats of a backend.
     pub beat: Duration,
     pub services: usize,
     pub tenants: usize,
+    /// Draws per second of each gateway.
     pub draws: f64,
-    /// So many backends are to be known.
+    /// A gateway counts as complete when it knows this many backends.
     pub wanted: AtomicUsize,
-    /// Answers that were read, news among them, calls that failed, beats that were not taken.
+    /// Answers received.
     pub answers: AtomicU64,
-    pub news: AtomicU64,
+    /// Registry updates among them.
+    pub updates: AtomicU64,
+    /// Polls and draws without an answer.
     pub failed: AtomicU64,
+    /// Beats without an answer, or with one other than 200.
     pub refused_beats: AtomicU64,
+    /// Draws whose answer was not a level.
     pub refused_draws: AtomicU64,
-    /// Backends that drain, by their numbers.
+    /// The backends that drain, by number.
     draining: Mutex<HashMap<usize, bool>>,
+    /// The call count in the next beat; it must grow.
     calls: AtomicU64,
-    over: AtomicBool,
+    stopped: AtomicBool,
 }
 
-/// What a gateway knows, and since when.
+/// What a gateway knows, and when it first knew it.
 #[derive(Default)]
 pub struct Known {
+    /// The version of [`TRACKED_ROUTE`].
     pub version: u64,
     pub version_at: Option<Instant>,
+    /// Draining backends by number.
     pub drains: HashMap<usize, Instant>,
+    /// The first update with the registry's contact to a majority.
     pub fresh_at: Option<Instant>,
+    /// When it knew all wanted backends.
     pub all_at: Option<Instant>,
+    /// The first answered draw.
     pub counted_at: Option<Instant>,
+    /// The quota counter's term and address.
     pub holder: Option<(u64, IpAddr)>,
 }
 
-/// A hollow gateway.
-pub struct HollowGateway {
+/// A simulated gateway.
+pub struct SimulatedGateway {
     me: Gateway,
     pub known: Mutex<Known>,
     holder: watch::Sender<Option<(u64, IpAddr)>>,
     time: AtomicU64,
 }
 
-impl HollowGateway {
-    pub fn look<T>(&self, look: impl FnOnce(&mut Known) -> T) -> T {
-        look(&mut self.known.lock().unwrap_or_else(PoisonError::into_inner))
+impl SimulatedGateway {
+    /// Runs a function on what the gateway knows, under its lock.
+    pub fn with_known<T>(&self, read: impl FnOnce(&mut Known) -> T) -> T {
+        read(&mut self.known.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// What it was told before the core was killed is to be told again.
+    /// Clears the times that are measured again after the core was killed.
     pub fn forget(&self) {
-        self.look(|known| {
+        self.with_known(|known| {
             (known.fresh_at, known.all_at, known.counted_at) = (None, None, None);
         });
     }
 }
 
-/// A connection from an address of one's own.
+/// Connects from this local address.
 async fn connect(from: IpAddr, to: SocketAddr) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(SocketAddr::new(from, 0))?;
-    timeout(CONNECT, socket.connect(to)).await.map_err(|_| io::ErrorKind::TimedOut)?
+    timeout(CONNECT_TIMEOUT, socket.connect(to)).await.map_err(|_| io::ErrorKind::TimedOut)?
 }
 
-async fn ask(
+/// Sends a request to a registry and reads its response.
+async fn call_registry(
     stream: &mut TcpStream,
     reader: &mut Reader,
-    question: &RegistryRequest,
+    request: &RegistryRequest,
 ) -> io::Result<RegistryResponse> {
-    let asked = async {
-        frame::write(stream, question).await?;
+    let exchange = async {
+        frame::write(stream, request).await?;
         reader.read::<RegistryResponse>(stream).await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     };
-    timeout(PATIENCE, asked).await.map_err(|_| io::ErrorKind::TimedOut)?
+    timeout(ANSWER_TIMEOUT, exchange).await.map_err(|_| io::ErrorKind::TimedOut)?
 }
 
-/// The backends that one registry told of in its present life.
+/// The set of backends that a registry has listed since its start.
 #[derive(Default)]
 struct Listed {
+    /// A bit for each backend number.
     bits: Vec<u64>,
     count: usize,
 }
 
 impl Listed {
-    fn told(&mut self, index: usize) {
+    fn insert(&mut self, index: usize) {
         let (word, bit) = (index / 64, 1u64 << (index % 64));
         if self.bits.len() <= word {
             self.bits.resize(word + 1, 0);
@@ -120,9 +140,9 @@
     }
 }
 
-impl Hollow {
-    pub fn new(net: Net, beat: Duration, services: usize, tenants: usize, draws: f64) -> Arc<Hollow> {
-        Arc::new(Hollow {
+impl SimulatedFleet {
+    pub fn new(net: Net, beat: Duration, services: usize, tenants: usize, draws: f64) -> Arc<SimulatedFleet> {
+        Arc::new(SimulatedFleet {
             net,
             beat,
             services,
@@ -130,163 +150,168 @@
             draws,
             wanted: AtomicUsize::new(usize::MAX),
             answers: AtomicU64::new(0),
-            news: AtomicU64::new(0),
+            updates: AtomicU64::new(0),
             failed: AtomicU64::new(0),
             refused_beats: AtomicU64::new(0),
             refused_draws: AtomicU64::new(0),
             draining: Mutex::default(),
             calls: AtomicU64::new(1),
-            over: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
         })
     }
 
-    /// All end.
-    pub fn end(&self) {
-        self.over.store(true, Ordering::Relaxed);
+    /// Stops all tasks.
+    pub fn stop(&self) {
+        self.stopped.store(true, Ordering::Relaxed);
     }
 
-    fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+    fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Relaxed)
     }
 
-    /// Starts a gateway.
-    pub fn gateway(self: &Arc<Self>, i: usize, all: usize, tasks: &mut JoinSet<()>) -> Arc<HollowGateway> {
+    /// Starts gateway `i` of `all`: a task for each registry that polls it, and one that draws.
+    pub fn gateway(self: &Arc<Self>, i: usize, all: usize, tasks: &mut JoinSet<()>) -> Arc<SimulatedGateway> {
         let me = Gateway {
-            ip: self.net.hollow(i),
+            ip: self.net.simulated_gateway(i),
             incarnation: fastrand::u64(1..),
             zone: format!("zone-{}", i % 3),
-            node: format!("hollow-{i}"),
+            node: format!("simulated-{i}"),
         };
-        let gateway = Arc::new(HollowGateway {
+        let gateway = Arc::new(SimulatedGateway {
             me,
             known: Mutex::default(),
             holder: watch::channel(None).0,
             time: AtomicU64::new(0),
         });
-        for at in self.net.racks() {
-            let (hollow, gateway) = (self.clone(), gateway.clone());
+        for at in self.net.registries() {
+            let (fleet, gateway) = (self.clone(), gateway.clone());
             tasks.spawn(async move {
-                // Not all in one moment.
+                // Spreads the first polls over half a second.
                 sleep(Duration::from_millis(fastrand::u64(..500))).await;
-                hollow.follow(&gateway, at, (i, all)).await;
+                fleet.poll(&gateway, at, (i, all)).await;
             });
         }
-        let (hollow, drawing) = (self.clone(), gateway.clone());
-        tasks.spawn(async move { hollow.draw(&drawing).await });
+        let (fleet, drawing) = (self.clone(), gateway.clone());
+        tasks.spawn(async move { fleet.draw(&drawing).await });
         gateway
     }
 
-    /// Asks one registry for news, as a gateway does.
-    async fn follow(&self, gateway: &HollowGateway, at: SocketAddr, (i, all): (usize, usize)) {
-        let mut line: Option<(TcpStream, Reader)> = None;
-        let (mut life, mut seq, mut listed) = (0, 0, Listed::default());
-        // A watcher on the ring tells of three others.
-        let seen =
-            |by: usize| PeerSighting { ip: self.net.hollow((i + by) % all), incarnation: 1, ago_ms: 100 };
-        while !self.is_over() {
-            let have = KnownState {
+    /// Polls a registry for updates all the time, as a gateway does.
+    async fn poll(&self, gateway: &SimulatedGateway, at: SocketAddr, (i, all): (usize, usize)) {
+        let mut connection: Option<(TcpStream, Reader)> = None;
+        let (mut incarnation, mut seq, mut listed) = (0, 0, Listed::default());
+        // Each gateway watches the next three on the ring.
+        let sighting = |by: usize| PeerSighting {
+            ip: self.net.simulated_gateway((i + by) % all),
+            incarnation: 1,
+            ago_ms: 100,
+        };
+        while !self.is_stopped() {
+            let known_state = KnownState {
                 gateway: gateway.me.clone(),
-                registry_incarnation: life,
+                registry_incarnation: incarnation,
                 seq,
                 time: gateway.time.load(Ordering::Relaxed),
                 counter_term: 0,
                 leaving: false,
                 items_digest: 0,
-                sightings: (1..=3).map(seen).collect(),
+                sightings: (1..=3).map(sighting).collect(),
             };
-            let asked = async {
-                let mut kept = match line.take() {
-                    Some(kept) => kept,
+            let exchange = async {
+                let mut open = match connection.take() {
+                    Some(open) => open,
                     None => {
                         let stream = connect(gateway.me.ip, at).await?;
                         stream.tune();
                         (stream, Reader::default())
                     }
                 };
-                let answer = ask(&mut kept.0, &mut kept.1, &RegistryRequest::Poll(have)).await?;
-                line = Some(kept);
+                let answer =
+                    call_registry(&mut open.0, &mut open.1, &RegistryRequest::Poll(known_state)).await?;
+                connection = Some(open);
                 io::Result::Ok(answer)
             };
-            match asked.await {
-                Ok(RegistryResponse::Update(news)) => {
-                    if news.registry_incarnation != life || news.complete {
+            match exchange.await {
+                Ok(RegistryResponse::Update(update)) => {
+                    if update.registry_incarnation != incarnation || update.complete {
                         listed = Listed::default();
                     }
-                    (life, seq) = (news.registry_incarnation, news.seq);
+                    (incarnation, seq) = (update.registry_incarnation, update.seq);
                     self.answers.fetch_add(1, Ordering::Relaxed);
-                    self.news.fetch_add(1, Ordering::Relaxed);
-                    self.take(gateway, *news, &mut listed);
+                    self.updates.fetch_add(1, Ordering::Relaxed);
+                    self.apply_update(gateway, *update, &mut listed);
                 }
                 _ => {
                     self.failed.fetch_add(1, Ordering::Relaxed);
-                    sleep(PAUSE).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    fn take(&self, gateway: &HollowGateway, news: RegistryUpdate, listed: &mut Listed) {
+    fn apply_update(&self, gateway: &SimulatedGateway, update: RegistryUpdate, listed: &mut Listed) {
         let now = Instant::now();
-        gateway.time.fetch_max(news.time, Ordering::Relaxed);
-        let marked = news.items.iter().find(|item| item.name == MARKED).map(|item| item.version);
+        gateway.time.fetch_max(update.time, Ordering::Relaxed);
+        let route_version =
+            update.items.iter().find(|item| item.name == TRACKED_ROUTE).map(|item| item.version);
         let mut drains = Vec::new();
-        for Observation { instance, .. } in &news.backends {
+        for Observation { instance, .. } in &update.backends {
             let Some(index) = instance.id.strip_prefix("b-").and_then(|n| n.parse().ok()) else { continue };
             match instance.state {
-                BackendState::Ready => listed.told(index),
+                BackendState::Ready => listed.insert(index),
                 _ => drains.push(index),
             }
         }
         let all = listed.count >= self.wanted.load(Ordering::Relaxed);
-        gateway.look(|known| {
-            if marked.is_some_and(|version| version > known.version) {
-                (known.version, known.version_at) = (marked.unwrap_or_default(), Some(now));
+        gateway.with_known(|known| {
+            if route_version.is_some_and(|version| version > known.version) {
+                (known.version, known.version_at) = (route_version.unwrap_or_default(), Some(now));
             }
             for index in drains {
                 known.drains.entry(index).or_insert(now);
             }
-            if news.contact.is_some() {
+            if update.contact.is_some() {
                 known.fresh_at.get_or_insert(now);
             }
             if all {
                 known.all_at.get_or_insert(now);
             }
-            if news.counter_holder.is_some_and(|(term, _)| known.holder.is_none_or(|(old, _)| term > old)) {
-                known.holder = news.counter_holder;
-                gateway.holder.send_replace(news.counter_holder);
+            if update.counter_holder.is_some_and(|(term, _)| known.holder.is_none_or(|(old, _)| term > old)) {
+                known.holder = update.counter_holder;
+                gateway.holder.send_replace(update.counter_holder);
             }
         });
     }
 
-    /// Draws from tenants' stores, as a gateway does that has little to do.
-    async fn draw(&self, gateway: &HollowGateway) {
+    /// Draws from tenants' quotas at a steady rate, as a gateway with little traffic does.
+    async fn draw(&self, gateway: &SimulatedGateway) {
         let mut holder = gateway.holder.subscribe();
         let pause = Duration::from_secs_f64(1.0 / self.draws);
-        let mut last = 0;
-        while !self.is_over() {
+        let mut last_backend = 0;
+        while !self.is_stopped() {
             let known = *holder.borrow_and_update();
             let Some((term, ip)) = known else {
-                let _ = timeout(PATIENCE, holder.changed()).await;
+                let _ = timeout(ANSWER_TIMEOUT, holder.changed()).await;
                 continue;
             };
-            let port = self.net.racks()[0].port();
+            let port = self.net.registries()[0].port();
             let Ok(mut stream) = connect(gateway.me.ip, SocketAddr::new(ip, port)).await else {
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
                 continue;
             };
             stream.tune();
             let (mut reader, from) = (Reader::default(), gateway.me.incarnation);
             let recall = RegistryRequest::Recall { term, from, readings: Vec::new() };
-            let mut answer = ask(&mut stream, &mut reader, &recall).await;
+            let mut answer = call_registry(&mut stream, &mut reader, &recall).await;
             sleep(pause.mul_f64(fastrand::f64())).await;
-            while !self.is_over() && !holder.has_changed().unwrap_or(true) {
+            while !self.is_stopped() && !holder.has_changed().unwrap_or(true) {
                 match answer {
                     Ok(RegistryResponse::Acknowledged) => {}
                     Ok(RegistryResponse::Levels(levels, _)) => {
                         self.answers.fetch_add(1, Ordering::Relaxed);
-                        let room = levels.first().and_then(|level| level.offers.first());
-                        last = room.map_or(0, |room| room.backend);
-                        gateway.look(|known| {
+                        let offer = levels.first().and_then(|level| level.offers.first());
+                        last_backend = offer.map_or(0, |offer| offer.backend);
+                        gateway.with_known(|known| {
                             known.counted_at.get_or_insert_with(Instant::now);
                         });
                     }
@@ -297,19 +322,19 @@
                     }
                 }
                 sleep(pause).await;
-                let question = RegistryRequest::Draw {
+                let request = RegistryRequest::Draw {
                     term,
                     from,
-                    draws: vec![self.a_draw()],
-                    load_reports: word(last),
+                    draws: vec![self.random_draw()],
+                    load_reports: load_reports(last_backend),
                 };
-                answer = ask(&mut stream, &mut reader, &question).await;
+                answer = call_registry(&mut stream, &mut reader, &request).await;
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    fn a_draw(&self) -> Draw {
+    fn random_draw(&self) -> Draw {
         Draw {
             bucket: name_hash(&format!("t-{}", fastrand::usize(..self.tenants))),
             unreported: 0.0,
@@ -321,49 +346,50 @@
         }
     }
 
-    /// Starts backends with these numbers; several share a connection where there are many.
-    pub fn backends(self: &Arc<Self>, numbers: std::ops::Range<usize>, tasks: &mut JoinSet<()>) {
-        let agents = numbers.len().min(MOST_CALLERS);
+    /// Starts backends with these numbers. Many backends share connections, see [`MAX_BACKEND_CONNECTIONS`].
+    pub fn start_backends(self: &Arc<Self>, numbers: std::ops::Range<usize>, tasks: &mut JoinSet<()>) {
+        let agents = numbers.len().min(MAX_BACKEND_CONNECTIONS);
         for agent in 0..agents {
             let own: Vec<usize> = numbers.clone().skip(agent).step_by(agents).collect();
-            let hollow = self.clone();
-            tasks.spawn(async move { hollow.beat(own).await });
+            let fleet = self.clone();
+            tasks.spawn(async move { fleet.beat(own).await });
         }
     }
 
+    /// Sends the beats of these backends in turn over one connection.
     async fn beat(&self, own: Vec<usize>) {
         let controls = self.net.controls();
-        let (mut turn, mut line) = (own[0] % controls.len(), None);
-        let each = self.beat / own.len() as u32;
+        let (mut turn, mut connection) = (own[0] % controls.len(), None);
+        let interval = self.beat / own.len() as u32;
         sleep(self.beat.mul_f64(fastrand::f64())).await;
-        let mut pace = tokio::time::interval(each);
-        pace.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut ticks = tokio::time::interval(interval);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         for number in own.iter().cycle() {
-            pace.tick().await;
-            if self.is_over() {
+            ticks.tick().await;
+            if self.is_stopped() {
                 return;
             }
             let draining = {
                 let draining = self.draining.lock().unwrap_or_else(PoisonError::into_inner);
                 draining.get(number).copied().unwrap_or(false)
             };
-            let text = self.beat_text(*number, draining);
-            let asked = async {
-                let mut stream = match line.take() {
+            let text = self.beat_request(*number, draining);
+            let exchange = async {
+                let mut stream = match connection.take() {
                     Some(stream) => stream,
                     None => connect(self.net.backend(own[0]), controls[turn]).await?,
                 };
                 stream.set_nodelay(true)?;
                 stream.write_all(text.as_bytes()).await?;
-                let status = answered(&mut stream).await?;
-                line = Some(stream);
+                let status = read_status(&mut stream).await?;
+                connection = Some(stream);
                 io::Result::Ok(status)
             };
-            match timeout(PATIENCE, asked).await {
+            match timeout(ANSWER_TIMEOUT, exchange).await {
                 Ok(Ok(200)) => drop(self.answers.fetch_add(1, Ordering::Relaxed)),
                 _ => {
                     self.refused_beats.fetch_add(1, Ordering::Relaxed);
-                    (turn, line) = ((turn + 1) % controls.len(), None);
+                    (turn, connection) = ((turn + 1) % controls.len(), None);
                 }
             }
         }
@@ -373,7 +399,7 @@
         number % self.services
     }
 
-    /// What a backend's beat says.
+    /// The body of a backend's beat.
     pub fn beat_body(&self, number: usize, draining: bool) -> String {
         let (calls, state) =
             (self.calls.fetch_add(1, Ordering::Relaxed), if draining { "draining" } else { "ready" });
@@ -386,7 +412,7 @@
         )
     }
 
-    fn beat_text(&self, number: usize, draining: bool) -> String {
+    fn beat_request(&self, number: usize, draining: bool) -> String {
         let body = self.beat_body(number, draining);
         format!(
             "PUT /api/backends/b-{number} HTTP/1.1\r\nHost: control\r\nContent-Type: application/json\r\n\
@@ -395,25 +421,26 @@
         )
     }
 
-    /// From now on that backend says that it drains.
+    /// Has a backend report from now on that it drains.
     pub fn drain(&self, number: usize) {
         self.draining.lock().unwrap_or_else(PoisonError::into_inner).insert(number, true);
     }
 }
 
-fn word(backend: u64) -> Vec<LoadReport> {
-    let word = LoadReport { backend, outstanding: 0, succeeded: 1, total_latency_ms: 40, failed: 0 };
-    (backend != 0).then_some(word).into_iter().collect()
+/// The report on a draw's backend; none for backend 0, which stands for no offer.
+fn load_reports(backend: u64) -> Vec<LoadReport> {
+    let report = LoadReport { backend, outstanding: 0, succeeded: 1, total_latency_ms: 40, failed: 0 };
+    (backend != 0).then_some(report).into_iter().collect()
 }
 
-/// Reads an answer whose length is told; returns its status.
-async fn answered(stream: &mut TcpStream) -> io::Result<u16> {
-    let mut came = Vec::with_capacity(256);
+/// Reads an HTTP response with a `Content-Length` and returns its status.
+async fn read_status(stream: &mut TcpStream) -> io::Result<u16> {
+    let mut received = Vec::with_capacity(256);
     loop {
-        if stream.read_buf(&mut came).await? == 0 {
+        if stream.read_buf(&mut received).await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        let text = String::from_utf8_lossy(&came);
+        let text = String::from_utf8_lossy(&received);
         let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
         let length = head.lines().filter_map(|line| line.split_once(": "));
         let mut length = length.filter(|(name, _)| name.eq_ignore_ascii_case("content-length"));
--- a/crates/starlinghill-testkit/examples/system.rs
+++ b/crates/starlinghill-testkit/examples/system.rs
@@ -1,6 +1,8 @@
-//! A small whole system on loopback, to be looked at: three core machines with a registry and a store each, two proxies, four
-//! backends, a configuration, and a client that goes on asking. `cargo run --profile demo -p starlinghill-testkit --example
-//! system`. Called with the name of a part, it is that part: tests start their processes so.
+//! Runs a small complete system on loopback addresses to try out: three core machines with a registry and a store each, two
+//! proxies, four backends, a configuration, and a client that sends requests all the time. The processes that it starts are
+//! this program again, with the part's name as argument; tests start their processes the same way.
+//!
+//! `cargo run --profile demo -p starlinghill-testkit --example system`
 
 use starlinghill_runtime::program;
 use starlinghill_testkit::system::{cut_net, first_items, Backend, Client, System};
@@ -8,10 +10,11 @@
 use std::time::Duration;
 
 const BACKENDS: usize = 4;
-const EVERY: Duration = Duration::from_millis(50);
+/// The time between two requests of the client.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
-async fn show() {
-    let program = std::env::current_exe().expect("a program");
+async fn demo() {
+    let program = std::env::current_exe().expect("the path of this program");
     let system = System::start(&program, 2);
     let mut backends = Vec::new();
     for i in 0..BACKENDS {
@@ -34,19 +37,19 @@
     println!("curl http://{}/api/config", system.controls()[0]);
     println!("\nCtrl-C ends all.\n");
     let client = Client::new("key-1");
-    let mut pace = tokio::time::interval(EVERY);
-    let (mut asked, mut served) = (0u64, 0u64);
+    let mut ticks = tokio::time::interval(REQUEST_INTERVAL);
+    let (mut sent, mut served) = (0u64, 0u64);
     loop {
         tokio::select! {
             _ = tokio::signal::ctrl_c() => return,
-            _ = pace.tick() => {
-                let front = fronts[asked as usize % fronts.len()];
+            _ = ticks.tick() => {
+                let front = fronts[sent as usize % fronts.len()];
                 let (_, answer) = client.try_once(front, "GET", "/read/1").await;
-                asked += 1;
+                sent += 1;
                 served += u64::from(answer.is_some_and(|answer| answer.status == 200));
-                if asked.is_multiple_of(100) {
-                    let ran: Vec<String> = backends.iter().map(|b| format!("{} {}", b.id, b.runs())).collect();
-                    println!("asked {asked}, served {served}; {}", ran.join(", "));
+                if sent.is_multiple_of(100) {
+                    let runs: Vec<String> = backends.iter().map(|b| format!("{} {}", b.id, b.runs())).collect();
+                    println!("asked {sent}, served {served}; {}", runs.join(", "));
                 }
             }
         }
@@ -54,7 +57,7 @@
 }
 
 fn main() -> ExitCode {
-    // Each part reads its own command line behind its name.
+    // A part parses the arguments after its name itself.
     match std::env::args().nth(1).as_deref() {
         Some("workbench") => program::start(false, async |signals| {
             starlinghill_proxy::program::run_on(cut_net(), signals).await
@@ -68,7 +71,7 @@
         _ => {
             let runtime =
                 tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
-            runtime.block_on(show());
+            runtime.block_on(demo());
             ExitCode::SUCCESS
         }
     }
