--- a/crates/starlinghill-testkit/examples/failover.rs
+++ b/crates/starlinghill-testkit/examples/failover.rs
@@ -320,10 +320,10 @@
                     let Some(scenario) = next else { return };
                     let program = program.clone();
                     // Spawned, as `block_in_place` works only on a worker thread of the runtime.
-                    let played =
+                    let result =
                         runtime.block_on(async { tokio::spawn(run_scenario(program, scenario)).await });
-                    let played = played.unwrap_or_else(|e| Err(e.to_string()));
-                    done.lock().unwrap_or_else(PoisonError::into_inner).push(played);
+                    let result = result.unwrap_or_else(|e| Err(e.to_string()));
+                    done.lock().unwrap_or_else(PoisonError::into_inner).push(result);
                 }
             });
         }
