--- a/crates/starlinghill-control/src/lib.rs
+++ b/crates/starlinghill-control/src/lib.rs
@@ -12,8 +12,8 @@
 use starlinghill_gateway::discovery::{self, Follower, Source};
 use starlinghill_operator_config::{Control, Group, Problem, Quotas};
 use starlinghill_settings::NamedSettings;
-use starlinghill_xds::hub::{self, Hub, News};
-use starlinghill_xds::resources::{QuotaWiring, Wiring};
+use starlinghill_xds::hub::{self, Hub, Update};
+use starlinghill_xds::resources::{QuotaFilterSettings, ResourceSettings};
 use starlinghill_xds::server::{Limits, Service};
 use std::collections::BTreeSet;
 use std::fmt;
@@ -135,8 +135,8 @@
 }
 
 /// What the hub is told of the operators' section.
-pub fn plan(control: &Control, group: Option<&Group>) -> hub::Plan {
-    let quotas = |q: &Quotas| QuotaWiring {
+pub fn plan(control: &Control, group: Option<&Group>) -> hub::OperatorConfig {
+    let quotas = |q: &Quotas| QuotaFilterSettings {
         cluster: q.cluster.clone(),
         customer_header: q.customer_header.clone(),
         plan_header: q.plan_header.clone(),
@@ -154,12 +154,12 @@
         };
         zones.map(|(name, zone)| (name.clone(), place(zone))).collect()
     });
-    hub::Plan {
-        places: places.unwrap_or_default(),
+    hub::OperatorConfig {
+        locations: places.unwrap_or_default(),
         proxies: control.proxies.iter().map(proxy).collect(),
-        wiring: Wiring {
+        resource_settings: ResourceSettings {
             connect_timeout: micros(control.connect_timeout),
-            attempts_out: control.attempts_out,
+            attempts_per_endpoint: control.attempts_out,
             quotas: control.quotas.as_ref().map(quotas),
         },
     }
@@ -199,19 +199,23 @@
     let (runner, hub) = hub::new(seed, site, plan(&control, group.as_ref()), lease(&control), plans)
         .map_err(StartError::Settings)?;
     let (upstreams, followed) = watch::channel(upstreams);
-    follow(followed, hub.news.clone()).map_err(StartError::Thread)?;
+    follow(followed, hub.updates.clone()).map_err(StartError::Thread)?;
     let mut renew = None;
     if let Some(group) = group {
         let name = format!("control-{}", address.port());
         let following = group_follower::begin(&group, &name, "", None).map_err(StartError::Group)?;
-        tokio::spawn(tell_zones(following.parts, hub.news.clone()));
+        tokio::spawn(tell_zones(following.parts, hub.updates.clone()));
         renew = Some(following.renew);
     }
     let running = tokio::spawn(runner.run());
     let (stop, stopping) = watch::channel(false);
     let l = control.limits;
-    let limits =
-        Limits { connections: l.connections, streams: l.streams, names: l.names, message: l.message };
+    let limits = Limits {
+        connections: l.connections,
+        streams: l.streams,
+        names_per_kind: l.names,
+        message_bytes: l.message,
+    };
     let service = Service::new(hub.clone(), limits, seed, stopping);
     let serving = tokio::spawn(service.serve(listener, tls));
     info!(proxies = control.proxies.len(), %address, "listening");
@@ -221,11 +225,11 @@
 /// Tells the hub the parts of zones, as gateways are told them.
 async fn tell_zones(
     mut parts: watch::Receiver<starlinghill_gateway::ZoneParts>,
-    news: tokio::sync::mpsc::Sender<News>,
+    news: tokio::sync::mpsc::Sender<Update>,
 ) {
     loop {
         let now = parts.borrow_and_update().clone();
-        if news.send(News::Zones(now)).await.is_err() {
+        if news.send(Update::ZoneShares(now)).await.is_err() {
             return;
         }
         tokio::select! {
@@ -238,7 +242,7 @@
 /// Follows discovery on a thread of its own: the gateway's client of it is made for one thread.
 fn follow(
     upstreams: watch::Receiver<Upstreams>,
-    news: tokio::sync::mpsc::Sender<News>,
+    news: tokio::sync::mpsc::Sender<Update>,
 ) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("discovery".into()).spawn(move || {
@@ -273,7 +277,7 @@
             None => {}
         }
         self.upstreams.send_replace(prepared.upstreams);
-        if self.hub.news.send(News::Plan(plan(&new, prepared.group.as_ref()))).await.is_ok() {
+        if self.hub.updates.send(Update::OperatorConfig(plan(&new, prepared.group.as_ref()))).await.is_ok() {
             info!(proxies = new.proxies.len(), "the operators' file was read again");
         }
         self.control = new;
--- a/crates/starlinghill-control/src/program.rs
+++ b/crates/starlinghill-control/src/program.rs
@@ -18,9 +18,9 @@
 use starlinghill_operator_config::Problem;
 use starlinghill_settings::members::MemberList;
 use starlinghill_signals::{SignalEvent, Signals};
-use starlinghill_xds::hub::{publish, Clock};
+use starlinghill_xds::hub::{build_published_state, Clock};
 use starlinghill_xds::resources::route_tables;
-use starlinghill_xds::server::contents;
+use starlinghill_xds::server::resource_summaries;
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -130,7 +130,8 @@
     let picture = fleet.snapshot(now).ok_or("discovery told only changes of the list")?;
     let routes = routes(&site);
     let tables = Arc::new(route_tables(&routes));
-    let published = publish(picture.clone(), &plan(&control, group.as_ref()), &tables, None, true);
+    let published =
+        build_published_state(picture.clone(), &plan(&control, group.as_ref()), &tables, None, true);
     let set = published.sets.get(node).ok_or("no resources for this node")?;
     let endpoints = picture.endpoints.iter().map(|e| {
         let usage = match e.usage {
@@ -145,7 +146,7 @@
         json!({"class": r.name, "method": r.method, "timeout_ms": r.timeout.0 / 1000, "retries": r.retries,
             "per_try_ms": r.per_try.map(|t| t.0 / 1000), "retry_on": format!("{:?}", r.retry_on)})
     });
-    let resources = contents(set).into_iter().map(|(kind, name, version, bytes)| {
+    let resources = resource_summaries(set).into_iter().map(|(kind, name, version, bytes)| {
         json!({"kind": kind.to_string(), "name": name, "version": version, "bytes": bytes})
     });
     let all = json!({
--- a/crates/starlinghill-control/tests/hostile.rs
+++ b/crates/starlinghill-control/tests/hostile.rs
@@ -177,13 +177,13 @@
     let published = || running.hub.published.borrow().clone();
     until("the last state", || {
         published().is_some_and(|p| {
-            p.picture.endpoints[0].usage != starlinghill_control_state::fleet::EndpointUse::Healthy
+            p.snapshot.endpoints[0].usage != starlinghill_control_state::fleet::EndpointUse::Healthy
         })
     })
     .await;
     let newest = published().expect("there");
     let version = newest.sets["third"]
-        .get(starlinghill_xds::resources::Kind::Endpoints, "save-nodes")
+        .get(starlinghill_xds::resources::ResourceKind::Endpoints, "save-nodes")
         .expect("there")
         .version
         .clone();
--- a/crates/starlinghill-xds/src/ads.rs
+++ b/crates/starlinghill-xds/src/ads.rs
@@ -12,7 +12,7 @@
 //!   that may name a new cluster goes out before the proxy has accepted that; what is no longer there is taken away last, in the opposite order, and only once the proxy has accepted all that came
 //!   before, so no route it may still be using names a cluster that is gone.
 
-use crate::resources::{Kind, Resource, ResourceSet, KINDS};
+use crate::resources::{Resource, ResourceKind, ResourceSet, RESOURCE_KINDS};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 use std::sync::Arc;
@@ -26,9 +26,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Names subscribed to, for each type.
-    pub names: usize,
+    pub names_per_kind: usize,
     /// Bytes of a name.
-    pub name: usize,
+    pub name_bytes: usize,
 }
 
 /// Why a stream is to be ended.
@@ -37,9 +37,9 @@
     /// A type that is not served.
     UnknownType(String),
     /// Too many names.
-    TooManyNames(Kind, usize),
+    TooManyNames(ResourceKind, usize),
     /// A name that is too long.
-    LongName(Kind, usize),
+    LongName(ResourceKind, usize),
 }
 
 impl fmt::Display for AdsError {
@@ -101,7 +101,7 @@
 #[derive(Debug, Clone)]
 pub struct Response {
     /// Its type.
-    pub kind: Kind,
+    pub kind: ResourceKind,
     /// `version_info` (state-of-the-world) or `system_version_info`.
     pub version: String,
     /// Its nonce.
@@ -118,9 +118,9 @@
     /// Nothing.
     Nothing,
     /// It was accepted.
-    Accepted(Kind),
+    Accepted(ResourceKind),
     /// It was refused: the type, the version sent, and what the proxy says of it.
-    Refused(Kind, String, String),
+    Refused(ResourceKind, String, String),
 }
 
 /// The flavour of a stream.
@@ -203,7 +203,7 @@
     set: Option<Arc<ResourceSet>>,
     /// The proxy has had time to subscribe to all that it uses.
     introduced: bool,
-    subs: [Sub; KINDS.len()],
+    subs: [Sub; RESOURCE_KINDS.len()],
 }
 
 impl Stream {
@@ -215,7 +215,7 @@
 
     /// There are newer resources. Only the newest count.
     pub fn update(&mut self, set: Arc<ResourceSet>) {
-        for (sub, kind) in self.subs.iter_mut().zip(KINDS) {
+        for (sub, kind) in self.subs.iter_mut().zip(RESOURCE_KINDS) {
             believe(sub, kind, &set);
             // What was refused and is no longer to be sent holds nothing up.
             let current =
@@ -233,7 +233,7 @@
 
     /// Takes a request in. After an error the stream is to be ended.
     pub fn request(&mut self, request: Request) -> Result<Heard, AdsError> {
-        let Some(kind) = Kind::of_url(&request.type_url) else {
+        let Some(kind) = ResourceKind::from_type_url(&request.type_url) else {
             return Err(AdsError::UnknownType(request.type_url));
         };
         match request.names {
@@ -246,14 +246,14 @@
         }
     }
 
-    fn check<'a>(&self, kind: Kind, names: impl Iterator<Item = &'a String>) -> Result<(), AdsError> {
+    fn check<'a>(&self, kind: ResourceKind, names: impl Iterator<Item = &'a String>) -> Result<(), AdsError> {
         let limits = self.limits;
         for (n, name) in names.enumerate() {
-            if n >= limits.names {
-                return Err(AdsError::TooManyNames(kind, limits.names));
+            if n >= limits.names_per_kind {
+                return Err(AdsError::TooManyNames(kind, limits.names_per_kind));
             }
-            if name.len() > limits.name {
-                return Err(AdsError::LongName(kind, limits.name));
+            if name.len() > limits.name_bytes {
+                return Err(AdsError::LongName(kind, limits.name_bytes));
             }
         }
         Ok(())
@@ -261,7 +261,7 @@
 
     fn whole(
         &mut self,
-        kind: Kind,
+        kind: ResourceKind,
         nonce: String,
         refused: Option<String>,
         names: Vec<String>,
@@ -283,7 +283,7 @@
             Some(sent) => match refused {
                 Some(problem) => {
                     let version = sent.version.clone();
-                    if kind.sent_whole() {
+                    if kind.is_sent_whole() {
                         sub.refused.insert("".into(), version.clone());
                     }
                     undo(sub, sent);
@@ -299,13 +299,13 @@
         // No name at all, from the first on, means all (for the types that are sent whole); once names were
         // given it means none.
         sub.wildcard = names.iter().any(|n| n == WILDCARD)
-            || kind.sent_whole() && names.is_empty() && (first || was_wildcard && old.is_empty());
+            || kind.is_sent_whole() && names.is_empty() && (first || was_wildcard && old.is_empty());
         sub.names = names.into_iter().filter(|n| n != WILDCARD).collect();
         sub.asked = true;
         let fresh: Vec<String> = sub.names.difference(&old).cloned().collect();
         let changed = sub.wildcard != was_wildcard || sub.names != old;
         if !first && changed {
-            sub.owed |= kind.sent_whole();
+            sub.owed |= kind.is_sent_whole();
             for name in fresh {
                 // Named anew: it may have been dropped meanwhile, so it is sent again.
                 sub.has.remove(name.as_str());
@@ -323,7 +323,7 @@
 
     fn delta(
         &mut self,
-        kind: Kind,
+        kind: ResourceKind,
         nonce: String,
         refused: Option<String>,
         subscribe: Vec<String>,
@@ -334,7 +334,7 @@
         self.check(kind, unsubscribe.iter())?;
         self.check(kind, initial.iter().map(|(name, _)| name))?;
         self.check(kind, initial.iter().map(|(_, version)| version))?;
-        let (most, sub) = (self.limits.names, &mut self.subs[kind as usize]);
+        let (most, sub) = (self.limits.names_per_kind, &mut self.subs[kind as usize]);
         let first = !sub.asked;
         let answered = sub.sent.iter().position(|s| !nonce.is_empty() && s.nonce == nonce);
         let heard = match answered.and_then(|at| sub.sent.remove(at)) {
@@ -350,7 +350,7 @@
         };
         if first {
             sub.asked = true;
-            sub.wildcard = kind.sent_whole() && subscribe.is_empty();
+            sub.wildcard = kind.is_sent_whole() && subscribe.is_empty();
             for (name, version) in initial {
                 sub.has.insert(name.into(), Has::Version(version));
             }
@@ -401,9 +401,9 @@
     pub fn next_response(&mut self) -> Option<Response> {
         let set = self.set.clone()?;
         // Additions and changes first, in order.
-        for kind in KINDS {
+        for kind in RESOURCE_KINDS {
             // Guards against routes to a cluster that the proxy refuses: they wait for its word on new ones.
-            if kind > Kind::Endpoints && self.lacks_clusters(&set) {
+            if kind > ResourceKind::Endpoints && self.lacks_clusters(&set) {
                 return None;
             }
             if let Some(response) = self.add(&set, kind) {
@@ -413,8 +413,8 @@
         // Then what is gone, in the opposite order, once all of that was accepted and nothing refused.
         let quiet =
             self.subs.iter().all(|s| s.sent.is_empty() && s.refused.keys().all(|name| name.is_empty()));
-        if quiet && (self.introduced || self.subs[Kind::Routes as usize].asked) {
-            for kind in KINDS.into_iter().rev() {
+        if quiet && (self.introduced || self.subs[ResourceKind::Routes as usize].asked) {
+            for kind in RESOURCE_KINDS.into_iter().rev() {
                 if let Some(response) = self.remove(&set, kind) {
                     return Some(response);
                 }
@@ -431,7 +431,7 @@
     /// Whether the proxy has, as far as it said, just what it should have.
     pub fn is_settled(&self) -> bool {
         let Some(set) = &self.set else { return false };
-        self.subs.iter().zip(KINDS).all(|(sub, kind)| {
+        self.subs.iter().zip(RESOURCE_KINDS).all(|(sub, kind)| {
             let wanted = listed(set, kind, sub);
             let has = sub.has.values().filter(|h| h.may_be_there()).count();
             let same =
@@ -442,13 +442,13 @@
 
     /// Whether there is a cluster that the proxy did not have before and has not accepted yet.
     fn lacks_clusters(&self, set: &ResourceSet) -> bool {
-        let sub = &self.subs[Kind::Cluster as usize];
+        let sub = &self.subs[ResourceKind::Cluster as usize];
         let had = |has: Option<&Has>| has.and_then(Has::version).is_some();
         let accepted = |r: &Arc<Resource>| {
             let new = |sent: &Sent| sent.names.get(&r.name).is_some_and(|(_, was)| !had(was.as_ref()));
             had(sub.has.get(&r.name)) && !sub.sent.iter().any(new)
         };
-        sub.asked && !listed(set, Kind::Cluster, sub).iter().all(accepted)
+        sub.asked && !listed(set, ResourceKind::Cluster, sub).iter().all(accepted)
     }
 
     fn nonce(&mut self) -> String {
@@ -456,7 +456,7 @@
         format!("{}-{}", self.prefix, self.serial)
     }
 
-    fn add(&mut self, set: &Arc<ResourceSet>, kind: Kind) -> Option<Response> {
+    fn add(&mut self, set: &Arc<ResourceSet>, kind: ResourceKind) -> Option<Response> {
         let sub = &self.subs[kind as usize];
         if !sub.asked {
             return None;
@@ -468,7 +468,7 @@
             sub.again.contains(&*r.name) || !refused && sub.has.get(&r.name).and_then(Has::version) != version
         };
         match self.flavour {
-            Flavour::Whole if kind.sent_whole() => {
+            Flavour::Whole if kind.is_sent_whole() => {
                 let changed = wanted.iter().any(|r| new(&r));
                 if !changed && !sub.owed {
                     return None;
@@ -513,7 +513,7 @@
         }
     }
 
-    fn remove(&mut self, set: &Arc<ResourceSet>, kind: Kind) -> Option<Response> {
+    fn remove(&mut self, set: &Arc<ResourceSet>, kind: ResourceKind) -> Option<Response> {
         let sub = &self.subs[kind as usize];
         let gone: Vec<Arc<str>> = sub
             .has
@@ -525,7 +525,7 @@
             return None;
         }
         match self.flavour {
-            Flavour::Whole if kind.sent_whole() => {
+            Flavour::Whole if kind.is_sent_whole() => {
                 self.subs[kind as usize].has.retain(|name, _| !gone.contains(name));
                 let resources = listed(set, kind, &self.subs[kind as usize]);
                 Some(self.send(kind, resources, Vec::new()))
@@ -541,7 +541,7 @@
         }
     }
 
-    fn send(&mut self, kind: Kind, resources: Vec<Arc<Resource>>, removed: Vec<String>) -> Response {
+    fn send(&mut self, kind: ResourceKind, resources: Vec<Arc<Resource>>, removed: Vec<String>) -> Response {
         let nonce = self.nonce();
         let (flavour, system) = (self.flavour, self.set.as_ref().map(|s| s.version(kind).to_string()));
         let sub = &mut self.subs[kind as usize];
@@ -597,12 +597,12 @@
 /// What a state-of-the-world proxy that came back has, by the version that it claims. Versions are hashes of what
 /// is in a response: one that is the same as what would be sent proves that the proxy has just that, from an
 /// earlier stream or another replica.
-fn believe(sub: &mut Sub, kind: Kind, set: &ResourceSet) {
+fn believe(sub: &mut Sub, kind: ResourceKind, set: &ResourceSet) {
     let Some(claim) = sub.claim.take() else { return };
     let now = listed(set, kind, sub);
     let same = version_of(&now) == claim;
     // Else it may have any of the clusters there were, also some of one state and some of the next.
-    let before = set.past_clusters().filter(|_| kind == Kind::Cluster && sub.wildcard);
+    let before = set.past_clusters().filter(|_| kind == ResourceKind::Cluster && sub.wildcard);
     sub.has = match same {
         true => now.into_iter().map(|r| (r.name.clone(), Has::Resource(r))).collect(),
         false => before.chain(&now).map(|r| (r.name.clone(), Has::Maybe(r.clone()))).collect(),
@@ -611,7 +611,7 @@
 }
 
 /// What a subscription stands for now, by name.
-fn listed(set: &ResourceSet, kind: Kind, sub: &Sub) -> Vec<Arc<Resource>> {
+fn listed(set: &ResourceSet, kind: ResourceKind, sub: &Sub) -> Vec<Arc<Resource>> {
     if sub.wildcard {
         let all = set.all(kind).filter(|r| !r.by_name_only || sub.names.contains(&*r.name));
         return all.cloned().collect();
--- a/crates/starlinghill-xds/src/hub.rs
+++ b/crates/starlinghill-xds/src/hub.rs
@@ -1,7 +1,7 @@
-//! The one owner of the fleet's picture: takes news in, publishes each change once, to all streams at the same
+//! The one owner of the fleet's snapshot: takes update in, publishes each change once, to all streams at the same
 //! moment. Streams take the newest state when they have room, so no slow one keeps others from it.
 
-use crate::resources::{self, Kind, ResourceSet, TypeSet, Wiring, KINDS};
+use crate::resources::{self, ResourceKind, ResourceSet, ResourceSettings, TypeSet, RESOURCE_KINDS};
 use starlinghill_control_state::fleet::{EndpointLocation, EndpointReport, Fleet, FleetSnapshot};
 use starlinghill_control_state::ledger::{LedgerSettings, QuotaLedger};
 use starlinghill_control_state::routes::routes;
@@ -15,7 +15,7 @@
 use tokio::sync::{mpsc, watch};
 use tracing::{info, warn};
 
-/// News that may wait for the hub; whoever has more waits with it.
+/// Update that may wait for the hub; whoever has more waits with it.
 const INBOX: usize = 256;
 /// How often customers that need no keeping are forgotten.
 const SWEEP: Duration = Duration::from_secs(30);
@@ -51,39 +51,39 @@
 
 /// What the operators say.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Plan {
+pub struct OperatorConfig {
     /// The proxies that may connect.
     pub proxies: Vec<Proxy>,
     /// What else resources hold.
-    pub wiring: Wiring,
+    pub resource_settings: ResourceSettings,
     /// The regions of zones, where there is a map of them.
-    pub places: BTreeMap<String, EndpointLocation>,
+    pub locations: BTreeMap<String, EndpointLocation>,
 }
 
 /// What the hub hears.
 #[derive(Debug)]
-pub enum News {
+pub enum Update {
     /// The list of servers, whole or as changes.
     Members(MemberList),
     /// What proxies saw of servers.
-    Observed(Vec<EndpointReport>),
+    EndpointReports(Vec<EndpointReport>),
     /// The parts of their work that zones get from now on, by order of the group.
-    Zones(Vec<(String, ZoneShare)>),
+    ZoneShares(Vec<(String, ZoneShare)>),
     /// The operators changed their minds.
-    Plan(Plan),
+    OperatorConfig(OperatorConfig),
 }
 
-impl From<MemberList> for News {
-    fn from(list: MemberList) -> News {
-        News::Members(list)
+impl From<MemberList> for Update {
+    fn from(list: MemberList) -> Update {
+        Update::Members(list)
     }
 }
 
 /// One consistent state of everything, for all proxies.
 #[derive(Debug)]
-pub struct Published {
+pub struct PublishedState {
     /// The fleet.
-    pub picture: FleetSnapshot,
+    pub snapshot: FleetSnapshot,
     /// What each proxy gets, by node id.
     pub sets: BTreeMap<String, Arc<ResourceSet>>,
 }
@@ -92,19 +92,19 @@
 #[derive(Clone)]
 pub struct Hub {
     /// The way in.
-    pub news: mpsc::Sender<News>,
+    pub updates: mpsc::Sender<Update>,
     /// The newest state; `None` until a whole list has come.
-    pub published: watch::Receiver<Option<Arc<Published>>>,
+    pub published: watch::Receiver<Option<Arc<PublishedState>>>,
     /// The node ids that may connect.
     pub allowed: watch::Receiver<Arc<BTreeMap<String, Option<SocketAddr>>>>,
     /// The clock.
     pub clock: Clock,
     /// Names of plans and classes.
-    pub site: Arc<NamedSettings>,
+    pub settings: Arc<NamedSettings>,
     /// The life and the way of assignments.
-    pub lease: LedgerSettings,
+    pub ledger_settings: LedgerSettings,
     /// The plans of which proxies get slices; of others they let nothing through.
-    pub plans: Arc<BTreeSet<PlanId>>,
+    pub quota_plans: Arc<BTreeSet<PlanId>>,
     ledger: Arc<Mutex<QuotaLedger>>,
 }
 
@@ -124,64 +124,76 @@
 /// The hub itself, to be run.
 pub struct Runner {
     fleet: Fleet,
-    plan: Plan,
+    config: OperatorConfig,
     /// The plan changed since the last publication.
     stale: bool,
     routes: Arc<TypeSet>,
     hub: Hub,
-    inbox: mpsc::Receiver<News>,
-    publish: watch::Sender<Option<Arc<Published>>>,
+    inbox: mpsc::Receiver<Update>,
+    publish: watch::Sender<Option<Arc<PublishedState>>>,
     allow: watch::Sender<Arc<BTreeMap<String, Option<SocketAddr>>>>,
 }
 
-fn allowed(plan: &Plan) -> Arc<BTreeMap<String, Option<SocketAddr>>> {
-    Arc::new(plan.proxies.iter().map(|p| (p.id.clone(), p.listen)).collect())
+fn allowed(config: &OperatorConfig) -> Arc<BTreeMap<String, Option<SocketAddr>>> {
+    Arc::new(config.proxies.iter().map(|p| (p.id.clone(), p.listen)).collect())
 }
 
 /// A hub that knows nothing yet of the fleet.
 pub fn new(
     seed: u64,
-    site: NamedSettings,
-    plan: Plan,
-    lease: LedgerSettings,
-    plans: BTreeSet<PlanId>,
+    settings: NamedSettings,
+    config: OperatorConfig,
+    ledger_settings: LedgerSettings,
+    quota_plans: BTreeSet<PlanId>,
 ) -> Result<(Runner, Hub), SettingsError> {
     let clock = Clock::start();
-    let mut fleet = Fleet::new(seed, site.clone())?;
-    fleet.set_locations(plan.places.clone());
-    let ledger = Arc::new(Mutex::new(QuotaLedger::new(clock.now(), lease, &site.settings)));
-    let (news, inbox) = mpsc::channel(INBOX);
+    let mut fleet = Fleet::new(seed, settings.clone())?;
+    fleet.set_locations(config.locations.clone());
+    let ledger = Arc::new(Mutex::new(QuotaLedger::new(clock.now(), ledger_settings, &settings.settings)));
+    let (updates, inbox) = mpsc::channel(INBOX);
     let (publish, published) = watch::channel(None);
-    let (allow, allowed) = watch::channel(allowed(&plan));
-    let routes = Arc::new(resources::route_tables(&routes(&site)));
-    let hub =
-        Hub { news, published, allowed, clock, site: Arc::new(site), lease, plans: Arc::new(plans), ledger };
-    let runner = Runner { fleet, plan, stale: false, routes, hub: hub.clone(), inbox, publish, allow };
+    let (allow, allowed) = watch::channel(allowed(&config));
+    let routes = Arc::new(resources::route_tables(&routes(&settings)));
+    let hub = Hub {
+        updates,
+        published,
+        allowed,
+        clock,
+        settings: Arc::new(settings),
+        ledger_settings,
+        quota_plans: Arc::new(quota_plans),
+        ledger,
+    };
+    let runner = Runner { fleet, config, stale: false, routes, hub: hub.clone(), inbox, publish, allow };
     Ok((runner, hub))
 }
 
-/// What each proxy gets of a picture. The parts that all share are made once; listeners depend on the plan alone,
+/// What each proxy gets of a snapshot. The parts that all share are made once; listeners depend on the plan alone,
 /// and those of `old` serve again unless the plan changed (`stale`).
-pub fn publish(
-    picture: FleetSnapshot,
-    plan: &Plan,
+pub fn build_published_state(
+    snapshot: FleetSnapshot,
+    config: &OperatorConfig,
     routes: &Arc<TypeSet>,
-    old: Option<&Published>,
+    old: Option<&PublishedState>,
     stale: bool,
-) -> Published {
-    let clusters = Arc::new(resources::clusters(&plan.wiring, picture.endpoints.len(), plan.proxies.len()));
-    let endpoints = Arc::new(resources::endpoints(&picture));
+) -> PublishedState {
+    let clusters = Arc::new(resources::clusters(
+        &config.resource_settings,
+        snapshot.endpoints.len(),
+        config.proxies.len(),
+    ));
+    let endpoints = Arc::new(resources::endpoints(&snapshot));
     let of = |proxy: &Proxy| {
         let before = old.and_then(|old| old.sets.get(&proxy.id));
         let listeners = match before.filter(|_| !stale) {
-            Some(before) => before.of(Kind::Listener),
-            None => Arc::new(resources::listeners(&proxy.id, proxy.listen, &plan.wiring)),
+            Some(before) => before.of(ResourceKind::Listener),
+            None => Arc::new(resources::listeners(&proxy.id, proxy.listen, &config.resource_settings)),
         };
-        let types = KINDS.map(|kind| match kind {
-            Kind::Cluster => clusters.clone(),
-            Kind::Endpoints => endpoints.clone(),
-            Kind::Listener => listeners.clone(),
-            Kind::Routes => routes.clone(),
+        let types = RESOURCE_KINDS.map(|kind| match kind {
+            ResourceKind::Cluster => clusters.clone(),
+            ResourceKind::Endpoints => endpoints.clone(),
+            ResourceKind::Listener => listeners.clone(),
+            ResourceKind::Routes => routes.clone(),
         });
         let new = ResourceSet::new(types);
         let new = match before {
@@ -190,12 +202,12 @@
         };
         (proxy.id.clone(), Arc::new(new))
     };
-    let sets = plan.proxies.iter().map(of).collect();
-    Published { picture, sets }
+    let sets = config.proxies.iter().map(of).collect();
+    PublishedState { snapshot, sets }
 }
 
 impl Runner {
-    /// Runs for ever; ends when nobody can send news any more.
+    /// Runs for ever; ends when nobody can send update any more.
     pub async fn run(mut self) {
         let mut sweep = tokio::time::interval(SWEEP);
         // The runner's own copy of the way in keeps it alive as long as it runs.
@@ -205,12 +217,12 @@
             let wait = next.map_or(Duration::from_secs(3600), |at| Duration::from_micros((at - now).0 + 1));
             tokio::select! {
                 biased;
-                news = self.inbox.recv() => match news {
-                    Some(news) => {
-                        self.take(news);
+                update = self.inbox.recv() => match update {
+                    Some(update) => {
+                        self.take(update);
                         // What has come meanwhile goes out as one change.
-                        while let Ok(news) = self.inbox.try_recv() {
-                            self.take(news);
+                        while let Ok(update) = self.inbox.try_recv() {
+                            self.take(update);
                         }
                         self.publish();
                     }
@@ -222,35 +234,35 @@
         }
     }
 
-    fn take(&mut self, news: News) {
+    fn take(&mut self, update: Update) {
         let now = self.hub.clock.now();
-        match news {
-            News::Members(list) => {
+        match update {
+            Update::Members(list) => {
                 let (revision, complete, members) = (list.revision, list.complete, list.members.len());
                 match self.fleet.apply_list(now, list) {
                     Ok(()) => info!(revision, complete, members, "the list of servers"),
                     Err(problem) => warn!(revision, %problem, "the list of servers can't be used"),
                 }
             }
-            News::Observed(seen) => seen.into_iter().for_each(|seen| {
+            Update::EndpointReports(seen) => seen.into_iter().for_each(|seen| {
                 self.fleet.apply_report(now, seen);
             }),
-            News::Zones(parts) => self.fleet.set_zone_shares(parts),
-            News::Plan(plan) => {
-                self.allow.send_replace(allowed(&plan));
-                self.fleet.set_locations(plan.places.clone());
-                (self.plan, self.stale) = (plan, true);
+            Update::ZoneShares(parts) => self.fleet.set_zone_shares(parts),
+            Update::OperatorConfig(config) => {
+                self.allow.send_replace(allowed(&config));
+                self.fleet.set_locations(config.locations.clone());
+                (self.config, self.stale) = (config, true);
             }
         }
     }
 
     fn publish(&mut self) {
-        let Some(picture) = self.fleet.snapshot(self.hub.clock.now()) else { return };
+        let Some(snapshot) = self.fleet.snapshot(self.hub.clock.now()) else { return };
         let old = self.publish.borrow().clone();
-        let same = old.as_ref().is_some_and(|old| old.picture == picture);
+        let same = old.as_ref().is_some_and(|old| old.snapshot == snapshot);
         let stale = std::mem::take(&mut self.stale);
         if !same || stale {
-            let new = publish(picture, &self.plan, &self.routes, old.as_deref(), stale);
+            let new = build_published_state(snapshot, &self.config, &self.routes, old.as_deref(), stale);
             self.publish.send_replace(Some(Arc::new(new)));
         }
     }
--- a/crates/starlinghill-xds/src/resources.rs
+++ b/crates/starlinghill-xds/src/resources.rs
@@ -1,4 +1,4 @@
-//! The picture of the fleet and the routes as xDS resources. Encoding is the same, byte for byte, in every
+//! The snapshot of the fleet and the routes as xDS resources. Encoding is the same, byte for byte, in every
 //! process: versions are hashes of it, so a proxy may go from one replica of the service to another.
 
 use envoy_types::pb::envoy::config::cluster::v3 as cluster;
@@ -46,7 +46,7 @@
 
 /// The types that are served, in the order in which additions go out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum ResourceKind {
     /// `envoy.config.cluster.v3.Cluster` (CDS).
     Cluster,
     /// `envoy.config.endpoint.v3.ClusterLoadAssignment` (EDS).
@@ -58,35 +58,36 @@
 }
 
 /// All kinds, in the order in which additions go out.
-pub const KINDS: [Kind; 4] = [Kind::Cluster, Kind::Endpoints, Kind::Listener, Kind::Routes];
+pub const RESOURCE_KINDS: [ResourceKind; 4] =
+    [ResourceKind::Cluster, ResourceKind::Endpoints, ResourceKind::Listener, ResourceKind::Routes];
 
-impl Kind {
+impl ResourceKind {
     /// Its type URL.
-    pub fn url(self) -> String {
+    pub fn type_url(self) -> String {
         match self {
-            Kind::Cluster => cluster::Cluster::type_url(),
-            Kind::Endpoints => endpoint::ClusterLoadAssignment::type_url(),
-            Kind::Listener => listener::Listener::type_url(),
-            Kind::Routes => route::RouteConfiguration::type_url(),
+            ResourceKind::Cluster => cluster::Cluster::type_url(),
+            ResourceKind::Endpoints => endpoint::ClusterLoadAssignment::type_url(),
+            ResourceKind::Listener => listener::Listener::type_url(),
+            ResourceKind::Routes => route::RouteConfiguration::type_url(),
         }
     }
     /// The kind of a type URL.
-    pub fn of_url(url: &str) -> Option<Kind> {
-        KINDS.into_iter().find(|kind| kind.url() == url)
+    pub fn from_type_url(url: &str) -> Option<ResourceKind> {
+        RESOURCE_KINDS.into_iter().find(|kind| kind.type_url() == url)
     }
     /// State-of-the-world responses hold all resources of this type, and a wildcard may be subscribed to.
-    pub fn sent_whole(self) -> bool {
-        matches!(self, Kind::Cluster | Kind::Listener)
+    pub fn is_sent_whole(self) -> bool {
+        matches!(self, ResourceKind::Cluster | ResourceKind::Listener)
     }
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for ResourceKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Kind::Cluster => "clusters",
-            Kind::Endpoints => "endpoints",
-            Kind::Listener => "listeners",
-            Kind::Routes => "routes",
+            ResourceKind::Cluster => "clusters",
+            ResourceKind::Endpoints => "endpoints",
+            ResourceKind::Listener => "listeners",
+            ResourceKind::Routes => "routes",
         })
     }
 }
@@ -106,12 +107,12 @@
 
 impl Resource {
     /// A resource of these bytes.
-    pub fn new(kind: Kind, name: &str, value: Vec<u8>) -> Resource {
+    pub fn new(kind: ResourceKind, name: &str, value: Vec<u8>) -> Resource {
         let version = hash([value.as_slice()]);
         Resource {
             name: name.into(),
             version,
-            body: Any { type_url: kind.url(), value },
+            body: Any { type_url: kind.type_url(), value },
             by_name_only: false,
         }
     }
@@ -146,22 +147,22 @@
 /// One consistent state of everything that a proxy is told.
 #[derive(Debug, Default, PartialEq)]
 pub struct ResourceSet {
-    types: [Arc<TypeSet>; KINDS.len()],
+    types: [Arc<TypeSet>; RESOURCE_KINDS.len()],
     /// The clusters of states before, oldest first.
     past: Vec<Arc<TypeSet>>,
 }
 
 impl ResourceSet {
-    /// A set of these, in the order of [`KINDS`].
-    pub fn new(types: [Arc<TypeSet>; KINDS.len()]) -> ResourceSet {
+    /// A set of these, in the order of [`RESOURCE_KINDS`].
+    pub fn new(types: [Arc<TypeSet>; RESOURCE_KINDS.len()]) -> ResourceSet {
         ResourceSet { types, past: Vec::new() }
     }
     /// The state that follows `old`. A state-of-the-world proxy that comes back says of its clusters only a
     /// version: by those of before it is known what it may have, so that what is gone is taken away last.
     pub fn after(mut self, old: &ResourceSet) -> ResourceSet {
         self.past = old.past.clone();
-        if old.version(Kind::Cluster) != self.version(Kind::Cluster) {
-            self.past.push(old.of(Kind::Cluster));
+        if old.version(ResourceKind::Cluster) != self.version(ResourceKind::Cluster) {
+            self.past.push(old.of(ResourceKind::Cluster));
         }
         let over = self.past.len().saturating_sub(MOST_PAST);
         self.past.drain(..over);
@@ -172,26 +173,26 @@
         self.past.iter().flat_map(|set| set.by_name.values())
     }
     /// The resource of a name.
-    pub fn get(&self, kind: Kind, name: &str) -> Option<&Arc<Resource>> {
+    pub fn get(&self, kind: ResourceKind, name: &str) -> Option<&Arc<Resource>> {
         self.types[kind as usize].by_name.get(name)
     }
     /// All of a type, by name.
-    pub fn all(&self, kind: Kind) -> impl Iterator<Item = &Arc<Resource>> {
+    pub fn all(&self, kind: ResourceKind) -> impl Iterator<Item = &Arc<Resource>> {
         self.types[kind as usize].by_name.values()
     }
     /// The version of all of a type.
-    pub fn version(&self, kind: Kind) -> &str {
+    pub fn version(&self, kind: ResourceKind) -> &str {
         &self.types[kind as usize].version
     }
     /// All of a type, to be shared with another set.
-    pub fn of(&self, kind: Kind) -> Arc<TypeSet> {
+    pub fn of(&self, kind: ResourceKind) -> Arc<TypeSet> {
         self.types[kind as usize].clone()
     }
 }
 
 /// How proxies reach this service's quotas, and how they know whose a request is.
 #[derive(Debug, Clone, PartialEq)]
-pub struct QuotaWiring {
+pub struct QuotaFilterSettings {
     /// The cluster, in the proxies' bootstrap, by which they reach this service.
     pub cluster: String,
     /// The header that holds the customer's number, 16 hex digits.
@@ -204,16 +205,16 @@
     pub interval: Micros,
 }
 
-/// What the resources hold beside the picture and the routes.
+/// What the resources hold beside the snapshot and the routes.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wiring {
+pub struct ResourceSettings {
     /// A connection to a save node must be made within this.
     pub connect_timeout: Micros,
     /// Attempts that one proxy may have out at each save node, as its circuit breaker counts them; `None`: its
     /// part of what the module lets all gateways together have out where learning starts.
-    pub attempts_out: Option<u32>,
+    pub attempts_per_endpoint: Option<u32>,
     /// The quotas, if proxies are to keep them.
-    pub quotas: Option<QuotaWiring>,
+    pub quotas: Option<QuotaFilterSettings>,
 }
 
 fn span(micros: Micros) -> Option<Duration> {
@@ -250,11 +251,11 @@
 }
 
 /// The cluster of the save nodes: endpoints over this stream, the module's retry budget, bounds and ejection.
-pub fn clusters(wiring: &Wiring, endpoints: usize, proxies: usize) -> TypeSet {
+pub fn clusters(wiring: &ResourceSettings, endpoints: usize, proxies: usize) -> TypeSet {
     // By powers of two: each change is a message to every proxy.
     let endpoints = (endpoints as u32).max(1).next_power_of_two();
     let out =
-        match wiring.attempts_out {
+        match wiring.attempts_per_endpoint {
             Some(each) => each.saturating_mul(endpoints),
             None => (POLICY_CONSTANTS.initial_fleet_limit * f64::from(endpoints) / (proxies.max(1) as f64))
                 .ceil() as u32,
@@ -316,17 +317,17 @@
         }),
         ..Default::default()
     };
-    TypeSet::new([Resource::new(Kind::Cluster, SAVE_NODES, message.encode_to_vec())])
+    TypeSet::new([Resource::new(ResourceKind::Cluster, SAVE_NODES, message.encode_to_vec())])
 }
 
 /// In percent of a priority's healthy servers: one in ten thousand bears all of its work.
 const NOTHING_ELSE: u32 = 1_000_000;
 
 /// The endpoints, by locality.
-pub fn endpoints(picture: &FleetSnapshot) -> TypeSet {
-    let full = picture.endpoints.iter().map(|e| e.weight).max().unwrap_or(1);
+pub fn endpoints(snapshot: &FleetSnapshot) -> TypeSet {
+    let full = snapshot.endpoints.iter().map(|e| e.weight).max().unwrap_or(1);
     let mut localities: BTreeMap<(u32, &str, &str, String), Vec<&Endpoint>> = BTreeMap::new();
-    for e in &picture.endpoints {
+    for e in &snapshot.endpoints {
         // gRPC clients weigh localities, not endpoints: what warms up or is on trial has one of its own.
         let lesser = e.usage == EndpointUse::Healthy && e.weight < full / 2;
         let sub = if lesser { format!("{LESSER}{}", e.id) } else { String::new() };
@@ -347,13 +348,13 @@
     let drop = endpoint::cluster_load_assignment::policy::DropOverload {
         category: "warming".into(),
         drop_percentage: Some(envoy_type::FractionalPercent {
-            numerator: picture.drop_per_10000,
+            numerator: snapshot.drop_per_10000,
             denominator: envoy_type::fractional_percent::DenominatorType::TenThousand as i32,
         }),
     };
-    let stands_in = picture.endpoints.iter().any(|e| e.priority > 0);
+    let stands_in = snapshot.endpoints.iter().any(|e| e.priority > 0);
     let policy = endpoint::cluster_load_assignment::Policy {
-        drop_overloads: if picture.drop_per_10000 > 0 { vec![drop] } else { Vec::new() },
+        drop_overloads: if snapshot.drop_per_10000 > 0 { vec![drop] } else { Vec::new() },
         // By itself a proxy moves work on as soon as three in ten of a priority's servers can't serve. What stands in
         // is out by an order: it serves only where nothing else can.
         overprovisioning_factor: if stands_in { number(NOTHING_ELSE) } else { None },
@@ -362,10 +363,10 @@
     let message = endpoint::ClusterLoadAssignment {
         cluster_name: SAVE_NODES.into(),
         endpoints: groups.collect(),
-        policy: (picture.drop_per_10000 > 0 || stands_in).then_some(policy),
+        policy: (snapshot.drop_per_10000 > 0 || stands_in).then_some(policy),
         ..Default::default()
     };
-    TypeSet::new([Resource::new(Kind::Endpoints, SAVE_NODES, message.encode_to_vec())])
+    TypeSet::new([Resource::new(ResourceKind::Endpoints, SAVE_NODES, message.encode_to_vec())])
 }
 
 /// Where an endpoint's metadata holds the server's id: filter and key.
@@ -415,7 +416,7 @@
         };
         let message =
             route::RouteConfiguration { name: name.into(), virtual_hosts: vec![host], ..Default::default() };
-        Resource::new(Kind::Routes, name, message.encode_to_vec())
+        Resource::new(ResourceKind::Routes, name, message.encode_to_vec())
     };
     TypeSet::new([table(HTTP_ROUTES, false), table(GRPC_ROUTES, true)])
 }
@@ -490,7 +491,7 @@
 }
 
 /// The listeners of one node: the one that gRPC clients name, and, if it has an address, an HTTP one.
-pub fn listeners(node: &str, listen: Option<SocketAddr>, wiring: &Wiring) -> TypeSet {
+pub fn listeners(node: &str, listen: Option<SocketAddr>, wiring: &ResourceSettings) -> TypeSet {
     let manager = |routes: &str, filters: Vec<hcm::HttpFilter>| hcm::HttpConnectionManager {
         stat_prefix: "starlinghill".into(),
         route_specifier: Some(hcm::http_connection_manager::RouteSpecifier::Rds(hcm::Rds {
@@ -514,7 +515,7 @@
     };
     let mut list = vec![Resource {
         by_name_only: true,
-        ..Resource::new(Kind::Listener, GRPC_LISTENER, grpc.encode_to_vec())
+        ..Resource::new(ResourceKind::Listener, GRPC_LISTENER, grpc.encode_to_vec())
     }];
     if let Some(at) = listen {
         let mut filters: Vec<hcm::HttpFilter> =
@@ -536,13 +537,13 @@
             filter_chains: vec![chain],
             ..Default::default()
         };
-        list.push(Resource::new(Kind::Listener, HTTP_LISTENER, http.encode_to_vec()));
+        list.push(Resource::new(ResourceKind::Listener, HTTP_LISTENER, http.encode_to_vec()));
     }
     TypeSet::new(list)
 }
 
 /// The filter that keeps slices of quotas (`envoy.filters.http.rate_limit_quota`).
-fn quota_filter(node: &str, wiring: &QuotaWiring) -> hcm::HttpFilter {
+fn quota_filter(node: &str, wiring: &QuotaFilterSettings) -> hcm::HttpFilter {
     let deny = envoy_type::RateLimitStrategy {
         strategy: Some(envoy_type::rate_limit_strategy::Strategy::BlanketRule(
             envoy_type::rate_limit_strategy::BlanketRule::DenyAll as i32,
--- a/crates/starlinghill-xds/src/server.rs
+++ b/crates/starlinghill-xds/src/server.rs
@@ -3,8 +3,8 @@
 //! and never choose.
 
 use crate::ads::{self, Flavour, Heard, Names, Stream as AdsStream};
-use crate::hub::{Hub, News, Published};
-use crate::resources::{Kind, DOMAIN, NODE_KEY, SAVE_NODES};
+use crate::hub::{Hub, PublishedState, Update};
+use crate::resources::{ResourceKind, DOMAIN, NODE_KEY, SAVE_NODES};
 use envoy_types::pb::envoy::config::core::v3::address::Address;
 use envoy_types::pb::envoy::config::core::v3::socket_address::PortSpecifier;
 use envoy_types::pb::envoy::config::core::v3::Node;
@@ -65,14 +65,14 @@
     /// Streams of all kinds together.
     pub streams: usize,
     /// Names subscribed to on one stream, for each type.
-    pub names: usize,
+    pub names_per_kind: usize,
     /// Bytes of one message from a client.
-    pub message: usize,
+    pub message_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { connections: 2_048, streams: 4_096, names: 1_024, message: 1 << 20 }
+        Limits { connections: 2_048, streams: 4_096, names_per_kind: 1_024, message_bytes: 1 << 20 }
     }
 }
 
@@ -102,11 +102,11 @@
         listener: TcpListener,
         tls: Option<ServerTlsConfig>,
     ) -> Result<(), tonic::transport::Error> {
-        let (most, mut stopping) = (self.limits.message, self.stopping.clone());
+        let (most, mut stopping) = (self.limits.message_bytes, self.stopping.clone());
         let incoming = Incoming {
             listener,
             places: Arc::new(Semaphore::new(self.limits.connections)),
-            allowance: Duration::from_micros(self.hub.lease.allowance.0),
+            allowance: Duration::from_micros(self.hub.ledger_settings.allowance.0),
             waiting: None,
             pause: None,
         };
@@ -195,7 +195,7 @@
         discovery::DiscoveryResponse {
             version_info: response.version,
             resources: response.resources.iter().map(|r| r.body.clone()).collect(),
-            type_url: response.kind.url(),
+            type_url: response.kind.type_url(),
             nonce: response.nonce,
             ..Default::default()
         }
@@ -229,7 +229,7 @@
         discovery::DeltaDiscoveryResponse {
             system_version_info: response.version,
             resources: resources.collect(),
-            type_url: response.kind.url(),
+            type_url: response.kind.type_url(),
             removed_resources: response.removed,
             nonce: response.nonce,
             ..Default::default()
@@ -270,10 +270,10 @@
         let node = node.map(|node| node.id).unwrap_or_default();
         self.admit(&node)?;
         let serial = self.serial.fetch_add(1, Ordering::Relaxed);
-        let limits = ads::Limits { names: self.limits.names, name: 512 };
+        let limits = ads::Limits { names_per_kind: self.limits.names_per_kind, name_bytes: 512 };
         let mut stream = AdsStream::new(W::FLAVOUR, format!("{:x}-{serial:x}", self.life), limits);
         let mut published = self.hub.published.clone();
-        let set = |published: &mut watch::Receiver<Option<Arc<Published>>>| {
+        let set = |published: &mut watch::Receiver<Option<Arc<PublishedState>>>| {
             let newest = published.borrow_and_update().clone();
             newest.and_then(|newest| newest.sets.get(&node).cloned())
         };
@@ -410,7 +410,9 @@
                     let localities = stats.flat_map(|c| &c.upstream_locality_stats);
                     let seen: Vec<EndpointReport> =
                         localities.flat_map(|l| &l.upstream_endpoint_stats).filter_map(observed).collect();
-                    if !seen.is_empty() && service.hub.news.send(News::Observed(seen)).await.is_err() {
+                    if !seen.is_empty()
+                        && service.hub.updates.send(Update::EndpointReports(seen)).await.is_err()
+                    {
                         return Ok(());
                     }
                     match inbound.message().await? {
@@ -437,8 +439,8 @@
 fn bucket(hub: &Hub, id: &rlqs::BucketId) -> Option<BucketKey> {
     let customer = id.bucket.get("customer").filter(|c| c.len() == 16)?;
     let customer = u64::from_str_radix(customer, 16).ok().filter(|c| *c < CUSTOMERS)?;
-    let plan = hub.site.plans.get(id.bucket.get("plan")?).map(|&i| PlanId(i));
-    let plan = plan.filter(|plan| hub.plans.contains(plan))?;
+    let plan = hub.settings.plans.get(id.bucket.get("plan")?).map(|&i| PlanId(i));
+    let plan = plan.filter(|plan| hub.quota_plans.contains(plan))?;
     let units = id.bucket.get("units")?.parse().ok()?;
     Some(BucketKey { customer: CustomerId(customer), plan, units })
 }
@@ -531,7 +533,7 @@
                     // A client's headers may say anything; its requests are turned away, others go on.
                     Some(Err(_)) | None => {
                         bad += 1;
-                        Assignment::Deny { lifetime: self.hub.lease.lease }
+                        Assignment::Deny { lifetime: self.hub.ledger_settings.lease }
                     }
                 };
                 actions.extend(action(id, told));
@@ -560,7 +562,7 @@
         let (tx, rx) = mpsc::channel(1);
         let (end, ended) = mpsc::channel(1);
         let (service, mut inbound) = (self.clone(), request.into_inner());
-        let allowance = Duration::from_micros(self.hub.lease.allowance.0);
+        let allowance = Duration::from_micros(self.hub.ledger_settings.allowance.0);
         tokio::spawn(async move {
             let _place = place;
             let problem = tokio::select! {
@@ -674,8 +676,8 @@
 }
 
 /// The kinds that a node's set holds, for people to read: type, name, version and size in bytes.
-pub fn contents(set: &crate::resources::ResourceSet) -> Vec<(Kind, String, String, usize)> {
-    let kinds = crate::resources::KINDS.into_iter();
+pub fn resource_summaries(set: &crate::resources::ResourceSet) -> Vec<(ResourceKind, String, String, usize)> {
+    let kinds = crate::resources::RESOURCE_KINDS.into_iter();
     let all = kinds.flat_map(|kind| set.all(kind).map(move |r| (kind, r)));
     all.map(|(kind, r)| (kind, r.name.to_string(), r.version.clone(), r.body.value.len())).collect()
 }
--- a/crates/starlinghill-xds/tests/ads.rs
+++ b/crates/starlinghill-xds/tests/ads.rs
@@ -5,14 +5,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use starlinghill_xds::ads::*;
-use starlinghill_xds::resources::{Kind, Resource, ResourceSet, TypeSet, KINDS};
+use starlinghill_xds::resources::{Resource, ResourceKind, ResourceSet, TypeSet, RESOURCE_KINDS};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-const LIMITS: Limits = Limits { names: 20, name: 32 };
+const LIMITS: Limits = Limits { names_per_kind: 20, name_bytes: 32 };
 
 /// What resources hold here: clusters their name and edition, listeners the routes' name, routes the clusters'.
-fn resource(kind: Kind, name: &str, text: &str) -> Resource {
+fn resource(kind: ResourceKind, name: &str, text: &str) -> Resource {
     Resource::new(kind, name, text.as_bytes().to_vec())
 }
 
@@ -27,14 +27,15 @@
 
 fn plain(edition: u32, clusters: &BTreeSet<u8>) -> ResourceSet {
     let name = |c: &u8| format!("c{c}");
-    let of = |kind: Kind| clusters.iter().map(move |c| resource(kind, &name(c), &format!("{edition}")));
+    let of =
+        |kind: ResourceKind| clusters.iter().map(move |c| resource(kind, &name(c), &format!("{edition}")));
     let used: Vec<String> = clusters.iter().map(name).collect();
     let routes = format!("{edition} {}", used.join(" "));
     ResourceSet::new([
-        Arc::new(TypeSet::new(of(Kind::Cluster))),
-        Arc::new(TypeSet::new(of(Kind::Endpoints))),
-        Arc::new(TypeSet::new([resource(Kind::Listener, "l", &format!("{edition} r"))])),
-        Arc::new(TypeSet::new([resource(Kind::Routes, "r", &routes)])),
+        Arc::new(TypeSet::new(of(ResourceKind::Cluster))),
+        Arc::new(TypeSet::new(of(ResourceKind::Endpoints))),
+        Arc::new(TypeSet::new([resource(ResourceKind::Listener, "l", &format!("{edition} r"))])),
+        Arc::new(TypeSet::new([resource(ResourceKind::Routes, "r", &routes)])),
     ])
 }
 
@@ -62,36 +63,38 @@
     /// A new stream: what it has stays, nonces do not.
     fn reconnect(&mut self) -> Vec<Request> {
         (self.first, self.asked) = ([true; 4], Default::default());
-        let mut requests: Vec<Request> =
-            [Kind::Cluster, Kind::Listener].into_iter().map(|kind| self.subscribe(kind)).collect();
+        let mut requests: Vec<Request> = [ResourceKind::Cluster, ResourceKind::Listener]
+            .into_iter()
+            .map(|kind| self.subscribe(kind))
+            .collect();
         requests.extend(self.names_wanted());
         requests
     }
-    fn wanted(&self, kind: Kind) -> BTreeSet<String> {
+    fn wanted(&self, kind: ResourceKind) -> BTreeSet<String> {
         let routes = |t: &str| t.split(' ').nth(1).map(str::to_string);
         match kind {
-            Kind::Endpoints => self.has[0].keys().cloned().collect(),
-            Kind::Routes => self.has[2].values().filter_map(|(_, t)| routes(t)).collect(),
+            ResourceKind::Endpoints => self.has[0].keys().cloned().collect(),
+            ResourceKind::Routes => self.has[2].values().filter_map(|(_, t)| routes(t)).collect(),
             _ => BTreeSet::new(),
         }
     }
     /// Requests for names that changed.
     fn names_wanted(&mut self) -> Vec<Request> {
         let mut requests = Vec::new();
-        for kind in [Kind::Endpoints, Kind::Routes] {
+        for kind in [ResourceKind::Endpoints, ResourceKind::Routes] {
             if self.wanted(kind) != self.asked[kind as usize] {
                 requests.push(self.subscribe(kind));
             }
         }
         requests
     }
-    fn subscribe(&mut self, kind: Kind) -> Request {
+    fn subscribe(&mut self, kind: ResourceKind) -> Request {
         let i = kind as usize;
         let wanted = self.wanted(kind);
         let old = std::mem::replace(&mut self.asked[i], wanted.clone());
         let first = std::mem::take(&mut self.first[i]);
         // What it no longer asks for it forgets.
-        if !kind.sent_whole() {
+        if !kind.is_sent_whole() {
             self.has[i].retain(|name, _| wanted.contains(name));
         }
         let names = match self.flavour {
@@ -110,7 +113,7 @@
         // An incremental request that only changes the subscription carries no nonce.
         let named = !first && self.flavour == Flavour::Whole;
         let nonce = if named { self.nonce[i].clone() } else { String::new() };
-        Request { type_url: kind.url(), nonce, refused: None, names }
+        Request { type_url: kind.type_url(), nonce, refused: None, names }
     }
     /// Takes a response in, or refuses it; returns what it says to that.
     fn take(&mut self, response: &Response, refuse: bool) -> Vec<Request> {
@@ -118,7 +121,7 @@
         let i = kind as usize;
         self.nonce[i] = response.nonce.clone();
         if !refuse {
-            if self.flavour == Flavour::Whole && kind.sent_whole() {
+            if self.flavour == Flavour::Whole && kind.is_sent_whole() {
                 self.has[i].clear();
             }
             for r in &response.resources {
@@ -137,7 +140,8 @@
             Flavour::Delta => Names::Delta { subscribe: vec![], unsubscribe: vec![], initial: vec![] },
         };
         let refused = refuse.then(|| "no".to_string());
-        let mut said = vec![Request { type_url: kind.url(), nonce: response.nonce.clone(), refused, names }];
+        let mut said =
+            vec![Request { type_url: kind.type_url(), nonce: response.nonce.clone(), refused, names }];
         said.extend(self.names_wanted());
         said
     }
@@ -155,7 +159,7 @@
         }
     }
     fn is(&self, set: &ResourceSet) {
-        for kind in KINDS {
+        for kind in RESOURCE_KINDS {
             let wanted: BTreeMap<String, String> =
                 set.all(kind).map(|r| (r.name.to_string(), r.version.clone())).collect();
             let has: BTreeMap<String, String> =
@@ -298,8 +302,8 @@
     (link, set)
 }
 
-fn ask(kind: Kind, nonce: &str, names: Names) -> Request {
-    Request { type_url: kind.url(), nonce: nonce.into(), refused: None, names }
+fn ask(kind: ResourceKind, nonce: &str, names: Names) -> Request {
+    Request { type_url: kind.type_url(), nonce: nonce.into(), refused: None, names }
 }
 
 fn whole(names: &[&str]) -> Names {
@@ -333,7 +337,7 @@
         let sent = link.sent;
         // Another replica has made the same state by itself.
         let again = state(1, &BTreeSet::from([0, 1]));
-        assert_eq!(again.version(Kind::Cluster), set.version(Kind::Cluster));
+        assert_eq!(again.version(ResourceKind::Cluster), set.version(ResourceKind::Cluster));
         link.cut(&again);
         link.settle();
         assert_eq!(link.sent, sent, "{flavour:?}: no storm after a restart");
@@ -363,15 +367,17 @@
             link.write(1);
             let Some(response) = link.to_client.front() else { break };
             let without = match flavour {
-                Flavour::Whole => response.kind == Kind::Cluster && !names(response).contains(&"c0".into()),
+                Flavour::Whole => {
+                    response.kind == ResourceKind::Cluster && !names(response).contains(&"c0".into())
+                }
                 Flavour::Delta => !response.removed.is_empty(),
             };
             order.push((response.kind, without));
             link.read(false);
         }
-        let gone = order.iter().position(|o| *o == (Kind::Cluster, true)).expect("c0 goes");
-        let routes = order.iter().position(|o| o.0 == Kind::Routes).expect("routes change");
-        assert_eq!(order[0], (Kind::Cluster, false));
+        let gone = order.iter().position(|o| *o == (ResourceKind::Cluster, true)).expect("c0 goes");
+        let routes = order.iter().position(|o| o.0 == ResourceKind::Routes).expect("routes change");
+        assert_eq!(order[0], (ResourceKind::Cluster, false));
         assert!(routes < gone, "{flavour:?}: {order:?}");
     }
 }
@@ -383,10 +389,10 @@
         link.stream.update(state(2, &BTreeSet::from([0, 1])));
         link.write(1);
         let refused = link.to_client.front().expect("clusters").clone();
-        assert_eq!(refused.kind, Kind::Cluster);
+        assert_eq!(refused.kind, ResourceKind::Cluster);
         link.read(true);
         let heard = link.stream.request(link.to_server.pop_front().expect("its answer")).expect("sound");
-        assert_eq!(heard, Heard::Refused(Kind::Cluster, refused.version, "no".into()));
+        assert_eq!(heard, Heard::Refused(ResourceKind::Cluster, refused.version, "no".into()));
         link.settle();
         assert!(link.client.has[0].values().all(|(_, t)| t == "1"), "its last good state");
         assert!(link.client.has[1].values().all(|(_, t)| t == "2"), "the others go on");
@@ -406,11 +412,12 @@
     link.write(1);
     let response = link.to_client.pop_front().expect("clusters");
     for stale in [old.as_str(), "77-1", ""] {
-        let request = Request { refused: Some("late".into()), ..ask(Kind::Cluster, stale, whole(&["c1"])) };
+        let request =
+            Request { refused: Some("late".into()), ..ask(ResourceKind::Cluster, stale, whole(&["c1"])) };
         assert_eq!(link.stream.request(request), Ok(Heard::Nothing), "{stale}");
     }
-    let accepted = ask(Kind::Cluster, &response.nonce, whole(&[]));
-    assert_eq!(link.stream.request(accepted), Ok(Heard::Accepted(Kind::Cluster)));
+    let accepted = ask(ResourceKind::Cluster, &response.nonce, whole(&[]));
+    assert_eq!(link.stream.request(accepted), Ok(Heard::Accepted(ResourceKind::Cluster)));
 }
 
 #[test]
@@ -418,7 +425,7 @@
     let mut stream = Stream::new(Flavour::Delta, "0".into(), LIMITS);
     stream.update(state(1, &BTreeSet::from([0, 1])));
     let told = |stream: &mut Stream, subscribe: &[&str], unsubscribe: &[&str]| {
-        stream.request(ask(Kind::Endpoints, "", delta(subscribe, unsubscribe))).expect("sound");
+        stream.request(ask(ResourceKind::Endpoints, "", delta(subscribe, unsubscribe))).expect("sound");
         stream.next_response().map(|r| (names(&r), r.removed))
     };
     let c0 = Some((vec!["c0".to_string()], vec![]));
@@ -438,9 +445,9 @@
 fn a_wildcard_may_be_given_up_and_named_resources_stay() {
     let mut stream = Stream::new(Flavour::Delta, "0".into(), LIMITS);
     stream.update(state(1, &BTreeSet::from([0, 1])));
-    stream.request(ask(Kind::Cluster, "", delta(&["*", "c1"], &[]))).expect("sound");
+    stream.request(ask(ResourceKind::Cluster, "", delta(&["*", "c1"], &[]))).expect("sound");
     assert_eq!(names(&stream.next_response().expect("all")), ["c0", "c1"]);
-    stream.request(ask(Kind::Cluster, "", delta(&[], &["*"]))).expect("sound");
+    stream.request(ask(ResourceKind::Cluster, "", delta(&[], &["*"]))).expect("sound");
     stream.update(state(2, &BTreeSet::from([0, 1])));
     assert_eq!(names(&stream.next_response().expect("c1 alone")), ["c1"]);
 }
@@ -464,12 +471,12 @@
     let problem = stream.request(unknown).expect_err("not served").to_string();
     assert!(problem.contains("no.Such") && problem.contains("RouteConfiguration"), "{problem}");
     let long = "x".repeat(33);
-    let problem = stream.request(ask(Kind::Endpoints, "", delta(&[&long], &[]))).expect_err("long");
+    let problem = stream.request(ask(ResourceKind::Endpoints, "", delta(&[&long], &[]))).expect_err("long");
     assert_eq!(problem.to_string(), "endpoints: a name of more than 32 bytes");
     let mut ended = None;
     for i in 0..100 {
         let name = format!("n{i}");
-        if let Err(problem) = stream.request(ask(Kind::Endpoints, "", delta(&[&name], &[]))) {
+        if let Err(problem) = stream.request(ask(ResourceKind::Endpoints, "", delta(&[&name], &[]))) {
             ended = Some((i, problem.to_string()));
             break;
         }
@@ -478,5 +485,5 @@
     let many: Vec<String> = (0..21).map(|i| i.to_string()).collect();
     let names = Names::Whole { names: many, version: String::new() };
     let mut stream = Stream::new(Flavour::Whole, "0".into(), LIMITS);
-    assert!(stream.request(ask(Kind::Routes, "", names)).is_err());
+    assert!(stream.request(ask(ResourceKind::Routes, "", names)).is_err());
 }
--- a/crates/starlinghill-xds/tests/resources.rs
+++ b/crates/starlinghill-xds/tests/resources.rs
@@ -18,15 +18,15 @@
 use starlinghill_decision::api::Micros;
 use starlinghill_xds::resources::*;
 
-fn wiring(quotas: bool) -> Wiring {
-    let quotas = quotas.then(|| QuotaWiring {
+fn wiring(quotas: bool) -> ResourceSettings {
+    let quotas = quotas.then(|| QuotaFilterSettings {
         cluster: "control".into(),
         customer_header: "x-customer".into(),
         plan_header: "x-plan".into(),
         units_header: "x-units".into(),
         interval: Micros(250_000),
     });
-    Wiring { connect_timeout: Micros(250_000), attempts_out: Some(10), quotas }
+    ResourceSettings { connect_timeout: Micros(250_000), attempts_per_endpoint: Some(10), quotas }
 }
 
 fn endpoint(id: &str, port: u16, usage: EndpointUse, weight: u32) -> Endpoint {
@@ -41,19 +41,19 @@
     }
 }
 
-fn one<M: Message + Default>(set: TypeSet, kind: Kind, name: &str) -> M {
+fn one<M: Message + Default>(set: TypeSet, kind: ResourceKind, name: &str) -> M {
     let nothing = || std::sync::Arc::new(TypeSet::default());
     let mut types = [nothing(), nothing(), nothing(), nothing()];
     types[kind as usize] = std::sync::Arc::new(set);
     let set = ResourceSet::new(types);
     let resource = set.get(kind, name).expect("there");
-    assert_eq!(resource.body.type_url, kind.url());
+    assert_eq!(resource.body.type_url, kind.type_url());
     M::decode(resource.body.value.as_slice()).expect("it can be read")
 }
 
 #[test]
 fn endpoints_tell_state_weight_and_what_is_to_be_turned_away() {
-    let picture = FleetSnapshot {
+    let snapshot = FleetSnapshot {
         endpoints: vec![
             endpoint("s-0", 1, EndpointUse::Healthy, 1000),
             endpoint("s-1", 2, EndpointUse::Draining, 1000),
@@ -62,7 +62,7 @@
         ],
         drop_per_10000: 2_500,
     };
-    let all: ClusterLoadAssignment = one(endpoints(&picture), Kind::Endpoints, SAVE_NODES);
+    let all: ClusterLoadAssignment = one(endpoints(&snapshot), ResourceKind::Endpoints, SAVE_NODES);
     let localities: Vec<(String, Option<u32>, usize)> = all
         .endpoints
         .iter()
@@ -78,7 +78,8 @@
     assert_eq!(health, wanted.map(|h| h as i32));
     let drop = &all.policy.expect("a policy").drop_overloads[0];
     assert_eq!(drop.drop_percentage.expect("a part").numerator, 2_500);
-    let empty: ClusterLoadAssignment = one(endpoints(&FleetSnapshot::default()), Kind::Endpoints, SAVE_NODES);
+    let empty: ClusterLoadAssignment =
+        one(endpoints(&FleetSnapshot::default()), ResourceKind::Endpoints, SAVE_NODES);
     assert!(empty.endpoints.is_empty() && empty.policy.is_none());
 }
 
@@ -91,11 +92,11 @@
         ..endpoint(id, port, EndpointUse::Healthy, 1000)
     };
     let here = Endpoint { region: "east".into(), ..endpoint("s-0", 1, EndpointUse::Ejected, 1000) };
-    let picture = FleetSnapshot {
+    let snapshot = FleetSnapshot {
         endpoints: vec![here.clone(), away("s-1", 2, "b", "east", 1), away("s-2", 3, "c", "west", 2)],
         drop_per_10000: 0,
     };
-    let all: ClusterLoadAssignment = one(endpoints(&picture), Kind::Endpoints, SAVE_NODES);
+    let all: ClusterLoadAssignment = one(endpoints(&snapshot), ResourceKind::Endpoints, SAVE_NODES);
     let told: Vec<(u32, String, String)> = all
         .endpoints
         .iter()
@@ -112,7 +113,7 @@
     assert!(policy.overprovisioning_factor.is_some_and(|f| f.value >= 10_000));
     let alone: ClusterLoadAssignment = one(
         endpoints(&FleetSnapshot { endpoints: vec![here], drop_per_10000: 0 }),
-        Kind::Endpoints,
+        ResourceKind::Endpoints,
         SAVE_NODES,
     );
     assert!(alone.policy.is_none());
@@ -120,21 +121,21 @@
 
 #[test]
 fn a_locality_of_which_nothing_can_be_used_has_no_weight() {
-    let picture =
+    let snapshot =
         FleetSnapshot { endpoints: vec![endpoint("s-1", 2, EndpointUse::Draining, 1000)], drop_per_10000: 0 };
-    let all: ClusterLoadAssignment = one(endpoints(&picture), Kind::Endpoints, SAVE_NODES);
+    let all: ClusterLoadAssignment = one(endpoints(&snapshot), ResourceKind::Endpoints, SAVE_NODES);
     assert_eq!(all.endpoints[0].load_balancing_weight, None);
 }
 
 #[test]
 fn a_proxy_never_panics_into_what_drains_and_keeps_to_the_modules_bounds() {
-    let cluster: Cluster = one(clusters(&wiring(false), 12, 3), Kind::Cluster, SAVE_NODES);
+    let cluster: Cluster = one(clusters(&wiring(false), 12, 3), ResourceKind::Cluster, SAVE_NODES);
     let lb = cluster.common_lb_config.expect("there");
     assert_eq!(lb.healthy_panic_threshold.map(|p| p.value), Some(0.0));
     let thresholds = &cluster.circuit_breakers.expect("there").thresholds[0];
     assert_eq!(thresholds.max_requests.map(|n| n.value), Some(160), "ten at each of sixteen");
-    let own = Wiring { attempts_out: None, ..wiring(false) };
-    let cluster_by_bounds: Cluster = one(clusters(&own, 12, 3), Kind::Cluster, SAVE_NODES);
+    let own = ResourceSettings { attempts_per_endpoint: None, ..wiring(false) };
+    let cluster_by_bounds: Cluster = one(clusters(&own, 12, 3), ResourceKind::Cluster, SAVE_NODES);
     let by_bounds = &cluster_by_bounds.circuit_breakers.expect("there").thresholds[0];
     assert_eq!(
         by_bounds.max_requests.map(|n| n.value),
@@ -165,7 +166,7 @@
     };
     let list = [class("look", "GET", RetryOn::Failed), class("once", "POST", RetryOn::NeverRan)];
     for (name, grpc) in [(HTTP_ROUTES, false), (GRPC_ROUTES, true)] {
-        let table: RouteConfiguration = one(route_tables(&list), Kind::Routes, name);
+        let table: RouteConfiguration = one(route_tables(&list), ResourceKind::Routes, name);
         let host = &table.virtual_hosts[0];
         assert!(host.retry_policy.is_none() && host.hedge_policy.is_none());
         assert_eq!(host.routes.len(), if grpc { 2 } else { 3 });
@@ -207,7 +208,8 @@
 #[test]
 fn the_quota_filter_names_customer_plan_and_units_and_lets_nothing_through_without_a_slice() {
     let at = ([127, 0, 0, 1], 8080).into();
-    let listener: Listener = one(listeners("edge-1", Some(at), &wiring(true)), Kind::Listener, HTTP_LISTENER);
+    let listener: Listener =
+        one(listeners("edge-1", Some(at), &wiring(true)), ResourceKind::Listener, HTTP_LISTENER);
     let filters = manager(&listener).http_filters;
     assert_eq!(filters.len(), 2, "quotas, then the router");
     let Some(http_filter::ConfigType::TypedConfig(config)) = &filters[0].config_type else { panic!("typed") };
@@ -224,7 +226,8 @@
     assert_eq!(keys, ["customer", "plan", "units"], "written one by one, and read as one map");
     assert!(settings.no_assignment_behavior.is_some() && settings.expired_assignment_behavior.is_some());
     assert_eq!(settings.deny_response_settings.expect("there").http_status.map(|s| s.code), Some(429));
-    let plain: Listener = one(listeners("edge-1", Some(at), &wiring(false)), Kind::Listener, HTTP_LISTENER);
+    let plain: Listener =
+        one(listeners("edge-1", Some(at), &wiring(false)), ResourceKind::Listener, HTTP_LISTENER);
     assert_eq!(manager(&plain).http_filters.len(), 1);
 }
 
