--- a/crates/starlinghill-xds/src/ads.rs
+++ b/crates/starlinghill-xds/src/ads.rs
@@ -1,44 +1,45 @@
-//! One aggregated discovery stream as a state machine, state-of-the-world or incremental: requests and newer
-//! resources in, responses out. No I/O and no clock; whoever owns the socket asks for the next response when it
-//! has room for one, so a proxy that does not read gets only the newest state when it reads again.
+//! One aggregated discovery (ADS) stream as a state machine, for both the state-of-the-world and the incremental
+//! protocol of `envoy.service.discovery.v3`. Requests and newer resource sets go in, responses come out. There is
+//! no I/O and no clock: the caller asks for the next response when it can send one, so a proxy that reads slowly
+//! skips intermediate states and gets the newest.
 //!
-//! Source: the xDS transport protocol, `envoy.service.discovery.v3`. What is held to:
+//! Rules of the protocol that this module keeps:
 //!
-//! - Every response has a nonce of this stream; a state-of-the-world request that names another is stale and
-//!   changes nothing. Incremental requests carry changes of the subscription, so those count in any case.
-//! - A refusal (NACK) leaves the proxy with its last good state. What was refused is not sent again until its
-//!   content changes, so nothing loops.
-//! - Make before break: clusters, endpoints, listeners, routes are added and changed in this order, and nothing
-//!   that may name a new cluster goes out before the proxy has accepted that; what is no longer there is taken away last, in the opposite order, and only once the proxy has accepted all that came
-//!   before, so no route it may still be using names a cluster that is gone.
+//! - Every response has a nonce that is unique to the stream. A state-of-the-world request with another nonce is
+//!   stale and changes nothing. Incremental requests hold subscription changes, so those apply with any nonce.
+//! - A rejection (NACK) leaves the proxy with its last accepted state. Rejected content is not sent again until it
+//!   changes; otherwise the two sides would loop.
+//! - Make before break: additions and changes go out as clusters, endpoints, listeners, routes. Listeners and routes
+//!   wait until the proxy has accepted new clusters. Removals go out last, in the opposite order, and only after the
+//!   proxy has accepted everything before them, so no route in use names a cluster that was removed.
 
 use crate::resources::{Resource, ResourceKind, ResourceSet, RESOURCE_KINDS};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 use std::sync::Arc;
 
-/// The name that subscribes to all resources of a type.
+/// The resource name that subscribes to all resources of a type.
 const WILDCARD: &str = "*";
-/// Nonces of incremental responses that may be unanswered at a time; the oldest is then taken for accepted.
-const MOST_UNANSWERED: usize = 64;
+/// Incremental responses per type that may wait for an answer; beyond this the oldest counts as accepted.
+const MAX_UNANSWERED: usize = 64;
 
-/// What a stream may ask for. Guards memory against subscriptions without end.
+/// Bounds on the subscriptions of one stream. They limit the memory that one client can take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Names subscribed to, for each type.
+    /// Resource names subscribed to, for each resource kind.
     pub names_per_kind: usize,
-    /// Bytes of a name.
+    /// Length of a resource name in bytes.
     pub name_bytes: usize,
 }
 
-/// Why a stream is to be ended.
+/// A request that ends the stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdsError {
-    /// A type that is not served.
+    /// A type URL that this service does not serve.
     UnknownType(String),
-    /// Too many names.
+    /// More names than the limit, which is the number given.
     TooManyNames(ResourceKind, usize),
-    /// A name that is too long.
+    /// A name longer than the limit, which is the number of bytes given.
     LongName(ResourceKind, usize),
 }
 
@@ -50,8 +51,8 @@
                 write!(f, "type_url: '{short}' is not served here; allowed are the v3 Cluster, ")?;
                 f.write_str("ClusterLoadAssignment, Listener and RouteConfiguration")
             }
-            AdsError::TooManyNames(kind, most) => write!(f, "{kind}: more than {most} names subscribed to"),
-            AdsError::LongName(kind, most) => write!(f, "{kind}: a name of more than {most} bytes"),
+            AdsError::TooManyNames(kind, limit) => write!(f, "{kind}: more than {limit} names subscribed to"),
+            AdsError::LongName(kind, limit) => write!(f, "{kind}: a name of more than {limit} bytes"),
         }
     }
 }
@@ -62,191 +63,223 @@
 pub struct Request {
     /// `type_url`.
     pub type_url: String,
-    /// `response_nonce`; empty for none.
+    /// `response_nonce`: the response that the request answers; empty if it answers none.
     pub nonce: String,
-    /// `error_detail.message`: the response of that nonce is refused.
-    pub refused: Option<String>,
-    /// What it subscribes to.
+    /// `error_detail.message`, if the client rejects the response with that nonce.
+    pub rejected: Option<String>,
+    /// The subscription.
     pub names: Names,
 }
 
-/// The two ways to subscribe.
+/// The subscription part of a request, by protocol.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Names {
-    /// All names, with the version last accepted.
-    Whole {
+    /// State of the world: all names, with the version that the client accepted last.
+    StateOfTheWorld {
         /// `resource_names`.
         names: Vec<String>,
         /// `version_info`.
         version: String,
     },
-    /// Changes.
-    Delta {
+    /// Incremental: changes of the subscription.
+    Incremental {
         /// `resource_names_subscribe`.
         subscribe: Vec<String>,
         /// `resource_names_unsubscribe`.
         unsubscribe: Vec<String>,
-        /// `initial_resource_versions`.
+        /// `initial_resource_versions`: names and versions that the client kept from an earlier stream.
         initial: Vec<(String, String)>,
     },
 }
 
 impl Default for Names {
     fn default() -> Names {
-        Names::Whole { names: Vec::new(), version: String::new() }
+        Names::StateOfTheWorld { names: Vec::new(), version: String::new() }
     }
 }
 
 /// A response to be sent.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// Its type.
+    /// The type of all resources in it.
     pub kind: ResourceKind,
     /// `version_info` (state-of-the-world) or `system_version_info`.
     pub version: String,
-    /// Its nonce.
+    /// The nonce that the client answers with.
     pub nonce: String,
-    /// Resources, all or those that changed.
+    /// All resources of the type, or those that changed.
     pub resources: Vec<Arc<Resource>>,
-    /// Names taken away (incremental).
+    /// Names of removed resources (incremental only).
     pub removed: Vec<String>,
 }
 
-/// What a request told of an earlier response.
+/// How a request answers an earlier response.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Heard {
-    /// Nothing.
-    Nothing,
-    /// It was accepted.
+pub enum Acknowledgement {
+    /// The request answers no open response: it is a plain subscription or stale.
+    None,
+    /// The client accepted the response (ACK).
     Accepted(ResourceKind),
-    /// It was refused: the type, the version sent, and what the proxy says of it.
-    Refused(ResourceKind, String, String),
+    /// The client rejected the response (NACK): the kind, the version sent and the client's error message.
+    Rejected(ResourceKind, String, String),
 }
 
-/// The flavour of a stream.
+/// The protocol variant of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Flavour {
+pub enum Protocol {
     /// `StreamAggregatedResources`.
-    Whole,
+    StateOfTheWorld,
     /// `DeltaAggregatedResources`.
-    Delta,
+    Incremental,
 }
 
-/// What a proxy has of one resource, as far as it is known here.
+/// Writes the value of the log field `flavour`.
+impl fmt::Display for Protocol {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Protocol::StateOfTheWorld => "Whole",
+            Protocol::Incremental => "Delta",
+        })
+    }
+}
+
+/// What this service knows of a proxy's copy of one resource.
 #[derive(Debug, Clone)]
-enum Has {
-    /// This.
+enum ProxyCopy {
+    /// The proxy has this resource.
     Resource(Arc<Resource>),
-    /// Something of this version, from an earlier stream.
+    /// The proxy has some content of this version from an earlier stream.
     Version(String),
-    /// This, or nothing.
+    /// The proxy has this resource or none.
     Maybe(Arc<Resource>),
-    /// It was told that there is none.
+    /// The proxy was told that the resource does not exist.
     None,
 }
 
-impl Has {
+impl ProxyCopy {
     fn version(&self) -> Option<&str> {
         match self {
-            Has::Resource(r) => Some(&r.version),
-            Has::Version(v) => Some(v),
-            Has::Maybe(_) | Has::None => None,
+            ProxyCopy::Resource(r) => Some(&r.version),
+            ProxyCopy::Version(v) => Some(v),
+            ProxyCopy::Maybe(_) | ProxyCopy::None => None,
         }
     }
-    /// It must be taken away if it is to go.
-    fn may_be_there(&self) -> bool {
-        !matches!(self, Has::None)
+    /// Whether the proxy may hold the resource, so that its deletion must be sent.
+    fn may_exist(&self) -> bool {
+        !matches!(self, ProxyCopy::None)
     }
 }
 
-/// A response without an answer yet.
+/// A response that the client has not answered yet.
 #[derive(Debug)]
-struct Sent {
+struct OpenResponse {
     nonce: String,
     version: String,
-    /// The version of each name in it (`None`: taken away), and what the proxy had before, to go back to if it
-    /// is refused.
-    names: BTreeMap<Arc<str>, (Option<String>, Option<Has>)>,
+    /// For each name, the version sent (`None` for a removal) and what the proxy had before; a rejection restores
+    /// the latter.
+    names: BTreeMap<Arc<str>, (Option<String>, Option<ProxyCopy>)>,
 }
 
+/// The subscription of a stream to one resource kind, and what the proxy holds of it.
 #[derive(Debug, Default)]
-struct Sub {
-    asked: bool,
+struct Subscription {
+    /// The client has sent a request for this kind.
+    subscribed: bool,
     wildcard: bool,
     names: BTreeSet<String>,
-    has: BTreeMap<Arc<str>, Has>,
-    /// The version that it says it has (state-of-the-world), while there is nothing to compare it with.
+    /// What the proxy holds, by name. No entry means that it has nothing and was told nothing.
+    copies: BTreeMap<Arc<str>, ProxyCopy>,
+    /// The version that a state-of-the-world proxy named in its first request, until there is a set to compare it
+    /// with.
     claim: Option<String>,
-    /// Asked for anew: sent though the proxy should have them.
-    again: BTreeSet<String>,
-    /// Versions that the proxy refused, by name; of types sent whole also that of the whole (name "").
-    refused: BTreeMap<Arc<str>, String>,
-    /// Unanswered, oldest first; state-of-the-world: the last alone.
-    sent: VecDeque<Sent>,
-    /// A whole state must be sent even if it says nothing new: the subscription changed.
-    owed: bool,
+    /// Names that must be sent again although the proxy should have them, because it subscribed to them again.
+    resend: BTreeSet<String>,
+    /// Versions that the proxy rejected, by name. For kinds that are sent whole, the name "" holds the version of
+    /// the whole response.
+    rejected: BTreeMap<Arc<str>, String>,
+    /// Responses without an answer, oldest first. State of the world keeps only the last.
+    unanswered: VecDeque<OpenResponse>,
+    /// A response must be sent even if no resource changed, because the subscription changed.
+    must_send: bool,
 }
 
-impl Sub {
-    fn wants(&self, name: &str) -> bool {
+impl Subscription {
+    fn covers(&self, name: &str) -> bool {
         self.wildcard || self.names.contains(name)
     }
 }
 
-/// One stream.
+/// One discovery stream of one proxy.
 #[derive(Debug)]
 pub struct Stream {
-    flavour: Flavour,
+    protocol: Protocol,
     limits: Limits,
     prefix: String,
     serial: u64,
     set: Option<Arc<ResourceSet>>,
-    /// The proxy has had time to subscribe to all that it uses.
-    introduced: bool,
-    subs: [Sub; RESOURCE_KINDS.len()],
+    /// The time in which a new proxy subscribes to everything that it uses has passed.
+    initial_period_over: bool,
+    subs: [Subscription; RESOURCE_KINDS.len()],
 }
 
 impl Stream {
-    /// A new stream. `prefix` begins each of its nonces and must be unlike that of any other stream, so that a
-    /// nonce of an old stream is never taken for one of this.
-    pub fn new(flavour: Flavour, prefix: String, limits: Limits) -> Stream {
-        Stream { flavour, limits, prefix, serial: 0, set: None, introduced: false, subs: Default::default() }
+    /// `prefix` starts every nonce. It must differ from that of any other stream, or a nonce of an old stream could
+    /// be mistaken for one of this stream.
+    pub fn new(protocol: Protocol, prefix: String, limits: Limits) -> Stream {
+        Stream {
+            protocol,
+            limits,
+            prefix,
+            serial: 0,
+            set: None,
+            initial_period_over: false,
+            subs: Default::default(),
+        }
     }
 
-    /// There are newer resources. Only the newest count.
+    /// Replaces the resource set; sets that were not sent in time are skipped.
     pub fn update(&mut self, set: Arc<ResourceSet>) {
         for (sub, kind) in self.subs.iter_mut().zip(RESOURCE_KINDS) {
-            believe(sub, kind, &set);
-            // What was refused and is no longer to be sent holds nothing up.
+            apply_version_claim(sub, kind, &set);
+            // A rejected version that is no longer current must not delay removals.
             let current =
                 |name: &str, version: &str| set.get(kind, name).is_some_and(|r| r.version == version);
-            sub.refused.retain(|name, version| name.is_empty() || current(name, version));
+            sub.rejected.retain(|name, version| name.is_empty() || current(name, version));
         }
         self.set = Some(set);
     }
 
-    /// The proxy has had time to subscribe to all that it uses. Until then nothing is taken away from one that
-    /// has not asked for routes: it may still be using those of an earlier stream.
-    pub fn introduced(&mut self) {
-        self.introduced = true;
+    /// Notes that the proxy has had time to subscribe to everything that it uses. Until then nothing is removed from
+    /// a proxy that has not subscribed to routes, as it may still use routes of an earlier stream.
+    pub fn end_initial_period(&mut self) {
+        self.initial_period_over = true;
     }
 
-    /// Takes a request in. After an error the stream is to be ended.
-    pub fn request(&mut self, request: Request) -> Result<Heard, AdsError> {
+    /// Handles a request. The caller must end the stream after an error.
+    pub fn request(&mut self, request: Request) -> Result<Acknowledgement, AdsError> {
         let Some(kind) = ResourceKind::from_type_url(&request.type_url) else {
             return Err(AdsError::UnknownType(request.type_url));
         };
         match request.names {
-            Names::Whole { names, version } => {
-                self.whole(kind, request.nonce, request.refused, names, version)
-            }
-            Names::Delta { subscribe, unsubscribe, initial } => {
-                self.delta(kind, request.nonce, request.refused, subscribe, unsubscribe, initial)
+            Names::StateOfTheWorld { names, version } => {
+                self.handle_state_of_the_world(kind, request.nonce, request.rejected, names, version)
             }
+            Names::Incremental { subscribe, unsubscribe, initial } => self.handle_incremental(
+                kind,
+                request.nonce,
+                request.rejected,
+                subscribe,
+                unsubscribe,
+                initial,
+            ),
         }
     }
 
-    fn check<'a>(&self, kind: ResourceKind, names: impl Iterator<Item = &'a String>) -> Result<(), AdsError> {
+    fn check_limits<'a>(
+        &self,
+        kind: ResourceKind,
+        names: impl Iterator<Item = &'a String>,
+    ) -> Result<(), AdsError> {
         let limits = self.limits;
         for (n, name) in names.enumerate() {
             if n >= limits.names_per_kind {
@@ -259,100 +292,100 @@
         Ok(())
     }
 
-    fn whole(
+    fn handle_state_of_the_world(
         &mut self,
         kind: ResourceKind,
         nonce: String,
-        refused: Option<String>,
+        rejected: Option<String>,
         names: Vec<String>,
         version: String,
-    ) -> Result<Heard, AdsError> {
-        self.check(kind, names.iter())?;
+    ) -> Result<Acknowledgement, AdsError> {
+        self.check_limits(kind, names.iter())?;
         let set = self.set.clone();
         let sub = &mut self.subs[kind as usize];
-        let first = !sub.asked;
-        // The answer to anything but the last response is stale, and so is a nonce of another stream once this
-        // one has sent something. What it would say of names, the answer to the last response says again.
-        if let Some(last) = sub.sent.back() {
+        let first = !sub.subscribed;
+        // Once this stream has sent a response, a request with any nonce but that of the last response is stale. Its
+        // names can be ignored, because the answer to the last response repeats them.
+        if let Some(last) = sub.unanswered.back() {
             if nonce != last.nonce {
-                return Ok(Heard::Nothing);
+                return Ok(Acknowledgement::None);
             }
         }
-        let heard = match sub.sent.pop_back() {
-            None => Heard::Nothing,
-            Some(sent) => match refused {
+        let acknowledgement = match sub.unanswered.pop_back() {
+            None => Acknowledgement::None,
+            Some(sent) => match rejected {
                 Some(problem) => {
                     let version = sent.version.clone();
                     if kind.is_sent_whole() {
-                        sub.refused.insert("".into(), version.clone());
+                        sub.rejected.insert("".into(), version.clone());
                     }
-                    undo(sub, sent);
-                    Heard::Refused(kind, version, problem)
+                    revert_rejected(sub, sent);
+                    Acknowledgement::Rejected(kind, version, problem)
                 }
                 None => {
-                    sub.refused.remove("");
-                    Heard::Accepted(kind)
+                    sub.rejected.remove("");
+                    Acknowledgement::Accepted(kind)
                 }
             },
         };
-        let (was_wildcard, old) = (sub.wildcard, std::mem::take(&mut sub.names));
-        // No name at all, from the first on, means all (for the types that are sent whole); once names were
-        // given it means none.
+        let (old_wildcard, old) = (sub.wildcard, std::mem::take(&mut sub.names));
+        // For kinds that are sent whole, an empty list means all as long as no names were ever given, and none
+        // afterwards.
         sub.wildcard = names.iter().any(|n| n == WILDCARD)
-            || kind.is_sent_whole() && names.is_empty() && (first || was_wildcard && old.is_empty());
+            || kind.is_sent_whole() && names.is_empty() && (first || old_wildcard && old.is_empty());
         sub.names = names.into_iter().filter(|n| n != WILDCARD).collect();
-        sub.asked = true;
+        sub.subscribed = true;
         let fresh: Vec<String> = sub.names.difference(&old).cloned().collect();
-        let changed = sub.wildcard != was_wildcard || sub.names != old;
+        let changed = sub.wildcard != old_wildcard || sub.names != old;
         if !first && changed {
-            sub.owed |= kind.is_sent_whole();
+            sub.must_send |= kind.is_sent_whole();
             for name in fresh {
-                // Named anew: it may have been dropped meanwhile, so it is sent again.
-                sub.has.remove(name.as_str());
+                // The proxy may have dropped the resource since it last subscribed, so it is sent again.
+                sub.copies.remove(name.as_str());
             }
             let (wildcard, names) = (sub.wildcard, &sub.names);
-            sub.has.retain(|name, _| wildcard || names.contains(&**name));
+            sub.copies.retain(|name, _| wildcard || names.contains(&**name));
         }
         if first {
-            sub.owed = true;
+            sub.must_send = true;
             sub.claim = Some(version).filter(|version| !version.is_empty());
-            set.into_iter().for_each(|set| believe(sub, kind, &set));
+            set.into_iter().for_each(|set| apply_version_claim(sub, kind, &set));
         }
-        Ok(heard)
+        Ok(acknowledgement)
     }
 
-    fn delta(
+    fn handle_incremental(
         &mut self,
         kind: ResourceKind,
         nonce: String,
-        refused: Option<String>,
+        rejected: Option<String>,
         subscribe: Vec<String>,
         unsubscribe: Vec<String>,
         initial: Vec<(String, String)>,
-    ) -> Result<Heard, AdsError> {
-        self.check(kind, subscribe.iter())?;
-        self.check(kind, unsubscribe.iter())?;
-        self.check(kind, initial.iter().map(|(name, _)| name))?;
-        self.check(kind, initial.iter().map(|(_, version)| version))?;
-        let (most, sub) = (self.limits.names_per_kind, &mut self.subs[kind as usize]);
-        let first = !sub.asked;
-        let answered = sub.sent.iter().position(|s| !nonce.is_empty() && s.nonce == nonce);
-        let heard = match answered.and_then(|at| sub.sent.remove(at)) {
-            None => Heard::Nothing,
-            Some(sent) => match refused {
+    ) -> Result<Acknowledgement, AdsError> {
+        self.check_limits(kind, subscribe.iter())?;
+        self.check_limits(kind, unsubscribe.iter())?;
+        self.check_limits(kind, initial.iter().map(|(name, _)| name))?;
+        self.check_limits(kind, initial.iter().map(|(_, version)| version))?;
+        let (limit, sub) = (self.limits.names_per_kind, &mut self.subs[kind as usize]);
+        let first = !sub.subscribed;
+        let answered = sub.unanswered.iter().position(|s| !nonce.is_empty() && s.nonce == nonce);
+        let acknowledgement = match answered.and_then(|at| sub.unanswered.remove(at)) {
+            None => Acknowledgement::None,
+            Some(sent) => match rejected {
                 Some(problem) => {
                     let version = sent.version.clone();
-                    undo(sub, sent);
-                    Heard::Refused(kind, version, problem)
+                    revert_rejected(sub, sent);
+                    Acknowledgement::Rejected(kind, version, problem)
                 }
-                None => Heard::Accepted(kind),
+                None => Acknowledgement::Accepted(kind),
             },
         };
         if first {
-            sub.asked = true;
+            sub.subscribed = true;
             sub.wildcard = kind.is_sent_whole() && subscribe.is_empty();
             for (name, version) in initial {
-                sub.has.insert(name.into(), Has::Version(version));
+                sub.copies.insert(name.into(), ProxyCopy::Version(version));
             }
         }
         for name in unsubscribe {
@@ -360,62 +393,64 @@
                 sub.wildcard = false;
             } else if sub.names.remove(&name) {
                 if sub.wildcard {
-                    // It may still be there by the wildcard; the proxy can't know, so it is told.
-                    sub.again.insert(name);
+                    // The wildcard may still cover the resource; the proxy can't know, so it gets an answer.
+                    sub.resend.insert(name);
                 } else {
-                    sub.has.remove(name.as_str());
-                    sub.refused.remove(name.as_str());
-                    sub.again.remove(&name);
+                    sub.copies.remove(name.as_str());
+                    sub.rejected.remove(name.as_str());
+                    sub.resend.remove(&name);
                 }
             }
         }
         if !sub.wildcard && !first {
             let names = &sub.names;
-            sub.has.retain(|name, _| names.contains(&**name));
+            sub.copies.retain(|name, _| names.contains(&**name));
         }
         for name in subscribe {
             if name == WILDCARD {
                 sub.wildcard = true;
                 continue;
             }
-            let known = first && sub.has.contains_key(name.as_str());
+            let known = first && sub.copies.contains_key(name.as_str());
             if !known {
-                // Also if it was sent before: who subscribes again must be answered.
-                sub.has.remove(name.as_str());
-                sub.again.insert(name.clone());
+                // A repeated subscription must be answered even if the resource was sent before.
+                sub.copies.remove(name.as_str());
+                sub.resend.insert(name.clone());
             }
             sub.names.insert(name);
-            if sub.names.len() > most {
-                return Err(AdsError::TooManyNames(kind, most));
+            if sub.names.len() > limit {
+                return Err(AdsError::TooManyNames(kind, limit));
             }
         }
         if first {
-            // What it still has of an earlier stream, and did not ask for, is its own to forget.
+            // The proxy drops resources of an earlier stream that it did not subscribe to on this one.
             let (wildcard, names) = (sub.wildcard, &sub.names);
-            sub.has.retain(|name, _| wildcard || names.contains(&**name));
+            sub.copies.retain(|name, _| wildcard || names.contains(&**name));
         }
-        Ok(heard)
+        Ok(acknowledgement)
     }
 
-    /// The next response, if there is anything to say. Called when there is room for one.
+    /// The next response to send, if any. Call it only when the response can be sent at once.
     pub fn next_response(&mut self) -> Option<Response> {
         let set = self.set.clone()?;
         // Additions and changes first, in order.
         for kind in RESOURCE_KINDS {
-            // Guards against routes to a cluster that the proxy refuses: they wait for its word on new ones.
-            if kind > ResourceKind::Endpoints && self.lacks_clusters(&set) {
+            // Listeners and routes wait until the proxy accepts new clusters: it may reject a cluster that they name.
+            if kind > ResourceKind::Endpoints && self.has_unaccepted_clusters(&set) {
                 return None;
             }
-            if let Some(response) = self.add(&set, kind) {
+            if let Some(response) = self.next_addition(&set, kind) {
                 return Some(response);
             }
         }
-        // Then what is gone, in the opposite order, once all of that was accepted and nothing refused.
-        let quiet =
-            self.subs.iter().all(|s| s.sent.is_empty() && s.refused.keys().all(|name| name.is_empty()));
-        if quiet && (self.introduced || self.subs[ResourceKind::Routes as usize].asked) {
+        // Removals follow in the opposite order, once everything was accepted and nothing rejected.
+        let all_accepted = self
+            .subs
+            .iter()
+            .all(|s| s.unanswered.is_empty() && s.rejected.keys().all(|name| name.is_empty()));
+        if all_accepted && (self.initial_period_over || self.subs[ResourceKind::Routes as usize].subscribed) {
             for kind in RESOURCE_KINDS.into_iter().rev() {
-                if let Some(response) = self.remove(&set, kind) {
+                if let Some(response) = self.next_removal(&set, kind) {
                     return Some(response);
                 }
             }
@@ -423,195 +458,205 @@
         None
     }
 
-    /// Whether something that was sent is not answered yet.
+    /// Whether a response is waiting for its answer.
     pub fn is_unanswered(&self) -> bool {
-        self.subs.iter().any(|sub| !sub.sent.is_empty())
+        self.subs.iter().any(|sub| !sub.unanswered.is_empty())
     }
 
-    /// Whether the proxy has, as far as it said, just what it should have.
+    /// Whether the proxy has accepted exactly the current resources of its subscriptions.
     pub fn is_settled(&self) -> bool {
         let Some(set) = &self.set else { return false };
         self.subs.iter().zip(RESOURCE_KINDS).all(|(sub, kind)| {
-            let wanted = listed(set, kind, sub);
-            let has = sub.has.values().filter(|h| h.may_be_there()).count();
-            let same =
-                |r: &Arc<Resource>| sub.has.get(&r.name).and_then(Has::version) == Some(r.version.as_str());
-            sub.sent.is_empty() && has == wanted.len() && wanted.iter().all(same)
+            let wanted = subscribed_resources(set, kind, sub);
+            let has = sub.copies.values().filter(|h| h.may_exist()).count();
+            let same = |r: &Arc<Resource>| {
+                sub.copies.get(&r.name).and_then(ProxyCopy::version) == Some(r.version.as_str())
+            };
+            sub.unanswered.is_empty() && has == wanted.len() && wanted.iter().all(same)
         })
     }
 
-    /// Whether there is a cluster that the proxy did not have before and has not accepted yet.
-    fn lacks_clusters(&self, set: &ResourceSet) -> bool {
+    /// Whether the proxy subscribes to a new cluster that it has not accepted yet.
+    fn has_unaccepted_clusters(&self, set: &ResourceSet) -> bool {
         let sub = &self.subs[ResourceKind::Cluster as usize];
-        let had = |has: Option<&Has>| has.and_then(Has::version).is_some();
+        let had = |has: Option<&ProxyCopy>| has.and_then(ProxyCopy::version).is_some();
         let accepted = |r: &Arc<Resource>| {
-            let new = |sent: &Sent| sent.names.get(&r.name).is_some_and(|(_, was)| !had(was.as_ref()));
-            had(sub.has.get(&r.name)) && !sub.sent.iter().any(new)
+            let new =
+                |sent: &OpenResponse| sent.names.get(&r.name).is_some_and(|(_, was)| !had(was.as_ref()));
+            had(sub.copies.get(&r.name)) && !sub.unanswered.iter().any(new)
         };
-        sub.asked && !listed(set, ResourceKind::Cluster, sub).iter().all(accepted)
+        sub.subscribed && !subscribed_resources(set, ResourceKind::Cluster, sub).iter().all(accepted)
     }
 
-    fn nonce(&mut self) -> String {
+    fn next_nonce(&mut self) -> String {
         self.serial += 1;
         format!("{}-{}", self.prefix, self.serial)
     }
 
-    fn add(&mut self, set: &Arc<ResourceSet>, kind: ResourceKind) -> Option<Response> {
+    fn next_addition(&mut self, set: &Arc<ResourceSet>, kind: ResourceKind) -> Option<Response> {
         let sub = &self.subs[kind as usize];
-        if !sub.asked {
+        if !sub.subscribed {
             return None;
         }
-        let wanted = listed(set, kind, sub);
+        let wanted = subscribed_resources(set, kind, sub);
         let new = |r: &&Arc<Resource>| {
             let version = Some(r.version.as_str());
-            let refused = sub.refused.get(&r.name).map(String::as_str) == version;
-            sub.again.contains(&*r.name) || !refused && sub.has.get(&r.name).and_then(Has::version) != version
+            let rejected = sub.rejected.get(&r.name).map(String::as_str) == version;
+            sub.resend.contains(&*r.name)
+                || !rejected && sub.copies.get(&r.name).and_then(ProxyCopy::version) != version
         };
-        match self.flavour {
-            Flavour::Whole if kind.is_sent_whole() => {
+        match self.protocol {
+            Protocol::StateOfTheWorld if kind.is_sent_whole() => {
                 let changed = wanted.iter().any(|r| new(&r));
-                if !changed && !sub.owed {
+                if !changed && !sub.must_send {
                     return None;
                 }
-                // What is gone stays in the response until its turn to go has come.
+                // Removed resources stay in the response until removals are allowed.
                 let mut resources = wanted;
-                let kept = sub.has.iter().filter(|(name, _)| set.get(kind, name).is_none());
+                let kept = sub.copies.iter().filter(|(name, _)| set.get(kind, name).is_none());
                 resources.extend(kept.filter_map(|(name, has)| match has {
-                    Has::Resource(r) | Has::Maybe(r) if sub.wants(name) => Some(r.clone()),
+                    ProxyCopy::Resource(r) | ProxyCopy::Maybe(r) if sub.covers(name) => Some(r.clone()),
                     _ => None,
                 }));
                 resources.sort_by(|a, b| a.name.cmp(&b.name));
-                let refused = sub.refused.get("").is_some_and(|v| *v == version_of(&resources));
-                (!refused || sub.owed).then(|| self.send(kind, resources, Vec::new()))
+                let rejected = sub.rejected.get("").is_some_and(|v| *v == version_of(&resources));
+                (!rejected || sub.must_send).then(|| self.record_response(kind, resources, Vec::new()))
             }
-            Flavour::Whole => {
-                // What the last response held is not known to be there before that is answered: it goes along,
-                // as an answer to that response will be stale.
-                let open =
-                    |r: &&Arc<Resource>| sub.sent.back().is_some_and(|s| s.names.contains_key(&r.name));
+            Protocol::StateOfTheWorld => {
+                // Resources of the last, unanswered response are repeated: this response makes its answer stale, so
+                // their acceptance would never be known.
+                let in_last_response =
+                    |r: &&Arc<Resource>| sub.unanswered.back().is_some_and(|s| s.names.contains_key(&r.name));
                 let changed: Vec<_> = match wanted.iter().any(|r| new(&r)) {
-                    true => wanted.iter().filter(|r| new(r) || open(r)).cloned().collect(),
+                    true => wanted.iter().filter(|r| new(r) || in_last_response(r)).cloned().collect(),
                     false => Vec::new(),
                 };
-                // A first request for what is not there gets no answer; the proxy goes by a time limit.
-                (!changed.is_empty()).then(|| self.send(kind, changed, Vec::new()))
+                // A missing resource gets no answer in this protocol; the proxy applies its own time limit.
+                (!changed.is_empty()).then(|| self.record_response(kind, changed, Vec::new()))
             }
-            Flavour::Delta => {
+            Protocol::Incremental => {
                 let changed: Vec<_> = wanted.iter().filter(new).cloned().collect();
-                // Names asked for of which there is nothing are told as removed, at once and only once.
-                let none = sub.again.iter().filter(|n| set.get(kind, n).is_none()).cloned();
+                // A subscribed name without a resource is reported as removed, at once and only once.
+                let none = sub.resend.iter().filter(|n| set.get(kind, n).is_none()).cloned();
                 let missing = sub
                     .names
                     .iter()
-                    .filter(|n| set.get(kind, n).is_none() && !sub.has.contains_key(n.as_str()));
+                    .filter(|n| set.get(kind, n).is_none() && !sub.copies.contains_key(n.as_str()));
                 let removed: BTreeSet<String> = none.chain(missing.cloned()).collect();
                 if changed.is_empty() && removed.is_empty() {
                     return None;
                 }
-                Some(self.send(kind, changed, removed.into_iter().collect()))
+                Some(self.record_response(kind, changed, removed.into_iter().collect()))
             }
         }
     }
 
-    fn remove(&mut self, set: &Arc<ResourceSet>, kind: ResourceKind) -> Option<Response> {
+    fn next_removal(&mut self, set: &Arc<ResourceSet>, kind: ResourceKind) -> Option<Response> {
         let sub = &self.subs[kind as usize];
-        let gone: Vec<Arc<str>> = sub
-            .has
+        let removed_names: Vec<Arc<str>> = sub
+            .copies
             .iter()
-            .filter(|(name, has)| has.may_be_there() && set.get(kind, name).is_none())
+            .filter(|(name, has)| has.may_exist() && set.get(kind, name).is_none())
             .map(|(name, _)| name.clone())
             .collect();
-        if gone.is_empty() {
+        if removed_names.is_empty() {
             return None;
         }
-        match self.flavour {
-            Flavour::Whole if kind.is_sent_whole() => {
-                self.subs[kind as usize].has.retain(|name, _| !gone.contains(name));
-                let resources = listed(set, kind, &self.subs[kind as usize]);
-                Some(self.send(kind, resources, Vec::new()))
+        match self.protocol {
+            Protocol::StateOfTheWorld if kind.is_sent_whole() => {
+                self.subs[kind as usize].copies.retain(|name, _| !removed_names.contains(name));
+                let resources = subscribed_resources(set, kind, &self.subs[kind as usize]);
+                Some(self.record_response(kind, resources, Vec::new()))
             }
-            // Nothing can be said; the proxy drops it with the last that names it.
-            Flavour::Whole => {
-                self.subs[kind as usize].has.retain(|name, _| !gone.contains(name));
+            // This protocol can't remove such a resource; the proxy drops it when nothing refers to it.
+            Protocol::StateOfTheWorld => {
+                self.subs[kind as usize].copies.retain(|name, _| !removed_names.contains(name));
                 None
             }
-            Flavour::Delta => {
-                Some(self.send(kind, Vec::new(), gone.iter().map(|name| name.to_string()).collect()))
-            }
+            Protocol::Incremental => Some(self.record_response(
+                kind,
+                Vec::new(),
+                removed_names.iter().map(|name| name.to_string()).collect(),
+            )),
         }
     }
 
-    fn send(&mut self, kind: ResourceKind, resources: Vec<Arc<Resource>>, removed: Vec<String>) -> Response {
-        let nonce = self.nonce();
-        let (flavour, system) = (self.flavour, self.set.as_ref().map(|s| s.version(kind).to_string()));
+    fn record_response(
+        &mut self,
+        kind: ResourceKind,
+        resources: Vec<Arc<Resource>>,
+        removed: Vec<String>,
+    ) -> Response {
+        let nonce = self.next_nonce();
+        let (protocol, system) = (self.protocol, self.set.as_ref().map(|s| s.version(kind).to_string()));
         let sub = &mut self.subs[kind as usize];
-        // State-of-the-world: the answer to the response before is stale from now on.
-        let open = if flavour == Flavour::Whole { sub.sent.pop_back() } else { None };
+        // In state of the world, the answer to the previous response is stale from now on.
+        let open = if protocol == Protocol::StateOfTheWorld { sub.unanswered.pop_back() } else { None };
         let mut open = open.map(|sent| sent.names).unwrap_or_default();
         let mut names = BTreeMap::new();
         for r in &resources {
-            let had = sub.has.insert(r.name.clone(), Has::Resource(r.clone()));
+            let had = sub.copies.insert(r.name.clone(), ProxyCopy::Resource(r.clone()));
             let had = open.remove(&r.name).map_or(had, |(_, before)| before);
             names.insert(r.name.clone(), (Some(r.version.clone()), had));
-            sub.again.remove(&*r.name);
-            sub.refused.remove(&r.name);
+            sub.resend.remove(&*r.name);
+            sub.rejected.remove(&r.name);
         }
         for name in &removed {
             let name: Arc<str> = name.as_str().into();
-            names.insert(name.clone(), (None, sub.has.remove(&name)));
-            sub.again.remove(&*name);
+            names.insert(name.clone(), (None, sub.copies.remove(&name)));
+            sub.resend.remove(&*name);
             if sub.names.contains(&*name) {
-                sub.has.insert(name, Has::None);
+                sub.copies.insert(name, ProxyCopy::None);
             }
         }
-        sub.owed = false;
-        let version = match flavour {
-            Flavour::Whole => version_of(&resources),
-            Flavour::Delta => system.unwrap_or_default(),
+        sub.must_send = false;
+        let version = match protocol {
+            Protocol::StateOfTheWorld => version_of(&resources),
+            Protocol::Incremental => system.unwrap_or_default(),
         };
-        if sub.sent.len() >= MOST_UNANSWERED {
-            sub.sent.pop_front();
+        if sub.unanswered.len() >= MAX_UNANSWERED {
+            sub.unanswered.pop_front();
         }
-        sub.sent.push_back(Sent { nonce: nonce.clone(), version: version.clone(), names });
+        sub.unanswered.push_back(OpenResponse { nonce: nonce.clone(), version: version.clone(), names });
         Response { kind, version, nonce, resources, removed }
     }
 }
 
-/// A refused response: the proxy has what it had before, and what was refused is noted. Later responses that are
-/// still unanswered may hold the same names; then it is they that would go back to that.
-fn undo(sub: &mut Sub, sent: Sent) {
+/// Handles a rejected response: restores what the proxy had before and notes the rejected versions. If a later
+/// unanswered response holds the same name, the earlier state becomes what that response would restore.
+fn revert_rejected(sub: &mut Subscription, sent: OpenResponse) {
     for (name, (version, before)) in sent.names {
-        let later = sub.sent.iter_mut().find_map(|later| later.names.get_mut(&name));
+        let later = sub.unanswered.iter_mut().find_map(|later| later.names.get_mut(&name));
         if let Some(later) = later {
             later.1 = before;
             continue;
         }
         match before {
-            Some(has) => drop(sub.has.insert(name.clone(), has)),
-            None => drop(sub.has.remove(&name)),
+            Some(has) => drop(sub.copies.insert(name.clone(), has)),
+            None => drop(sub.copies.remove(&name)),
         }
-        version.into_iter().for_each(|version| drop(sub.refused.insert(name.clone(), version)));
+        version.into_iter().for_each(|version| drop(sub.rejected.insert(name.clone(), version)));
     }
 }
 
-/// What a state-of-the-world proxy that came back has, by the version that it claims. Versions are hashes of what
-/// is in a response: one that is the same as what would be sent proves that the proxy has just that, from an
-/// earlier stream or another replica.
-fn believe(sub: &mut Sub, kind: ResourceKind, set: &ResourceSet) {
+/// Derives what a reconnected state-of-the-world proxy has from the version it claims. Versions are hashes of a
+/// response's content: if the claim equals the version that would be sent now, the proxy already has exactly that
+/// content, from an earlier stream or another replica.
+fn apply_version_claim(sub: &mut Subscription, kind: ResourceKind, set: &ResourceSet) {
     let Some(claim) = sub.claim.take() else { return };
-    let now = listed(set, kind, sub);
+    let now = subscribed_resources(set, kind, sub);
     let same = version_of(&now) == claim;
-    // Else it may have any of the clusters there were, also some of one state and some of the next.
+    // Otherwise it may hold any recent cluster, even a mix of several states.
     let before = set.past_clusters().filter(|_| kind == ResourceKind::Cluster && sub.wildcard);
-    sub.has = match same {
-        true => now.into_iter().map(|r| (r.name.clone(), Has::Resource(r))).collect(),
-        false => before.chain(&now).map(|r| (r.name.clone(), Has::Maybe(r.clone()))).collect(),
+    sub.copies = match same {
+        true => now.into_iter().map(|r| (r.name.clone(), ProxyCopy::Resource(r))).collect(),
+        false => before.chain(&now).map(|r| (r.name.clone(), ProxyCopy::Maybe(r.clone()))).collect(),
     };
-    sub.owed = !same;
+    sub.must_send = !same;
 }
 
-/// What a subscription stands for now, by name.
-fn listed(set: &ResourceSet, kind: ResourceKind, sub: &Sub) -> Vec<Arc<Resource>> {
+/// The current resources that a subscription covers, sorted by name.
+fn subscribed_resources(set: &ResourceSet, kind: ResourceKind, sub: &Subscription) -> Vec<Arc<Resource>> {
     if sub.wildcard {
         let all = set.all(kind).filter(|r| !r.by_name_only || sub.names.contains(&*r.name));
         return all.cloned().collect();
@@ -619,7 +664,7 @@
     sub.names.iter().filter_map(|name| set.get(kind, name).cloned()).collect()
 }
 
-/// The version of a state-of-the-world response: a hash of what is in it, so the same from every replica.
+/// The version of a state-of-the-world response: a hash of its content, so every replica gives the same.
 fn version_of(resources: &[Arc<Resource>]) -> String {
     crate::resources::hash(resources.iter().flat_map(|r| [r.name.as_bytes(), r.version.as_bytes()]))
 }
--- a/crates/starlinghill-xds/src/hub.rs
+++ b/crates/starlinghill-xds/src/hub.rs
@@ -1,5 +1,5 @@
-//! The one owner of the fleet's snapshot: takes update in, publishes each change once, to all streams at the same
-//! moment. Streams take the newest state when they have room, so no slow one keeps others from it.
+//! Owns the fleet state. It takes updates in and publishes each change once, to all streams at the same moment.
+//! Streams take the newest state when they can send, so a slow one delays no other.
 
 use crate::resources::{self, ResourceKind, ResourceSet, ResourceSettings, TypeSet, RESOURCE_KINDS};
 use starlinghill_control_state::fleet::{EndpointLocation, EndpointReport, Fleet, FleetSnapshot};
@@ -15,12 +15,12 @@
 use tokio::sync::{mpsc, watch};
 use tracing::{info, warn};
 
-/// Update that may wait for the hub; whoever has more waits with it.
-const INBOX: usize = 256;
-/// How often customers that need no keeping are forgotten.
-const SWEEP: Duration = Duration::from_secs(30);
+/// Updates that the queue holds; senders wait while it is full.
+const UPDATE_QUEUE_CAPACITY: usize = 256;
+/// How often the ledger drops customers whose state is no longer needed; without it they fill the ledger.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Unix time, which all machines share, but never going back.
+/// Unix time that never goes back, so that times of different machines compare.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     base: Duration,
@@ -28,48 +28,48 @@
 }
 
 impl Clock {
-    /// Reads the system's clock once; from then on the monotonic one counts.
-    #[expect(clippy::disallowed_methods, reason = "servers' starts are told in Unix time")]
+    /// Reads the system clock once; later readings add the monotonic time since.
+    #[expect(clippy::disallowed_methods, reason = "servers' start times are given in Unix time")]
     pub fn start() -> Clock {
         let base = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { base, start: Instant::now() }
     }
-    /// Now.
+    /// Microseconds since the Unix epoch.
     pub fn now(&self) -> Micros {
         Micros((self.base + self.start.elapsed()).as_micros() as u64)
     }
 }
 
-/// One proxy on the operators' list.
+/// A proxy on the operators' list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proxy {
-    /// Its node id.
+    /// The node id that the proxy gives on each stream.
     pub id: String,
-    /// Where it is to listen for clients, if this service tells it.
+    /// The address at which it listens for HTTP clients, if this service configures it.
     pub listen: Option<SocketAddr>,
 }
 
-/// What the operators say.
+/// The operators' settings that can change while the service runs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorConfig {
     /// The proxies that may connect.
     pub proxies: Vec<Proxy>,
-    /// What else resources hold.
+    /// Settings that go into the resources of every proxy.
     pub resource_settings: ResourceSettings,
-    /// The regions of zones, where there is a map of them.
+    /// The location of each zone by zone name; empty without a topology.
     pub locations: BTreeMap<String, EndpointLocation>,
 }
 
-/// What the hub hears.
+/// An update of the state that the hub owns.
 #[derive(Debug)]
 pub enum Update {
-    /// The list of servers, whole or as changes.
+    /// The list of servers, complete or as changes.
     Members(MemberList),
-    /// What proxies saw of servers.
+    /// Request counts per server, from proxies' load reports.
     EndpointReports(Vec<EndpointReport>),
-    /// The parts of their work that zones get from now on, by order of the group.
+    /// The share of requests that each zone gets from now on; gateways get the same shares.
     ZoneShares(Vec<(String, ZoneShare)>),
-    /// The operators changed their minds.
+    /// Changed operator settings.
     OperatorConfig(OperatorConfig),
 }
 
@@ -79,66 +79,67 @@
     }
 }
 
-/// One consistent state of everything, for all proxies.
+/// One consistent state for all proxies.
 #[derive(Debug)]
 pub struct PublishedState {
-    /// The fleet.
+    /// The state of the servers.
     pub snapshot: FleetSnapshot,
-    /// What each proxy gets, by node id.
+    /// The resources of each proxy, by node id.
     pub sets: BTreeMap<String, Arc<ResourceSet>>,
 }
 
-/// The way to the hub, shared by all streams.
+/// A handle to the hub's state, shared by all streams.
 #[derive(Clone)]
 pub struct Hub {
-    /// The way in.
+    /// The queue of updates to the hub.
     pub updates: mpsc::Sender<Update>,
-    /// The newest state; `None` until a whole list has come.
+    /// The newest state; `None` until a complete list of servers has arrived.
     pub published: watch::Receiver<Option<Arc<PublishedState>>>,
-    /// The node ids that may connect.
+    /// The node ids that may connect, with their listen addresses.
     pub allowed: watch::Receiver<Arc<BTreeMap<String, Option<SocketAddr>>>>,
-    /// The clock.
+    /// The clock of the fleet and the ledger.
     pub clock: Clock,
     /// Names of plans and classes.
     pub settings: Arc<NamedSettings>,
-    /// The life and the way of assignments.
+    /// The lifetime of quota assignments and the time allowed for their delivery, among others.
     pub ledger_settings: LedgerSettings,
-    /// The plans of which proxies get slices; of others they let nothing through.
+    /// The plans that proxies get quota assignments for; requests of other plans are denied.
     pub quota_plans: Arc<BTreeSet<PlanId>>,
     ledger: Arc<Mutex<QuotaLedger>>,
 }
 
 impl Hub {
-    /// The ledger. It is held for one report at a time and never across a wait.
+    /// Locks the ledger. Hold the lock for one report at most and never across an await.
     pub fn ledger(&self) -> MutexGuard<'_, QuotaLedger> {
-        // A panic elsewhere leaves sums that were paid and not told, which errs to the safe side.
+        // A panic under the lock can leave quota that was taken but never assigned, so proxies allow too little
+        // rather than too much.
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a node may connect.
+    /// Whether a node is on the operators' list of proxies.
     pub fn is_allowed(&self, node: &str) -> bool {
         self.allowed.borrow().contains_key(node)
     }
 }
 
-/// The hub itself, to be run.
+/// The task that applies updates and publishes the state.
 pub struct Runner {
     fleet: Fleet,
     config: OperatorConfig,
-    /// The plan changed since the last publication.
-    stale: bool,
+    /// The settings changed since the last publication.
+    config_changed: bool,
     routes: Arc<TypeSet>,
     hub: Hub,
-    inbox: mpsc::Receiver<Update>,
+    queue: mpsc::Receiver<Update>,
     publish: watch::Sender<Option<Arc<PublishedState>>>,
     allow: watch::Sender<Arc<BTreeMap<String, Option<SocketAddr>>>>,
 }
 
-fn allowed(config: &OperatorConfig) -> Arc<BTreeMap<String, Option<SocketAddr>>> {
+fn allowed_nodes(config: &OperatorConfig) -> Arc<BTreeMap<String, Option<SocketAddr>>> {
     Arc::new(config.proxies.iter().map(|p| (p.id.clone(), p.listen)).collect())
 }
 
-/// A hub that knows nothing yet of the fleet.
+/// Creates the task and its handle. Nothing is published before the first complete list of servers.
 pub fn new(
     seed: u64,
     settings: NamedSettings,
@@ -150,9 +151,9 @@
     let mut fleet = Fleet::new(seed, settings.clone())?;
     fleet.set_locations(config.locations.clone());
     let ledger = Arc::new(Mutex::new(QuotaLedger::new(clock.now(), ledger_settings, &settings.settings)));
-    let (updates, inbox) = mpsc::channel(INBOX);
+    let (updates, queue) = mpsc::channel(UPDATE_QUEUE_CAPACITY);
     let (publish, published) = watch::channel(None);
-    let (allow, allowed) = watch::channel(allowed(&config));
+    let (allow, allowed) = watch::channel(allowed_nodes(&config));
     let routes = Arc::new(resources::route_tables(&routes(&settings)));
     let hub = Hub {
         updates,
@@ -164,18 +165,19 @@
         quota_plans: Arc::new(quota_plans),
         ledger,
     };
-    let runner = Runner { fleet, config, stale: false, routes, hub: hub.clone(), inbox, publish, allow };
+    let runner =
+        Runner { fleet, config, config_changed: false, routes, hub: hub.clone(), queue, publish, allow };
     Ok((runner, hub))
 }
 
-/// What each proxy gets of a snapshot. The parts that all share are made once; listeners depend on the plan alone,
-/// and those of `old` serve again unless the plan changed (`stale`).
+/// Builds the resources of each proxy. Shared parts are built once. Listeners depend on the operators' settings
+/// alone and are taken over from `old` unless the settings changed (`config_changed`).
 pub fn build_published_state(
     snapshot: FleetSnapshot,
     config: &OperatorConfig,
     routes: &Arc<TypeSet>,
     old: Option<&PublishedState>,
-    stale: bool,
+    config_changed: bool,
 ) -> PublishedState {
     let clusters = Arc::new(resources::clusters(
         &config.resource_settings,
@@ -183,10 +185,10 @@
         config.proxies.len(),
     ));
     let endpoints = Arc::new(resources::endpoints(&snapshot));
-    let of = |proxy: &Proxy| {
+    let resources_of = |proxy: &Proxy| {
         let before = old.and_then(|old| old.sets.get(&proxy.id));
-        let listeners = match before.filter(|_| !stale) {
-            Some(before) => before.of(ResourceKind::Listener),
+        let listeners = match before.filter(|_| !config_changed) {
+            Some(before) => before.type_set(ResourceKind::Listener),
             None => Arc::new(resources::listeners(&proxy.id, proxy.listen, &config.resource_settings)),
         };
         let types = RESOURCE_KINDS.map(|kind| match kind {
@@ -202,27 +204,26 @@
         };
         (proxy.id.clone(), Arc::new(new))
     };
-    let sets = config.proxies.iter().map(of).collect();
+    let sets = config.proxies.iter().map(resources_of).collect();
     PublishedState { snapshot, sets }
 }
 
 impl Runner {
-    /// Runs for ever; ends when nobody can send update any more.
+    /// Runs until the task is dropped: it holds a sender of its own, so its queue never closes.
     pub async fn run(mut self) {
-        let mut sweep = tokio::time::interval(SWEEP);
-        // The runner's own copy of the way in keeps it alive as long as it runs.
+        let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
         loop {
             let now = self.hub.clock.now();
             let next = self.fleet.next_change(now).filter(|_| self.fleet.is_known());
             let wait = next.map_or(Duration::from_secs(3600), |at| Duration::from_micros((at - now).0 + 1));
             tokio::select! {
                 biased;
-                update = self.inbox.recv() => match update {
+                update = self.queue.recv() => match update {
                     Some(update) => {
-                        self.take(update);
-                        // What has come meanwhile goes out as one change.
-                        while let Ok(update) = self.inbox.try_recv() {
-                            self.take(update);
+                        self.apply(update);
+                        // Updates that are already queued are published as one change.
+                        while let Ok(update) = self.queue.try_recv() {
+                            self.apply(update);
                         }
                         self.publish();
                     }
@@ -234,24 +235,24 @@
         }
     }
 
-    fn take(&mut self, update: Update) {
+    fn apply(&mut self, update: Update) {
         let now = self.hub.clock.now();
         match update {
             Update::Members(list) => {
                 let (revision, complete, members) = (list.revision, list.complete, list.members.len());
                 match self.fleet.apply_list(now, list) {
-                    Ok(()) => info!(revision, complete, members, "the list of servers"),
-                    Err(problem) => warn!(revision, %problem, "the list of servers can't be used"),
+                    Ok(()) => info!(revision, complete, members, "applied the list of servers"),
+                    Err(problem) => warn!(revision, %problem, "rejected the list of servers"),
                 }
             }
-            Update::EndpointReports(seen) => seen.into_iter().for_each(|seen| {
-                self.fleet.apply_report(now, seen);
+            Update::EndpointReports(reports) => reports.into_iter().for_each(|report| {
+                self.fleet.apply_report(now, report);
             }),
-            Update::ZoneShares(parts) => self.fleet.set_zone_shares(parts),
+            Update::ZoneShares(shares) => self.fleet.set_zone_shares(shares),
             Update::OperatorConfig(config) => {
-                self.allow.send_replace(allowed(&config));
+                self.allow.send_replace(allowed_nodes(&config));
                 self.fleet.set_locations(config.locations.clone());
-                (self.config, self.stale) = (config, true);
+                (self.config, self.config_changed) = (config, true);
             }
         }
     }
@@ -259,10 +260,11 @@
     fn publish(&mut self) {
         let Some(snapshot) = self.fleet.snapshot(self.hub.clock.now()) else { return };
         let old = self.publish.borrow().clone();
-        let same = old.as_ref().is_some_and(|old| old.snapshot == snapshot);
-        let stale = std::mem::take(&mut self.stale);
-        if !same || stale {
-            let new = build_published_state(snapshot, &self.config, &self.routes, old.as_deref(), stale);
+        let unchanged = old.as_ref().is_some_and(|old| old.snapshot == snapshot);
+        let config_changed = std::mem::take(&mut self.config_changed);
+        if !unchanged || config_changed {
+            let new =
+                build_published_state(snapshot, &self.config, &self.routes, old.as_deref(), config_changed);
             self.publish.send_replace(Some(Arc::new(new)));
         }
     }
--- a/crates/starlinghill-xds/src/lib.rs
+++ b/crates/starlinghill-xds/src/lib.rs
@@ -1,10 +1,10 @@
-//! The gateway's decisions for proxies that others build, over xDS v3.
+//! Serves the gateway's decisions to third-party proxies over xDS v3.
 //!
-//! - [`resources`]: the picture of the fleet and the routes as Envoy's resources, with versions that are hashes of
-//!   what is in them. Pure.
-//! - [`ads`]: one discovery stream as a state machine. Pure.
-//! - [`hub`]: the one owner of the fleet's picture and of the ledger; publishes each change once.
-//! - [`server`]: discovery, load reports and quota assignments on sockets, over gRPC.
+//! - [`resources`]: encodes the fleet snapshot and the routes as Envoy resources, versioned by a hash of their
+//!   content. No I/O.
+//! - [`ads`]: one discovery stream as a state machine. No I/O.
+//! - [`hub`]: owns the fleet state and the quota ledger, and publishes each change once to all streams.
+//! - [`server`]: the gRPC services for discovery, load reports and quota assignments.
 
 pub mod ads;
 pub mod hub;
--- a/crates/starlinghill-xds/src/server.rs
+++ b/crates/starlinghill-xds/src/server.rs
@@ -1,10 +1,10 @@
-//! The services on sockets: aggregated discovery (`envoy.service.discovery.v3`), load reports
+//! The gRPC services: aggregated discovery (`envoy.service.discovery.v3`), load reports
 //! (`envoy.service.load_stats.v3`) and quota assignments (`envoy.service.rate_limit_quota.v3`). They translate
-//! and never choose.
+//! messages and make no decisions of their own.
 
-use crate::ads::{self, Flavour, Heard, Names, Stream as AdsStream};
+use crate::ads::{self, Acknowledgement, Names, Protocol, Stream as AdsStream};
 use crate::hub::{Hub, PublishedState, Update};
-use crate::resources::{ResourceKind, DOMAIN, NODE_KEY, SAVE_NODES};
+use crate::resources::{ResourceKind, QUOTA_DOMAIN, QUOTA_NODE_HEADER, SAVE_NODES};
 use envoy_types::pb::envoy::config::core::v3::address::Address;
 use envoy_types::pb::envoy::config::core::v3::socket_address::PortSpecifier;
 use envoy_types::pb::envoy::config::core::v3::Node;
@@ -42,31 +42,33 @@
 use tonic::{Request, Response, Status, Streaming};
 use tracing::{debug, info, warn};
 
-/// A stream must name its node within this time.
-const INTRODUCTION: Duration = Duration::from_secs(5);
-/// A proxy that has not answered what it was told for so long is named in the log; the cutoff for drains.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// How often proxies are to report load.
+/// Time limit for the first message of a stream. It is also the time that a new proxy has for subscribing to
+/// everything it uses, and that a client has for reading the final status.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// A proxy that has not answered a response for this long is logged. Draining servers rely on proxies learning of
+/// the drain within this time.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// The interval at which proxies report load.
 const LOAD_INTERVAL: Duration = Duration::from_secs(1);
-/// Streams of one connection: discovery, load, quotas, and room for what a library opens beside.
-const STREAMS_OF_CONNECTION: u32 = 16;
-/// The pause after an accept that failed, which it does at once while descriptors are short.
+/// Concurrent streams per connection: discovery, load and quotas, with spare ones for client libraries.
+const MAX_STREAMS_PER_CONNECTION: u32 = 16;
+/// Pause after a failed accept. While file descriptors are short it fails at once, and retrying would spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Connections that show no sign of life are asked for one this often, and cut after this time.
-const KEEPALIVE: Duration = Duration::from_secs(5);
-/// Customers have numbers below this.
-const CUSTOMERS: u64 = 1 << 33;
+/// Interval of HTTP/2 keepalive pings, and the time after which an unanswered ping closes the connection.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
+/// Customer numbers are below this bound; others are rejected.
+const CUSTOMER_NUMBER_END: u64 = 1 << 33;
 
-/// Bounds on what clients may take.
+/// Bounds on the resources that clients may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections.
+    /// Open connections; further ones are closed at once.
     pub connections: usize,
-    /// Streams of all kinds together.
+    /// Open streams of all services together.
     pub streams: usize,
-    /// Names subscribed to on one stream, for each type.
+    /// Resource names that one stream may subscribe to, for each resource kind.
     pub names_per_kind: usize,
-    /// Bytes of one message from a client.
+    /// Size of one message from a client, in bytes.
     pub message_bytes: usize,
 }
 
@@ -76,59 +78,65 @@
     }
 }
 
-/// What the services share.
+/// The state that the three services share.
 #[derive(Clone)]
 pub struct Service {
     hub: Hub,
     limits: Limits,
     streams: Arc<Semaphore>,
     stopping: watch::Receiver<bool>,
-    /// Numbers streams; begins at random, so that no nonce is like one of an earlier life of this service.
+    /// The number of the next stream.
     serial: Arc<AtomicU64>,
-    life: u64,
+    /// A random number of this process, so that no nonce equals one from before a restart.
+    instance: u64,
 }
 
 impl Service {
-    /// Services round this hub; they end when `stopping` turns true.
+    /// The services end when `stopping` turns true. `seed` and the time set the random part of nonces.
     pub fn new(hub: Hub, limits: Limits, seed: u64, stopping: watch::Receiver<bool>) -> Service {
         let streams = Arc::new(Semaphore::new(limits.streams));
-        let life = fastrand::Rng::with_seed(seed ^ hub.clock.now().0).u64(..);
-        Service { hub, limits, streams, stopping, serial: Arc::default(), life }
+        let instance = fastrand::Rng::with_seed(seed ^ hub.clock.now().0).u64(..);
+        Service { hub, limits, streams, stopping, serial: Arc::default(), instance }
     }
 
-    /// Serves until stopping. Streams then end with UNAVAILABLE, at which proxies keep what they have.
+    /// Serves until the service stops. Streams then end with UNAVAILABLE, and proxies keep their configuration.
     pub async fn serve(
         self,
         listener: TcpListener,
         tls: Option<ServerTlsConfig>,
     ) -> Result<(), tonic::transport::Error> {
-        let (most, mut stopping) = (self.limits.message_bytes, self.stopping.clone());
+        let (max_message_bytes, mut stopping) = (self.limits.message_bytes, self.stopping.clone());
         let incoming = Incoming {
             listener,
-            places: Arc::new(Semaphore::new(self.limits.connections)),
+            permits: Arc::new(Semaphore::new(self.limits.connections)),
             allowance: Duration::from_micros(self.hub.ledger_settings.allowance.0),
             waiting: None,
             pause: None,
         };
         let mut server = Server::builder()
-            .max_concurrent_streams(STREAMS_OF_CONNECTION)
-            .http2_keepalive_interval(Some(KEEPALIVE))
-            .http2_keepalive_timeout(Some(KEEPALIVE));
+            .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
+            .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
+            .http2_keepalive_timeout(Some(KEEPALIVE_INTERVAL));
         if let Some(tls) = tls {
             server = server.tls_config(tls)?;
         }
         server
-            .add_service(AggregatedDiscoveryServiceServer::new(self.clone()).max_decoding_message_size(most))
-            .add_service(LoadReportingServiceServer::new(self.clone()).max_decoding_message_size(most))
-            .add_service(RateLimitQuotaServiceServer::new(self).max_decoding_message_size(most))
+            .add_service(
+                AggregatedDiscoveryServiceServer::new(self.clone())
+                    .max_decoding_message_size(max_message_bytes),
+            )
+            .add_service(
+                LoadReportingServiceServer::new(self.clone()).max_decoding_message_size(max_message_bytes),
+            )
+            .add_service(RateLimitQuotaServiceServer::new(self).max_decoding_message_size(max_message_bytes))
             .serve_with_incoming_shutdown(incoming, async move {
-                // An error: whoever could stop it is gone, which stops it too.
+                // An error means that the sender was dropped, which stops the service too.
                 let _ = stopping.wait_for(|stop| *stop).await;
             })
             .await
     }
 
-    fn place(&self) -> Result<OwnedSemaphorePermit, Status> {
+    fn stream_permit(&self) -> Result<OwnedSemaphorePermit, Status> {
         if *self.stopping.borrow() {
             return Err(Status::unavailable("this service is stopping"));
         }
@@ -137,7 +145,7 @@
         self.streams.clone().try_acquire_owned().map_err(full)
     }
 
-    fn admit(&self, node: &str) -> Result<(), Status> {
+    fn check_node(&self, node: &str) -> Result<(), Status> {
         let short: String = node.chars().take(120).collect();
         match self.hub.is_allowed(node) {
             true => Ok(()),
@@ -156,9 +164,9 @@
     }
 }
 
-/// The first message of a stream, which must come soon.
-async fn first<T>(inbound: &mut Streaming<T>) -> Result<T, Status> {
-    match tokio::time::timeout(INTRODUCTION, inbound.message()).await {
+/// Reads the first message of a stream within the time limit.
+async fn first_message<T>(inbound: &mut Streaming<T>) -> Result<T, Status> {
+    match tokio::time::timeout(FIRST_MESSAGE_TIMEOUT, inbound.message()).await {
         Ok(Ok(Some(message))) => Ok(message),
         Ok(Ok(None)) => Err(Status::invalid_argument("the stream ended before its first message")),
         Ok(Err(status)) => Err(status),
@@ -166,28 +174,28 @@
     }
 }
 
-/// The two flavours of discovery on the wire.
-trait Wire: Send + 'static {
+/// Converts the messages of one discovery protocol.
+trait DiscoveryProtocol: Send + 'static {
     type In: Send + 'static;
     type Out: Send + 'static;
-    const FLAVOUR: Flavour;
+    const PROTOCOL: Protocol;
     fn read(message: Self::In) -> (Option<Node>, ads::Request);
     fn write(response: ads::Response) -> Self::Out;
 }
 
-struct Whole;
-struct Delta;
+struct StateOfTheWorld;
+struct Incremental;
 
-impl Wire for Whole {
+impl DiscoveryProtocol for StateOfTheWorld {
     type In = discovery::DiscoveryRequest;
     type Out = discovery::DiscoveryResponse;
-    const FLAVOUR: Flavour = Flavour::Whole;
+    const PROTOCOL: Protocol = Protocol::StateOfTheWorld;
     fn read(message: Self::In) -> (Option<Node>, ads::Request) {
         let request = ads::Request {
             type_url: message.type_url,
             nonce: message.response_nonce,
-            refused: message.error_detail.map(|status| status.message),
-            names: Names::Whole { names: message.resource_names, version: message.version_info },
+            rejected: message.error_detail.map(|status| status.message),
+            names: Names::StateOfTheWorld { names: message.resource_names, version: message.version_info },
         };
         (message.node, request)
     }
@@ -202,16 +210,16 @@
     }
 }
 
-impl Wire for Delta {
+impl DiscoveryProtocol for Incremental {
     type In = discovery::DeltaDiscoveryRequest;
     type Out = discovery::DeltaDiscoveryResponse;
-    const FLAVOUR: Flavour = Flavour::Delta;
+    const PROTOCOL: Protocol = Protocol::Incremental;
     fn read(message: Self::In) -> (Option<Node>, ads::Request) {
         let request = ads::Request {
             type_url: message.type_url,
             nonce: message.response_nonce,
-            refused: message.error_detail.map(|status| status.message),
-            names: Names::Delta {
+            rejected: message.error_detail.map(|status| status.message),
+            names: Names::Incremental {
                 subscribe: message.resource_names_subscribe,
                 unsubscribe: message.resource_names_unsubscribe,
                 initial: message.initial_resource_versions.into_iter().collect(),
@@ -238,64 +246,64 @@
 }
 
 impl Service {
-    fn discover<W: Wire>(
+    fn start_discovery<W: DiscoveryProtocol>(
         &self,
         mut inbound: Streaming<W::In>,
     ) -> Result<ReceiverStream<Result<W::Out, Status>>, Status> {
-        let place = self.place()?;
-        // One response waits to be read; whatever comes next is made when there is room.
+        let permit = self.stream_permit()?;
+        // At most one response waits for the client; the next is built only when it can be queued.
         let (tx, rx) = mpsc::channel(1);
         let service = self.clone();
         tokio::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             let problem = tokio::select! {
-                done = service.discovery::<W>(&mut inbound, &tx) => done.err(),
+                done = service.run_discovery::<W>(&mut inbound, &tx) => done.err(),
                 () = service.stopped() => Some(Status::unavailable("this service is stopping")),
             };
             if let Some(status) = problem {
-                debug!(%status, "a discovery stream ends");
-                // A proxy that reads nothing learns it from the end of the stream.
-                let _ = tokio::time::timeout(INTRODUCTION, tx.send(Err(status))).await;
+                debug!(%status, "a discovery stream ended");
+                // A proxy that does not read sees only the end of the stream.
+                let _ = tokio::time::timeout(FIRST_MESSAGE_TIMEOUT, tx.send(Err(status))).await;
             }
         });
         Ok(ReceiverStream::new(rx))
     }
 
-    async fn discovery<W: Wire>(
+    async fn run_discovery<W: DiscoveryProtocol>(
         &self,
         inbound: &mut Streaming<W::In>,
         tx: &mpsc::Sender<Result<W::Out, Status>>,
     ) -> Result<(), Status> {
-        let (node, request) = W::read(first(inbound).await?);
+        let (node, request) = W::read(first_message(inbound).await?);
         let node = node.map(|node| node.id).unwrap_or_default();
-        self.admit(&node)?;
+        self.check_node(&node)?;
         let serial = self.serial.fetch_add(1, Ordering::Relaxed);
         let limits = ads::Limits { names_per_kind: self.limits.names_per_kind, name_bytes: 512 };
-        let mut stream = AdsStream::new(W::FLAVOUR, format!("{:x}-{serial:x}", self.life), limits);
+        let mut stream = AdsStream::new(W::PROTOCOL, format!("{:x}-{serial:x}", self.instance), limits);
         let mut published = self.hub.published.clone();
         let set = |published: &mut watch::Receiver<Option<Arc<PublishedState>>>| {
             let newest = published.borrow_and_update().clone();
             newest.and_then(|newest| newest.sets.get(&node).cloned())
         };
         set(&mut published).into_iter().for_each(|set| stream.update(set));
-        info!(node, serial, flavour = ?W::FLAVOUR, "a proxy came");
-        self.heard(&node, &mut stream, request)?;
-        let mut due = true;
-        let introduced = tokio::time::sleep(INTRODUCTION);
-        tokio::pin!(introduced);
-        let mut waits = true;
-        let mut late: Option<tokio::time::Instant> = None;
+        info!(node, serial, flavour = %W::PROTOCOL, "a proxy opened a discovery stream");
+        self.handle_request(&node, &mut stream, request)?;
+        let mut may_have_response = true;
+        let initial_period = tokio::time::sleep(FIRST_MESSAGE_TIMEOUT);
+        tokio::pin!(initial_period);
+        let mut is_new = true;
+        let mut answer_deadline: Option<tokio::time::Instant> = None;
         loop {
-            let answer_due = late.unwrap_or_else(tokio::time::Instant::now);
+            let next_deadline = answer_deadline.unwrap_or_else(tokio::time::Instant::now);
             tokio::select! {
                 biased;
-                permit = tx.reserve(), if due => match (permit, stream.next_response()) {
+                permit = tx.reserve(), if may_have_response => match (permit, stream.next_response()) {
                     (Err(_), _) => return Ok(()),
                     (Ok(permit), Some(response)) => {
-                        late.get_or_insert_with(|| tokio::time::Instant::now() + PATIENCE);
+                        answer_deadline.get_or_insert_with(|| tokio::time::Instant::now() + ANSWER_TIMEOUT);
                         permit.send(Ok(W::write(response)));
                     }
-                    (Ok(_), None) => due = false,
+                    (Ok(_), None) => may_have_response = false,
                 },
                 changed = published.changed() => {
                     if changed.is_err() {
@@ -303,47 +311,52 @@
                     }
                     match set(&mut published) {
                         Some(set) => stream.update(set),
-                        // It was taken off the operators' list.
-                        None => self.admit(&node)?,
+                        // The node may have been removed from the operators' list.
+                        None => self.check_node(&node)?,
                     }
-                    due = true;
+                    may_have_response = true;
                 }
                 message = inbound.message() => match message {
                     Ok(Some(message)) => {
-                        self.heard(&node, &mut stream, W::read(message).1)?;
-                        due = true;
-                        late = late.filter(|_| stream.is_unanswered());
+                        self.handle_request(&node, &mut stream, W::read(message).1)?;
+                        may_have_response = true;
+                        answer_deadline = answer_deadline.filter(|_| stream.is_unanswered());
                     }
                     Ok(None) => return Ok(()),
                     Err(status) => return Err(status),
                 },
-                () = tokio::time::sleep_until(answer_due), if late.is_some() => {
-                    warn!(node, serial, "a proxy has not answered in time: it may not know what drains");
-                    late = None;
+                () = tokio::time::sleep_until(next_deadline), if answer_deadline.is_some() => {
+                    warn!(node, serial, "a proxy has not answered in time; it may still use draining servers");
+                    answer_deadline = None;
                 }
-                () = &mut introduced, if waits => {
-                    stream.introduced();
-                    (waits, due) = (false, true);
+                () = &mut initial_period, if is_new => {
+                    stream.end_initial_period();
+                    (is_new, may_have_response) = (false, true);
                 }
                 () = tx.closed() => return Ok(()),
             }
         }
     }
 
-    fn heard(&self, node: &str, stream: &mut AdsStream, request: ads::Request) -> Result<(), Status> {
+    fn handle_request(
+        &self,
+        node: &str,
+        stream: &mut AdsStream,
+        request: ads::Request,
+    ) -> Result<(), Status> {
         match stream.request(request) {
-            Ok(Heard::Refused(kind, version, problem)) => {
+            Ok(Acknowledgement::Rejected(kind, version, problem)) => {
                 let problem: String = problem.chars().take(500).collect();
-                warn!(node, %kind, version, problem, "a proxy refused what it was told, and keeps what it had");
+                warn!(node, %kind, version, problem, "a proxy rejected a response and keeps its last accepted state");
                 Ok(())
             }
-            Ok(Heard::Nothing | Heard::Accepted(_)) => Ok(()),
+            Ok(Acknowledgement::None | Acknowledgement::Accepted(_)) => Ok(()),
             Err(problem) => Err(Status::invalid_argument(problem.to_string())),
         }
     }
 }
 
-type Answers<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
+type ResponseStream<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
 #[tonic::async_trait]
 impl AggregatedDiscoveryService for Service {
@@ -352,7 +365,7 @@
         &self,
         request: Request<Streaming<discovery::DiscoveryRequest>>,
     ) -> Result<Response<Self::StreamAggregatedResourcesStream>, Status> {
-        self.discover::<Whole>(request.into_inner()).map(Response::new)
+        self.start_discovery::<StateOfTheWorld>(request.into_inner()).map(Response::new)
     }
 
     type DeltaAggregatedResourcesStream = ReceiverStream<Result<discovery::DeltaDiscoveryResponse, Status>>;
@@ -360,11 +373,11 @@
         &self,
         request: Request<Streaming<discovery::DeltaDiscoveryRequest>>,
     ) -> Result<Response<Self::DeltaAggregatedResourcesStream>, Status> {
-        self.discover::<Delta>(request.into_inner()).map(Response::new)
+        self.start_discovery::<Incremental>(request.into_inner()).map(Response::new)
     }
 }
 
-fn proto(span: Duration) -> Option<ProtoDuration> {
+fn proto_duration(span: Duration) -> Option<ProtoDuration> {
     Some(ProtoDuration { seconds: span.as_secs() as i64, nanos: span.subsec_nanos() as i32 })
 }
 
@@ -374,7 +387,7 @@
     Micros(seconds * 1_000_000 + nanos / 1000)
 }
 
-fn observed(stats: &UpstreamEndpointStats) -> Option<EndpointReport> {
+fn endpoint_report(stats: &UpstreamEndpointStats) -> Option<EndpointReport> {
     let Address::SocketAddress(socket) = stats.address.as_ref()?.address.as_ref()? else { return None };
     let Some(PortSpecifier::PortValue(port)) = socket.port_specifier else { return None };
     let address = SocketAddr::new(socket.address.parse().ok()?, u16::try_from(port).ok()?);
@@ -389,29 +402,31 @@
         &self,
         request: Request<Streaming<LoadStatsRequest>>,
     ) -> Result<Response<Self::StreamLoadStatsStream>, Status> {
-        let place = self.place()?;
+        let permit = self.stream_permit()?;
         let (tx, rx) = mpsc::channel(1);
         let (service, mut inbound) = (self.clone(), request.into_inner());
         tokio::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             let work = async {
-                let mut message = first(&mut inbound).await?;
+                let mut message = first_message(&mut inbound).await?;
                 let node = message.node.take().map(|node| node.id).unwrap_or_default();
-                service.admit(&node)?;
-                let wanted = LoadStatsResponse {
+                service.check_node(&node)?;
+                let report_request = LoadStatsResponse {
                     clusters: vec![SAVE_NODES.into()],
-                    load_reporting_interval: proto(LOAD_INTERVAL),
+                    load_reporting_interval: proto_duration(LOAD_INTERVAL),
                     report_endpoint_granularity: true,
                     ..Default::default()
                 };
-                let _ = tx.send(Ok(wanted)).await;
+                let _ = tx.send(Ok(report_request)).await;
                 loop {
                     let stats = message.cluster_stats.iter().filter(|c| c.cluster_name == SAVE_NODES);
                     let localities = stats.flat_map(|c| &c.upstream_locality_stats);
-                    let seen: Vec<EndpointReport> =
-                        localities.flat_map(|l| &l.upstream_endpoint_stats).filter_map(observed).collect();
-                    if !seen.is_empty()
-                        && service.hub.updates.send(Update::EndpointReports(seen)).await.is_err()
+                    let reports: Vec<EndpointReport> = localities
+                        .flat_map(|l| &l.upstream_endpoint_stats)
+                        .filter_map(endpoint_report)
+                        .collect();
+                    if !reports.is_empty()
+                        && service.hub.updates.send(Update::EndpointReports(reports)).await.is_err()
                     {
                         return Ok(());
                     }
@@ -419,8 +434,8 @@
                         Some(next) => message = next,
                         None => return Ok(()),
                     }
-                    // It may have been taken off the operators' list meanwhile.
-                    service.admit(&node)?;
+                    // The node may have been removed from the operators' list meanwhile.
+                    service.check_node(&node)?;
                 }
             };
             let problem: Option<Status> = tokio::select! {
@@ -428,37 +443,40 @@
                 () = service.stopped() => Some(Status::unavailable("this service is stopping")),
             };
             if let Some(status) = problem {
-                let _ = tokio::time::timeout(INTRODUCTION, tx.send(Err(status))).await;
+                let _ = tokio::time::timeout(FIRST_MESSAGE_TIMEOUT, tx.send(Err(status))).await;
             }
         });
         Ok(Response::new(ReceiverStream::new(rx)))
     }
 }
 
-/// A bucket's id, as the proxies' filter builds it.
-fn bucket(hub: &Hub, id: &rlqs::BucketId) -> Option<BucketKey> {
+/// Parses a bucket id as the proxies' quota filter builds it. `None` if a part is missing or not valid.
+fn parse_bucket_id(hub: &Hub, id: &rlqs::BucketId) -> Option<BucketKey> {
     let customer = id.bucket.get("customer").filter(|c| c.len() == 16)?;
-    let customer = u64::from_str_radix(customer, 16).ok().filter(|c| *c < CUSTOMERS)?;
+    let customer = u64::from_str_radix(customer, 16).ok().filter(|c| *c < CUSTOMER_NUMBER_END)?;
     let plan = hub.settings.plans.get(id.bucket.get("plan")?).map(|&i| PlanId(i));
     let plan = plan.filter(|plan| hub.quota_plans.contains(plan))?;
     let units = id.bucket.get("units")?.parse().ok()?;
     Some(BucketKey { customer: CustomerId(customer), plan, units })
 }
 
-fn action(id: rlqs::BucketId, told: Assignment) -> Option<rlqs::rate_limit_quota_response::BucketAction> {
+fn bucket_action(
+    id: rlqs::BucketId,
+    assignment: Assignment,
+) -> Option<rlqs::rate_limit_quota_response::BucketAction> {
     use envoy_type::rate_limit_strategy::{BlanketRule, Strategy};
-    use rlqs::rate_limit_quota_response::{bucket_action, BucketAction};
-    let assign = |strategy, life: Micros| {
-        bucket_action::BucketAction::QuotaAssignmentAction(bucket_action::QuotaAssignmentAction {
-            assignment_time_to_live: proto(Duration::from_micros(life.0)),
+    use rlqs::rate_limit_quota_response::{bucket_action as pb_action, BucketAction};
+    let assign = |strategy, lifetime: Micros| {
+        pb_action::BucketAction::QuotaAssignmentAction(pb_action::QuotaAssignmentAction {
+            assignment_time_to_live: proto_duration(Duration::from_micros(lifetime.0)),
             rate_limit_strategy: Some(envoy_type::RateLimitStrategy { strategy: Some(strategy) }),
         })
     };
-    let action = match told {
+    let action = match assignment {
         Assignment::Tokens { capacity, interval, lifetime } => {
-            // A bucket must have a filling; one that has none here fills once in a day.
+            // Envoy requires a fill interval; a bucket without refill gets one token a day.
             let fill_interval =
-                proto(Duration::from_micros(interval.map_or(86_400_000_000, |interval| interval.0)));
+                proto_duration(Duration::from_micros(interval.map_or(86_400_000_000, |interval| interval.0)));
             let tokens_per_fill = Some(UInt32Value { value: 1 });
             assign(
                 Strategy::TokenBucket(envoy_type::TokenBucket {
@@ -470,13 +488,13 @@
             )
         }
         Assignment::Deny { lifetime } => assign(Strategy::BlanketRule(BlanketRule::DenyAll as i32), lifetime),
-        Assignment::Abandon => bucket_action::BucketAction::AbandonAction(bucket_action::AbandonAction {}),
+        Assignment::Abandon => pb_action::BucketAction::AbandonAction(pb_action::AbandonAction {}),
         Assignment::Keep => return None,
     };
     Some(BucketAction { bucket_id: Some(id), bucket_action: Some(action) })
 }
 
-/// Ends what a stream holds in the ledger, however the stream ends.
+/// Removes the stream's holder from the ledger on drop, however the stream ends.
 struct Holder {
     hub: Hub,
     id: HolderId,
@@ -489,7 +507,7 @@
 }
 
 impl Service {
-    async fn quotas(
+    async fn run_quotas(
         &self,
         node: &str,
         inbound: &mut Streaming<rlqs::RateLimitQuotaUsageReports>,
@@ -497,30 +515,30 @@
     ) -> Result<(), Status> {
         let id = HolderId(self.serial.fetch_add(1, Ordering::Relaxed));
         let holder = Holder { hub: self.hub.clone(), id };
-        let mut named = false;
+        let mut has_first_message = false;
         loop {
-            // Room first: what a report brings is reckoned when it can be told at once.
+            // Space for the answer comes first, so that assignments are computed only when they can be sent at once.
             let Ok(permit) = tx.reserve().await else { return Ok(()) };
-            let message = match named {
+            let message = match has_first_message {
                 true => inbound.message().await?,
-                false => Some(first(inbound).await?),
+                false => Some(first_message(inbound).await?),
             };
             let Some(message) = message else { return Ok(()) };
-            if !named && message.domain != DOMAIN {
+            if !has_first_message && message.domain != QUOTA_DOMAIN {
                 let short: String = message.domain.chars().take(120).collect();
                 return Err(Status::invalid_argument(format!(
-                    "domain: expected '{DOMAIN}', found '{short}'"
+                    "domain: expected '{QUOTA_DOMAIN}', found '{short}'"
                 )));
             }
-            named = true;
-            // It may have been taken off the operators' list meanwhile.
-            self.admit(node)?;
+            has_first_message = true;
+            // The node may have been removed from the operators' list meanwhile.
+            self.check_node(node)?;
             let now = self.hub.clock.now();
             let mut actions = Vec::with_capacity(message.bucket_quota_usages.len());
-            let mut bad = 0_u32;
+            let mut denied_buckets = 0_u32;
             for usage in message.bucket_quota_usages {
                 let Some(id) = usage.bucket_id else { continue };
-                let told = bucket(&self.hub, &id).map(|key| {
+                let assignment = parse_bucket_id(&self.hub, &id).map(|key| {
                     let usage = Usage {
                         allowed: usage.num_requests_allowed,
                         denied: usage.num_requests_denied,
@@ -528,18 +546,22 @@
                     };
                     self.hub.ledger().report(now, holder.id, key, usage)
                 });
-                let told = match told {
-                    Some(Ok(told)) => told,
-                    // A client's headers may say anything; its requests are turned away, others go on.
+                let assignment = match assignment {
+                    Some(Ok(assignment)) => assignment,
+                    // The id comes from a client's headers, which may hold anything. Only this bucket is denied.
                     Some(Err(_)) | None => {
-                        bad += 1;
+                        denied_buckets += 1;
                         Assignment::Deny { lifetime: self.hub.ledger_settings.lease }
                     }
                 };
-                actions.extend(action(id, told));
+                actions.extend(bucket_action(id, assignment));
             }
-            if bad > 0 {
-                debug!(node, bad, "buckets of no customer, plan or units, or more than there may be");
+            if denied_buckets > 0 {
+                debug!(
+                    node,
+                    bad = denied_buckets,
+                    "denied buckets with an invalid id or beyond the limit on buckets"
+                );
             }
             if !actions.is_empty() {
                 permit.send((Instant::now(), rlqs::RateLimitQuotaResponse { bucket_action: actions }));
@@ -550,51 +572,61 @@
 
 #[tonic::async_trait]
 impl RateLimitQuotaService for Service {
-    type StreamRateLimitQuotasStream = Answers<rlqs::RateLimitQuotaResponse>;
+    type StreamRateLimitQuotasStream = ResponseStream<rlqs::RateLimitQuotaResponse>;
     async fn stream_rate_limit_quotas(
         &self,
         request: Request<Streaming<rlqs::RateLimitQuotaUsageReports>>,
     ) -> Result<Response<Self::StreamRateLimitQuotasStream>, Status> {
-        let place = self.place()?;
-        let node =
-            request.metadata().get(NODE_KEY).and_then(|v| v.to_str().ok()).unwrap_or_default().to_string();
-        self.admit(&node)?;
+        let permit = self.stream_permit()?;
+        let node = request
+            .metadata()
+            .get(QUOTA_NODE_HEADER)
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or_default()
+            .to_string();
+        self.check_node(&node)?;
         let (tx, rx) = mpsc::channel(1);
-        let (end, ended) = mpsc::channel(1);
+        let (status_tx, status_rx) = mpsc::channel(1);
         let (service, mut inbound) = (self.clone(), request.into_inner());
         let allowance = Duration::from_micros(self.hub.ledger_settings.allowance.0);
         tokio::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             let problem = tokio::select! {
-                done = service.quotas(&node, &mut inbound, &tx) => done.err(),
+                done = service.run_quotas(&node, &mut inbound, &tx) => done.err(),
                 () = service.stopped() => Some(Status::unavailable("this service is stopping")),
             };
             if let Some(status) = problem {
-                let _ = end.try_send(status);
+                let _ = status_tx.try_send(status);
             }
         });
-        // Guards against an assignment that waited for its reader: it would be used for its whole life from
-        // now on, when the ledger takes it for lapsed.
-        let fresh = ReceiverStream::new(rx).map(move |(made, response): (Instant, _)| match made.elapsed() {
-            waited if waited > allowance / 2 => Err(Status::aborted("an assignment was not read in time")),
-            _ => Ok(response),
-        });
-        let last = ReceiverStream::new(ended).map(Err);
+        // An assignment that waited too long for the client must not be delivered: the proxy would use it for its
+        // whole lifetime from now on, past the time at which the ledger takes it as expired.
+        let fresh =
+            ReceiverStream::new(rx).map(move |(computed_at, response): (Instant, _)| {
+                match computed_at.elapsed() {
+                    waited if waited > allowance / 2 => {
+                        Err(Status::aborted("an assignment was not read in time"))
+                    }
+                    _ => Ok(response),
+                }
+            });
+        let last = ReceiverStream::new(status_rx).map(Err);
         Ok(Response::new(Box::pin(fresh.chain(last))))
     }
 }
 
-/// Connections, a bounded number, each cut when what was written stays unacknowledged for the allowance.
+/// Accepts a bounded number of connections. TCP closes one whose written data stays unacknowledged for
+/// `allowance`.
 struct Incoming {
     listener: TcpListener,
-    places: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     allowance: Duration,
     waiting: Option<TcpStream>,
     pause: Option<Pin<Box<tokio::time::Sleep>>>,
 }
 
 impl Stream for Incoming {
-    type Item = io::Result<Line>;
+    type Item = io::Result<Connection>;
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         loop {
             if let Some(pause) = &mut self.pause {
@@ -604,9 +636,9 @@
                 self.pause = None;
             }
             if let Some(stream) = self.waiting.take() {
-                match self.places.clone().try_acquire_owned() {
-                    Ok(place) => return Poll::Ready(Some(Ok(Line { stream, _place: place }))),
-                    // Closed at once: the client learns it and comes back.
+                match self.permits.clone().try_acquire_owned() {
+                    Ok(permit) => return Poll::Ready(Some(Ok(Connection { stream, _permit: permit }))),
+                    // Closes the connection at once, so that the client notices and retries.
                     Err(_) => drop(stream),
                 }
             }
@@ -630,20 +662,20 @@
     }
 }
 
-/// One connection and its place.
-struct Line {
+/// A connection and the permit that counts it.
+struct Connection {
     stream: TcpStream,
-    _place: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
 }
 
-impl Connected for Line {
+impl Connected for Connection {
     type ConnectInfo = TcpConnectInfo;
     fn connect_info(&self) -> TcpConnectInfo {
         self.stream.connect_info()
     }
 }
 
-impl AsyncRead for Line {
+impl AsyncRead for Connection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -653,7 +685,7 @@
     }
 }
 
-impl AsyncWrite for Line {
+impl AsyncWrite for Connection {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
@@ -675,7 +707,7 @@
     }
 }
 
-/// The kinds that a node's set holds, for people to read: type, name, version and size in bytes.
+/// Lists a node's resources for operators: kind, name, version and size in bytes.
 pub fn resource_summaries(set: &crate::resources::ResourceSet) -> Vec<(ResourceKind, String, String, usize)> {
     let kinds = crate::resources::RESOURCE_KINDS.into_iter();
     let all = kinds.flat_map(|kind| set.all(kind).map(move |r| (kind, r)));
--- a/crates/starlinghill-xds/tests/ads.rs
+++ b/crates/starlinghill-xds/tests/ads.rs
@@ -1,6 +1,6 @@
-//! The discovery stream against clients of both flavours, over links that lose and break, in every order that
-//! chance finds: a client ends with one whole state, never a mix, and on the way never has a route that names a
-//! cluster it lacks.
+//! Runs the discovery stream against simulated clients of both protocols, in random orders of requests, responses,
+//! rejections and reconnects. A client must end with exactly one complete state, and must never hold a route that
+//! names a cluster it lacks.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -11,7 +11,8 @@
 
 const LIMITS: Limits = Limits { names_per_kind: 20, name_bytes: 32 };
 
-/// What resources hold here: clusters their name and edition, listeners the routes' name, routes the clusters'.
+/// A resource with text as its body: an edition number, followed in a listener by the name of its route table and
+/// in a route table by the names of its clusters.
 fn resource(kind: ResourceKind, name: &str, text: &str) -> Resource {
     Resource::new(kind, name, text.as_bytes().to_vec())
 }
@@ -20,12 +21,12 @@
     String::from_utf8(r.body.value.clone()).expect("text")
 }
 
-/// A state: which clusters there are, all named by the routes. All parts carry the edition.
+/// A resource set with these clusters, all named by the routes. Every resource holds the edition number.
 fn state(edition: u32, clusters: &BTreeSet<u8>) -> Arc<ResourceSet> {
-    Arc::new(plain(edition, clusters))
+    Arc::new(resource_set(edition, clusters))
 }
 
-fn plain(edition: u32, clusters: &BTreeSet<u8>) -> ResourceSet {
+fn resource_set(edition: u32, clusters: &BTreeSet<u8>) -> ResourceSet {
     let name = |c: &u8| format!("c{c}");
     let of =
         |kind: ResourceKind| clusters.iter().map(move |c| resource(kind, &name(c), &format!("{edition}")));
@@ -39,38 +40,41 @@
     ])
 }
 
-/// A client as the protocol has it: wildcards for clusters and listeners, names for what those refer to.
+/// A simulated client. It uses wildcards for clusters and listeners, and names for the resources they refer to.
+/// Arrays are indexed by resource kind.
 struct Client {
-    flavour: Flavour,
+    protocol: Protocol,
+    /// Version and text of each resource by name.
     has: [BTreeMap<String, (String, String)>; 4],
     version: [String; 4],
-    asked: [BTreeSet<String>; 4],
+    subscribed: [BTreeSet<String>; 4],
     nonce: [String; 4],
+    /// No request was sent on this stream yet.
     first: [bool; 4],
 }
 
 impl Client {
-    fn new(flavour: Flavour) -> Client {
+    fn new(protocol: Protocol) -> Client {
         Client {
-            flavour,
+            protocol,
             has: Default::default(),
             version: Default::default(),
-            asked: Default::default(),
+            subscribed: Default::default(),
             nonce: Default::default(),
             first: [true; 4],
         }
     }
-    /// A new stream: what it has stays, nonces do not.
+    /// The first requests of a new stream. The client keeps its resources and versions but no nonce.
     fn reconnect(&mut self) -> Vec<Request> {
-        (self.first, self.asked) = ([true; 4], Default::default());
+        (self.first, self.subscribed) = ([true; 4], Default::default());
         let mut requests: Vec<Request> = [ResourceKind::Cluster, ResourceKind::Listener]
             .into_iter()
             .map(|kind| self.subscribe(kind))
             .collect();
-        requests.extend(self.names_wanted());
+        requests.extend(self.subscription_updates());
         requests
     }
-    fn wanted(&self, kind: ResourceKind) -> BTreeSet<String> {
+    fn names_in_use(&self, kind: ResourceKind) -> BTreeSet<String> {
         let routes = |t: &str| t.split(' ').nth(1).map(str::to_string);
         match kind {
             ResourceKind::Endpoints => self.has[0].keys().cloned().collect(),
@@ -78,11 +82,11 @@
             _ => BTreeSet::new(),
         }
     }
-    /// Requests for names that changed.
-    fn names_wanted(&mut self) -> Vec<Request> {
+    /// Requests that update the subscriptions to the names that are now in use.
+    fn subscription_updates(&mut self) -> Vec<Request> {
         let mut requests = Vec::new();
         for kind in [ResourceKind::Endpoints, ResourceKind::Routes] {
-            if self.wanted(kind) != self.asked[kind as usize] {
+            if self.names_in_use(kind) != self.subscribed[kind as usize] {
                 requests.push(self.subscribe(kind));
             }
         }
@@ -90,18 +94,19 @@
     }
     fn subscribe(&mut self, kind: ResourceKind) -> Request {
         let i = kind as usize;
-        let wanted = self.wanted(kind);
-        let old = std::mem::replace(&mut self.asked[i], wanted.clone());
+        let wanted = self.names_in_use(kind);
+        let old = std::mem::replace(&mut self.subscribed[i], wanted.clone());
         let first = std::mem::take(&mut self.first[i]);
-        // What it no longer asks for it forgets.
+        // The client drops resources that it no longer subscribes to.
         if !kind.is_sent_whole() {
             self.has[i].retain(|name, _| wanted.contains(name));
         }
-        let names = match self.flavour {
-            Flavour::Whole => {
-                Names::Whole { names: wanted.into_iter().collect(), version: self.version[i].clone() }
-            }
-            Flavour::Delta => Names::Delta {
+        let names = match self.protocol {
+            Protocol::StateOfTheWorld => Names::StateOfTheWorld {
+                names: wanted.into_iter().collect(),
+                version: self.version[i].clone(),
+            },
+            Protocol::Incremental => Names::Incremental {
                 subscribe: wanted.difference(&old).cloned().collect(),
                 unsubscribe: old.difference(&wanted).filter(|_| !first).cloned().collect(),
                 initial: match first {
@@ -111,17 +116,17 @@
             },
         };
         // An incremental request that only changes the subscription carries no nonce.
-        let named = !first && self.flavour == Flavour::Whole;
+        let named = !first && self.protocol == Protocol::StateOfTheWorld;
         let nonce = if named { self.nonce[i].clone() } else { String::new() };
-        Request { type_url: kind.type_url(), nonce, refused: None, names }
+        Request { type_url: kind.type_url(), nonce, rejected: None, names }
     }
-    /// Takes a response in, or refuses it; returns what it says to that.
-    fn take(&mut self, response: &Response, refuse: bool) -> Vec<Request> {
+    /// Accepts or rejects a response and returns the requests that follow.
+    fn receive(&mut self, response: &Response, reject: bool) -> Vec<Request> {
         let kind = response.kind;
         let i = kind as usize;
         self.nonce[i] = response.nonce.clone();
-        if !refuse {
-            if self.flavour == Flavour::Whole && kind.is_sent_whole() {
+        if !reject {
+            if self.protocol == Protocol::StateOfTheWorld && kind.is_sent_whole() {
                 self.has[i].clear();
             }
             for r in &response.resources {
@@ -132,33 +137,35 @@
             }
             self.version[i] = response.version.clone();
         }
-        let names = match self.flavour {
-            Flavour::Whole => Names::Whole {
-                names: self.asked[i].iter().cloned().collect(),
+        let names = match self.protocol {
+            Protocol::StateOfTheWorld => Names::StateOfTheWorld {
+                names: self.subscribed[i].iter().cloned().collect(),
                 version: self.version[i].clone(),
             },
-            Flavour::Delta => Names::Delta { subscribe: vec![], unsubscribe: vec![], initial: vec![] },
+            Protocol::Incremental => {
+                Names::Incremental { subscribe: vec![], unsubscribe: vec![], initial: vec![] }
+            }
         };
-        let refused = refuse.then(|| "no".to_string());
-        let mut said =
-            vec![Request { type_url: kind.type_url(), nonce: response.nonce.clone(), refused, names }];
-        said.extend(self.names_wanted());
-        said
+        let rejected = reject.then(|| "no".to_string());
+        let mut requests =
+            vec![Request { type_url: kind.type_url(), nonce: response.nonce.clone(), rejected, names }];
+        requests.extend(self.subscription_updates());
+        requests
     }
-    /// Every route in use names clusters that are here.
-    fn check(&self) {
+    /// Checks that every route in use names only clusters that the client has.
+    fn assert_routes_have_clusters(&self) {
         for (_, listener) in self.has[2].values() {
             let routes = listener.split(' ').nth(1).and_then(|r| self.has[3].get(r));
             for cluster in routes.into_iter().flat_map(|(_, text)| text.split(' ').skip(1)) {
                 assert!(
                     self.has[0].contains_key(cluster),
-                    "a route names {cluster}, which is gone: {:?}",
+                    "a route names {cluster}, which the client lacks: {:?}",
                     self.has
                 );
             }
         }
     }
-    fn is(&self, set: &ResourceSet) {
+    fn assert_has(&self, set: &ResourceSet) {
         for kind in RESOURCE_KINDS {
             let wanted: BTreeMap<String, String> =
                 set.all(kind).map(|r| (r.name.to_string(), r.version.clone())).collect();
@@ -169,150 +176,152 @@
     }
 }
 
+/// A server stream and a client, with the messages in transit between them.
 struct Link {
     stream: Stream,
     client: Client,
     serial: u32,
     to_server: VecDeque<Request>,
     to_client: VecDeque<Response>,
+    /// Responses sent so far, over all streams.
     sent: usize,
 }
 
 impl Link {
-    fn new(flavour: Flavour) -> Link {
-        let stream = Stream::new(flavour, "0".into(), LIMITS);
-        let mut client = Client::new(flavour);
+    fn new(protocol: Protocol) -> Link {
+        let stream = Stream::new(protocol, "0".into(), LIMITS);
+        let mut client = Client::new(protocol);
         let to_server = client.reconnect().into();
         Link { stream, client, serial: 0, to_server, to_client: VecDeque::new(), sent: 0 }
     }
-    fn cut(&mut self, set: &Arc<ResourceSet>) {
+    fn reconnect(&mut self, set: &Arc<ResourceSet>) {
         self.serial += 1;
-        self.stream = Stream::new(self.client.flavour, self.serial.to_string(), LIMITS);
+        self.stream = Stream::new(self.client.protocol, self.serial.to_string(), LIMITS);
         self.stream.update(set.clone());
         self.to_client.clear();
         self.to_server = self.client.reconnect().into();
     }
-    fn serve(&mut self) {
+    fn deliver_request(&mut self) {
         if let Some(request) = self.to_server.pop_front() {
             self.stream.request(request).expect("within limits");
         }
     }
-    fn write(&mut self, room: usize) {
+    fn send_responses(&mut self, room: usize) {
         while self.to_client.len() < room {
             let Some(response) = self.stream.next_response() else { return };
             self.sent += 1;
             self.to_client.push_back(response);
         }
     }
-    fn read(&mut self, refuse: bool) {
+    fn deliver_response(&mut self, reject: bool) {
         if let Some(response) = self.to_client.pop_front() {
-            self.to_server.extend(self.client.take(&response, refuse));
-            self.client.check();
+            self.to_server.extend(self.client.receive(&response, reject));
+            self.client.assert_routes_have_clusters();
         }
     }
-    /// Until nobody has anything to say.
+    /// Exchanges messages until neither side has any left.
     fn settle(&mut self) {
         for _ in 0..1000 {
             while !self.to_server.is_empty() {
-                self.serve();
+                self.deliver_request();
             }
-            self.write(1);
+            self.send_responses(1);
             if self.to_client.is_empty() {
                 return;
             }
-            self.read(false);
+            self.deliver_response(false);
         }
-        panic!("it never ends");
+        panic!("the exchange does not end");
     }
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    State(BTreeSet<u8>),
-    Serve,
-    Write(usize),
-    Read,
-    Refuse,
-    Cut,
+    NewState(BTreeSet<u8>),
+    DeliverRequest,
+    SendResponses(usize),
+    Accept,
+    Reject,
+    Reconnect,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        2 => proptest::collection::btree_set(0..4_u8, 1..4).prop_map(Step::State),
-        6 => Just(Step::Serve),
-        6 => (1..4_usize).prop_map(Step::Write),
-        6 => Just(Step::Read),
-        1 => Just(Step::Refuse),
-        1 => Just(Step::Cut),
+        2 => proptest::collection::btree_set(0..4_u8, 1..4).prop_map(Step::NewState),
+        6 => Just(Step::DeliverRequest),
+        6 => (1..4_usize).prop_map(Step::SendResponses),
+        6 => Just(Step::Accept),
+        1 => Just(Step::Reject),
+        1 => Just(Step::Reconnect),
     ]
 }
 
-fn run(flavour: Flavour, steps: Vec<Step>) {
-    let (mut link, mut edition) = (Link::new(flavour), 0);
+fn run(protocol: Protocol, steps: Vec<Step>) {
+    let (mut link, mut edition) = (Link::new(protocol), 0);
     let mut set = state(edition, &BTreeSet::from([0]));
     link.stream.update(set.clone());
     for step in steps {
         match step {
-            Step::State(clusters) => {
+            Step::NewState(clusters) => {
                 edition += 1;
-                set = Arc::new(plain(edition, &clusters).after(&set));
+                set = Arc::new(resource_set(edition, &clusters).after(&set));
                 link.stream.update(set.clone());
             }
-            Step::Serve => link.serve(),
-            Step::Write(room) => link.write(room),
-            Step::Read => link.read(false),
-            Step::Refuse => link.read(true),
-            Step::Cut => link.cut(&set),
+            Step::DeliverRequest => link.deliver_request(),
+            Step::SendResponses(room) => link.send_responses(room),
+            Step::Accept => link.deliver_response(false),
+            Step::Reject => link.deliver_response(true),
+            Step::Reconnect => link.reconnect(&set),
         }
     }
-    // One more edition, since what was refused is not sent again unchanged.
+    // A new edition, because rejected content is not sent again unchanged.
     link.settle();
-    set = Arc::new(plain(edition + 1, &BTreeSet::from([1, 3])).after(&set));
+    set = Arc::new(resource_set(edition + 1, &BTreeSet::from([1, 3])).after(&set));
     link.stream.update(set.clone());
     link.settle();
-    link.client.is(&set);
+    link.client.assert_has(&set);
     assert!(link.stream.is_settled());
     let sent = link.sent;
     link.settle();
-    assert_eq!(link.sent, sent, "nothing more is said");
+    assert_eq!(link.sent, sent, "no further response is sent");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: RngSeed::Fixed(20261201), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_state_of_the_world_client_ends_with_one_whole_state(
+    fn a_state_of_the_world_client_ends_with_one_complete_state(
         steps in proptest::collection::vec(step(), 0..80)
     ) {
-        run(Flavour::Whole, steps);
+        run(Protocol::StateOfTheWorld, steps);
     }
 
     #[test]
-    fn an_incremental_client_ends_with_one_whole_state(steps in proptest::collection::vec(step(), 0..80)) {
-        run(Flavour::Delta, steps);
+    fn an_incremental_client_ends_with_one_complete_state(steps in proptest::collection::vec(step(), 0..80)) {
+        run(Protocol::Incremental, steps);
     }
 }
 
-fn settled(flavour: Flavour) -> (Link, Arc<ResourceSet>) {
+fn settled(protocol: Protocol) -> (Link, Arc<ResourceSet>) {
     let set = state(1, &BTreeSet::from([0, 1]));
-    let mut link = Link::new(flavour);
+    let mut link = Link::new(protocol);
     link.stream.update(set.clone());
     link.settle();
-    link.client.is(&set);
+    link.client.assert_has(&set);
     (link, set)
 }
 
-fn ask(kind: ResourceKind, nonce: &str, names: Names) -> Request {
-    Request { type_url: kind.type_url(), nonce: nonce.into(), refused: None, names }
+fn subscription_request(kind: ResourceKind, nonce: &str, names: Names) -> Request {
+    Request { type_url: kind.type_url(), nonce: nonce.into(), rejected: None, names }
 }
 
-fn whole(names: &[&str]) -> Names {
-    Names::Whole { names: names.iter().map(|n| n.to_string()).collect(), version: String::new() }
+fn state_of_the_world_names(names: &[&str]) -> Names {
+    Names::StateOfTheWorld { names: names.iter().map(|n| n.to_string()).collect(), version: String::new() }
 }
 
-fn delta(subscribe: &[&str], unsubscribe: &[&str]) -> Names {
+fn incremental_names(subscribe: &[&str], unsubscribe: &[&str]) -> Names {
     let all = |names: &[&str]| names.iter().map(|n| n.to_string()).collect();
-    Names::Delta { subscribe: all(subscribe), unsubscribe: all(unsubscribe), initial: Vec::new() }
+    Names::Incremental { subscribe: all(subscribe), unsubscribe: all(unsubscribe), initial: Vec::new() }
 }
 
 fn names(response: &Response) -> Vec<String> {
@@ -320,170 +329,201 @@
 }
 
 #[test]
-fn nothing_is_said_before_there_is_anything_to_say() {
-    for flavour in [Flavour::Whole, Flavour::Delta] {
-        let mut link = Link::new(flavour);
+fn no_response_is_sent_before_the_first_resource_set() {
+    for protocol in [Protocol::StateOfTheWorld, Protocol::Incremental] {
+        let mut link = Link::new(protocol);
         while !link.to_server.is_empty() {
-            link.serve();
+            link.deliver_request();
         }
-        assert!(link.stream.next_response().is_none(), "an empty fleet for want of news would take all away");
+        assert!(link.stream.next_response().is_none(), "an empty response would delete everything");
     }
 }
 
 #[test]
-fn who_comes_back_with_the_same_state_is_told_nothing_by_any_replica() {
-    for flavour in [Flavour::Whole, Flavour::Delta] {
-        let (mut link, set) = settled(flavour);
+fn a_client_that_reconnects_with_the_current_state_gets_no_response_from_any_replica() {
+    for protocol in [Protocol::StateOfTheWorld, Protocol::Incremental] {
+        let (mut link, set) = settled(protocol);
         let sent = link.sent;
-        // Another replica has made the same state by itself.
+        // Another replica has built the same state independently.
         let again = state(1, &BTreeSet::from([0, 1]));
         assert_eq!(again.version(ResourceKind::Cluster), set.version(ResourceKind::Cluster));
-        link.cut(&again);
+        link.reconnect(&again);
         link.settle();
-        assert_eq!(link.sent, sent, "{flavour:?}: no storm after a restart");
-        // One that knows nothing yet when the proxy comes back.
-        link.cut(&again);
-        link.stream = Stream::new(flavour, "empty".into(), LIMITS);
+        assert_eq!(link.sent, sent, "{protocol:?}: a restart resends nothing");
+        // A replica that has no state yet when the proxy reconnects.
+        link.reconnect(&again);
+        link.stream = Stream::new(protocol, "empty".into(), LIMITS);
         while !link.to_server.is_empty() {
-            link.serve();
+            link.deliver_request();
         }
         link.stream.update(again);
         link.settle();
-        assert_eq!(link.sent, sent, "{flavour:?}: no storm after an empty start");
-        link.client.is(&set);
+        assert_eq!(link.sent, sent, "{protocol:?}: a start without state resends nothing");
+        link.client.assert_has(&set);
     }
 }
 
 #[test]
-fn additions_go_out_in_order_and_removals_last() {
-    for flavour in [Flavour::Whole, Flavour::Delta] {
-        let (mut link, _) = settled(flavour);
+fn additions_are_sent_in_order_and_removals_last() {
+    for protocol in [Protocol::StateOfTheWorld, Protocol::Incremental] {
+        let (mut link, _) = settled(protocol);
         link.stream.update(state(2, &BTreeSet::from([1, 2])));
         let mut order = Vec::new();
         loop {
             while !link.to_server.is_empty() {
-                link.serve();
+                link.deliver_request();
             }
-            link.write(1);
+            link.send_responses(1);
             let Some(response) = link.to_client.front() else { break };
-            let without = match flavour {
-                Flavour::Whole => {
+            let without = match protocol {
+                Protocol::StateOfTheWorld => {
                     response.kind == ResourceKind::Cluster && !names(response).contains(&"c0".into())
                 }
-                Flavour::Delta => !response.removed.is_empty(),
+                Protocol::Incremental => !response.removed.is_empty(),
             };
             order.push((response.kind, without));
-            link.read(false);
+            link.deliver_response(false);
         }
-        let gone = order.iter().position(|o| *o == (ResourceKind::Cluster, true)).expect("c0 goes");
+        let gone = order.iter().position(|o| *o == (ResourceKind::Cluster, true)).expect("c0 is removed");
         let routes = order.iter().position(|o| o.0 == ResourceKind::Routes).expect("routes change");
         assert_eq!(order[0], (ResourceKind::Cluster, false));
-        assert!(routes < gone, "{flavour:?}: {order:?}");
+        assert!(routes < gone, "{protocol:?}: {order:?}");
     }
 }
 
 #[test]
-fn what_was_refused_is_not_sent_again_until_it_changes_and_holds_nothing_else_up() {
-    for flavour in [Flavour::Whole, Flavour::Delta] {
-        let (mut link, _) = settled(flavour);
+fn rejected_content_is_not_sent_again_until_it_changes_and_delays_no_other_kind() {
+    for protocol in [Protocol::StateOfTheWorld, Protocol::Incremental] {
+        let (mut link, _) = settled(protocol);
         link.stream.update(state(2, &BTreeSet::from([0, 1])));
-        link.write(1);
-        let refused = link.to_client.front().expect("clusters").clone();
-        assert_eq!(refused.kind, ResourceKind::Cluster);
-        link.read(true);
-        let heard = link.stream.request(link.to_server.pop_front().expect("its answer")).expect("sound");
-        assert_eq!(heard, Heard::Refused(ResourceKind::Cluster, refused.version, "no".into()));
+        link.send_responses(1);
+        let rejected = link.to_client.front().expect("clusters").clone();
+        assert_eq!(rejected.kind, ResourceKind::Cluster);
+        link.deliver_response(true);
+        let acknowledgement =
+            link.stream.request(link.to_server.pop_front().expect("its answer")).expect("a valid request");
+        assert_eq!(
+            acknowledgement,
+            Acknowledgement::Rejected(ResourceKind::Cluster, rejected.version, "no".into())
+        );
         link.settle();
-        assert!(link.client.has[0].values().all(|(_, t)| t == "1"), "its last good state");
-        assert!(link.client.has[1].values().all(|(_, t)| t == "2"), "the others go on");
+        assert!(link.client.has[0].values().all(|(_, t)| t == "1"), "clusters keep the last accepted state");
+        assert!(link.client.has[1].values().all(|(_, t)| t == "2"), "other kinds are updated");
         assert!(!link.stream.is_settled());
         let new = state(3, &BTreeSet::from([0, 1]));
         link.stream.update(new.clone());
         link.settle();
-        link.client.is(&new);
+        link.client.assert_has(&new);
     }
 }
 
 #[test]
 fn stale_nonces_change_nothing() {
-    let (mut link, _) = settled(Flavour::Whole);
+    let (mut link, _) = settled(Protocol::StateOfTheWorld);
     let old = link.client.nonce[0].clone();
     link.stream.update(state(2, &BTreeSet::from([0, 1])));
-    link.write(1);
+    link.send_responses(1);
     let response = link.to_client.pop_front().expect("clusters");
     for stale in [old.as_str(), "77-1", ""] {
-        let request =
-            Request { refused: Some("late".into()), ..ask(ResourceKind::Cluster, stale, whole(&["c1"])) };
-        assert_eq!(link.stream.request(request), Ok(Heard::Nothing), "{stale}");
+        let request = Request {
+            rejected: Some("late".into()),
+            ..subscription_request(ResourceKind::Cluster, stale, state_of_the_world_names(&["c1"]))
+        };
+        assert_eq!(link.stream.request(request), Ok(Acknowledgement::None), "{stale}");
     }
-    let accepted = ask(ResourceKind::Cluster, &response.nonce, whole(&[]));
-    assert_eq!(link.stream.request(accepted), Ok(Heard::Accepted(ResourceKind::Cluster)));
+    let accepted =
+        subscription_request(ResourceKind::Cluster, &response.nonce, state_of_the_world_names(&[]));
+    assert_eq!(link.stream.request(accepted), Ok(Acknowledgement::Accepted(ResourceKind::Cluster)));
 }
 
 #[test]
-fn names_may_be_given_up_and_asked_for_anew() {
-    let mut stream = Stream::new(Flavour::Delta, "0".into(), LIMITS);
+fn a_client_may_unsubscribe_from_names_and_subscribe_again() {
+    let mut stream = Stream::new(Protocol::Incremental, "0".into(), LIMITS);
     stream.update(state(1, &BTreeSet::from([0, 1])));
-    let told = |stream: &mut Stream, subscribe: &[&str], unsubscribe: &[&str]| {
-        stream.request(ask(ResourceKind::Endpoints, "", delta(subscribe, unsubscribe))).expect("sound");
+    let exchange = |stream: &mut Stream, subscribe: &[&str], unsubscribe: &[&str]| {
+        stream
+            .request(subscription_request(
+                ResourceKind::Endpoints,
+                "",
+                incremental_names(subscribe, unsubscribe),
+            ))
+            .expect("a valid request");
         stream.next_response().map(|r| (names(&r), r.removed))
     };
     let c0 = Some((vec!["c0".to_string()], vec![]));
-    assert_eq!(told(&mut stream, &["c0"], &[]), c0);
-    assert_eq!(told(&mut stream, &[], &["c0"]), None);
+    assert_eq!(exchange(&mut stream, &["c0"], &[]), c0);
+    assert_eq!(exchange(&mut stream, &[], &["c0"]), None);
     stream.update(state(2, &BTreeSet::from([0, 1])));
-    assert!(stream.next_response().is_none(), "it was given up");
-    assert_eq!(told(&mut stream, &["c0"], &[]), c0);
-    assert_eq!(told(&mut stream, &["c0"], &[]), c0, "asked again");
-    assert_eq!(told(&mut stream, &["c9"], &[]), Some((vec![], vec!["c9".into()])), "there is none");
-    assert!(stream.next_response().is_none(), "told once");
+    assert!(stream.next_response().is_none(), "the name is not subscribed to");
+    assert_eq!(exchange(&mut stream, &["c0"], &[]), c0);
+    assert_eq!(exchange(&mut stream, &["c0"], &[]), c0, "a repeated subscription is answered");
+    assert_eq!(
+        exchange(&mut stream, &["c9"], &[]),
+        Some((vec![], vec!["c9".into()])),
+        "a missing resource is reported as removed"
+    );
+    assert!(stream.next_response().is_none(), "the removal is reported once");
     stream.update(state(3, &BTreeSet::from([0, 9])));
-    assert_eq!(names(&stream.next_response().expect("news")), ["c0", "c9"], "it is there now");
+    assert_eq!(names(&stream.next_response().expect("a response")), ["c0", "c9"], "c9 exists now");
 }
 
 #[test]
-fn a_wildcard_may_be_given_up_and_named_resources_stay() {
-    let mut stream = Stream::new(Flavour::Delta, "0".into(), LIMITS);
+fn unsubscribing_from_the_wildcard_keeps_named_resources() {
+    let mut stream = Stream::new(Protocol::Incremental, "0".into(), LIMITS);
     stream.update(state(1, &BTreeSet::from([0, 1])));
-    stream.request(ask(ResourceKind::Cluster, "", delta(&["*", "c1"], &[]))).expect("sound");
+    stream
+        .request(subscription_request(ResourceKind::Cluster, "", incremental_names(&["*", "c1"], &[])))
+        .expect("a valid request");
     assert_eq!(names(&stream.next_response().expect("all")), ["c0", "c1"]);
-    stream.request(ask(ResourceKind::Cluster, "", delta(&[], &["*"]))).expect("sound");
+    stream
+        .request(subscription_request(ResourceKind::Cluster, "", incremental_names(&[], &["*"])))
+        .expect("a valid request");
     stream.update(state(2, &BTreeSet::from([0, 1])));
     assert_eq!(names(&stream.next_response().expect("c1 alone")), ["c1"]);
 }
 
 #[test]
 fn a_slow_reader_gets_only_the_newest_state() {
-    let (mut link, _) = settled(Flavour::Delta);
+    let (mut link, _) = settled(Protocol::Incremental);
     let before = link.sent;
     for edition in 2..500 {
         link.stream.update(state(edition, &BTreeSet::from([0, 1])));
     }
     link.settle();
-    assert!(link.sent - before <= 4, "one response a type, not one an edition");
-    link.client.is(&state(499, &BTreeSet::from([0, 1])));
+    assert!(link.sent - before <= 4, "one response per kind, not per edition");
+    link.client.assert_has(&state(499, &BTreeSet::from([0, 1])));
 }
 
 #[test]
-fn hostile_subscriptions_end_the_stream_with_a_clear_word() {
-    let mut stream = Stream::new(Flavour::Delta, "0".into(), LIMITS);
+fn a_subscription_beyond_the_limits_or_of_an_unknown_type_ends_the_stream_with_a_clear_error() {
+    let mut stream = Stream::new(Protocol::Incremental, "0".into(), LIMITS);
     let unknown = Request { type_url: "type.googleapis.com/no.Such".into(), ..Request::default() };
     let problem = stream.request(unknown).expect_err("not served").to_string();
     assert!(problem.contains("no.Such") && problem.contains("RouteConfiguration"), "{problem}");
     let long = "x".repeat(33);
-    let problem = stream.request(ask(ResourceKind::Endpoints, "", delta(&[&long], &[]))).expect_err("long");
+    let problem = stream
+        .request(subscription_request(ResourceKind::Endpoints, "", incremental_names(&[&long], &[])))
+        .expect_err("long");
     assert_eq!(problem.to_string(), "endpoints: a name of more than 32 bytes");
     let mut ended = None;
     for i in 0..100 {
         let name = format!("n{i}");
-        if let Err(problem) = stream.request(ask(ResourceKind::Endpoints, "", delta(&[&name], &[]))) {
+        if let Err(problem) = stream.request(subscription_request(
+            ResourceKind::Endpoints,
+            "",
+            incremental_names(&[&name], &[]),
+        )) {
             ended = Some((i, problem.to_string()));
             break;
         }
     }
-    assert_eq!(ended, Some((20, "endpoints: more than 20 names subscribed to".into())), "piece by piece");
+    assert_eq!(
+        ended,
+        Some((20, "endpoints: more than 20 names subscribed to".into())),
+        "the limit holds over several requests"
+    );
     let many: Vec<String> = (0..21).map(|i| i.to_string()).collect();
-    let names = Names::Whole { names: many, version: String::new() };
-    let mut stream = Stream::new(Flavour::Whole, "0".into(), LIMITS);
-    assert!(stream.request(ask(ResourceKind::Routes, "", names)).is_err());
+    let names = Names::StateOfTheWorld { names: many, version: String::new() };
+    let mut stream = Stream::new(Protocol::StateOfTheWorld, "0".into(), LIMITS);
+    assert!(stream.request(subscription_request(ResourceKind::Routes, "", names)).is_err());
 }
--- a/crates/starlinghill-xds/tests/resources.rs
+++ b/crates/starlinghill-xds/tests/resources.rs
@@ -1,4 +1,4 @@
-//! What the resources say, read back as a proxy reads them.
+//! Decodes the built resources as a proxy does and checks their content.
 
 use envoy_types::pb::envoy::config::cluster::v3::Cluster;
 use envoy_types::pb::envoy::config::core::v3::HealthStatus;
@@ -18,7 +18,7 @@
 use starlinghill_decision::api::Micros;
 use starlinghill_xds::resources::*;
 
-fn wiring(quotas: bool) -> ResourceSettings {
+fn settings(quotas: bool) -> ResourceSettings {
     let quotas = quotas.then(|| QuotaFilterSettings {
         cluster: "control".into(),
         customer_header: "x-customer".into(),
@@ -41,18 +41,18 @@
     }
 }
 
-fn one<M: Message + Default>(set: TypeSet, kind: ResourceKind, name: &str) -> M {
-    let nothing = || std::sync::Arc::new(TypeSet::default());
-    let mut types = [nothing(), nothing(), nothing(), nothing()];
+fn decode_resource<M: Message + Default>(set: TypeSet, kind: ResourceKind, name: &str) -> M {
+    let empty = || std::sync::Arc::new(TypeSet::default());
+    let mut types = [empty(), empty(), empty(), empty()];
     types[kind as usize] = std::sync::Arc::new(set);
     let set = ResourceSet::new(types);
-    let resource = set.get(kind, name).expect("there");
+    let resource = set.get(kind, name).expect("present");
     assert_eq!(resource.body.type_url, kind.type_url());
-    M::decode(resource.body.value.as_slice()).expect("it can be read")
+    M::decode(resource.body.value.as_slice()).expect("a valid message")
 }
 
 #[test]
-fn endpoints_tell_state_weight_and_what_is_to_be_turned_away() {
+fn endpoints_hold_health_weight_and_the_share_of_requests_to_drop() {
     let snapshot = FleetSnapshot {
         endpoints: vec![
             endpoint("s-0", 1, EndpointUse::Healthy, 1000),
@@ -62,7 +62,8 @@
         ],
         drop_per_10000: 2_500,
     };
-    let all: ClusterLoadAssignment = one(endpoints(&snapshot), ResourceKind::Endpoints, SAVE_NODES);
+    let all: ClusterLoadAssignment =
+        decode_resource(endpoints(&snapshot), ResourceKind::Endpoints, SAVE_NODES);
     let localities: Vec<(String, Option<u32>, usize)> = all
         .endpoints
         .iter()
@@ -71,7 +72,7 @@
             (locality.sub_zone, l.load_balancing_weight.map(|w| w.value), l.lb_endpoints.len())
         })
         .collect();
-    // What drains or is ejected adds nothing to its locality; what is cold has a locality of its own.
+    // Draining and ejected servers add no weight to their locality; a server that warms up has its own locality.
     assert_eq!(localities, [(String::new(), Some(1000), 3), ("lesser-s-3".into(), Some(170), 1)]);
     let health: Vec<i32> = all.endpoints[0].lb_endpoints.iter().map(|e| e.health_status).collect();
     let wanted = [HealthStatus::Healthy, HealthStatus::Draining, HealthStatus::Unhealthy];
@@ -79,25 +80,30 @@
     let drop = &all.policy.expect("a policy").drop_overloads[0];
     assert_eq!(drop.drop_percentage.expect("a part").numerator, 2_500);
     let empty: ClusterLoadAssignment =
-        one(endpoints(&FleetSnapshot::default()), ResourceKind::Endpoints, SAVE_NODES);
+        decode_resource(endpoints(&FleetSnapshot::default()), ResourceKind::Endpoints, SAVE_NODES);
     assert!(empty.endpoints.is_empty() && empty.policy.is_none());
 }
 
 #[test]
-fn what_only_stands_in_has_a_priority_of_its_own_and_no_work_moves_on_to_it_while_anything_else_serves() {
-    let away = |id: &str, port, zone: &str, region: &str, priority| Endpoint {
+fn failover_servers_have_a_lower_priority_and_get_no_requests_while_another_server_is_healthy() {
+    let failover = |id: &str, port, zone: &str, region: &str, priority| Endpoint {
         zone: zone.into(),
         region: region.into(),
         priority,
         ..endpoint(id, port, EndpointUse::Healthy, 1000)
     };
-    let here = Endpoint { region: "east".into(), ..endpoint("s-0", 1, EndpointUse::Ejected, 1000) };
+    let local = Endpoint { region: "east".into(), ..endpoint("s-0", 1, EndpointUse::Ejected, 1000) };
     let snapshot = FleetSnapshot {
-        endpoints: vec![here.clone(), away("s-1", 2, "b", "east", 1), away("s-2", 3, "c", "west", 2)],
+        endpoints: vec![
+            local.clone(),
+            failover("s-1", 2, "b", "east", 1),
+            failover("s-2", 3, "c", "west", 2),
+        ],
         drop_per_10000: 0,
     };
-    let all: ClusterLoadAssignment = one(endpoints(&snapshot), ResourceKind::Endpoints, SAVE_NODES);
-    let told: Vec<(u32, String, String)> = all
+    let all: ClusterLoadAssignment =
+        decode_resource(endpoints(&snapshot), ResourceKind::Endpoints, SAVE_NODES);
+    let priorities: Vec<(u32, String, String)> = all
         .endpoints
         .iter()
         .map(|l| {
@@ -105,14 +111,15 @@
             (l.priority, locality.region, locality.zone)
         })
         .collect();
-    let told: Vec<(u32, &str, &str)> = told.iter().map(|(p, r, z)| (*p, r.as_str(), z.as_str())).collect();
-    assert_eq!(told, [(0, "east", "a"), (1, "east", "b"), (2, "west", "c")]);
+    let priorities: Vec<(u32, &str, &str)> =
+        priorities.iter().map(|(p, r, z)| (*p, r.as_str(), z.as_str())).collect();
+    assert_eq!(priorities, [(0, "east", "a"), (1, "east", "b"), (2, "west", "c")]);
     let policy = all.policy.expect("a policy");
     assert!(policy.drop_overloads.is_empty());
-    // A proxy reckons a priority's health in percent, times this: one in a hundred that serves is enough.
+    // A proxy multiplies a priority's healthy share by this percentage: one healthy server in a hundred is enough.
     assert!(policy.overprovisioning_factor.is_some_and(|f| f.value >= 10_000));
-    let alone: ClusterLoadAssignment = one(
-        endpoints(&FleetSnapshot { endpoints: vec![here], drop_per_10000: 0 }),
+    let alone: ClusterLoadAssignment = decode_resource(
+        endpoints(&FleetSnapshot { endpoints: vec![local], drop_per_10000: 0 }),
         ResourceKind::Endpoints,
         SAVE_NODES,
     );
@@ -120,42 +127,49 @@
 }
 
 #[test]
-fn a_locality_of_which_nothing_can_be_used_has_no_weight() {
+fn a_locality_without_usable_servers_has_no_weight() {
     let snapshot =
         FleetSnapshot { endpoints: vec![endpoint("s-1", 2, EndpointUse::Draining, 1000)], drop_per_10000: 0 };
-    let all: ClusterLoadAssignment = one(endpoints(&snapshot), ResourceKind::Endpoints, SAVE_NODES);
+    let all: ClusterLoadAssignment =
+        decode_resource(endpoints(&snapshot), ResourceKind::Endpoints, SAVE_NODES);
     assert_eq!(all.endpoints[0].load_balancing_weight, None);
 }
 
 #[test]
-fn a_proxy_never_panics_into_what_drains_and_keeps_to_the_modules_bounds() {
-    let cluster: Cluster = one(clusters(&wiring(false), 12, 3), ResourceKind::Cluster, SAVE_NODES);
-    let lb = cluster.common_lb_config.expect("there");
+fn a_proxy_never_uses_draining_servers_in_panic_mode_and_keeps_the_gateways_bounds() {
+    let cluster: Cluster =
+        decode_resource(clusters(&settings(false), 12, 3), ResourceKind::Cluster, SAVE_NODES);
+    let lb = cluster.common_lb_config.expect("present");
     assert_eq!(lb.healthy_panic_threshold.map(|p| p.value), Some(0.0));
-    let thresholds = &cluster.circuit_breakers.expect("there").thresholds[0];
-    assert_eq!(thresholds.max_requests.map(|n| n.value), Some(160), "ten at each of sixteen");
-    let own = ResourceSettings { attempts_per_endpoint: None, ..wiring(false) };
-    let cluster_by_bounds: Cluster = one(clusters(&own, 12, 3), ResourceKind::Cluster, SAVE_NODES);
-    let by_bounds = &cluster_by_bounds.circuit_breakers.expect("there").thresholds[0];
+    let thresholds = &cluster.circuit_breakers.expect("present").thresholds[0];
+    assert_eq!(
+        thresholds.max_requests.map(|n| n.value),
+        Some(160),
+        "ten attempts at each of sixteen servers"
+    );
+    let own = ResourceSettings { attempts_per_endpoint: None, ..settings(false) };
+    let cluster_by_bounds: Cluster =
+        decode_resource(clusters(&own, 12, 3), ResourceKind::Cluster, SAVE_NODES);
+    let by_bounds = &cluster_by_bounds.circuit_breakers.expect("present").thresholds[0];
     assert_eq!(
         by_bounds.max_requests.map(|n| n.value),
         Some(32),
-        "six at each of sixteen, over three proxies"
+        "six attempts at each of sixteen servers, divided by three proxies"
     );
-    let budget = thresholds.retry_budget.as_ref().expect("there");
+    let budget = thresholds.retry_budget.as_ref().expect("present");
     assert_eq!(budget.budget_percent.map(|p| p.value), Some(20.0));
-    let outliers = cluster.outlier_detection.expect("there");
+    let outliers = cluster.outlier_detection.expect("present");
     assert_eq!(outliers.base_ejection_time.map(|t| t.seconds), Some(1));
     assert_eq!(outliers.max_ejection_time.map(|t| t.seconds), Some(8));
     assert_eq!(
-        clusters(&wiring(false), 9, 3),
-        clusters(&wiring(false), 16, 3),
-        "not a message for each newcomer"
+        clusters(&settings(false), 9, 3),
+        clusters(&settings(false), 16, 3),
+        "adding a server does not change the cluster"
     );
 }
 
 #[test]
-fn routes_try_three_times_at_most_and_never_two_at_once() {
+fn routes_allow_three_attempts_at_most_and_never_two_at_once() {
     let class = |name: &str, method, retry_on| ClassRoute {
         name: name.into(),
         method,
@@ -166,20 +180,20 @@
     };
     let list = [class("look", "GET", RetryOn::Failed), class("once", "POST", RetryOn::NeverRan)];
     for (name, grpc) in [(HTTP_ROUTES, false), (GRPC_ROUTES, true)] {
-        let table: RouteConfiguration = one(route_tables(&list), ResourceKind::Routes, name);
+        let table: RouteConfiguration = decode_resource(route_tables(&list), ResourceKind::Routes, name);
         let host = &table.virtual_hosts[0];
         assert!(host.retry_policy.is_none() && host.hedge_policy.is_none());
         assert_eq!(host.routes.len(), if grpc { 2 } else { 3 });
         for (route, class) in host.routes.iter().zip(&list) {
             let headers = &route.r#match.as_ref().expect("a match").headers;
-            assert_eq!(headers.len(), if grpc { 1 } else { 2 }, "class, and method where there is one");
-            let Some(Action::Route(action)) = &route.action else { panic!("it routes") };
-            assert!(action.hedge_policy.is_none(), "never two at once");
+            assert_eq!(headers.len(), if grpc { 1 } else { 2 }, "class, and for HTTP the method");
+            let Some(Action::Route(action)) = &route.action else { panic!("a route action") };
+            assert!(action.hedge_policy.is_none(), "no overlapping attempts");
             assert_eq!(action.timeout.map(|t| t.seconds), Some(4));
             let Some(retry) = &action.retry_policy else {
                 assert!(
                     grpc && class.retry_on == RetryOn::NeverRan,
-                    "a gRPC status does not tell that nothing ran"
+                    "a gRPC status does not tell whether the call ran"
                 );
                 continue;
             };
@@ -193,7 +207,7 @@
         if let Some(last) = host.routes.get(2) {
             assert!(
                 matches!(&last.action, Some(Action::DirectResponse(r)) if r.status == 400),
-                "no class, no work"
+                "a request without a class is rejected"
             );
         }
     }
@@ -202,38 +216,50 @@
 fn manager(listener: &Listener) -> HttpConnectionManager {
     let filter = &listener.filter_chains[0].filters[0];
     let Some(ConfigType::TypedConfig(config)) = &filter.config_type else { panic!("a configuration") };
-    HttpConnectionManager::decode(config.value.as_slice()).expect("it can be read")
+    HttpConnectionManager::decode(config.value.as_slice()).expect("a valid message")
 }
 
 #[test]
-fn the_quota_filter_names_customer_plan_and_units_and_lets_nothing_through_without_a_slice() {
+fn the_quota_filter_builds_ids_from_customer_plan_and_units_and_denies_requests_without_an_assignment() {
     let at = ([127, 0, 0, 1], 8080).into();
-    let listener: Listener =
-        one(listeners("edge-1", Some(at), &wiring(true)), ResourceKind::Listener, HTTP_LISTENER);
+    let listener: Listener = decode_resource(
+        listeners("edge-1", Some(at), &settings(true)),
+        ResourceKind::Listener,
+        HTTP_LISTENER,
+    );
     let filters = manager(&listener).http_filters;
-    assert_eq!(filters.len(), 2, "quotas, then the router");
+    assert_eq!(filters.len(), 2, "the quota filter, then the router");
     let Some(http_filter::ConfigType::TypedConfig(config)) = &filters[0].config_type else { panic!("typed") };
-    let config = RateLimitQuotaFilterConfig::decode(config.value.as_slice()).expect("it can be read");
-    assert_eq!(config.domain, DOMAIN);
-    assert_eq!(config.rlqs_server.expect("there").initial_metadata[0].value, "edge-1");
-    let matcher = config.bucket_matchers.expect("there").on_no_match.expect("there");
+    let config = RateLimitQuotaFilterConfig::decode(config.value.as_slice()).expect("a valid message");
+    assert_eq!(config.domain, QUOTA_DOMAIN);
+    assert_eq!(config.rlqs_server.expect("present").initial_metadata[0].value, "edge-1");
+    let matcher = config.bucket_matchers.expect("present").on_no_match.expect("present");
     let Some(OnMatch::Action(action)) = matcher.on_match else { panic!("an action") };
-    let bytes = action.typed_config.expect("there").value;
-    let settings = RateLimitQuotaBucketSettings::decode(bytes.as_slice()).expect("it can be read");
+    let bytes = action.typed_config.expect("present").value;
+    let bucket_settings = RateLimitQuotaBucketSettings::decode(bytes.as_slice()).expect("a valid message");
     let mut keys: Vec<String> =
-        settings.bucket_id_builder.expect("there").bucket_id_builder.into_keys().collect();
+        bucket_settings.bucket_id_builder.expect("present").bucket_id_builder.into_keys().collect();
     keys.sort();
-    assert_eq!(keys, ["customer", "plan", "units"], "written one by one, and read as one map");
-    assert!(settings.no_assignment_behavior.is_some() && settings.expired_assignment_behavior.is_some());
-    assert_eq!(settings.deny_response_settings.expect("there").http_status.map(|s| s.code), Some(429));
-    let plain: Listener =
-        one(listeners("edge-1", Some(at), &wiring(false)), ResourceKind::Listener, HTTP_LISTENER);
+    assert_eq!(keys, ["customer", "plan", "units"], "separately written entries are read as one map");
+    assert!(
+        bucket_settings.no_assignment_behavior.is_some()
+            && bucket_settings.expired_assignment_behavior.is_some()
+    );
+    assert_eq!(
+        bucket_settings.deny_response_settings.expect("present").http_status.map(|s| s.code),
+        Some(429)
+    );
+    let plain: Listener = decode_resource(
+        listeners("edge-1", Some(at), &settings(false)),
+        ResourceKind::Listener,
+        HTTP_LISTENER,
+    );
     assert_eq!(manager(&plain).http_filters.len(), 1);
 }
 
 #[test]
-fn the_same_is_encoded_the_same() {
+fn equal_input_gives_equal_encoding() {
     let at = Some(([127, 0, 0, 1], 8080).into());
-    assert_eq!(listeners("edge-1", at, &wiring(true)), listeners("edge-1", at, &wiring(true)));
-    assert_ne!(listeners("edge-1", at, &wiring(true)), listeners("edge-2", at, &wiring(true)));
+    assert_eq!(listeners("edge-1", at, &settings(true)), listeners("edge-1", at, &settings(true)));
+    assert_ne!(listeners("edge-1", at, &settings(true)), listeners("edge-2", at, &settings(true)));
 }
