--- a/crates/starlinghill-maintenance/src/orders.rs
+++ b/crates/starlinghill-maintenance/src/orders.rs
@@ -43,11 +43,11 @@
 impl std::fmt::Display for OrdersError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            OrdersError::Full => write!(f, "{MAX_ORDERS} backends are out of service, which is the limit"),
+            OrdersError::Full => write!(f, "{MAX_ORDERS} backends are out, which is the most"),
             OrdersError::InvalidId(found) => {
                 write!(f, "id: expected 1 to {MAX_ID_BYTES} bytes, found {found}")
             }
-            OrdersError::Unreadable(why) => write!(f, "not valid maintenance orders: {why}"),
+            OrdersError::Unreadable(why) => write!(f, "not a book of orders: {why}"),
         }
     }
 }
@@ -59,8 +59,9 @@
     orders: BTreeMap<String, Order>,
 }
 
+/// The stored form. Its name is part of serde's error texts, which operators get in HTTP responses.
 #[derive(Serialize, Deserialize)]
-struct StoredOrders {
+struct Written {
     version: u32,
     orders: BTreeMap<String, Order>,
 }
@@ -137,14 +138,14 @@
 
     /// The orders as JSON.
     pub fn to_json(&self) -> String {
-        let stored = StoredOrders { version: FORMAT_VERSION, orders: self.orders.clone() };
+        let stored = Written { version: FORMAT_VERSION, orders: self.orders.clone() };
         // Can't fail: JSON can represent all of these types.
         serde_json::to_string(&stored).unwrap_or_default()
     }
 
     /// Parses JSON. Rejects anything that is incomplete: missing orders would return backends to service.
     pub fn from_json(text: &str) -> Result<MaintenanceOrders, OrdersError> {
-        let stored: StoredOrders =
+        let stored: Written =
             serde_json::from_str(text).map_err(|e| OrdersError::Unreadable(e.to_string()))?;
         if stored.version != FORMAT_VERSION {
             let why = format!("version: expected {FORMAT_VERSION}, found {}", stored.version);
--- a/crates/starlinghill-proxy/src/request_handler.rs
+++ b/crates/starlinghill-proxy/src/request_handler.rs
@@ -80,7 +80,7 @@
                 || is_duplicate(ATTEMPT_ID)
                 || is_duplicate(TIME_LEFT))
         {
-            return bad("a header occurs twice\n");
+            return bad("a header stands twice\n");
         }
         if headers.get(ATTEMPT_ID).is_none_or(|id| id.is_empty()) {
             return bad("Attempt-Id: expected an id\n");
--- a/crates/starlinghill-registry/src/http.rs
+++ b/crates/starlinghill-registry/src/http.rs
@@ -110,17 +110,17 @@
         let (call, params) = match self.routes.lookup(&head.method, head.uri.path()) {
             RouteMatch::Endpoint(call, params) => (call, params),
             RouteMatch::MethodNotAllowed => {
-                return error_reply(StatusCode::METHOD_NOT_ALLOWED, "method not allowed")
+                return error_reply(StatusCode::METHOD_NOT_ALLOWED, "no such call here")
             }
-            RouteMatch::NotFound => return error_reply(StatusCode::NOT_FOUND, "not found"),
+            RouteMatch::NotFound => return error_reply(StatusCode::NOT_FOUND, "nothing is here"),
         };
         let max_bytes = if call == Endpoint::Change { MAX_CHANGE_BYTES } else { MAX_HEARTBEAT_BYTES };
         let body = match timeout(CALLER_TIMEOUT, Limited::new(body, max_bytes).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) => {
-                return error_reply(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long or incomplete")
+                return error_reply(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long or broke off")
             }
-            Err(_) => return error_reply(StatusCode::REQUEST_TIMEOUT, "the body did not arrive in time"),
+            Err(_) => return error_reply(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
         };
         let mut response = match call {
             Endpoint::Heartbeat => self.heartbeat(params.first().copied().unwrap_or_default(), &body).await,
@@ -151,7 +151,7 @@
             if !self.peers.replicate_instance(instance).await {
                 return error_reply(
                     StatusCode::SERVICE_UNAVAILABLE,
-                    "no majority of registries has recorded it",
+                    "no majority of registries has noted it",
                 );
             }
         }
@@ -165,9 +165,7 @@
         }
         match self.peers.replicate_departure(id).await {
             true => reply(StatusCode::OK, b"{}".to_vec()),
-            false => {
-                error_reply(StatusCode::SERVICE_UNAVAILABLE, "no majority of registries has recorded it")
-            }
+            false => error_reply(StatusCode::SERVICE_UNAVAILABLE, "no majority of registries has noted it"),
         }
     }
 
@@ -193,7 +191,7 @@
             ChangeOutcome::Conflict(message) => error_reply(StatusCode::CONFLICT, &message),
             ChangeOutcome::Unclear => error_reply(
                 StatusCode::SERVICE_UNAVAILABLE,
-                "no majority of stores in time, or a change number too old to be remembered",
+                "no majority of stores in time, or a number that is not remembered any more",
             ),
         }
     }
@@ -211,7 +209,7 @@
 /// Parses a heartbeat; returns the instance and the remaining time of its warm-up in microseconds.
 fn read_heartbeat(id: &str, body: &[u8]) -> Result<(Instance, u64), String> {
     let value =
-        simd_json::to_owned_value(&mut body.to_vec()).map_err(|error| format!("not valid JSON: {error}"))?;
+        simd_json::to_owned_value(&mut body.to_vec()).map_err(|error| format!("not JSON: {error}"))?;
     let (root, mut errors) = (DocumentValue::root(&value), ValidationErrors::default());
     let f = &mut errors;
     let (details, observed) = (root.at("details"), root.at("observed"));
