--- a/crates/starlinghill-testkit/examples/followers.rs
+++ b/crates/starlinghill-testkit/examples/followers.rs
@@ -133,7 +133,7 @@
     shown("all come at once, to following", &first);
 
     let mut changes = Histogram::<u64>::new(3)?;
-    let cpu_before: f64 = pids.iter().filter_map(|pid| resource_usage(*pid)).map(|u| u.cpu).sum();
+    let cpu_before: f64 = pids.iter().filter_map(|pid| resource_usage(*pid)).map(|u| u.cpu_s).sum();
     let span = Instant::now();
     for number in cli.orders..cli.orders + 20 {
         let given = Instant::now();
@@ -145,10 +145,11 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
     let cpu: f64 =
-        pids.iter().filter_map(|pid| resource_usage(*pid)).map(|u| u.cpu).sum::<f64>() - cpu_before;
+        pids.iter().filter_map(|pid| resource_usage(*pid)).map(|u| u.cpu_s).sum::<f64>() - cpu_before;
     shown("order to each follower", &changes);
     let after: Vec<_> = pids.iter().filter_map(|pid| resource_usage(*pid)).collect();
-    let grown: u64 = after.iter().zip(&before).map(|(a, b)| a.memory.saturating_sub(b.memory)).sum();
+    let grown: u64 =
+        after.iter().zip(&before).map(|(a, b)| a.memory_bytes.saturating_sub(b.memory_bytes)).sum();
     println!(
         "members together: {:.1} kB of memory and {:.3} ms of CPU a second for each follower ({} of them, 5 questions \
          a second each)",
--- a/crates/starlinghill-testkit/src/lib.rs
+++ b/crates/starlinghill-testkit/src/lib.rs
@@ -1,21 +1,23 @@
-//! Stand-ins for what surrounds the programs of this repository, on loopback sockets, and faults that tests
-//! script for them. No program that is shipped depends on this package.
+//! Test doubles for the services around this repository's programs, on loopback sockets, and faults that tests
+//! inject into them. No shipped program depends on this package.
 //!
-//! - [`stubs`]: stubs of backends, the counter and discovery, a client, and a gateway as a process.
-//! - [`catch_up`]: a core machine that was away during many changes.
-//! - [`counter`]: the shared counter with a capacity, its failures, and what it really counted.
-//! - [`partitions`]: a network between real processes whose links are cut by a file.
+//! - [`audit`]: checks what gateways followed against the orders that were given.
+//! - [`balancing`]: a simulated fleet in front of the backends of one service, to compare ways of choosing a
+//!   backend.
+//! - [`catch_up`]: measures how a core machine catches up after it was down during many changes.
+//! - [`counter`]: a shared counter with limited capacity, injected failures, and a record of what it counted.
 //! - [`failover`]: gateways in zones that follow a group, load through them, and scripted faults.
 //! - [`group`]: a group of real member processes, with links between them.
-//! - [`audit`]: the audit of what was ordered and what gateways followed.
-//! - [`links`]: links between real processes, one a directed pair of zones, that are cut, slow, lossy or reset.
-//! - [`load`]: clients at a steady pace, and what became of each request.
-//! - [`nodes`]: save nodes that many proxies send to at once, and what they saw.
-//! - [`outage`]: a fleet of real gateways round a counter in trouble, by scenarios.
-//! - [`processes`]: real processes that are killed, stopped, continued and started again.
-//! - [`proxy`]: a proxy that takes its routing over xDS and forwards to save nodes.
-//! - [`quota`]: that proxy's buckets, filled by quota assignments.
-//! - [`balancing`]: a fleet before the backends of one service in virtual time, by several ways of choosing.
+//! - [`links`]: links between zones of real processes that can be cut, slowed, reset or made lossy.
+//! - [`load`]: clients with a constant request rate, and the outcome of each request.
+//! - [`nodes`]: backend nodes that many proxies send to at once, and what they received.
+//! - [`outage`]: scenarios of a fleet of real gateways around a failing counter.
+//! - [`partitions`]: network partitions between real processes, controlled by a file.
+//! - [`processes`]: real processes that are killed, stopped, resumed and restarted.
+//! - [`proxy`]: a proxy that takes its routing over xDS and forwards to backend nodes.
+//! - [`quota`]: the token buckets of that proxy, controlled by quota assignments.
+//! - [`soak`]: random faults, by seed, against a whole system of real processes.
+//! - [`stubs`]: stubs of backends, the counter and discovery, a client, and a gateway as a process.
 //! - [`system`]: the whole system as processes, with backends that misbehave.
 
 pub mod audit;
--- a/crates/starlinghill-testkit/src/links.rs
+++ b/crates/starlinghill-testkit/src/links.rs
@@ -1,7 +1,9 @@
-//! Links between real processes, one for each directed pair of zones, on loopback addresses. A process that is to
-//! reach another gets the address of a link in its place; what goes through can be cut, delayed, slowed to a trickle,
-//! reset, lost or doubled, either way by itself, and healed again. What a cut holds back comes late after it heals, as
-//! with any network that sends again; sockets stay open meanwhile.
+//! Proxies for the network links between real processes, one for each directed pair of zones, on loopback
+//! addresses. A process is given the address of a link instead of the address of its peer. Each direction can
+//! be cut, delayed, limited in rate, reset, or made to lose or duplicate datagrams, and healed again.
+//!
+//! TCP bytes that a cut holds back arrive after it heals, as with a network that retransmits; sockets stay open
+//! meanwhile.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -15,26 +17,27 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// Bytes read at once.
-const PIECE: usize = 16 * 1024;
-/// Pieces that one direction of a connection holds; then its sender waits.
-const PIECES: usize = 64;
-/// Bytes of a datagram.
-const DATAGRAM: usize = 64 * 1024;
+/// Bytes per read from a socket.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Chunks that one direction of a connection buffers. Reading pauses when the buffer is full, so the sender
+/// sees back pressure.
+const CHUNK_QUEUE_LEN: usize = 64;
+/// Largest datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// How a link is.
+/// The faults of one directed link.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Condition {
-    /// Nothing comes through.
+    /// Nothing passes: TCP bytes wait, datagrams are dropped.
     pub cut: bool,
-    /// All comes so much later, in milliseconds.
+    /// Added latency in milliseconds.
     pub delay_ms: u64,
-    /// No more bytes a second than these come through.
+    /// Limit on TCP throughput in bytes per second.
     pub bytes_per_s: Option<u64>,
-    /// The part of datagrams that are lost.
+    /// Probability from 0 to 1 that a datagram is lost.
     pub loss: f64,
-    /// The part of datagrams that come twice.
+    /// Probability from 0 to 1 that a datagram is delivered twice.
     pub doubled: f64,
 }
 
@@ -44,50 +47,51 @@
     }
 }
 
-/// The state of a link: its condition, and how often its connections were reset.
-type State = (Condition, u64);
-type Ends = (String, String);
+/// The condition of a link, and how often its connections were reset.
+type LinkState = (Condition, u64);
+/// Source and destination zone.
+type ZonePair = (String, String);
 
-/// All links. They end when this is dropped.
+/// All links of a test. Dropping this closes them.
 pub struct Links {
-    links: Arc<Mutex<BTreeMap<Ends, watch::Sender<State>>>>,
+    links: Arc<Mutex<BTreeMap<ZonePair, watch::Sender<LinkState>>>>,
     rng: Mutex<fastrand::Rng>,
     tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
 impl Links {
-    /// Links that are all whole. Which datagrams are lost follows from the seed.
+    /// Creates links without faults. The seed decides which datagrams are lost or duplicated.
     pub fn new(seed: u64) -> Links {
         let rng = Mutex::new(fastrand::Rng::with_seed(seed));
         Links { links: Arc::default(), rng, tasks: Mutex::default() }
     }
 
-    fn with<T>(&self, from: &str, to: &str, work: impl FnOnce(&watch::Sender<State>) -> T) -> T {
+    fn with_link<T>(&self, from: &str, to: &str, work: impl FnOnce(&watch::Sender<LinkState>) -> T) -> T {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         let link = links.entry((from.into(), to.into()));
         work(link.or_insert_with(|| watch::channel((Condition::default(), 0)).0))
     }
 
-    fn watch(&self, from: &str, to: &str) -> watch::Receiver<State> {
-        self.with(from, to, watch::Sender::subscribe)
+    fn watch(&self, from: &str, to: &str) -> watch::Receiver<LinkState> {
+        self.with_link(from, to, watch::Sender::subscribe)
     }
 
-    /// Changes a link.
+    /// Changes the condition of a link from now on.
     pub fn change(&self, from: &str, to: &str, change: impl FnOnce(&mut Condition)) {
-        self.with(from, to, |link| link.send_modify(|(condition, _)| change(condition)));
+        self.with_link(from, to, |link| link.send_modify(|(condition, _)| change(condition)));
     }
 
-    /// Nothing goes from one zone to the other any more.
+    /// Stops all traffic from one zone to the other; the opposite direction is not affected.
     pub fn cut(&self, from: &str, to: &str) {
         self.change(from, to, |c| c.cut = true);
     }
 
-    /// Ends the connections that go over a link.
+    /// Resets all TCP connections that use the link in either direction of their traffic.
     pub fn reset(&self, from: &str, to: &str) {
-        self.with(from, to, |link| link.send_modify(|(_, resets)| *resets += 1));
+        self.with_link(from, to, |link| link.send_modify(|(_, resets)| *resets += 1));
     }
 
-    /// All links are whole again.
+    /// Removes all faults from all links.
     pub fn heal(&self) {
         let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         for link in links.values() {
@@ -95,42 +99,43 @@
         }
     }
 
-    fn keep(&self, task: JoinHandle<()>) {
+    fn abort_on_drop(&self, task: JoinHandle<()>) {
         self.tasks.lock().unwrap_or_else(PoisonError::into_inner).push(task);
     }
 
-    /// Where a process of zone `from` reaches the TCP address of one of zone `to`.
+    /// Opens a TCP link to `target`, an address in zone `to`. Returns the address that processes of zone `from`
+    /// connect to.
     pub async fn tcp(&self, from: &str, to: &str, target: SocketAddr) -> SocketAddr {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let at = listener.local_addr().expect("bound");
-        let (there, back) = (self.watch(from, to), self.watch(to, from));
-        self.keep(tokio::spawn(async move {
-            // What it carries ends with it.
-            let mut carried = tokio::task::JoinSet::new();
+        let (forward, backward) = (self.watch(from, to), self.watch(to, from));
+        self.abort_on_drop(tokio::spawn(async move {
+            // Aborting this task aborts its connections as well.
+            let mut connections = tokio::task::JoinSet::new();
             loop {
                 tokio::select! {
                     accepted = listener.accept() => {
                         let Ok((client, _)) = accepted else { continue };
-                        carried.spawn(carry(client, target, there.clone(), back.clone()));
+                        connections.spawn(forward_connection(client, target, forward.clone(), backward.clone()));
                     }
-                    Some(_) = carried.join_next(), if !carried.is_empty() => {}
+                    Some(_) = connections.join_next(), if !connections.is_empty() => {}
                 }
             }
         }));
         at
     }
 
-    /// Where a process of zone `from` sends datagrams to the UDP address of one of zone `to`. Answers don't come back
-    /// this way: each gateway writes to the others' own links.
+    /// Opens a UDP link to `target`, an address in zone `to`. Returns the address that processes of zone `from`
+    /// send to. Replies do not come back through it: each gateway sends over its own links.
     pub async fn udp(&self, from: &str, to: &str, target: SocketAddr) -> SocketAddr {
-        let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
+        let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
         let at = socket.local_addr().expect("bound");
         let link = self.watch(from, to);
         let seed = self.rng.lock().unwrap_or_else(PoisonError::into_inner).u64(..);
-        self.keep(tokio::spawn(async move {
+        self.abort_on_drop(tokio::spawn(async move {
             let socket = Arc::new(socket);
             let mut rng = fastrand::Rng::with_seed(seed);
-            let mut buffer = vec![0; DATAGRAM];
+            let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
             while let Ok((n, _)) = socket.recv_from(&mut buffer).await {
                 let (condition, _) = *link.borrow();
                 if condition.cut || rng.f64() < condition.loss {
@@ -141,7 +146,7 @@
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_millis(condition.delay_ms)).await;
                     for _ in 0..copies {
-                        // Nobody there is as good as lost.
+                        // A datagram to a closed socket counts as lost.
                         let _ = socket.send_to(&datagram, target).await;
                     }
                 });
@@ -160,28 +165,28 @@
 }
 
 /// Resolves when the connections of a link are reset.
-async fn is_reset(mut link: watch::Receiver<State>) {
+async fn wait_for_reset(mut link: watch::Receiver<LinkState>) {
     let before = link.borrow().1;
     if link.wait_for(|(_, resets)| *resets != before).await.is_err() {
-        // The links are gone; their tasks end by themselves.
+        // `Links` was dropped, which aborts the tasks of this link.
         std::future::pending::<()>().await;
     }
 }
 
-async fn is_whole(link: &mut watch::Receiver<State>) {
+async fn wait_until_healed(link: &mut watch::Receiver<LinkState>) {
     let _ = link.wait_for(|(condition, _)| !condition.cut).await;
 }
 
-async fn carry(
+async fn forward_connection(
     client: TcpStream,
     target: SocketAddr,
-    there: watch::Receiver<State>,
-    back: watch::Receiver<State>,
+    forward: watch::Receiver<LinkState>,
+    backward: watch::Receiver<LinkState>,
 ) {
-    // A connection is made by packets that go both ways.
-    let (mut to, mut from) = (there.clone(), back.clone());
-    is_whole(&mut to).await;
-    is_whole(&mut from).await;
+    // A TCP handshake needs packets in both directions.
+    let (mut to, mut from) = (forward.clone(), backward.clone());
+    wait_until_healed(&mut to).await;
+    wait_until_healed(&mut from).await;
     let Ok(server) = TcpStream::connect(target).await else {
         reset_on_drop(&client);
         return;
@@ -189,33 +194,42 @@
     for stream in [&client, &server] {
         let _ = stream.set_nodelay(true);
     }
-    let own: Vec<_> = [&client, &server].iter().filter_map(|s| s.as_fd().try_clone_to_owned().ok()).collect();
-    // Halves that say nothing when they are dropped; the stream's own would end it in order, and not reset it.
+    let sockets: Vec<_> =
+        [&client, &server].iter().filter_map(|s| s.as_fd().try_clone_to_owned().ok()).collect();
+    // Tokio's own halves shut the connection down in order when dropped, which would hide the reset from the
+    // peers.
     let (client_in, client_out) = tokio::io::split(client);
     let (server_in, server_out) = tokio::io::split(server);
     let both = async {
-        tokio::join!(pump(client_in, server_out, there.clone()), pump(server_in, client_out, back.clone()))
+        tokio::join!(
+            pump(client_in, server_out, forward.clone()),
+            pump(server_in, client_out, backward.clone())
+        )
     };
     tokio::select! {
-        // In order: what was written last is still on its way.
+        // Both directions ended in order, and bytes may still be in flight: closing normally delivers them.
         _ = both => return,
-        () = is_reset(there.clone()) => {}
-        () = is_reset(back.clone()) => {}
+        () = wait_for_reset(forward.clone()) => {}
+        () = wait_for_reset(backward.clone()) => {}
     }
-    own.iter().for_each(reset_on_drop);
+    sockets.iter().for_each(reset_on_drop);
 }
 
 fn reset_on_drop(socket: &impl AsFd) {
     let _ = socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO));
 }
 
-/// One direction of a connection.
-async fn pump(mut from: ReadHalf<TcpStream>, mut to: WriteHalf<TcpStream>, mut link: watch::Receiver<State>) {
-    let (tx, mut rx) = mpsc::channel::<(Instant, Vec<u8>)>(PIECES);
+/// Copies one direction of a connection and applies the link's condition.
+async fn pump(
+    mut from: ReadHalf<TcpStream>,
+    mut to: WriteHalf<TcpStream>,
+    mut link: watch::Receiver<LinkState>,
+) {
+    let (tx, mut rx) = mpsc::channel::<(Instant, Vec<u8>)>(CHUNK_QUEUE_LEN);
     let reading = {
         let link = link.clone();
         async move {
-            let mut buffer = vec![0; PIECE];
+            let mut buffer = vec![0; CHUNK_BYTES];
             while let Ok(n) = from.read(&mut buffer).await {
                 let delay = Duration::from_millis(link.borrow().0.delay_ms);
                 if n == 0 || tx.send((Instant::now() + delay, buffer[..n].to_vec())).await.is_err() {
@@ -228,20 +242,22 @@
     let writing = async move {
         while let Some((due, bytes)) = rx.recv().await {
             tokio::time::sleep_until(due).await;
-            is_whole(&mut link).await;
+            wait_until_healed(&mut link).await;
             let rate = link.borrow().0.bytes_per_s;
-            for piece in bytes.chunks(rate.map_or(PIECE, |r| (r as usize / 20).max(1))) {
-                is_whole(&mut link).await;
-                if to.write_all(piece).await.is_err() {
+            // A twentieth of the rate per write spreads the bytes evenly over each second.
+            for chunk in bytes.chunks(rate.map_or(CHUNK_BYTES, |r| (r as usize / 20).max(1))) {
+                wait_until_healed(&mut link).await;
+                if to.write_all(chunk).await.is_err() {
                     return;
                 }
                 if let Some(rate) = rate {
-                    tokio::time::sleep(Duration::from_secs_f64(piece.len() as f64 / rate as f64)).await;
+                    tokio::time::sleep(Duration::from_secs_f64(chunk.len() as f64 / rate as f64)).await;
                 }
             }
         }
-        is_whole(&mut link).await;
+        wait_until_healed(&mut link).await;
         let _ = to.shutdown().await;
     };
-    let _ends = tokio::join!(reading, writing);
+    // The halves stay open until both futures are done.
+    let _halves = tokio::join!(reading, writing);
 }
--- a/crates/starlinghill-testkit/src/partitions.rs
+++ b/crates/starlinghill-testkit/src/partitions.rs
@@ -1,8 +1,9 @@
-//! Cuts between real processes: a network of the system's own calls whose links can be cut, one direction at a time, by a file
-//! that all processes of a test look at. No rights over the machine's network are needed.
+//! Network partitions between real processes. Calls between the system's own processes go through a network
+//! whose links can be cut, one direction at a time, by a file that all processes of a test read. This needs no
+//! rights over the machine's network.
 //!
-//! Bytes that a cut holds up come through once it is mended, as a sender's kernel would send them again. The side that
-//! connects plays both directions, as it knows who both are; datagrams are not cut.
+//! Bytes that a cut holds back arrive after it ends, as with a kernel that retransmits. The connecting side
+//! applies the cuts of both directions, as only it knows both addresses. Datagrams are not cut.
 
 use starlinghill_runtime::net::{tcp, Connection, IoFuture, Listener, Network, NetworkHandle, Stream};
 use std::cell::RefCell;
@@ -18,16 +19,16 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How often a process looks at the file.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often a process reads the file.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A direction of a link: from one machine to another.
+/// A directed link: the addresses of the sending and of the receiving machine.
 pub type Direction = (IpAddr, IpAddr);
 
-/// Writes which directions are cut from now on.
+/// Replaces the set of links that are cut.
 pub fn write(file: &Path, cuts: &BTreeSet<Direction>) -> io::Result<()> {
     let lines: String = cuts.iter().map(|(from, to)| format!("{from} {to}\n")).collect();
-    // Whole or not at all: it is read at any moment.
+    // Renamed into place, as processes may read the file at any moment.
     let next = file.with_extension("next");
     std::fs::write(&next, lines)?;
     std::fs::rename(next, file)
@@ -42,7 +43,7 @@
     text.lines().filter_map(direction).collect()
 }
 
-/// The cuts as a process knows them, and who waits for their end.
+/// The cuts as last read by this process, and the tasks that wait for their end.
 #[derive(Default)]
 struct Cuts {
     directions: RefCell<BTreeSet<Direction>>,
@@ -54,8 +55,8 @@
         self.directions.borrow().contains(&direction)
     }
 
-    /// Whether that is cut; if so, the task is woken once that may have changed.
-    fn holds(&self, direction: Direction, context: &Context) -> bool {
+    /// Returns whether the link is cut. If it is, the task is woken at the next change of the cuts.
+    fn poll_is_cut(&self, direction: Direction, context: &Context) -> bool {
         let is_cut = self.is_cut(direction);
         if is_cut {
             self.waiting.borrow_mut().push(context.waker().clone());
@@ -63,7 +64,7 @@
         is_cut
     }
 
-    fn follow(&self, directions: BTreeSet<Direction>) {
+    fn update(&self, directions: BTreeSet<Direction>) {
         if *self.directions.borrow() != directions {
             *self.directions.borrow_mut() = directions;
             self.waiting.take().into_iter().for_each(Waker::wake);
@@ -71,14 +72,14 @@
     }
 }
 
-/// A network of the machine at that address, cut as the file says. Must be called inside a `LocalSet`.
+/// Creates the network of the machine `me` with the cuts that `file` lists. Must be called inside a `LocalSet`.
 pub fn net(me: IpAddr, file: PathBuf) -> NetworkHandle {
     let cuts = Rc::new(Cuts::default());
-    let followed = cuts.clone();
+    let polled = cuts.clone();
     spawn_local(async move {
         loop {
-            followed.follow(read(&file));
-            sleep(LOOK).await;
+            polled.update(read(&file));
+            sleep(POLL_INTERVAL).await;
         }
     });
     Rc::new(CutNetwork { me, cuts, inner: tcp() })
@@ -93,12 +94,12 @@
 impl Network for CutNetwork {
     fn connect(&self, to: SocketAddr) -> IoFuture<'_, Stream> {
         Box::pin(async move {
-            let (there, back) = ((self.me, to.ip()), (to.ip(), self.me));
-            while self.cuts.is_cut(there) || self.cuts.is_cut(back) {
-                sleep(LOOK).await;
+            let (outbound, inbound) = ((self.me, to.ip()), (to.ip(), self.me));
+            while self.cuts.is_cut(outbound) || self.cuts.is_cut(inbound) {
+                sleep(POLL_INTERVAL).await;
             }
             let inner = self.inner.connect(to).await?;
-            Ok(Box::new(CutStream { inner, there, back, cuts: self.cuts.clone() }) as Stream)
+            Ok(Box::new(CutStream { inner, outbound, inbound, cuts: self.cuts.clone() }) as Stream)
         })
     }
 
@@ -109,8 +110,8 @@
 
 struct CutStream {
     inner: Stream,
-    there: Direction,
-    back: Direction,
+    outbound: Direction,
+    inbound: Direction,
     cuts: Rc<Cuts>,
 }
 
@@ -126,7 +127,7 @@
         context: &mut Context,
         buffer: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
-        if self.cuts.holds(self.back, context) {
+        if self.cuts.poll_is_cut(self.inbound, context) {
             return Poll::Pending;
         }
         Pin::new(&mut self.inner).poll_read(context, buffer)
@@ -135,7 +136,7 @@
 
 impl AsyncWrite for CutStream {
     fn poll_write(mut self: Pin<&mut Self>, context: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        if self.cuts.holds(self.there, context) {
+        if self.cuts.poll_is_cut(self.outbound, context) {
             return Poll::Pending;
         }
         Pin::new(&mut self.inner).poll_write(context, bytes)
--- a/crates/starlinghill-testkit/src/quota.rs
+++ b/crates/starlinghill-testkit/src/quota.rs
@@ -1,4 +1,5 @@
-//! A proxy's buckets: what a rate limit quota filter keeps, filled by assignments and emptied by requests.
+//! Token buckets of a proxy's rate limit quota filter. Assignments from the control service set their size and
+//! rate; requests take tokens.
 
 use envoy_types::pb::envoy::r#type::v3::rate_limit_strategy::Strategy;
 use envoy_types::pb::envoy::service::rate_limit_quota::v3::rate_limit_quota_response::bucket_action::BucketAction;
@@ -10,30 +11,47 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// What a bucket counts: customer, plan, units.
+/// Identifies a bucket: customer id, plan name, and units per request.
 pub type BucketKey = (u64, String, u32);
 
+/// Fill interval of a bucket that gets no tokens.
+const NO_FILL_INTERVAL: Duration = Duration::from_secs(86_400);
+
 #[derive(Debug, Clone)]
 struct Bucket {
-    most: f64,
-    every: Duration,
+    /// Capacity in tokens.
+    capacity: f64,
+    /// Time in which one token is added.
+    fill_interval: Duration,
+    /// Tokens at `filled_at`.
     level: f64,
-    at: Instant,
-    until: Instant,
+    filled_at: Instant,
+    /// End of the assignment; after it every request is denied.
+    expires: Instant,
+    /// Requests since the last report.
     allowed: u64,
     denied: u64,
-    reported: Instant,
+    reported_at: Instant,
 }
 
 impl Bucket {
-    /// Without an assignment nothing is let through.
+    /// Creates a bucket without an assignment: it denies all requests.
     fn new(now: Instant) -> Bucket {
-        let every = Duration::from_secs(86_400);
-        Bucket { most: 0.0, every, level: 0.0, at: now, until: now, allowed: 0, denied: 0, reported: now }
+        let fill_interval = NO_FILL_INTERVAL;
+        Bucket {
+            capacity: 0.0,
+            fill_interval,
+            level: 0.0,
+            filled_at: now,
+            expires: now,
+            allowed: 0,
+            denied: 0,
+            reported_at: now,
+        }
     }
     fn fill(&mut self, now: Instant) {
-        let more = (now - self.at).as_secs_f64() / self.every.as_secs_f64().max(1e-9);
-        (self.level, self.at) = ((self.level + more).min(self.most), now);
+        let added = (now - self.filled_at).as_secs_f64() / self.fill_interval.as_secs_f64().max(1e-9);
+        (self.level, self.filled_at) = ((self.level + added).min(self.capacity), now);
     }
 }
 
@@ -49,21 +67,22 @@
 }
 
 impl Buckets {
-    /// Whether a request may go on, and whether its bucket is new, so that it is to be reported at once.
+    /// Takes one token for a request. Returns whether the request is allowed, and whether its bucket is new and
+    /// must be reported at once.
     pub fn admit(&mut self, now: Instant, key: &BucketKey) -> (bool, bool) {
         let new = !self.buckets.contains_key(key);
         let bucket = self.buckets.entry(key.clone()).or_insert_with(|| Bucket::new(now));
         bucket.fill(now);
-        let ok = now < bucket.until && bucket.level >= 1.0;
+        let ok = now < bucket.expires && bucket.level >= 1.0;
         bucket.level -= if ok { 1.0 } else { 0.0 };
         (bucket.allowed, bucket.denied) = (bucket.allowed + u64::from(ok), bucket.denied + u64::from(!ok));
         (ok, new)
     }
 
-    /// What was used since the last report, of all buckets.
+    /// Reports and resets the request counts of all buckets.
     pub fn report(&mut self, now: Instant) -> RateLimitQuotaUsageReports {
         let usages = self.buckets.iter_mut().map(|((customer, plan, units), bucket)| {
-            let elapsed = now - std::mem::replace(&mut bucket.reported, now);
+            let elapsed = now - std::mem::replace(&mut bucket.reported_at, now);
             let id = HashMap::from([
                 ("customer".to_string(), format!("{customer:016x}")),
                 ("plan".to_string(), plan.clone()),
@@ -82,7 +101,7 @@
         RateLimitQuotaUsageReports { domain: "starlinghill".into(), bucket_quota_usages: usages.collect() }
     }
 
-    /// Takes assignments in.
+    /// Applies assignments to existing buckets, and removes abandoned buckets.
     pub fn apply_assignments(&mut self, now: Instant, response: RateLimitQuotaResponse) {
         for action in response.bucket_action {
             let Some(id) = action.bucket_id.map(|id| id.bucket) else { continue };
@@ -96,18 +115,24 @@
                 Some(BucketAction::QuotaAssignmentAction(assigned)) => {
                     let Some(bucket) = self.buckets.get_mut(&key) else { continue };
                     bucket.fill(now);
-                    let life = duration(assigned.assignment_time_to_live);
-                    let (most, every) = match assigned.rate_limit_strategy.and_then(|s| s.strategy) {
-                        Some(Strategy::TokenBucket(b)) => {
-                            (f64::from(b.max_tokens), duration(b.fill_interval))
-                        }
-                        _ => (0.0, Duration::from_secs(86_400)),
-                    };
-                    // The same figures go on as they are; others begin full.
-                    if now >= bucket.until || most != bucket.most || every != bucket.every {
-                        (bucket.most, bucket.every, bucket.level) = (most, every, most);
+                    let time_to_live = duration(assigned.assignment_time_to_live);
+                    let (capacity, fill_interval) =
+                        match assigned.rate_limit_strategy.and_then(|s| s.strategy) {
+                            Some(Strategy::TokenBucket(b)) => {
+                                (f64::from(b.max_tokens), duration(b.fill_interval))
+                            }
+                            _ => (0.0, NO_FILL_INTERVAL),
+                        };
+                    // A renewed assignment with the same figures keeps its tokens; any other starts with a
+                    // full bucket.
+                    if now >= bucket.expires
+                        || capacity != bucket.capacity
+                        || fill_interval != bucket.fill_interval
+                    {
+                        (bucket.capacity, bucket.fill_interval, bucket.level) =
+                            (capacity, fill_interval, capacity);
                     }
-                    bucket.until = now + life;
+                    bucket.expires = now + time_to_live;
                 }
                 Some(BucketAction::AbandonAction(_)) => drop(self.buckets.remove(&key)),
                 None => {}
--- a/crates/starlinghill-testkit/src/soak/faults.rs
+++ b/crates/starlinghill-testkit/src/soak/faults.rs
@@ -1,49 +1,53 @@
-//! How a seed is played, and what may befall its processes.
+//! The parameters of a seed's run, and the faults that are injected.
 
 use super::LONG_CUT;
 use crate::partitions::Direction;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// How a seed is played.
+/// The parameters of one run.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Play {
-    /// How many proxies there are.
+pub(super) struct RunParameters {
     pub(super) edges: usize,
-    /// How long troubles go on.
-    pub(super) span: Duration,
-    /// A core machine is cut off from the others from the beginning on.
+    /// How long faults are injected.
+    pub(super) fault_duration: Duration,
+    /// Whether one core machine is cut off from the other two for [`LONG_CUT`] near the start.
     pub(super) long_cut: bool,
 }
 
-impl Play {
-    /// Of ten seeds one has a long cut, and one many processes.
-    pub(super) fn of(seed: u64) -> Play {
+impl RunParameters {
+    /// Of ten seeds, one has a long cut and one has 100 proxies.
+    pub(super) fn for_seed(seed: u64) -> RunParameters {
         match seed % 10 {
-            4 => Play { edges: 5, span: LONG_CUT + Duration::from_secs(5), long_cut: true },
-            9 => Play { edges: 100, span: Duration::from_secs(20), long_cut: false },
-            _ => Play { edges: 5, span: Duration::from_secs(12), long_cut: false },
+            4 => {
+                RunParameters { edges: 5, fault_duration: LONG_CUT + Duration::from_secs(5), long_cut: true }
+            }
+            9 => RunParameters { edges: 100, fault_duration: Duration::from_secs(20), long_cut: false },
+            _ => RunParameters { edges: 5, fault_duration: Duration::from_secs(12), long_cut: false },
         }
     }
 }
 
-/// Fault is ended later, and when.
+/// A fault that is in effect.
 pub(super) struct ActiveFault {
-    pub(super) ends: Instant,
-    pub(super) what: Fault,
+    pub(super) ends_at: Instant,
+    pub(super) fault: Fault,
 }
 
+/// The numbers are indexes of proxies, core machines or backends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Fault {
     EdgeKilled(usize),
     EdgeStopped(usize),
-    /// It is told to end, and started again once it has.
+    /// SIGTERM, and a restart after the process has exited.
     EdgeEnds(usize),
+    /// SIGHUP: the process reads its settings again.
     EdgeReloads(usize),
     CoreKilled(usize),
     CoreEnds(usize),
     CoreReloads(usize),
     RegistryStopped(usize),
+    /// A backend runs requests and closes their connections without an answer.
     AnswersLost(usize),
     Cut(BTreeSet<Direction>),
 }
@@ -68,16 +72,17 @@
         }
     }
 
-    fn takes_a_disk_away(&self) -> bool {
+    fn stops_a_store(&self) -> bool {
         matches!(self, Fault::CoreKilled(_) | Fault::CoreEnds(_))
     }
 }
 
-/// Two troubles that can't be told apart, or that would leave no majority of disks.
-pub(super) fn meets(one: &Fault, other: &Fault) -> bool {
+/// Whether two faults must not be in effect at the same time: they hit the same machine, are equal, or would
+/// stop two of the three stores, which leaves no majority.
+pub(super) fn conflicts(one: &Fault, other: &Fault) -> bool {
     let same = |one: Option<usize>, other: Option<usize>| one.is_some() && one == other;
     same(one.edge(), other.edge())
         || same(one.core(), other.core())
-        || one.takes_a_disk_away() && other.takes_a_disk_away()
+        || one.stops_a_store() && other.stops_a_store()
         || one == other
 }
--- a/crates/starlinghill-testkit/src/soak/keep_alive.rs
+++ b/crates/starlinghill-testkit/src/soak/keep_alive.rs
@@ -1,4 +1,4 @@
-//! Clients that hold on to their connection until the proxy's end of it is gone, and what became of each request.
+//! Clients that reuse one connection until the proxy closes it, and the outcome of each of their requests.
 
 use super::Window;
 use http_body_util::{BodyExt, Empty};
@@ -13,86 +13,87 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A client gives up on a request after this, and on its connection with it: its route has 2 s.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// The pause after a connection that could not be made.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Timeout of a request, after which the client drops its connection. The route's own timeout is 2 s.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause after a failed connect.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
 
 type Connection = SendRequest<Empty<bytes::Bytes>>;
 
-/// A request without an answer: its connection ended, or its client waited in vain.
+/// A request without an answer: its connection ended, or it timed out.
 #[derive(Debug, Clone)]
 pub(super) struct Unanswered {
-    /// Its try's id.
     pub(super) id: String,
-    /// At which proxy.
     pub(super) edge: usize,
-    /// From its sending until then.
+    /// From sending the request until its failure.
     pub(super) during: Window,
-    /// The connection stands, and nothing came for far longer than the route allows.
-    held: bool,
+    /// The request timed out while its connection stayed open.
+    timed_out: bool,
 }
 
-/// Fault such clients saw.
+/// The outcomes of all requests of these clients.
 #[derive(Debug, Default)]
-pub(super) struct Kept {
-    answered: Mutex<u64>,
+pub(super) struct KeepAliveClients {
+    served: Mutex<u64>,
     unanswered: Mutex<Vec<Unanswered>>,
 }
 
-impl Kept {
-    /// How many requests were served.
+impl KeepAliveClients {
+    /// Number of requests that were answered with 200.
     pub(super) fn served(&self) -> u64 {
-        *self.answered.lock().expect("whole")
+        *self.served.lock().expect("the lock is not poisoned")
     }
 
-    /// Requests that a proxy which was not disturbed at the time passed on or held, and did not answer.
+    /// Describes the requests that a proxy passed to a backend, or kept open until the timeout, without an
+    /// answer, while the proxy itself was not disturbed.
     pub(super) fn lost(
         &self,
         ran: &HashSet<String>,
         is_disturbed: impl Fn(&Unanswered) -> bool,
     ) -> Vec<String> {
-        let unanswered = self.unanswered.lock().expect("whole");
-        let lost = unanswered.iter().filter(|one| (one.held || ran.contains(&one.id)) && !is_disturbed(one));
-        let told = |one: &Unanswered| {
-            let how = if one.held { "held" } else { "passed on" };
+        let unanswered = self.unanswered.lock().expect("the lock is not poisoned");
+        let lost =
+            unanswered.iter().filter(|one| (one.timed_out || ran.contains(&one.id)) && !is_disturbed(one));
+        let describe = |one: &Unanswered| {
+            let how = if one.timed_out { "kept open" } else { "passed to a backend" };
             format!("{} was {how} by proxy {} and not answered", one.id, one.edge)
         };
-        lost.map(told).collect()
+        lost.map(describe).collect()
     }
 
-    /// Asks at one proxy, one request after the other, on one connection for as long as it lasts.
-    pub(super) async fn ask(
+    /// Sends one request after the other to one proxy until `stop` is set, on one connection for as long as it
+    /// lasts.
+    pub(super) async fn send_requests(
         self: Arc<Self>,
         edge: usize,
         front: SocketAddr,
         pause: Duration,
-        over: Arc<AtomicBool>,
+        stop: Arc<AtomicBool>,
     ) {
         let mut connection: Option<Connection> = None;
         let mut number = 0;
-        while !over.load(Ordering::Relaxed) {
+        while !stop.load(Ordering::Relaxed) {
             sleep(pause).await;
             let usable = match connection.take() {
-                Some(mut kept) => kept.ready().await.is_ok().then_some(kept),
+                Some(mut open) => open.ready().await.is_ok().then_some(open),
                 None => connect(front).await,
             };
             let Some(mut usable) = usable else {
-                sleep(PAUSE).await;
+                sleep(RECONNECT_PAUSE).await;
                 continue;
             };
             number += 1;
             let id = format!("kept-{edge}-{number}");
             let sent = Instant::now();
-            match timeout(PATIENCE, get(&mut usable, &id)).await {
+            match timeout(REQUEST_TIMEOUT, get(&mut usable, &id)).await {
                 Ok(Ok(status)) => {
-                    *self.answered.lock().expect("whole") += u64::from(status == 200);
+                    *self.served.lock().expect("the lock is not poisoned") += u64::from(status == 200);
                     connection = Some(usable);
                 }
                 ended => {
                     let during = Window { from: sent, to: Instant::now() };
-                    let unanswered = Unanswered { id, edge, during, held: ended.is_err() };
-                    self.unanswered.lock().expect("whole").push(unanswered);
+                    let unanswered = Unanswered { id, edge, during, timed_out: ended.is_err() };
+                    self.unanswered.lock().expect("the lock is not poisoned").push(unanswered);
                 }
             }
         }
@@ -100,7 +101,7 @@
 }
 
 async fn connect(front: SocketAddr) -> Option<Connection> {
-    let stream = timeout(PATIENCE, TcpStream::connect(front)).await.ok()?.ok()?;
+    let stream = timeout(REQUEST_TIMEOUT, TcpStream::connect(front)).await.ok()?.ok()?;
     let (sender, driving) = handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(driving);
     Some(sender)
--- a/crates/starlinghill-testkit/tests/audit.rs
+++ b/crates/starlinghill-testkit/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit finds what is planted.
+//! Tests that the audit finds violations that are planted in a sound run.
 
 use starlinghill_testkit::audit::{wrongs, Cold, Follows, Ordered};
 use std::time::{Duration, Instant};
@@ -18,48 +18,48 @@
     (orders, vec![gateway], begin)
 }
 
-fn found(orders: &[Ordered], gateways: &[Vec<Follows>]) -> Vec<String> {
+fn violations(orders: &[Ordered], gateways: &[Vec<Follows>]) -> Vec<String> {
     wrongs(orders, gateways, (1, 3), FRESH, SLACK)
 }
 
 #[test]
-fn a_sound_run_has_nothing_wrong() {
+fn a_sound_run_has_no_violations() {
     let (orders, gateways, _) = run();
-    assert_eq!(found(&orders, &gateways), Vec::<String>::new());
+    assert_eq!(violations(&orders, &gateways), Vec::<String>::new());
 }
 
 #[test]
 fn each_planted_fault_is_found() {
     let (mut orders, gateways, _) = run();
     orders[1].at = Some((1, 2));
-    assert!(found(&orders, &gateways).iter().any(|w| w.contains("two orders count from one position")));
+    assert!(violations(&orders, &gateways).iter().any(|w| w.contains("two orders count from one position")));
     let (mut orders, gateways, _) = run();
     (orders[0].at, orders[1].at) = (orders[1].at, orders[0].at);
-    assert!(found(&orders, &gateways).iter().any(|w| w.contains("counts after it")));
+    assert!(violations(&orders, &gateways).iter().any(|w| w.contains("counts after it")));
     let (orders, mut gateways, _) = run();
     gateways[0][2].at = (1, 1);
-    assert!(found(&orders, &gateways).iter().any(|w| w.contains("went back")));
+    assert!(violations(&orders, &gateways).iter().any(|w| w.contains("went back")));
     let (orders, mut gateways, _) = run();
     gateways[0][2].at = (1, 4);
-    assert!(found(&orders, &gateways).iter().any(|w| w.contains("nobody decided")));
+    assert!(violations(&orders, &gateways).iter().any(|w| w.contains("nobody decided")));
     let (orders, mut gateways, begin) = run();
     gateways[0][2].since = begin + Duration::from_secs(3);
     assert!(
-        found(&orders, &gateways).iter().any(|w| w.contains("for 2.96")),
+        violations(&orders, &gateways).iter().any(|w| w.contains("for 2.96")),
         "{:?}",
-        found(&orders, &gateways)
+        violations(&orders, &gateways)
     );
-    // The same by its own sight is no wrong: it said so.
+    // A gateway that decided on its own and reported so is no violation.
     gateways[0][1].mode = "own".into();
-    assert_eq!(found(&orders, &gateways), Vec::<String>::new());
-    // Nor after a restart, which knows nothing.
+    assert_eq!(violations(&orders, &gateways), Vec::<String>::new());
+    // A gateway that restarted may follow an older position.
     let (orders, mut gateways, _) = run();
     (gateways[0][2].at, gateways[0][2].life) = ((1, 1), 2);
-    assert_eq!(found(&orders, &gateways), Vec::<String>::new());
+    assert_eq!(violations(&orders, &gateways), Vec::<String>::new());
 }
 
 #[test]
-fn a_cold_server_that_gets_more_than_it_bears_is_found_wherever_the_span_begins() {
+fn an_overloaded_cold_server_is_found_wherever_the_window_begins() {
     let cold = Cold {
         from: 0.2,
         warm_after: Duration::from_secs(10),
@@ -67,20 +67,21 @@
         within: Duration::from_secs(2),
     };
     let begin = Instant::now() + Duration::from_secs(1);
-    // 50 a second when warm: 2 * (0.2 to 1.0) * 50 * 2 s, with three deviations of chance.
+    // A warm server takes 50 requests a second, a cold one 2 * (0.2 to 1.0) * 50 in 2 s, plus three standard
+    // deviations.
     let even = |from_ms: u64, n: u64, over_ms: u64| {
         (0..n).map(move |i| begin + Duration::from_millis(from_ms + i * over_ms / n)).collect::<Vec<_>>()
     };
-    let worst = |came: &[Instant]| cold.worst(came, begin, 50.0).map_or(0.0, |(share, _)| share);
+    let worst = |arrivals: &[Instant]| cold.worst(arrivals, begin, 50.0).map_or(0.0, |(share, _)| share);
     let fitting = even(0, 40, 2_000);
     assert!(worst(&fitting) < 1.0, "{}", worst(&fitting));
-    // What came before the start was to the life before.
+    // Requests before the start went to the process before the restart.
     let before: Vec<Instant> = (0..900).map(|i| begin - Duration::from_micros(i + 1)).collect();
     assert_eq!(worst(&[before, fitting.clone()].concat()), worst(&fitting));
     assert!(worst(&even(0, 100, 2_000)) > 1.0);
-    // A burst that a look at whole seconds would halve.
+    // A burst across the boundary of two whole seconds.
     let burst = even(1_700, 110, 600);
     assert!(worst(&[fitting.clone(), burst].concat()) > 1.0);
-    // As many are well when it is warm.
+    // The same rate is allowed once the server is warm.
     assert!(worst(&even(9_000, 180, 2_000)) < 1.0);
 }
--- a/crates/starlinghill-testkit/tests/balancing.rs
+++ b/crates/starlinghill-testkit/tests/balancing.rs
@@ -1,22 +1,22 @@
-//! A fleet that goes by what the counter names, beside the same fleet by chance.
+//! Compares a fleet that uses the backends which the counter names with one that chooses at random.
 
 use starlinghill_testkit::balancing::{Fleet, Way};
 use test_case::test_case;
 
 #[test_case(11, 17; "a small fleet")]
-#[test_case(87, 235; "a grown one")]
+#[test_case(87, 235; "a large fleet")]
 #[test_case(850, 400; "ten times as many gateways")]
-fn few_requests_wait_where_gateways_go_by_what_all_have_out(gateways: u64, backends: u64) {
+fn few_requests_wait_if_gateways_use_the_backends_that_the_counter_names(gateways: u64, backends: u64) {
     let fleet = Fleet { gateways, backends, load: 0.5, seconds: 14 };
     let (named, chance) = (fleet.play(Way::Named), fleet.play(Way::Chance));
     assert!(named.waited < 0.06 && chance.waited > 0.3, "{named:?} beside {chance:?}");
     assert!(named.slowest_ms < chance.slowest_ms * 6 / 10, "{named:?} beside {chance:?}");
-    // Fast ones get more, and none is forgotten.
+    // Faster backends get more requests, but none gets twice the mean.
     assert!(named.busiest < 2.0, "{named:?}");
 }
 
 #[test]
-fn gateways_stay_with_backends_that_they_have_connections_to() {
+fn gateways_prefer_backends_that_they_have_connections_to() {
     let fleet = Fleet { gateways: 87, backends: 235, load: 0.3, seconds: 14 };
     let (named, chance) = (fleet.play(Way::Named), fleet.play(Way::Chance));
     assert!(named.opened < chance.opened / 2.0, "{named:?} beside {chance:?}");
--- a/crates/starlinghill-testkit/tests/catch_up.rs
+++ b/crates/starlinghill-testkit/tests/catch_up.rs
@@ -1,4 +1,5 @@
-//! A core machine that missed hundreds of changes has them all soon, though changes go on, and its voice counts again.
+//! Tests that a core machine that missed hundreds of changes catches up while further changes are made, and
+//! that its vote counts again.
 
 use starlinghill_testkit::catch_up::{catch_up, Changes};
 use starlinghill_testkit::system::{program, System};
@@ -6,8 +7,8 @@
 use test_case::test_case;
 use tokio::task::LocalSet;
 
-/// Well above what the example `catch_up` measures, as other tests run beside this one.
-const SOON: Duration = Duration::from_secs(5);
+/// Well above the times of the example `catch_up`, as other tests run at the same time.
+const CATCH_UP_LIMIT: Duration = Duration::from_secs(5);
 
 #[test_case(false; "restarted")]
 #[test_case(true; "wiped")]
@@ -20,6 +21,6 @@
         catch_up(&mut system, &mut changes, 300, wiped).await
     });
     let caught = caught.await;
-    assert!(caught.caught_up_after < SOON && caught.confirmed_after < SOON, "{caught:?}");
+    assert!(caught.caught_up_after < CATCH_UP_LIMIT && caught.confirmed_after < CATCH_UP_LIMIT, "{caught:?}");
     assert!(caught.changes_meanwhile > 0, "{caught:?}");
 }
--- a/crates/starlinghill-testkit/tests/counter.rs
+++ b/crates/starlinghill-testkit/tests/counter.rs
@@ -1,4 +1,4 @@
-//! The stand-in counter does what the faults say, so that tests which lean on it mean something.
+//! Tests that the stub counter has the failures that other tests rely on.
 
 use starlinghill_testkit::counter::{Counter, Mode, Totals};
 use std::time::{Duration, Instant};
@@ -6,10 +6,11 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-const SOON: Duration = Duration::from_secs(10);
-const INSTANT: Duration = Duration::from_millis(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+const CALL_TIME: Duration = Duration::from_millis(1);
 
-/// One call on a connection of its own: status and body, or nothing where it was not answered in time.
+/// Makes one call on a new connection. Returns status and body, or `None` if there is no answer within the
+/// time.
 async fn add(counter: &Counter, name: &str, amount: f64, within: Duration) -> Option<(u16, String)> {
     timeout(within, async {
         let mut stream = TcpStream::connect(counter.address).await.ok()?;
@@ -26,43 +27,43 @@
 }
 
 async fn total(counter: &Counter, name: &str, amount: f64) -> f64 {
-    let (status, body) = add(counter, name, amount, SOON).await.expect("answered");
+    let (status, body) = add(counter, name, amount, CALL_TIMEOUT).await.expect("answered");
     assert_eq!(status, 200);
     body.parse().expect("a number")
 }
 
 #[tokio::test]
-async fn it_adds_by_name_and_knows_no_other_call() {
-    let counter = Counter::start(2, INSTANT).await;
+async fn it_adds_by_name_and_answers_404_without_a_name() {
+    let counter = Counter::start(2, CALL_TIME).await;
     assert_eq!(total(&counter, "a", 2.5).await, 2.5);
     assert_eq!(total(&counter, "b", 1.0).await, 1.0);
     assert_eq!(total(&counter, "a", -0.5).await, 2.0);
-    assert_eq!(add(&counter, "", 1.0, SOON).await.map(|a| a.0), Some(404));
+    assert_eq!(add(&counter, "", 1.0, CALL_TIMEOUT).await.map(|a| a.0), Some(404));
     assert_eq!(counter.counted().len(), 3);
 }
 
 #[tokio::test]
-async fn it_refuses_and_comes_back_with_its_counts() {
-    let counter = Counter::start(1, INSTANT).await;
+async fn it_refuses_connections_and_keeps_its_counts() {
+    let counter = Counter::start(1, CALL_TIME).await;
     total(&counter, "a", 1.0).await;
     counter.set(Mode::Refuse);
-    let end = Instant::now() + SOON;
-    while add(&counter, "a", 1.0, SOON).await.is_some() {
-        assert!(Instant::now() < end, "it never refuses");
+    let end = Instant::now() + CALL_TIMEOUT;
+    while add(&counter, "a", 1.0, CALL_TIMEOUT).await.is_some() {
+        assert!(Instant::now() < end, "the counter never refuses");
     }
     counter.set(Mode::Sound);
     let mut back = None;
     while back.is_none() {
-        assert!(Instant::now() < end, "it never comes back");
-        back = add(&counter, "a", 0.0, SOON).await;
+        assert!(Instant::now() < end, "the counter never accepts calls again");
+        back = add(&counter, "a", 0.0, CALL_TIMEOUT).await;
     }
     let counted: f64 = counter.counted().iter().map(|c| c.amount).sum();
-    assert_eq!(back, Some((200, counted.to_string())), "all that was counted, and nothing else");
+    assert_eq!(back, Some((200, counted.to_string())), "the total is what was counted");
 }
 
 #[tokio::test]
 async fn a_stalled_call_is_counted_and_answered_late() {
-    let counter = Counter::start(1, INSTANT).await;
+    let counter = Counter::start(1, CALL_TIME).await;
     counter.set(Mode::Stall);
     assert_eq!(add(&counter, "a", 3.0, Duration::from_millis(100)).await, None);
     assert_eq!(counter.copy().of("a"), 3.0);
@@ -71,15 +72,15 @@
 }
 
 #[tokio::test]
-async fn turned_away_adds_nothing_and_spoilt_adds_all_the_same() {
-    let counter = Counter::start(1, INSTANT).await;
+async fn a_rejected_call_adds_nothing_and_a_call_with_a_broken_answer_is_counted() {
+    let counter = Counter::start(1, CALL_TIME).await;
     counter.set(Mode::TurnAway);
-    assert_eq!(add(&counter, "a", 3.0, SOON).await.map(|a| a.0), Some(503));
+    assert_eq!(add(&counter, "a", 3.0, CALL_TIMEOUT).await.map(|a| a.0), Some(503));
     assert_eq!(counter.copy().of("a"), 0.0);
     counter.set(Mode::Spoil(3));
     let mut spoilt = 0;
     for _ in 0..6 {
-        let (status, body) = add(&counter, "a", 1.0, SOON).await.expect("answered");
+        let (status, body) = add(&counter, "a", 1.0, CALL_TIMEOUT).await.expect("answered");
         assert_eq!(status, 200);
         spoilt += u32::from(body.parse::<f64>().is_err());
     }
@@ -87,27 +88,27 @@
 }
 
 #[tokio::test]
-async fn one_hot_name_jams_its_part_alone() {
+async fn load_on_one_name_delays_only_names_of_the_same_partition() {
     let counter = Counter::start(2, Duration::from_millis(30)).await;
     let hot = async {
-        let calls = (0..20).map(|_| add(&counter, "a", 1.0, SOON));
+        let calls = (0..20).map(|_| add(&counter, "a", 1.0, CALL_TIMEOUT));
         for call in calls.collect::<Vec<_>>() {
             call.await;
         }
         Instant::now()
     };
     let cool = async {
-        // "b" falls to the other part.
+        // "b" belongs to the other partition.
         total(&counter, "b", 1.0).await;
         Instant::now()
     };
     let (hot, cool) = tokio::join!(hot, cool);
-    assert!(cool < hot, "the other part was not held up");
+    assert!(cool < hot, "the other partition was delayed");
 }
 
 #[tokio::test]
-async fn it_is_replaced_by_nothing_by_an_older_copy_and_merged_from_two_halves() {
-    let (one, two) = (Counter::start(1, INSTANT).await, Counter::start(1, INSTANT).await);
+async fn its_totals_can_be_merged_replaced_by_an_older_copy_or_emptied() {
+    let (one, two) = (Counter::start(1, CALL_TIME).await, Counter::start(1, CALL_TIME).await);
     total(&one, "a", 5.0).await;
     let before = one.copy();
     two.replace(before.clone());
@@ -117,8 +118,12 @@
     one.replace(one.copy().merged(&two.copy(), &before));
     assert_eq!((one.copy().of("a"), one.copy().of("b")), (11.0, 1.0));
     one.replace(before);
-    assert_eq!(total(&one, "a", 0.0).await, 5.0, "an older copy");
+    assert_eq!(total(&one, "a", 0.0).await, 5.0, "the older copy is not in force");
     one.replace(Totals::default());
-    assert_eq!(total(&one, "a", 1.0).await, 1.0, "an empty one");
-    assert_eq!(one.counted().iter().map(|c| c.amount).sum::<f64>(), 8.0, "what was counted is known");
+    assert_eq!(total(&one, "a", 1.0).await, 1.0, "the counter was not emptied");
+    assert_eq!(
+        one.counted().iter().map(|c| c.amount).sum::<f64>(),
+        8.0,
+        "the record of counted calls is not complete"
+    );
 }
--- a/crates/starlinghill-testkit/tests/links.rs
+++ b/crates/starlinghill-testkit/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between processes do what scripts ask of them, one way alone, and heal.
+//! Tests that links between processes apply faults in one direction only, and heal.
 
 use starlinghill_testkit::links::Links;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use tokio::time::timeout;
 
 const LIMIT: Duration = Duration::from_secs(10);
-/// So long nothing may come through a cut.
-const SILENT: Duration = Duration::from_millis(200);
+/// How long nothing may arrive over a cut link.
+const SILENCE: Duration = Duration::from_millis(200);
 
-/// Sends back what comes, behind a letter.
+/// Starts a server that sends back the bytes that it receives.
 async fn echo() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("bound");
@@ -30,7 +30,7 @@
     at
 }
 
-async fn ask(stream: &mut TcpStream, text: &[u8], patience: Duration) -> Option<Vec<u8>> {
+async fn echoed(stream: &mut TcpStream, text: &[u8], patience: Duration) -> Option<Vec<u8>> {
     stream.write_all(text).await.ok()?;
     let mut back = vec![0; text.len()];
     timeout(patience, stream.read_exact(&mut back)).await.ok()?.ok()?;
@@ -38,49 +38,49 @@
 }
 
 #[tokio::test]
-async fn a_cut_holds_back_one_way_or_the_other_and_what_it_held_comes_when_it_heals() {
+async fn a_cut_in_either_direction_delays_bytes_until_it_heals() {
     let net = Links::new(1);
     let at = net.tcp("a", "b", echo().await).await;
     let mut stream = TcpStream::connect(at).await.expect("connected");
-    assert_eq!(ask(&mut stream, b"one", LIMIT).await.as_deref(), Some(&b"one"[..]));
+    assert_eq!(echoed(&mut stream, b"one", LIMIT).await.as_deref(), Some(&b"one"[..]));
     for (from, to) in [("a", "b"), ("b", "a")] {
         net.cut(from, to);
-        assert_eq!(ask(&mut stream, b"two", SILENT).await, None, "{from} to {to}");
+        assert_eq!(echoed(&mut stream, b"two", SILENCE).await, None, "{from} to {to}");
         net.heal();
         let mut back = [0; 3];
-        timeout(LIMIT, stream.read_exact(&mut back)).await.expect("in time").expect("whole");
+        timeout(LIMIT, stream.read_exact(&mut back)).await.expect("in time").expect("3 bytes");
         assert_eq!(&back, b"two");
     }
-    // Another pair's cut is none of this one's.
+    // A cut between other zones has no effect on this link.
     net.cut("a", "c");
-    assert_eq!(ask(&mut stream, b"six", LIMIT).await.as_deref(), Some(&b"six"[..]));
+    assert_eq!(echoed(&mut stream, b"six", LIMIT).await.as_deref(), Some(&b"six"[..]));
 }
 
 #[tokio::test]
-async fn a_link_is_slow_or_narrow_as_asked_and_resets_what_goes_over_it() {
+async fn a_link_delays_bytes_limits_their_rate_and_resets_connections() {
     let net = Links::new(1);
     let at = net.tcp("a", "b", echo().await).await;
     let mut stream = TcpStream::connect(at).await.expect("connected");
     net.change("a", "b", |c| c.delay_ms = 120);
-    let begun = Instant::now();
-    ask(&mut stream, b"late", LIMIT).await.expect("an answer");
-    assert!(begun.elapsed() >= Duration::from_millis(120));
+    let started = Instant::now();
+    echoed(&mut stream, b"late", LIMIT).await.expect("an answer");
+    assert!(started.elapsed() >= Duration::from_millis(120));
     net.heal();
     net.change("b", "a", |c| c.bytes_per_s = Some(1_000));
-    let begun = Instant::now();
-    ask(&mut stream, &[7; 300], LIMIT).await.expect("an answer");
-    assert!(begun.elapsed() >= Duration::from_millis(250), "{:?}", begun.elapsed());
+    let started = Instant::now();
+    echoed(&mut stream, &[7; 300], LIMIT).await.expect("an answer");
+    assert!(started.elapsed() >= Duration::from_millis(250), "{:?}", started.elapsed());
     net.heal();
     net.reset("b", "a");
     let mut buffer = [0; 8];
     let ended = timeout(LIMIT, stream.read(&mut buffer)).await.expect("in time");
     assert_eq!(ended.map_err(|e| e.kind()), Err(std::io::ErrorKind::ConnectionReset));
     let mut new = TcpStream::connect(at).await.expect("connected");
-    assert_eq!(ask(&mut new, b"new", LIMIT).await.as_deref(), Some(&b"new"[..]));
+    assert_eq!(echoed(&mut new, b"new", LIMIT).await.as_deref(), Some(&b"new"[..]));
 }
 
 #[tokio::test]
-async fn datagrams_are_lost_doubled_and_cut_by_the_seed() {
+async fn the_seed_decides_which_datagrams_are_lost_or_duplicated() {
     let count = |seed| async move {
         let net = Links::new(seed);
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
@@ -90,22 +90,22 @@
         for n in 0..100u8 {
             sender.send_to(&[n], at).await.expect("sent");
         }
-        let (mut came, mut buffer) = (Vec::new(), [0; 8]);
-        // What comes waits in the socket; nothing more comes after a while.
-        while let Ok(Ok((1, _))) = timeout(2 * SILENT, socket.recv_from(&mut buffer)).await {
-            came.push(buffer[0]);
+        let (mut received, mut buffer) = (Vec::new(), [0; 8]);
+        // Received datagrams wait in the socket; the timeout marks the end.
+        while let Ok(Ok((1, _))) = timeout(2 * SILENCE, socket.recv_from(&mut buffer)).await {
+            received.push(buffer[0]);
         }
-        came.sort_unstable();
+        received.sort_unstable();
         net.cut("a", "b");
         sender.send_to(&[200], at).await.expect("sent");
-        assert!(timeout(SILENT, socket.recv_from(&mut buffer)).await.is_err(), "it is cut");
-        came
+        assert!(timeout(SILENCE, socket.recv_from(&mut buffer)).await.is_err(), "a datagram passed the cut");
+        received
     };
-    let came = count(7).await;
-    let mut distinct = came.clone();
+    let received = count(7).await;
+    let mut distinct = received.clone();
     distinct.dedup();
     assert!((55..=85).contains(&distinct.len()), "{} of 100", distinct.len());
-    let doubled = came.len() - distinct.len();
-    assert!((20..=50).contains(&doubled), "{doubled} doubled");
-    assert_eq!(count(7).await, came, "the same seed");
+    let duplicates = received.len() - distinct.len();
+    assert!((20..=50).contains(&duplicates), "{duplicates} duplicates");
+    assert_eq!(count(7).await, received, "the same seed");
 }
--- a/crates/starlinghill-testkit/tests/members.rs
+++ b/crates/starlinghill-testkit/tests/members.rs
@@ -1,4 +1,5 @@
-//! Members of the core as people change them, by real processes and the console's own orders: `docs/operate/system.md`.
+//! Tests changes of the core's members by operators, with real processes and the console's orders:
+//! `docs/operate/system.md`.
 
 use starlinghill_config_store::wire::MembershipOrder;
 use starlinghill_console::client::RegistryClient;
@@ -8,7 +9,7 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(15);
+const LOG_TIMEOUT: Duration = Duration::from_secs(15);
 
 fn route(version: u64) -> String {
     rule_change(&rule_item("r-more", version, "safe", &format!("/more{version}/"), "1500ms"))
@@ -18,41 +19,41 @@
     system.cores[core].ip.parse().expect("an address")
 }
 
-/// Gives an order as the console does, again where it has to wait.
+/// Sends an order as the console does, repeatedly until it is accepted.
 async fn order(client: &RegistryClient, order: MembershipOrder) {
     eventually(&format!("{order:?}"), || async { client.change_members(order).await.is_ok() }).await;
 }
 
-/// How the console names the state of each member.
+/// The state of each member in the console's words.
 async fn states(client: &RegistryClient) -> Vec<String> {
     let lines = member_lines(&client.membership_statuses().await);
     lines.iter().filter_map(|line| Some(line.split_once("state=")?.1.to_string())).collect()
 }
 
 #[tokio::test]
-async fn three_members_become_five_lose_two_at_once_and_are_three_that_can_lose_one_more() {
+async fn five_members_survive_the_loss_of_two_and_the_three_left_survive_the_loss_of_one() {
     let mut system = System::start(&program(), 0);
     for core in &system.cores {
-        core.processes[1].wait_for_log("event=start program=patternbook", PATIENCE);
+        core.processes[1].wait_for_log("event=start program=patternbook", LOG_TIMEOUT);
     }
     assert_eq!(system.send_change(&initial_config(0)).await.status, 200);
     let client =
         RegistryClient::of(&NodeSettings::from_file(&system.cores[2].settings_file()).expect("settings"));
     for core in 3..5 {
         system.add_core(&program());
-        // Nobody has gone: it waits, and says why, until people want it.
-        eventually("it waits", || async {
+        // No member is silent, so the new machine waits until an operator adds it, and its status says why.
+        eventually("the new machine is a waiting candidate", || async {
             let lines = status_lines(&client.membership_statuses().await);
             let waits = format!("candidate ip={} ", ip(&system, core));
             lines.iter().any(|line| line.contains(&waits) && line.contains("no member has been silent"))
         })
         .await;
         order(&client, MembershipOrder::Add(ip(&system, core))).await;
-        system.cores[core].processes[1].wait_for_log("event=voter_back", PATIENCE);
+        system.cores[core].processes[1].wait_for_log("event=voter_back", LOG_TIMEOUT);
     }
     eventually("all five are fresh", || async { states(&client).await == ["fresh"; 5] }).await;
     assert_eq!(system.send_change(&route(8)).await.status, 200);
-    // Two of five, with their disks.
+    // Two of five members fail and lose their disks.
     for core in 0..2 {
         system.cores[core].kill();
         system.cores[core].wipe_disk();
@@ -65,7 +66,7 @@
         order(&client, MembershipOrder::Remove(ip(&system, core))).await;
     }
     eventually("three are left", || async { states(&client).await == ["fresh"; 3] }).await;
-    // The last founder: what was confirmed is with those that came later.
+    // The last of the first three members fails: the confirmed changes must be on those that were added later.
     system.cores[2].kill();
     system.cores[2].wipe_disk();
     let read = system.read_config().await;
