--- a/crates/starlinghill-gateway/src/discovery.rs
+++ b/crates/starlinghill-gateway/src/discovery.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{header, Request, StatusCode};
-use starlinghill_discovery::{Call, Verdict};
+use starlinghill_discovery::{DiscoveryCall, Verdict};
 pub use starlinghill_discovery::{Follower, Source};
 use starlinghill_settings::members::MemberList;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     let mut silent = false;
     let mut out_of_order = false;
     loop {
-        let call = follower.next();
+        let call = follower.next_call();
         let result = tokio::select! {
             biased;
             // Switches to a new address at once, though the old one may hold a call for long. The new one may
@@ -39,7 +39,7 @@
                 let new_address = upstreams.borrow_and_update().discovery;
                 if new_address != address {
                     (address, connection) = (new_address, None);
-                    follower.moved();
+                    follower.reset();
                 }
                 continue;
             }
@@ -50,7 +50,7 @@
                 if std::mem::take(&mut silent) {
                     info!("discovery answers again");
                 }
-                if follower.answered(list.revision, list.complete) == Verdict::Drop {
+                if follower.answered(list.revision, list.complete) == Verdict::Discard {
                     if !std::mem::replace(&mut out_of_order, true) {
                         warn!(
                             revision = list.revision,
@@ -76,7 +76,7 @@
 }
 
 async fn fetch(
-    call: Call,
+    call: DiscoveryCall,
     address: SocketAddr,
     connection: &mut Option<Connection>,
 ) -> Result<MemberList, &'static str> {
--- a/crates/starlinghill-quota-counter/src/bounds.rs
+++ b/crates/starlinghill-quota-counter/src/bounds.rs
@@ -1,7 +1,7 @@
 //! The shares of gateways, and the most requests that can be granted in a window, as functions of the settings. Tests and
 //! the documentation use these bounds.
 
-use starlinghill_rate_limit::allowance::UNTOLD_SHARE;
+use starlinghill_rate_limit::allowance::UNASSIGNED_SHARE;
 use starlinghill_rate_limit::{Allowance, Quota};
 
 /// The fraction of its rate at which a bucket fills while `silent` of `all` gateways are silent. Each of these may be
@@ -23,14 +23,14 @@
 /// The share of a tenant's rate for a gateway that the counter has answered, but that was assigned no share of this
 /// tenant.
 pub fn unassigned_share(gateways: usize) -> f64 {
-    UNTOLD_SHARE * even_share(gateways)
+    UNASSIGNED_SHARE * even_share(gateways)
 }
 
 /// The share of a tenant's rate for a gateway that recently asked for `own_units` of `all_units`. Most of the rate is
 /// split by recent traffic and the rest evenly. The shares of all gateways at one moment sum to one.
 pub fn own_share(own_units: f64, all_units: f64, gateways: usize) -> f64 {
     match all_units > 0.0 {
-        true => (1.0 - UNTOLD_SHARE) * own_units / all_units + unassigned_share(gateways),
+        true => (1.0 - UNASSIGNED_SHARE) * own_units / all_units + unassigned_share(gateways),
         false => even_share(gateways),
     }
 }
@@ -51,7 +51,7 @@
 pub fn max_granted_in_window(quota: Quota, allowance: Allowance, disruptions: Disruptions) -> f64 {
     let Disruptions { counter_moves, detection_delay_s, cut_off_fraction } = disruptions;
     let excess_rate = cut_off_fraction.min(allowance.beside_silent());
-    let per_disruption = cut_off_fraction * (quota.rate * detection_delay_s + allowance.unheard(quota));
+    let per_disruption = cut_off_fraction * (quota.rate * detection_delay_s + allowance.offline(quota));
     quota.burst
         + quota.rate * allowance.window_s * (1.0 + excess_rate)
         + per_disruption * f64::from(1 + counter_moves)
--- a/crates/starlinghill-quota-counter/tests/quota.rs
+++ b/crates/starlinghill-quota-counter/tests/quota.rs
@@ -148,7 +148,7 @@
                 let last_level = gateway
                     .last_level
                     .map_or(0.0, |(last_level, at)| last_level + RATE * (now - at).as_secs_f64());
-                let start = last_level.min(ALLOWANCE.unheard(QUOTA)) * gateway.share;
+                let start = last_level.min(ALLOWANCE.offline(QUOTA)) * gateway.share;
                 let (level, filled_at) = gateway.own_bucket.unwrap_or((start + self.rng.f64(), now));
                 let level = level + RATE * gateway.share * (now - filled_at).as_secs_f64();
                 let level = level.min((BURST * gateway.share).max(1.0));
@@ -224,7 +224,7 @@
 /// The most that the rules allow in a window of 5 s, with an excess of a tenth and 20 extra requests.
 fn allowed() -> f64 {
     let allowed = (RATE * 5.0 + BURST) * 1.1 + 20.0;
-    assert!((ALLOWANCE.most(QUOTA) - allowed).abs() < 1e-9);
+    assert!((ALLOWANCE.max_units(QUOTA) - allowed).abs() < 1e-9);
     allowed
 }
 
--- a/crates/starlinghill-testkit/src/soak/mod.rs
+++ b/crates/starlinghill-testkit/src/soak/mod.rs
@@ -477,7 +477,7 @@
     SoakResult {
         runs: run_starts.len(),
         max_in_window: busiest,
-        allowed_in_window: ALLOWANCE.most(QUOTA),
+        allowed_in_window: ALLOWANCE.max_units(QUOTA),
         min_runs: QUOTA.rate * soak.parameters.fault_duration.as_secs_f64() / 2.0,
         keep_alive_served: kept.served(),
         confirmed_changes: operator.confirmed(),
