--- a/crates/starlinghill-zone-health/src/findings.rs
+++ b/crates/starlinghill-zone-health/src/findings.rs
@@ -1,67 +1,68 @@
-//! What the reports of all gateways together say of each zone. Each zone of the map has one voice on every other one,
-//! whatever the number of its gateways: the majority of those that see enough. So a finding needs most gateways of
-//! most zones, and no single gateway, broken or lying, makes one.
+//! Evaluates the reports of all gateways. Each zone has one vote on every other zone, whatever the number of its gateways:
+//! the view of the majority of those that made enough attempts. So a finding needs most gateways of most zones, and a
+//! single broken or lying gateway can't cause one.
 //!
-//! What looks alike from one place differs from several: a zone that is dark to some and well to others is not cut
-//! off, a link is; a gateway to which everything is dark is cut off itself; trouble everywhere is no zone's trouble.
+//! Several views tell cases apart that look the same from one place. If a zone is unreachable from some zones and
+//! healthy from others, a link is broken, not the zone. A gateway that reaches no zone at all is isolated itself.
+//! Trouble in all zones has a common cause.
 
-use crate::attempt_counts::Sight;
+use crate::attempt_counts::ObservedHealth;
 use crate::report::Report;
 use starlinghill_failover::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Reports that are older say nothing of now. Three of those that come each second may get lost.
-pub const OLDEST: Micros = Micros(3_500_000);
-/// The most gateways that a reason names.
-const MOST_NAMED: usize = 8;
+/// The highest age of a report that counts. Reports come every second, so up to three in a row may be lost.
+pub const MAX_REPORT_AGE: Micros = Micros(3_500_000);
+/// The most gateways that each list in [`Findings`] names.
+const MAX_LISTED: usize = 8;
 
-/// A gateway's report as the group has it.
+/// The latest report of a gateway.
 #[derive(Debug, Clone)]
-pub struct Observer {
-    /// The gateway's zone.
+pub struct GatewayReport {
+    /// The zone that the gateway is in.
     pub zone: String,
-    /// How long ago it was made, at the most.
+    /// An upper bound on the time since the report was made.
     pub age: Micros,
-    /// The report.
+    /// The counts that the gateway sent.
     pub report: Report,
 }
 
-/// What is found of a zone.
+/// The health of a zone as all reports show it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Finding {
-    /// Too few see it, or they don't agree.
-    Unsure,
-    /// It is well.
-    Well,
-    /// It is silent to all others.
-    CutOff,
-    /// Some can't reach it and others can: links are cut, not the zone.
-    CutFrom {
-        /// The zones that can't reach it.
+    /// Too few zones have a view of it, or they disagree.
+    Inconclusive,
+    /// It is healthy from most zones and in trouble from none.
+    Healthy,
+    /// Most zones get no reply from it and none finds it healthy.
+    Isolated,
+    /// Some zones can't reach it or see it degraded, and it works elsewhere: links are in trouble, not the zone.
+    UnreachableFrom {
+        /// The zones that see it unreachable or degraded.
         from: BTreeSet<String>,
     },
-    /// The list names servers that are not there.
-    ListWrong,
-    /// It fails or is slow for all others.
-    Sick,
-    /// It does its work and is asked for more. To send its work elsewhere would overload the rest.
+    /// The server list names addresses at which nothing listens.
+    ServerListWrong,
+    /// It fails or is slow for most zones.
+    Degraded,
+    /// It does its usual work and gets more requests than that. Moving its traffic elsewhere would overload the other zones.
     Overloaded,
-    /// It is in trouble, and so is every zone that is seen at all: what is wrong is not this zone.
-    Everywhere,
+    /// It is in trouble, and so is every other zone with a finding. The cause is not this zone.
+    TroubleEverywhere,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Finding::Unsure => f.write_str("unsure"),
-            Finding::Well => f.write_str("well"),
-            Finding::CutOff => f.write_str("cut off"),
-            Finding::CutFrom { from } => write!(f, "cut from {}", join(from)),
-            Finding::ListWrong => f.write_str("the list is wrong"),
-            Finding::Sick => f.write_str("sick"),
+            Finding::Inconclusive => f.write_str("unsure"),
+            Finding::Healthy => f.write_str("well"),
+            Finding::Isolated => f.write_str("cut off"),
+            Finding::UnreachableFrom { from } => write!(f, "cut from {}", join(from)),
+            Finding::ServerListWrong => f.write_str("the list is wrong"),
+            Finding::Degraded => f.write_str("sick"),
             Finding::Overloaded => f.write_str("overloaded"),
-            Finding::Everywhere => f.write_str("trouble everywhere"),
+            Finding::TroubleEverywhere => f.write_str("trouble everywhere"),
         }
     }
 }
@@ -70,148 +71,162 @@
     names.into_iter().map(String::as_str).collect::<Vec<_>>().join(", ")
 }
 
-/// What one zone's gateways say of another.
+/// The vote of one zone's gateways on a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Voice {
-    /// What most of them see.
-    pub sight: Sight,
-    /// How many see that.
+pub struct ZoneVote {
+    /// The health that the majority of them sees.
+    pub health: ObservedHealth,
+    /// The number of gateways that see this health.
     pub agree: usize,
-    /// How many see enough to tell.
-    pub of: usize,
+    /// The number of gateways with enough attempts to tell.
+    pub voters: usize,
 }
 
-/// A finding with its reasons.
+/// The finding for one zone, with its reasons.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Found {
-    /// The finding.
+pub struct ZoneFinding {
+    /// The result of the votes.
     pub finding: Finding,
-    /// The voices of the other zones.
-    pub voices: BTreeMap<String, Voice>,
-    /// That of its own gateways.
-    pub inside: Option<Voice>,
-    /// How many zones must say the same.
-    pub needs: usize,
+    /// The votes of the other zones, by zone name.
+    pub votes: BTreeMap<String, ZoneVote>,
+    /// The vote of the zone's own gateways.
+    pub own_vote: Option<ZoneVote>,
+    /// The number of equal votes that a finding needs.
+    pub required_votes: usize,
 }
 
-impl fmt::Display for Found {
+impl fmt::Display for ZoneFinding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:", self.finding)?;
-        for (zone, v) in &self.voices {
-            write!(f, " {zone} sees it {} ({} of {});", v.sight, v.agree, v.of)?;
+        for (zone, v) in &self.votes {
+            write!(f, " {zone} sees it {} ({} of {});", v.health, v.agree, v.voters)?;
         }
-        if let Some(v) = &self.inside {
-            write!(f, " inside it is {} ({} of {});", v.sight, v.agree, v.of)?;
+        if let Some(v) = &self.own_vote {
+            write!(f, " inside it is {} ({} of {});", v.health, v.agree, v.voters)?;
         }
-        write!(f, " {} zones must agree", self.needs)
+        write!(f, " {} zones must agree", self.required_votes)
     }
 }
 
-/// All findings.
+/// The findings for all zones.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Findings {
-    /// By zone.
-    pub zones: BTreeMap<String, Found>,
-    /// Gateways to which all zones that they see are dark: cut off themselves.
-    pub blind: Vec<String>,
-    /// Gateways whose report is too old, of a zone that is not on the map, or beyond its bounds.
-    pub left_out: Vec<String>,
+    /// The findings by zone name.
+    pub zones: BTreeMap<String, ZoneFinding>,
+    /// The first gateways that reach none of the zones that they tried. Their reports don't count.
+    pub isolated_gateways: Vec<String>,
+    /// The first gateways with a report that is too old or invalid, or in an unknown zone. Their reports don't count.
+    pub ignored_gateways: Vec<String>,
 }
 
-/// A gateway to which everything is dark has lost its own link. One that sees a single zone can't tell.
-fn is_blind(sights: &BTreeMap<&str, Sight>) -> bool {
-    let known = || sights.values().filter(|s| **s != Sight::Unknown);
-    known().next().is_some() && known().all(|s| matches!(s, Sight::Dark))
+/// Whether a gateway reaches no zone that it tried, so that its own connection is probably broken. With a single tried zone
+/// it can't tell the two apart, so it counts as isolated too.
+fn is_isolated(health_by_zone: &BTreeMap<&str, ObservedHealth>) -> bool {
+    let known = || health_by_zone.values().filter(|s| **s != ObservedHealth::Unknown);
+    known().next().is_some() && known().all(|s| matches!(s, ObservedHealth::Unreachable))
 }
 
-/// What all reports say of the zones of the map. Observers are named, so that each counts once.
-pub fn find(zones: &BTreeSet<String>, observers: &BTreeMap<String, Observer>) -> Findings {
-    let mut all = Findings::default();
-    // By the observers' zone, then by the zone that they see: how many see what.
-    let mut seen: BTreeMap<&str, BTreeMap<&str, BTreeMap<Sight, usize>>> = BTreeMap::new();
-    for (name, observer) in observers {
-        let sound =
-            observer.age <= OLDEST && zones.contains(&observer.zone) && observer.report.check().is_ok();
-        if !sound {
-            all.left_out.push(name.clone());
+/// The findings for these zones. The reports are keyed by gateway name, so that each gateway counts once.
+pub fn evaluate_reports(zones: &BTreeSet<String>, reports: &BTreeMap<String, GatewayReport>) -> Findings {
+    let mut findings = Findings::default();
+    // By the zone of the gateways, then by the zone that they report on: the number of gateways for each health.
+    let mut counts: BTreeMap<&str, BTreeMap<&str, BTreeMap<ObservedHealth, usize>>> = BTreeMap::new();
+    for (name, report) in reports {
+        let is_usable =
+            report.age <= MAX_REPORT_AGE && zones.contains(&report.zone) && report.report.check().is_ok();
+        if !is_usable {
+            findings.ignored_gateways.push(name.clone());
             continue;
         }
-        let told = observer.report.zones.iter().filter(|(zone, _)| zones.contains(*zone));
-        let sights: BTreeMap<&str, Sight> = told.map(|(zone, sums)| (zone.as_str(), sums.sight())).collect();
-        if is_blind(&sights) {
-            all.blind.push(name.clone());
+        let known_zones = report.report.zones.iter().filter(|(zone, _)| zones.contains(*zone));
+        let health_by_zone: BTreeMap<&str, ObservedHealth> =
+            known_zones.map(|(zone, counts)| (zone.as_str(), counts.observed_health())).collect();
+        if is_isolated(&health_by_zone) {
+            findings.isolated_gateways.push(name.clone());
             continue;
         }
-        let voices = seen.entry(&observer.zone).or_default();
-        for (zone, sight) in sights.into_iter().filter(|(_, sight)| *sight != Sight::Unknown) {
-            *voices.entry(zone).or_default().entry(sight).or_default() += 1;
+        let votes = counts.entry(&report.zone).or_default();
+        for (zone, health) in
+            health_by_zone.into_iter().filter(|(_, health)| *health != ObservedHealth::Unknown)
+        {
+            *votes.entry(zone).or_default().entry(health).or_default() += 1;
         }
     }
-    all.blind.truncate(MOST_NAMED);
-    all.left_out.truncate(MOST_NAMED);
+    findings.isolated_gateways.truncate(MAX_LISTED);
+    findings.ignored_gateways.truncate(MAX_LISTED);
     for zone in zones {
-        let voice = |of: &str| voice(seen.get(of)?.get(zone.as_str())?);
+        let vote_of = |voter: &str| majority_vote(counts.get(voter)?.get(zone.as_str())?);
         let others = zones.iter().filter(|other| *other != zone);
-        let voices = others.filter_map(|other| Some((other.clone(), voice(other)?))).collect();
-        let needs = (zones.len() - 1) / 2 + 1;
-        let mut found = Found { finding: Finding::Unsure, voices, inside: voice(zone), needs };
-        found.finding = weigh(&found);
-        all.zones.insert(zone.clone(), found);
+        let votes = others.filter_map(|other| Some((other.clone(), vote_of(other)?))).collect();
+        let required_votes = (zones.len() - 1) / 2 + 1;
+        let mut found =
+            ZoneFinding { finding: Finding::Inconclusive, votes, own_vote: vote_of(zone), required_votes };
+        found.finding = combine_votes(&found);
+        findings.zones.insert(zone.clone(), found);
     }
-    not_everywhere(&mut all);
-    all
+    mark_common_trouble(&mut findings);
+    findings
 }
 
-/// What more than half of those that can tell see. Where they agree on trouble and not on its kind, it is the kind that
-/// moves nothing: to send the work of an overloaded zone elsewhere does more harm than to leave that of a sick one.
-fn voice(counts: &BTreeMap<Sight, usize>) -> Option<Voice> {
-    let of = counts.values().sum();
-    let count = |sight: Sight| counts.get(&sight).copied().unwrap_or(0);
-    let (sight, agree) = counts.iter().max_by_key(|(_, n)| **n)?;
-    if 2 * agree > of {
-        return Some(Voice { sight: *sight, agree: *agree, of });
+/// The health that more than half of the gateways see. If more than half see trouble but disagree on its kind, the vote is
+/// overloaded, because that keeps traffic in place: moving the traffic of an overloaded zone does more harm than leaving
+/// that of a degraded one.
+fn majority_vote(counts: &BTreeMap<ObservedHealth, usize>) -> Option<ZoneVote> {
+    let voters = counts.values().sum();
+    let count = |health: ObservedHealth| counts.get(&health).copied().unwrap_or(0);
+    let (health, agree) = counts.iter().max_by_key(|(_, n)| **n)?;
+    if 2 * agree > voters {
+        return Some(ZoneVote { health: *health, agree: *agree, voters });
     }
-    let agree = count(Sight::Loaded) + count(Sight::Sick);
-    (2 * agree > of).then_some(Voice { sight: Sight::Loaded, agree, of })
+    let agree = count(ObservedHealth::Overloaded) + count(ObservedHealth::Degraded);
+    (2 * agree > voters).then_some(ZoneVote { health: ObservedHealth::Overloaded, agree, voters })
 }
 
-fn weigh(found: &Found) -> Finding {
-    let count = |sight: Sight| found.voices.values().filter(|v| v.sight == sight).count();
-    let most = |sight: Sight| count(sight) >= found.needs;
-    let inside = found.inside.map(|v| v.sight);
-    // Not to be reached from there, or badly alone: somebody who is well served shows that the zone can serve.
-    let badly = |v: &Voice| matches!(v.sight, Sight::Dark | Sight::Sick);
-    let served = count(Sight::Well) > 0;
+fn combine_votes(found: &ZoneFinding) -> Finding {
+    let count = |health: ObservedHealth| found.votes.values().filter(|v| v.health == health).count();
+    let enough = |health: ObservedHealth| count(health) >= found.required_votes;
+    let own_health = found.own_vote.map(|v| v.health);
+    // A zone that sees it unreachable or degraded may only have a bad link to it. A zone that sees it healthy shows that it
+    // can serve.
+    let sees_trouble =
+        |v: &ZoneVote| matches!(v.health, ObservedHealth::Unreachable | ObservedHealth::Degraded);
+    let healthy_somewhere = count(ObservedHealth::Healthy) > 0;
     let from: BTreeSet<String> =
-        found.voices.iter().filter(|(_, v)| badly(v)).map(|(zone, _)| zone.clone()).collect();
-    // One zone of many that sees it well shows that it is not cut off. Of one that all others, and its own gateways, see sick
-    // it shows no more than chance would.
-    let few = 4 * count(Sight::Well) <= found.voices.len() && inside != Some(Sight::Well);
+        found.votes.iter().filter(|(_, v)| sees_trouble(v)).map(|(zone, _)| zone.clone()).collect();
+    // A single healthy vote proves that a zone is not isolated. It does not prove that a zone is not degraded if all others
+    // and its own gateways see that: one healthy view can be chance.
+    let few_healthy = 4 * count(ObservedHealth::Healthy) <= found.votes.len()
+        && own_health != Some(ObservedHealth::Healthy);
     match () {
-        () if most(Sight::Well) && from.is_empty() => Finding::Well,
-        () if few && most(Sight::Sick) => Finding::Sick,
-        () if served && !from.is_empty() => Finding::CutFrom { from },
-        () if most(Sight::Dark) => Finding::CutOff,
-        () if most(Sight::Absent) => Finding::ListWrong,
-        () if !most(Sight::Sick) && count(Sight::Loaded) + count(Sight::Sick) >= found.needs => {
+        () if enough(ObservedHealth::Healthy) && from.is_empty() => Finding::Healthy,
+        () if few_healthy && enough(ObservedHealth::Degraded) => Finding::Degraded,
+        () if healthy_somewhere && !from.is_empty() => Finding::UnreachableFrom { from },
+        () if enough(ObservedHealth::Unreachable) => Finding::Isolated,
+        () if enough(ObservedHealth::NotListening) => Finding::ServerListWrong,
+        () if !enough(ObservedHealth::Degraded)
+            && count(ObservedHealth::Overloaded) + count(ObservedHealth::Degraded)
+                >= found.required_votes =>
+        {
             Finding::Overloaded
         }
-        // Its own gateways are well served: what is slow or lossy is the way to it.
-        () if most(Sight::Sick) && inside == Some(Sight::Well) => Finding::CutFrom { from },
-        () if most(Sight::Sick) || from.len() >= found.needs => Finding::Sick,
-        () => Finding::Unsure,
+        // Its own gateways see it healthy, so the links to it are slow or lossy.
+        () if enough(ObservedHealth::Degraded) && own_health == Some(ObservedHealth::Healthy) => {
+            Finding::UnreachableFrom { from }
+        }
+        () if enough(ObservedHealth::Degraded) || from.len() >= found.required_votes => Finding::Degraded,
+        () => Finding::Inconclusive,
     }
 }
 
-/// Trouble in every zone that anything is found of is not a zone's trouble: overload, a bad release, a plan whose
-/// requests fail. Guards against taking zones out one after the other for what they share.
-fn not_everywhere(all: &mut Findings) {
-    let troubled = |f: &Finding| matches!(f, Finding::Sick | Finding::Overloaded | Finding::CutOff);
-    let known = || all.zones.values().filter(|found| found.finding != Finding::Unsure);
-    if known().count() < 2 || !known().all(|found| troubled(&found.finding)) {
+/// Replaces the findings if every zone with a finding is in trouble. The cause is then common: overload, a bad release, or
+/// failing requests of one customer plan. Otherwise operators might take out one zone after the other.
+fn mark_common_trouble(findings: &mut Findings) {
+    let in_trouble = |f: &Finding| matches!(f, Finding::Degraded | Finding::Overloaded | Finding::Isolated);
+    let known = || findings.zones.values().filter(|found| found.finding != Finding::Inconclusive);
+    if known().count() < 2 || !known().all(|found| in_trouble(&found.finding)) {
         return;
     }
-    for found in all.zones.values_mut().filter(|found| troubled(&found.finding)) {
-        found.finding = Finding::Everywhere;
+    for found in findings.zones.values_mut().filter(|found| in_trouble(&found.finding)) {
+        found.finding = Finding::TroubleEverywhere;
     }
 }
