--- a/crates/starlinghill-control/tests/failover.rs
+++ b/crates/starlinghill-control/tests/failover.rs
@@ -309,7 +309,7 @@
     until(&[(0, "s-a")]).await;
     let ended = tokio::task::block_in_place(|| {
         service.terminate();
-        service.ended(LIMIT)
+        service.wait_for_exit_code(LIMIT)
     });
     assert_eq!(ended, Some(0));
 }
--- a/crates/starlinghill-control/tests/group.rs
+++ b/crates/starlinghill-control/tests/group.rs
@@ -106,7 +106,7 @@
         let leader = group.wait_for_leader();
         group.members[leader].stop();
         assert_exit(&group.command(&["zone", "out"], &["a", "--reason", "a drill"]), 0, "accepted at 1.2");
-        group.members[leader].go_on();
+        group.members[leader].resume();
         group.wait_until("the resumed member has caught up", |_| {
             let all = group.show();
             all[leader]["report"]["state"]["position"]["epoch"] == 2
@@ -142,7 +142,12 @@
         std::fs::write(&disk_of_other, torn).expect("a disk");
         for i in [0, 1] {
             group.members[i].start();
-            assert_eq!(group.members[i].ended(LIMIT), Some(7), "{}", group.members[i].log().join("\n"));
+            assert_eq!(
+                group.members[i].wait_for_exit_code(LIMIT),
+                Some(7),
+                "{}",
+                group.members[i].log().join("\n")
+            );
             let log = group.members[i].log().join("\n");
             let file = group.disk(i).display().to_string();
             assert!(log.contains(&file) && log.contains("stays out"), "{log}");
@@ -243,7 +248,7 @@
         group.members[2].kill();
         std::fs::write(group.disk(2), &old_disks[2]).expect("a disk");
         group.members[2].start();
-        assert_eq!(group.members[2].ended(LIMIT), Some(7));
+        assert_eq!(group.members[2].wait_for_exit_code(LIMIT), Some(7));
         assert!(group.members[2].log().join("\n").contains("generation 1"), "{:?}", group.members[2].log());
         assert_exit(
             &group.command(&["zone", "return"], &["a", "--reason", "over", "--step", "100"]),
@@ -340,11 +345,11 @@
                 group.command(&["zone", word], &more).status.success(),
                 "the group must accept the order"
             );
-            if !group.members[full].runs() {
+            if !group.members[full].is_running() {
                 break;
             }
         }
-        assert_eq!(group.members[full].ended(LIMIT), Some(7), "{:?}", group.members[full].log());
+        assert_eq!(group.members[full].wait_for_exit_code(LIMIT), Some(7), "{:?}", group.members[full].log());
         let log = group.members[full].log().join("\n");
         assert!(log.contains(&group.disk(full).display().to_string()) && log.contains("stays out"), "{log}");
     });
--- a/crates/starlinghill-control/tests/quotas.rs
+++ b/crates/starlinghill-control/tests/quotas.rs
@@ -6,7 +6,7 @@
 use common::{nodes, until};
 use starlinghill_control::{prepare, start, Running};
 use starlinghill_testkit::proxy::{Proxy, Settings, XdsVariant};
-use starlinghill_testkit::quota::Key;
+use starlinghill_testkit::quota::BucketKey;
 use starlinghill_testkit::stubs::{self, Discovery};
 use std::time::{Duration, Instant};
 
@@ -52,7 +52,7 @@
 }
 
 /// Requests admission from every proxy every 5 ms, for the given number of seconds.
-async fn overload(proxies: &[&Proxy], key: &Key, seconds: f64, quota: &mut ReferenceBucket) {
+async fn overload(proxies: &[&Proxy], key: &BucketKey, seconds: f64, quota: &mut ReferenceBucket) {
     let end = Instant::now() + Duration::from_secs_f64(seconds);
     while Instant::now() < end {
         for p in proxies {
@@ -69,7 +69,7 @@
     let (_nodes, discovery) = nodes(1).await;
     let running = service(&discovery).await;
     let mut proxies = proxies(&running);
-    let key: Key = (0xb4d6_5521, "publisher".into(), 1);
+    let key: BucketKey = (0xb4d6_5521, "publisher".into(), 1);
     let mut quota = ReferenceBucket::new();
     until("the first slice", || proxies.iter().any(|p| p.admit(&key))).await;
     quota.charge();
@@ -105,13 +105,13 @@
     let path = stubs::control_file(discovery.stub.address, &["p-0", "p-1", "p-2"], PLAN, &more);
     let running = start(prepare(&path).expect("it is valid")).await.expect("the service starts");
     let proxies = proxies(&running);
-    let invalid: [Key; 4] = [
+    let invalid: [BucketKey; 4] = [
         (1, "team".into(), 1),
         (1, "no-such-plan".into(), 1),
         (1 << 40, "publisher".into(), 1),
         (1, "publisher".into(), 77),
     ];
-    let valid: Key = (2, "publisher".into(), 1);
+    let valid: BucketKey = (2, "publisher".into(), 1);
     until("a slice of the valid bucket", || {
         invalid.iter().for_each(|key| assert!(!proxies[0].admit(key), "{key:?}"));
         proxies[0].admit(&valid)
--- a/crates/starlinghill-testkit/examples/cost.rs
+++ b/crates/starlinghill-testkit/examples/cost.rs
@@ -8,7 +8,7 @@
 use starlinghill_testkit::group::{free_address, LIMIT};
 use starlinghill_testkit::load::Load;
 use starlinghill_testkit::nodes;
-use starlinghill_testkit::processes::{used, Process, Used};
+use starlinghill_testkit::processes::{resource_usage, Process, ResourceUsage};
 use starlinghill_testkit::stubs::{self, program_with_file};
 use std::error::Error;
 use std::path::PathBuf;
@@ -32,7 +32,7 @@
 
 /// The measurement of one build in one round.
 struct Measurement {
-    at_end: Used,
+    at_end: ResourceUsage,
     /// CPU time per request, in microseconds.
     cpu_us_per_request: f64,
     /// The share of requests answered 200.
@@ -50,7 +50,7 @@
     gateway.start();
     tokio::task::block_in_place(|| gateway.wait_for_log("ready", LIMIT));
     let pid = gateway.pid().ok_or("the gateway ended")?;
-    let usage = || used(pid).ok_or_else(|| String::from("the gateway ended"));
+    let usage = || resource_usage(pid).ok_or_else(|| String::from("the gateway ended"));
     let mut load = Load::start(&[at], per_s);
     tokio::time::sleep(Duration::from_secs(2)).await;
     let started = std::time::Instant::now();
@@ -64,7 +64,7 @@
     let n = counted.len().max(1) as f64;
     Ok(Measurement {
         at_end,
-        cpu_us_per_request: (at_end.cpu - before.cpu) * 1e6 / n,
+        cpu_us_per_request: (at_end.cpu_s - before.cpu_s) * 1e6 / n,
         served: served as f64 / n,
     })
 }
@@ -111,7 +111,7 @@
             std::fs::metadata(program)?.len(),
             median.at_end.threads,
             median.at_end.descriptors,
-            median.at_end.memory / 1_024,
+            median.at_end.memory_bytes / 1_024,
             spread,
             median.served,
             program.display()
--- a/crates/starlinghill-testkit/examples/followers.rs
+++ b/crates/starlinghill-testkit/examples/followers.rs
@@ -15,7 +15,7 @@
 use starlinghill_failover_client::client::submit_order;
 use starlinghill_failover_client::subscription::{follow, ReportSource};
 use starlinghill_testkit::group::Group;
-use starlinghill_testkit::processes::used;
+use starlinghill_testkit::processes::resource_usage;
 use starlinghill_zone_health::attempt_counts::AttemptCounts;
 use starlinghill_zone_health::report::Report;
 use std::error::Error;
@@ -99,7 +99,7 @@
     let settings = file.group.ok_or("no group")?;
     let members = group.listen.clone();
     let pids: Vec<u32> = group.members.iter().filter_map(|m| m.pid()).collect();
-    let before: Vec<_> = pids.iter().filter_map(|pid| used(*pid)).collect();
+    let before: Vec<_> = pids.iter().filter_map(|pid| resource_usage(*pid)).collect();
 
     let mut commits = Histogram::<u64>::new(3)?;
     for number in 0..cli.orders {
@@ -138,7 +138,7 @@
     print_latency("all come at once, to following", &first);
 
     let mut changes = Histogram::<u64>::new(3)?;
-    let cpu_before: f64 = pids.iter().filter_map(|pid| used(*pid)).map(|u| u.cpu).sum();
+    let cpu_before: f64 = pids.iter().filter_map(|pid| resource_usage(*pid)).map(|u| u.cpu_s).sum();
     let measured_from = Instant::now();
     for number in cli.orders..cli.orders + 20 {
         let sent = Instant::now();
@@ -150,10 +150,12 @@
         all_follow(&mut views, position, sent, &mut changes).await?;
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
-    let cpu: f64 = pids.iter().filter_map(|pid| used(*pid)).map(|u| u.cpu).sum::<f64>() - cpu_before;
+    let cpu: f64 =
+        pids.iter().filter_map(|pid| resource_usage(*pid)).map(|u| u.cpu_s).sum::<f64>() - cpu_before;
     print_latency("order to each follower", &changes);
-    let after: Vec<_> = pids.iter().filter_map(|pid| used(*pid)).collect();
-    let memory_growth: u64 = after.iter().zip(&before).map(|(a, b)| a.memory.saturating_sub(b.memory)).sum();
+    let after: Vec<_> = pids.iter().filter_map(|pid| resource_usage(*pid)).collect();
+    let memory_growth: u64 =
+        after.iter().zip(&before).map(|(a, b)| a.memory_bytes.saturating_sub(b.memory_bytes)).sum();
     println!(
         "members together: {:.1} kB of memory and {:.3} ms of CPU a second for each follower ({} of them, 5 questions \
          a second each)",
--- a/crates/starlinghill-testkit/examples/scale/machines.rs
+++ b/crates/starlinghill-testkit/examples/scale/machines.rs
@@ -17,12 +17,12 @@
 
 /// The loopback addresses of a run, which share their second byte.
 #[derive(Clone, Copy)]
-pub struct Net(u8);
+pub struct Addresses(u8);
 
-impl Net {
+impl Addresses {
     /// Addresses that depend on this process's id, as other runs may use the same machine.
-    pub fn own() -> Net {
-        Net((1 + std::process::id() % 250) as u8)
+    pub fn own() -> Addresses {
+        Addresses((1 + std::process::id() % 250) as u8)
     }
 
     /// Address `i` of a range that begins at third byte `start`; a third byte has 250 addresses.
@@ -83,12 +83,12 @@
 
 impl Machines {
     /// Starts all processes, with their settings and data below `folder`.
-    pub fn start(net: Net, edges: usize, folder: &Path, beat_ms: u64) -> Machines {
+    pub fn start(addresses: Addresses, edges: usize, folder: &Path, beat_ms: u64) -> Machines {
         let program = std::env::current_exe().expect("the path of this program");
-        let seeds: Vec<String> = net.controls().iter().map(|at| format!("\"{at}\"")).collect();
+        let seeds: Vec<String> = addresses.controls().iter().map(|at| format!("\"{at}\"")).collect();
         let mut processes = Vec::new();
-        let cores = (0..CORES).map(|i| (net.core(i), &[Role::Registry, Role::Store][..]));
-        let all = cores.chain((0..edges).map(|i| (net.edge(i), &[Role::Proxy][..])));
+        let cores = (0..CORES).map(|i| (addresses.core(i), &[Role::Registry, Role::Store][..]));
+        let all = cores.chain((0..edges).map(|i| (addresses.edge(i), &[Role::Proxy][..])));
         for (number, (ip, roles)) in all.enumerate() {
             let machine_folder = folder.join(ip.to_string());
             std::fs::create_dir_all(machine_folder.join("disk")).expect("the folder can be created");
@@ -116,10 +116,10 @@
     }
 
     /// Kills all core processes, and changes their settings so that their next start is not a first one.
-    pub fn kill_core(&mut self, folder: &Path, net: Net) {
+    pub fn kill_core(&mut self, folder: &Path, addresses: Addresses) {
         self.core_processes().for_each(Process::kill);
         for i in 0..CORES {
-            let file = folder.join(net.core(i).to_string()).join("node.toml");
+            let file = folder.join(addresses.core(i).to_string()).join("node.toml");
             let text = std::fs::read_to_string(&file).expect("the settings file can be used");
             let changed = text.replace("first_start = true", "first_start = false");
             std::fs::write(&file, changed).expect("the settings file can be used");
@@ -133,7 +133,7 @@
 
     /// The names of processes that ended unexpectedly.
     pub fn ended(&mut self) -> Vec<String> {
-        let ended = self.processes.iter_mut().filter_map(|(.., p)| (!p.runs()).then(|| p.name.clone()));
+        let ended = self.processes.iter_mut().filter_map(|(.., p)| (!p.is_running()).then(|| p.name.clone()));
         ended.collect()
     }
 }
--- a/crates/starlinghill-testkit/examples/scale/main.rs
+++ b/crates/starlinghill-testkit/examples/scale/main.rs
@@ -13,7 +13,7 @@
 mod simulated;
 
 use clap::Parser;
-use machines::{Machines, Net, Role, CORES};
+use machines::{Addresses, Machines, Role, CORES};
 use measured::Sample;
 use report::{Row, Size};
 use simulated::{SimulatedFleet, SimulatedGateway, TRACKED_ROUTE};
@@ -77,7 +77,7 @@
 
 /// A size while it is measured.
 struct Run {
-    net: Net,
+    addresses: Addresses,
     machines: Machines,
     simulated: Arc<SimulatedFleet>,
     gateways: Vec<Arc<SimulatedGateway>>,
@@ -101,7 +101,7 @@
     async fn change(&self, body: &str) -> Option<Duration> {
         let deadline = Instant::now() + CHANGE_LIMIT;
         while Instant::now() < deadline {
-            for control in self.net.controls() {
+            for control in self.addresses.controls() {
                 let sent = Instant::now();
                 let answer = call(control, "PATCH", "/api/config", &[], body).await;
                 match answer.map(|answer| answer.status) {
@@ -161,7 +161,7 @@
         let deadline = asked + CHANGE_LIMIT;
         let mut turn = number;
         loop {
-            let control = self.net.controls()[turn % CORES];
+            let control = self.addresses.controls()[turn % CORES];
             let body = self.simulated.beat_body(number, true);
             if call(control, "PUT", &path, &[], &body).await.is_some_and(|answer| answer.status == 200) {
                 break;
@@ -280,10 +280,10 @@
         "\n## {gateways} gateways, {backends} backends, {services} services, {routes} routes, {tenants} tenants"
     );
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let net = Net::own();
-    let machines = Machines::start(net, PROXIES, folder.path(), BEAT.as_millis() as u64);
-    let simulated = SimulatedFleet::new(net, BEAT, services, tenants, cli.draws);
-    let mut run = Run { net, machines, simulated, gateways: Vec::new(), folder, version: 1 };
+    let addresses = Addresses::own();
+    let machines = Machines::start(addresses, PROXIES, folder.path(), BEAT.as_millis() as u64);
+    let simulated = SimulatedFleet::new(addresses, BEAT, services, tenants, cli.draws);
+    let mut run = Run { addresses, machines, simulated, gateways: Vec::new(), folder, version: 1 };
     let mut size = Size { gateways, backends, items, ..Size::default() };
 
     let started = Instant::now();
@@ -360,7 +360,7 @@
     for gateway in &run.gateways {
         gateway.forget();
     }
-    tokio::task::block_in_place(|| run.machines.kill_core(run.folder.path(), net));
+    tokio::task::block_in_place(|| run.machines.kill_core(run.folder.path(), addresses));
     for gateway in &run.gateways {
         gateway.forget();
     }
--- a/crates/starlinghill-testkit/examples/scale/measured.rs
+++ b/crates/starlinghill-testkit/examples/scale/measured.rs
@@ -1,7 +1,7 @@
 //! Measures the resources of processes from outside, by `/proc` and, for the traffic of each connection, by `ss`. Without
 //! `ss`, bytes, messages and connections stay 0.
 
-use starlinghill_testkit::processes::used;
+use starlinghill_testkit::processes::resource_usage;
 use std::collections::HashMap;
 use std::process::Command;
 use std::time::Instant;
@@ -72,7 +72,7 @@
 impl Sample {
     /// Takes a sample of these processes.
     pub fn now(pids: &[u32]) -> Sample {
-        let usage = |pid: &u32| used(*pid).map(|used| (*pid, (used.cpu, used.memory)));
+        let usage = |pid: &u32| resource_usage(*pid).map(|used| (*pid, (used.cpu_s, used.memory_bytes)));
         let snmp = std::fs::read_to_string("/proc/net/snmp").unwrap_or_default();
         let tcp: Vec<&str> = snmp.lines().filter(|line| line.starts_with("Tcp:")).collect();
         let column = tcp.first().and_then(|line| line.split(' ').position(|word| word == "PassiveOpens"));
--- a/crates/starlinghill-testkit/examples/scale/simulated.rs
+++ b/crates/starlinghill-testkit/examples/scale/simulated.rs
@@ -1,7 +1,7 @@
 //! Simulated gateways and backends: tasks of this process that speak the registries' protocols but serve no requests. Each
 //! connects from a loopback address of its own.
 
-use crate::machines::Net;
+use crate::machines::Addresses;
 use starlinghill_catalog::{name_hash, service_hash, BackendState, Gateway, Observation};
 use starlinghill_failure_detector::PeerSighting;
 use starlinghill_quota_counter::{Draw, LoadReport};
@@ -34,7 +34,7 @@
 
 /// The settings and counts that all simulated gateways and backends share.
 pub struct SimulatedFleet {
-    pub net: Net,
+    pub addresses: Addresses,
     /// The time between two beats of a backend.
     pub beat: Duration,
     pub services: usize,
@@ -141,9 +141,15 @@
 }
 
 impl SimulatedFleet {
-    pub fn new(net: Net, beat: Duration, services: usize, tenants: usize, draws: f64) -> Arc<SimulatedFleet> {
+    pub fn new(
+        addresses: Addresses,
+        beat: Duration,
+        services: usize,
+        tenants: usize,
+        draws: f64,
+    ) -> Arc<SimulatedFleet> {
         Arc::new(SimulatedFleet {
-            net,
+            addresses,
             beat,
             services,
             tenants,
@@ -172,7 +178,7 @@
     /// Starts gateway `i` of `all`: a task for each registry that polls it, and one that draws.
     pub fn gateway(self: &Arc<Self>, i: usize, all: usize, tasks: &mut JoinSet<()>) -> Arc<SimulatedGateway> {
         let me = Gateway {
-            ip: self.net.simulated_gateway(i),
+            ip: self.addresses.simulated_gateway(i),
             incarnation: fastrand::u64(1..),
             zone: format!("zone-{}", i % 3),
             node: format!("simulated-{i}"),
@@ -183,7 +189,7 @@
             holder: watch::channel(None).0,
             time: AtomicU64::new(0),
         });
-        for at in self.net.registries() {
+        for at in self.addresses.registries() {
             let (fleet, gateway) = (self.clone(), gateway.clone());
             tasks.spawn(async move {
                 // Spreads the first polls over half a second.
@@ -202,7 +208,7 @@
         let (mut incarnation, mut seq, mut listed) = (0, 0, Listed::default());
         // Each gateway watches the next three on the ring.
         let sighting = |by: usize| PeerSighting {
-            ip: self.net.simulated_gateway((i + by) % all),
+            ip: self.addresses.simulated_gateway((i + by) % all),
             incarnation: 1,
             ago_ms: 100,
         };
@@ -294,7 +300,7 @@
                 let _ = timeout(ANSWER_TIMEOUT, holder.changed()).await;
                 continue;
             };
-            let port = self.net.registries()[0].port();
+            let port = self.addresses.registries()[0].port();
             let Ok(mut stream) = connect(gateway.me.ip, SocketAddr::new(ip, port)).await else {
                 sleep(RETRY_DELAY).await;
                 continue;
@@ -358,7 +364,7 @@
 
     /// Sends the beats of these backends in turn over one connection.
     async fn beat(&self, own: Vec<usize>) {
-        let controls = self.net.controls();
+        let controls = self.addresses.controls();
         let (mut turn, mut connection) = (own[0] % controls.len(), None);
         let interval = self.beat / own.len() as u32;
         sleep(self.beat.mul_f64(fastrand::f64())).await;
@@ -377,7 +383,7 @@
             let exchange = async {
                 let mut stream = match connection.take() {
                     Some(stream) => stream,
-                    None => connect(self.net.backend(own[0]), controls[turn]).await?,
+                    None => connect(self.addresses.backend(own[0]), controls[turn]).await?,
                 };
                 stream.set_nodelay(true)?;
                 stream.write_all(text.as_bytes()).await?;
@@ -406,7 +412,7 @@
         format!(
             r#"{{"address":"{}:8080","details":{{"service":"s-{}","version":"v1","zone":"zone-{}","capacity":4}},
             "observed":{{"state":"{state}","call_count":{calls},"warmup_left":"0ms"}}}}"#,
-            self.net.backend(number),
+            self.addresses.backend(number),
             self.service_of(number),
             number % 3,
         )
--- a/crates/starlinghill-testkit/examples/slices.rs
+++ b/crates/starlinghill-testkit/examples/slices.rs
@@ -9,7 +9,7 @@
 
 use common::{argument, cores, nodes, service};
 use starlinghill_testkit::proxy::{Proxy, Settings, XdsVariant};
-use starlinghill_testkit::quota::Key;
+use starlinghill_testkit::quota::BucketKey;
 use std::time::{Duration, Instant};
 
 const NAMES: [&str; 3] = ["p-0", "p-1", "p-2"];
@@ -48,7 +48,7 @@
 }
 
 struct Customer {
-    key: Key,
+    key: BucketKey,
     /// Its request rate as a multiple of the quota's rate.
     demand: f64,
     /// Gets what the proxies let through, at the quota's rate.
--- a/crates/starlinghill-testkit/src/group.rs
+++ b/crates/starlinghill-testkit/src/group.rs
@@ -1,7 +1,7 @@
 //! A group of real member processes whose connections to each other lead through simulated network links. Each member
 //! reads its own settings file, in which the other members have the addresses of its links to them.
 
-use crate::links::Net;
+use crate::links::Links;
 use crate::processes::Process;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
 /// The group: its links, member processes and files. Dropping it kills the members and removes the files.
 pub struct Group {
     /// The simulated network between zones.
-    pub net: Net,
+    pub net: Links,
     /// The member processes; the member with id n is at index n - 1, here and in all lists and indexes below.
     pub members: Vec<Process>,
     /// The address that each member itself listens on.
@@ -63,7 +63,7 @@
         let zones: Vec<String> = zones.iter().map(ToString::to_string).collect();
         let listen: Vec<SocketAddr> = zones.iter().map(|_| free_address()).collect();
         let mut group = Group {
-            net: Net::new(seed),
+            net: Links::new(seed),
             members: Vec::new(),
             listen,
             zones,
--- a/crates/starlinghill-testkit/src/proxy.rs
+++ b/crates/starlinghill-testkit/src/proxy.rs
@@ -2,7 +2,7 @@
 //! or incremental, keeps its state while the service is away, opens its streams again by itself, reports load and quota
 //! use, and forwards requests to save nodes.
 
-use crate::quota::{Buckets, Key};
+use crate::quota::{BucketKey, Buckets};
 use envoy_types::pb::envoy::config::cluster::v3::Cluster;
 use envoy_types::pb::envoy::config::core::v3::address::Address;
 use envoy_types::pb::envoy::config::core::v3::socket_address::PortSpecifier;
@@ -447,7 +447,7 @@
                 () = self.report_now.notified() => {}
                 response = responses.message() => match response? {
                     Some(response) => {
-                        self.buckets.lock().expect("no thread panicked under the lock").take(Instant::now(), response);
+                        self.buckets.lock().expect("no thread panicked under the lock").apply_assignments(Instant::now(), response);
                         continue;
                     }
                     None => return Ok(()),
@@ -549,7 +549,7 @@
     }
 
     /// Whether its quota buckets let a request through.
-    pub fn admit(&self, key: &Key) -> bool {
+    pub fn admit(&self, key: &BucketKey) -> bool {
         let (ok, new) =
             self.shared.buckets.lock().expect("no thread panicked under the lock").admit(Instant::now(), key);
         if new {
