--- a/crates/starlinghill-control/src/lib.rs
+++ b/crates/starlinghill-control/src/lib.rs
@@ -12,8 +12,8 @@
 use starlinghill_gateway::discovery::{self, Follower, Source};
 use starlinghill_operator_config::{Control, Group, Problem, Quotas};
 use starlinghill_settings::NamedSettings;
-use starlinghill_xds::hub::{self, Hub, News};
-use starlinghill_xds::resources::{QuotaWiring, Wiring};
+use starlinghill_xds::hub::{self, Hub, Update};
+use starlinghill_xds::resources::{QuotaFilterSettings, ResourceSettings};
 use starlinghill_xds::server::{Limits, Service};
 use std::collections::BTreeSet;
 use std::fmt;
@@ -137,8 +137,8 @@
 }
 
 /// Builds the hub's configuration: the proxies, their connection settings, and the regions of zones.
-pub fn hub_plan(control: &Control, group: Option<&Group>) -> hub::Plan {
-    let quotas = |q: &Quotas| QuotaWiring {
+pub fn hub_plan(control: &Control, group: Option<&Group>) -> hub::OperatorConfig {
+    let quotas = |q: &Quotas| QuotaFilterSettings {
         cluster: q.cluster.clone(),
         customer_header: q.customer_header.clone(),
         plan_header: q.plan_header.clone(),
@@ -156,12 +156,12 @@
         };
         zones.map(|(name, zone)| (name.clone(), location(zone))).collect()
     });
-    hub::Plan {
-        places: locations.unwrap_or_default(),
+    hub::OperatorConfig {
+        locations: locations.unwrap_or_default(),
         proxies: control.proxies.iter().map(proxy).collect(),
-        wiring: Wiring {
+        resource_settings: ResourceSettings {
             connect_timeout: micros(control.connect_timeout),
-            attempts_out: control.attempts_out,
+            attempts_per_endpoint: control.attempts_out,
             quotas: control.quotas.as_ref().map(quotas),
         },
     }
@@ -208,12 +208,12 @@
     )
     .map_err(StartError::Settings)?;
     let (upstreams, upstream_changes) = watch::channel(upstreams);
-    follow_discovery(upstream_changes, hub.news.clone()).map_err(StartError::Thread)?;
+    follow_discovery(upstream_changes, hub.updates.clone()).map_err(StartError::Thread)?;
     let mut group_updater = None;
     if let Some(group) = group {
         let name = format!("control-{}", address.port());
         let subscription = group_follower::subscribe(&group, &name, "", None).map_err(StartError::Group)?;
-        tokio::spawn(forward_zone_parts(subscription.parts, hub.news.clone()));
+        tokio::spawn(forward_zone_parts(subscription.parts, hub.updates.clone()));
         group_updater = Some(subscription.updater);
     }
     let hub_task = tokio::spawn(runner.run());
@@ -222,8 +222,8 @@
     let limits = Limits {
         connections: limits.connections,
         streams: limits.streams,
-        names: limits.names,
-        message: limits.message,
+        names_per_kind: limits.names,
+        message_bytes: limits.message,
     };
     let service = Service::new(hub.clone(), limits, seed, stopping);
     let server_task = tokio::spawn(service.serve(listener, tls));
@@ -234,16 +234,16 @@
 /// Forwards the share of work of each zone to the hub, at the start and at each change.
 async fn forward_zone_parts(
     mut parts: watch::Receiver<starlinghill_gateway::ZoneParts>,
-    news: tokio::sync::mpsc::Sender<News>,
+    updates: tokio::sync::mpsc::Sender<Update>,
 ) {
     loop {
         let current = parts.borrow_and_update().clone();
-        if news.send(News::Zones(current)).await.is_err() {
+        if updates.send(Update::ZoneShares(current)).await.is_err() {
             return;
         }
         tokio::select! {
             changed = parts.changed() => if changed.is_err() { return },
-            () = news.closed() => return,
+            () = updates.closed() => return,
         }
     }
 }
@@ -251,14 +251,14 @@
 /// Follows discovery on a separate thread, because the gateway's discovery client needs a single-threaded runtime.
 fn follow_discovery(
     upstreams: watch::Receiver<Upstreams>,
-    news: tokio::sync::mpsc::Sender<News>,
+    updates: tokio::sync::mpsc::Sender<Update>,
 ) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("discovery".into()).spawn(move || {
         runtime.block_on(async move {
             let mut closed = upstreams.clone();
             tokio::select! {
-                () = discovery::watch(upstreams, Follower::new(0, Source::Agent, 1, None), news) => {}
+                () = discovery::watch(upstreams, Follower::new(0, Source::Agent, 1, None), updates) => {}
                 // The service was stopped and has dropped the sender.
                 () = async { while closed.changed().await.is_ok() {} } => {}
             }
@@ -287,7 +287,13 @@
             None => {}
         }
         self.upstreams.send_replace(prepared.upstreams);
-        if self.hub.news.send(News::Plan(hub_plan(&new, prepared.group.as_ref()))).await.is_ok() {
+        if self
+            .hub
+            .updates
+            .send(Update::OperatorConfig(hub_plan(&new, prepared.group.as_ref())))
+            .await
+            .is_ok()
+        {
             info!(proxies = new.proxies.len(), "reloaded the operators' file");
         }
         self.control = new;
--- a/crates/starlinghill-control/tests/clocks.rs
+++ b/crates/starlinghill-control/tests/clocks.rs
@@ -5,7 +5,7 @@
 use starlinghill_failover::bounds::Timing;
 use starlinghill_failover::Micros;
 use starlinghill_failover_client::wall_clock;
-use starlinghill_testkit::audit::wrongs;
+use starlinghill_testkit::audit::violations;
 use starlinghill_testkit::failover::{Fault, Fleet};
 use starlinghill_testkit::group::LIMIT;
 use std::process::ExitCode;
@@ -70,7 +70,7 @@
         // Each step carries the leader's wall clock time. The leader changes twice, so that at least two clocks are used.
         let (mut leader_changes, mut stamps) = (0, Vec::new());
         let started = Instant::now();
-        let mut seen = orders[0].at.map_or(0, |(_, epoch)| epoch);
+        let mut seen = orders[0].position.map_or(0, |(_, epoch)| epoch);
         loop {
             let zones = fleet.group.zones();
             let b = &zones["zones"]["b"];
@@ -81,9 +81,9 @@
                 if leader_changes < 2 {
                     leader_changes += 1;
                     let leader = fleet.group.wait_for_leader();
-                    fleet.suffer(&Fault::StopMember(leader));
+                    fleet.inject(&Fault::StopMember(leader));
                     fleet.group.wait_for_leader();
-                    fleet.suffer(&Fault::MembersAgain);
+                    fleet.inject(&Fault::ResumeMembers);
                 }
             }
             if b["phase"] == "out" {
@@ -103,11 +103,11 @@
         let zones = fleet.wait_until_all_follow();
         let number = |key: &str| zones["position"][key].as_u64().unwrap_or(0);
         let last = (number("generation"), number("epoch"));
-        let found = wrongs(&orders, &fleet.followed(), last, FRESH, LOG_DELAY);
+        let found = violations(&orders, &fleet.followed(), last, FRESH, LOG_DELAY);
         assert!(found.is_empty(), "{found:#?}");
         assert!(zones["age_ms"].as_u64().is_some_and(|ms| ms < 1_000), "{}", zones["age_ms"]);
         // Gateways give up on the lost group after the same time, whatever their wall clocks say.
-        fleet.suffer(&Fault::KillGroup);
+        fleet.inject(&Fault::KillGroup);
         let killed = Instant::now();
         let timing =
             Timing { stale_limit: Micros(3_000_000), fresh_limit: Micros(1_000_000), ..Timing::default() };
--- a/crates/starlinghill-control/tests/group.rs
+++ b/crates/starlinghill-control/tests/group.rs
@@ -16,7 +16,7 @@
 /// Starts a group with one member in each of these zones of the test network.
 async fn group(zones: &[&str]) -> Group {
     let mut group = Group::new(Path::new(PROGRAM), zones, 1).await;
-    tokio::task::block_in_place(|| group.begin());
+    tokio::task::block_in_place(|| group.start());
     group
 }
 
@@ -84,7 +84,7 @@
         let text = group.text(1, &group.listen[..1]);
         std::fs::write(&minority, text).expect("a file");
         let order = ["c", "--reason", "a drill", "--next", "east"];
-        let refused = group.command_by(&minority, &["zone", "out"], &order);
+        let refused = group.command_with_file(&minority, &["zone", "out"], &order);
         assert_exit(&refused, 4, "not reached");
         assert!(
             output_text(&refused).contains("knows no leader") || output_text(&refused).contains("majority"),
@@ -106,7 +106,7 @@
         let leader = group.wait_for_leader();
         group.members[leader].stop();
         assert_exit(&group.command(&["zone", "out"], &["a", "--reason", "a drill"]), 0, "accepted at 1.2");
-        group.members[leader].go_on();
+        group.members[leader].resume();
         group.wait_until("the resumed member has caught up", |_| {
             let all = group.show();
             all[leader]["report"]["state"]["position"]["epoch"] == 2
@@ -142,7 +142,12 @@
         std::fs::write(&disk_of_other, torn).expect("a disk");
         for i in [0, 1] {
             group.members[i].start();
-            assert_eq!(group.members[i].ended(LIMIT), Some(7), "{}", group.members[i].log().join("\n"));
+            assert_eq!(
+                group.members[i].wait_for_exit_code(LIMIT),
+                Some(7),
+                "{}",
+                group.members[i].log().join("\n")
+            );
             let log = group.members[i].log().join("\n");
             let file = group.disk(i).display().to_string();
             assert!(log.contains(&file) && log.contains("stays out"), "{log}");
@@ -216,7 +221,7 @@
         for member in &mut group.members {
             member.kill();
         }
-        tokio::runtime::Handle::current().block_on(group.raise(2));
+        tokio::runtime::Handle::current().block_on(group.set_generation(2));
         for member in &mut group.members {
             member.start();
         }
@@ -243,7 +248,7 @@
         group.members[2].kill();
         std::fs::write(group.disk(2), &old_disks[2]).expect("a disk");
         group.members[2].start();
-        assert_eq!(group.members[2].ended(LIMIT), Some(7));
+        assert_eq!(group.members[2].wait_for_exit_code(LIMIT), Some(7));
         assert!(group.members[2].log().join("\n").contains("generation 1"), "{:?}", group.members[2].log());
         assert_exit(
             &group.command(&["zone", "return"], &["a", "--reason", "over", "--step", "100"]),
@@ -267,7 +272,7 @@
             let kill_before_answer = rng.bool();
             let order = std::thread::scope(|scope| {
                 let group = &mut group;
-                let (program, file) = (Path::new(PROGRAM), group.operators());
+                let (program, file) = (Path::new(PROGRAM), group.operators_file());
                 let command = scope.spawn(move || {
                     let words = ["zone", word];
                     let more = [zone, "--reason", "a drill", "--force", "--id", &id];
@@ -340,11 +345,11 @@
                 group.command(&["zone", word], &more).status.success(),
                 "the group must accept the order"
             );
-            if !group.members[full].runs() {
+            if !group.members[full].is_running() {
                 break;
             }
         }
-        assert_eq!(group.members[full].ended(LIMIT), Some(7), "{:?}", group.members[full].log());
+        assert_eq!(group.members[full].wait_for_exit_code(LIMIT), Some(7), "{:?}", group.members[full].log());
         let log = group.members[full].log().join("\n");
         assert!(log.contains(&group.disk(full).display().to_string()) && log.contains("stays out"), "{log}");
     });
@@ -355,7 +360,7 @@
     const FOLLOWERS: usize = 1_000;
     let mut group = group(&["a", "b", "c"]).await;
     let file =
-        starlinghill_operator_config::read(&group.operators()).expect("a file").group.expect("a group");
+        starlinghill_operator_config::read(&group.operators_file()).expect("a file").group.expect("a group");
     let mut views = Vec::new();
     for i in 0..FOLLOWERS {
         let (tx, rx) = tokio::sync::watch::channel(View::without_group());
@@ -431,7 +436,7 @@
                 let file = group.folder().join("isolated.toml");
                 std::fs::write(&file, group.text(1, &group.listen[..1])).expect("a file");
                 assert_exit(
-                    &group.command_by(&file, &["zone", "hold"], &["c", "--reason", "a drill"]),
+                    &group.command_with_file(&file, &["zone", "hold"], &["c", "--reason", "a drill"]),
                     4,
                     "not reached",
                 );
@@ -469,7 +474,7 @@
 async fn evidence_on_unknown_zones_is_dropped_and_invalid_evidence_does_not_end_the_stream() {
     let group = group(&["a"]).await;
     let file =
-        starlinghill_operator_config::read(&group.operators()).expect("a file").group.expect("a group");
+        starlinghill_operator_config::read(&group.operators_file()).expect("a file").group.expect("a group");
     let good = AttemptCounts { answered: 90, late: 2, ..AttemptCounts::default() };
     let invalid = AttemptCounts { answered: 1, late: 2, ..AttemptCounts::default() };
     let followers = [
--- a/crates/starlinghill-control/tests/grpc_client.rs
+++ b/crates/starlinghill-control/tests/grpc_client.rs
@@ -70,7 +70,7 @@
     // Routes are by class, so a call of an unknown class has none.
     assert!(call(&mut client, "nothing").await.is_err());
     let drained_at = Instant::now();
-    discovery.say(42, &list(42, false, &member("s-1", second.0, "draining", 0)));
+    discovery.set_answer(42, &list(42, false, &member("s-1", second.0, "draining", 0)));
     let mut last_call = drained_at;
     while drained_at.elapsed() < Duration::from_millis(1_500) {
         let before = second.1.load(Relaxed);
--- a/crates/starlinghill-control/tests/hostile.rs
+++ b/crates/starlinghill-control/tests/hostile.rs
@@ -10,7 +10,7 @@
 use envoy_types::pb::envoy::service::rate_limit_quota::v3::rate_limit_quota_service_client::RateLimitQuotaServiceClient;
 use envoy_types::pb::envoy::service::rate_limit_quota::v3::RateLimitQuotaUsageReports;
 use starlinghill_control::{prepare, start};
-use starlinghill_testkit::proxy::{Flavour, Proxy, Settings};
+use starlinghill_testkit::proxy::{Proxy, Settings, XdsVariant};
 use starlinghill_testkit::stubs::list;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -64,7 +64,7 @@
 async fn each_invalid_request_gets_its_own_status_and_does_not_disturb_another_proxy() {
     let (nodes, discovery) = nodes(2).await;
     let running = service(&discovery).await;
-    let good = Proxy::start(Settings::new(running.address, "whole", Flavour::Whole));
+    let good = Proxy::start(Settings::new(running.address, "whole", XdsVariant::StateOfTheWorld));
     good.wait_for("both servers", |m| m.targets.len() == 2).await;
     let at = running.address;
 
@@ -117,9 +117,9 @@
     raw.set_read_timeout(Some(starlinghill_testkit::stubs::LIMIT)).expect("a socket");
     let _ = raw.read_to_end(&mut answer);
 
-    discovery.say(42, &list(42, false, &member("s-1", nodes[1].address, "gone", 0)));
+    discovery.set_answer(42, &list(42, false, &member("s-1", nodes[1].address, "gone", 0)));
     good.wait_for("the removal of s-1", |m| m.targets.len() == 1).await;
-    assert!(good.mirror().ends.is_empty(), "the other proxy's streams must stay open");
+    assert!(good.state().stream_errors.is_empty(), "the other proxy's streams must stay open");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -141,7 +141,7 @@
     }
     assert_eq!((held.len(), refused), (40, 20));
     drop(held);
-    let good = Proxy::start(Settings::new(running.address, "whole", Flavour::Whole));
+    let good = Proxy::start(Settings::new(running.address, "whole", XdsVariant::StateOfTheWorld));
     good.wait_for("a free place", |m| m.targets.len() == 1).await;
 }
 
@@ -152,8 +152,8 @@
     let running = start(prepare(&path).expect("it is valid")).await.expect("the service starts");
     let idle: Vec<TcpStream> =
         (0..30).map(|_| TcpStream::connect(running.address).expect("accepted")).collect();
-    let good = Proxy::start(Settings::new(running.address, "whole", Flavour::Whole));
-    good.wait_for("its connection to be refused", |m| !m.ends.is_empty()).await;
+    let good = Proxy::start(Settings::new(running.address, "whole", XdsVariant::StateOfTheWorld));
+    good.wait_for("its connection to be refused", |m| !m.stream_errors.is_empty()).await;
     drop(idle);
     good.wait_for("a free place", |m| m.targets.len() == 1).await;
 }
@@ -172,19 +172,19 @@
     // Hundreds of states are published while the proxy reads nothing.
     for revision in 42..342 {
         let up = 1_000 + revision;
-        discovery.tell(revision, false, &member("s-0", nodes[0].address, "ready", up));
+        discovery.announce(revision, false, &member("s-0", nodes[0].address, "ready", up));
     }
-    discovery.tell(342, false, &member("s-0", nodes[0].address, "draining", 0));
+    discovery.announce(342, false, &member("s-0", nodes[0].address, "draining", 0));
     let published = || running.hub.published.borrow().clone();
     until("the last state", || {
         published().is_some_and(|p| {
-            p.picture.endpoints[0].usage != starlinghill_control_state::fleet::EndpointUse::Healthy
+            p.snapshot.endpoints[0].usage != starlinghill_control_state::fleet::EndpointUse::Healthy
         })
     })
     .await;
     let newest = published().expect("there");
     let version = newest.sets["third"]
-        .get(starlinghill_xds::resources::Kind::Endpoints, "save-nodes")
+        .get(starlinghill_xds::resources::ResourceKind::Endpoints, "save-nodes")
         .expect("there")
         .version
         .clone();
