--- a/crates/starlinghill-failover/src/wire.rs
+++ b/crates/starlinghill-failover/src/wire.rs
@@ -62,7 +62,7 @@
                     found.chars().take(40).collect::<String>().escape_debug()
                 )
             }
-            WireError::Malformed(problem) => write!(f, "a malformed message: {problem}"),
+            WireError::Malformed(problem) => write!(f, "a message that can't be read: {problem}"),
         }
     }
 }
