--- a/crates/starlinghill-control/src/program/zones.rs
+++ b/crates/starlinghill-control/src/program/zones.rs
@@ -318,7 +318,7 @@
         let what = OrderKind::Zone(ZoneOrder {
             zone: args.zone.clone(),
             change,
-            expected_epoch: expected_epoch,
+            expected_epoch,
             takeover_region: args.next,
             force: args.force,
         });
