--- a/crates/starlinghill-settings/src/lib.rs
+++ b/crates/starlinghill-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings by their dotted names, and the names of what they list. The simulator's adapter and the real
-//! gateway both read them here: one finds them on a line, the other flattens its JSON to the same form.
+//! Settings by their dotted names, and the names of the classes, plans, zones and servers that they list. The
+//! simulator's adapter reads them from a line of text; the real gateway flattens its JSON to the same form.
 
 pub mod classes;
 pub mod members;
@@ -9,7 +9,7 @@
 use std::fmt::Display;
 use std::str::FromStr;
 
-/// What was wrong with a named value.
+/// Describes a wrong value, with its place and name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FieldError(pub String);
 
@@ -20,21 +20,21 @@
 }
 impl std::error::Error for FieldError {}
 
-/// What reading a value comes to.
+/// The result of reading a value.
 pub type Result<T> = std::result::Result<T, FieldError>;
 
-/// Named values, and where they stood.
+/// Named values, and the place where they were found, for errors.
 pub struct Fields<'a> {
-    /// A line such as 'line 3: START', or another place to name in errors.
+    /// For example 'line 3: START'.
     pub place: String,
-    /// The line's first word.
+    /// The first word of the line.
     pub message: &'a str,
-    /// The values by their names.
+    /// The values by name.
     pub pairs: HashMap<&'a str, &'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// Reads a line of a word and `name=value` pairs.
+    /// Parses a line of a word and `name=value` pairs.
     pub fn parse(at: u64, line: &'a str) -> Result<Fields<'a>> {
         let mut parts = line.split(' ');
         let message = parts.next().unwrap_or("");
@@ -48,43 +48,44 @@
         }
         Ok(Fields { place, message, pairs })
     }
-    /// An error that names the value.
+    /// Returns an error that names the value, what was expected and what was found.
     pub fn fail<T>(&self, name: &str, wanted: &str) -> Result<T> {
         let found = self.pairs.get(name).map_or("nothing".to_string(), |v| format!("'{v}'"));
         Err(FieldError(format!("{}: {name}: expected {wanted}, found {found}", self.place)))
     }
-    /// A value, if it is there.
-    pub fn read<T: FromStr>(&self, name: &str, wanted: &str) -> Result<Option<T>> {
+    /// A value, if it is present. `wanted` describes it in errors.
+    pub fn optional<T: FromStr>(&self, name: &str, wanted: &str) -> Result<Option<T>> {
         match self.pairs.get(name) {
             None => Ok(None),
             Some(text) => text.parse().map(Some).or_else(|_| self.fail(name, wanted)),
         }
     }
-    /// A whole number, which must be there.
-    pub fn whole(&self, name: &str) -> Result<u64> {
-        self.read(name, "a whole number")?.map_or_else(|| self.fail(name, "a whole number"), Ok)
+    /// A required whole number.
+    pub fn required_u64(&self, name: &str) -> Result<u64> {
+        self.optional(name, "a whole number")?.map_or_else(|| self.fail(name, "a whole number"), Ok)
     }
-    /// A whole number.
-    pub fn whole_or(&self, name: &str, default: u64) -> Result<u64> {
-        Ok(self.read(name, "a whole number")?.unwrap_or(default))
+    /// A whole number, or the default if it is absent.
+    pub fn u64_or(&self, name: &str, default: u64) -> Result<u64> {
+        Ok(self.optional(name, "a whole number")?.unwrap_or(default))
     }
-    /// A small whole number, which must be there.
-    pub fn small(&self, name: &str) -> Result<u32> {
-        self.read(name, "a small whole number")?.map_or_else(|| self.fail(name, "a small whole number"), Ok)
+    /// A required whole number of 32 bits.
+    pub fn required_u32(&self, name: &str) -> Result<u32> {
+        self.optional(name, "a small whole number")?
+            .map_or_else(|| self.fail(name, "a small whole number"), Ok)
     }
-    /// A finite number.
-    pub fn real_or(&self, name: &str, default: f64) -> Result<f64> {
-        match self.read::<f64>(name, "a number")? {
+    /// A finite number, or the default if it is absent.
+    pub fn f64_or(&self, name: &str, default: f64) -> Result<f64> {
+        match self.optional::<f64>(name, "a number")? {
             Some(v) if !v.is_finite() => self.fail(name, "a finite number"),
             v => Ok(v.unwrap_or(default)),
         }
     }
-    /// A time in microseconds.
+    /// A time in microseconds, or the default if it is absent.
     pub fn micros_or(&self, name: &str, default: u64) -> Result<Micros> {
-        self.whole_or(name, default).map(Micros)
+        self.u64_or(name, default).map(Micros)
     }
-    /// A yes or no.
-    pub fn flag_or(&self, name: &str, default: bool) -> Result<bool> {
+    /// A flag (1, 0, true or false), or the default if it is absent.
+    pub fn bool_or(&self, name: &str, default: bool) -> Result<bool> {
         match self.pairs.get(name) {
             None => Ok(default),
             Some(&"1") | Some(&"true") => Ok(true),
@@ -92,43 +93,43 @@
             Some(_) => self.fail(name, "1 or 0"),
         }
     }
-    /// A text, which must be there.
-    pub fn text(&self, name: &str) -> Result<&'a str> {
+    /// A required text.
+    pub fn required_text(&self, name: &str) -> Result<&'a str> {
         self.pairs.get(name).copied().map_or_else(|| self.fail(name, "a text"), Ok)
     }
 }
 
+/// Settings, with the outside names of classes, plans, zones and servers.
 #[derive(Clone)]
-/// The settings with the names by which the outside knows classes, plans, zones and servers.
-pub struct Site {
-    /// The settings.
+pub struct NamedSettings {
+    /// The settings for the decision module.
     pub settings: Settings,
-    /// Classes by name.
+    /// Indices of classes by name.
     pub classes: HashMap<String, usize>,
-    /// Plans by name.
+    /// Indices of plans by name.
     pub plans: HashMap<String, usize>,
     zones: HashMap<String, u32>,
-    /// The servers seen, by the numbers that stand for their names.
+    /// Names of the known servers by id.
     pub servers: HashMap<ServerId, String>,
 }
 
-impl Site {
-    /// Settings without names: the one who uses them numbers things by itself.
-    pub fn of(settings: Settings) -> Site {
+impl NamedSettings {
+    /// Settings without names, for callers that use ids only.
+    pub fn unnamed(settings: Settings) -> NamedSettings {
         let (classes, plans, zones, servers) = Default::default();
-        Site { settings, classes, plans, zones, servers }
+        NamedSettings { settings, classes, plans, zones, servers }
     }
-    /// Reads settings as nested JSON.
-    pub fn from_json(settings: &serde_json::Value) -> Result<Site> {
+    /// Reads settings from nested JSON.
+    pub fn from_json(settings: &serde_json::Value) -> Result<NamedSettings> {
         let mut names = BTreeMap::new();
         flatten("", settings, &mut names);
         let pairs = names.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
-        Site::read(&Fields { place: "settings".into(), message: "settings", pairs })
+        NamedSettings::from_fields(&Fields { place: "settings".into(), message: "settings", pairs })
     }
-    /// Reads named values.
-    pub fn read(f: &Fields) -> Result<Site> {
+    /// Reads settings from named values.
+    pub fn from_fields(f: &Fields) -> Result<NamedSettings> {
         let list = |prefix: &str| -> Result<usize> {
-            let count = f.whole_or(&format!("{prefix}.count"), 0)?;
+            let count = f.u64_or(&format!("{prefix}.count"), 0)?;
             if count > 10_000 {
                 return f.fail(&format!("{prefix}.count"), "at most 10000");
             }
@@ -137,13 +138,13 @@
         let (mut classes, mut class_list) = (HashMap::new(), Vec::new());
         for i in 0..list("classes")? {
             let key = |k: &str| format!("classes.{i}.{k}");
-            classes.insert(f.text(&key("name"))?.to_string(), i);
-            let deadline = Micros(f.whole(&key("deadline"))?);
+            classes.insert(f.required_text(&key("name"))?.to_string(), i);
+            let deadline = Micros(f.required_u64(&key("deadline"))?);
             class_list.push(Class {
-                aim: f.micros_or(&key("on_time"), deadline.0)?,
+                target: f.micros_or(&key("on_time"), deadline.0)?,
                 deadline,
-                worth: f.real_or(&key("credit"), 1.0)?,
-                late_worth: f.real_or(&key("late_share"), 0.0)?,
+                worth: f.f64_or(&key("credit"), 1.0)?,
+                late_worth: f.f64_or(&key("late_share"), 0.0)?,
                 effect: match f.pairs.get(key("effect").as_str()) {
                     Some(&"pure") => Effect::Safe,
                     Some(&"token") => Effect::Keyed,
@@ -157,14 +158,14 @@
                     Some(_) => return f.fail(&key("key_scope"), "all, zone or cell"),
                 },
                 window: f.micros_or(&key("window"), 0)?,
-                stream: f.flag_or(&key("streaming"), false)?,
+                stream: f.bool_or(&key("streaming"), false)?,
             });
         }
         let (mut plans, mut plan_list) = (HashMap::new(), Vec::new());
         for i in 0..list("plans")? {
             let key = |k: &str| format!("plans.{i}.{k}");
-            let real = |k: &str, default| f.real_or(&key(k), default);
-            plans.insert(f.text(&key("name"))?.to_string(), i);
+            let real = |k: &str, default| f.f64_or(&key(k), default);
+            plans.insert(f.required_text(&key("name"))?.to_string(), i);
             plan_list.push(Plan {
                 rate: real("per_second", 0.0)?,
                 burst: real("peak_units", 0.0)?,
@@ -184,43 +185,43 @@
         }
         let zone = zone_id(&mut zones, f.pairs.get("zone").copied().unwrap_or(""));
         let settings = Settings {
-            gateways: f.whole_or("balancers", 1)?.min(u32::MAX.into()) as u32,
-            me: f.whole_or("my_number", 0)?.min(u32::MAX.into()) as u32,
+            gateways: f.u64_or("balancers", 1)?.min(u32::MAX.into()) as u32,
+            me: f.u64_or("my_number", 0)?.min(u32::MAX.into()) as u32,
             zone,
             classes: class_list,
             plans: plan_list,
-            max_attempts: f.whole_or("bounds.max_attempts", 1)? as usize,
-            second_copies: f.flag_or("bounds.second_copies", false)?,
-            may_cancel: f.flag_or("bounds.may_cancel", false)?,
-            probes: f.flag_or("bounds.probing", false)?,
-            retry_after: f.flag_or("bounds.retry_after", false)?,
+            max_attempts: f.u64_or("bounds.max_attempts", 1)? as usize,
+            second_copies: f.bool_or("bounds.second_copies", false)?,
+            may_cancel: f.bool_or("bounds.may_cancel", false)?,
+            probes: f.bool_or("bounds.probing", false)?,
+            retry_after: f.bool_or("bounds.retry_after", false)?,
             max_retry_after: f.micros_or("bounds.max_retry_after", 0)?,
-            counter: f.flag_or("specifics.counter", false)?,
+            counter: f.bool_or("specifics.counter", false)?,
             count_timeout: f.micros_or("specifics.count_limit", 0)?,
-            peers_per_s: match f.flag_or("bounds.peer_messages", false)? {
-                true => f.real_or("specifics.peer_in_per_s", 0.0)?,
+            peers_per_s: match f.bool_or("bounds.peer_messages", false)? {
+                true => f.f64_or("specifics.peer_in_per_s", 0.0)?,
                 false => 0.0,
             },
-            most_units: f.real_or("specifics.units_top", 1.0)?,
+            most_units: f.f64_or("specifics.units_top", 1.0)?,
             must_subscribe: f.pairs.get("membership_mode") == Some(&"subscribe"),
             answer_slack: f.micros_or("rules.answer_slack", 0)?,
-            cold_from: f.real_or("rules.cold_from", 1.0)?,
+            cold_from: f.f64_or("rules.cold_from", 1.0)?,
             cold: f.micros_or("rules.cold", 0)?,
-            fall_multiple: f.real_or("rules.fall_multiple", 1.0)?,
+            fall_multiple: f.f64_or("rules.fall_multiple", 1.0)?,
             tip_after: f.micros_or("rules.tip_after", 0)?,
             retries: None,
-            patient: false,
-            levels: false,
+            wait_to_deadline: false,
+            counter_buckets: false,
             allowance: Allowance::default(),
             cooldown: None,
-            skew: Micros(0),
+            clock_offset: Micros(0),
             tick: f.micros_or("tick", 0)?,
         };
-        Ok(Site { settings, classes, plans, zones, servers: HashMap::new() })
+        Ok(NamedSettings { settings, classes, plans, zones, servers: HashMap::new() })
     }
-    /// The number of a server's name.
+    /// The id of a server's name.
     pub fn server(&mut self, name: &str) -> ServerId {
-        // The FNV-1a hash: the same number at every gateway; the next free one on a clash.
+        // The FNV-1a hash gives the same id at every gateway; a collision takes the next free id.
         let hash = name
             .bytes()
             .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3));
@@ -231,11 +232,11 @@
         self.servers.entry(id).or_insert_with(|| name.to_string());
         id
     }
-    /// The name of a zone's number.
+    /// The name of a zone's id.
     pub fn zone_name(&self, zone: ZoneId) -> Option<&str> {
         self.zones.iter().find(|(_, number)| **number == zone.0).map(|(name, _)| name.as_str())
     }
-    /// The number of a zone's name.
+    /// The id of a zone's name.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         zone_id(&mut self.zones, name)
     }
@@ -246,8 +247,8 @@
     ZoneId(*zones.entry(name.to_string()).or_insert(next))
 }
 
-/// Lays nested JSON out as dotted names: lists of plain values joined by commas, lists of objects as their
-/// `.count` and their numbered items.
+/// Flattens nested JSON to dotted names. A list of plain values becomes one text, joined by commas; a list of
+/// objects becomes its `.count` and its numbered items.
 pub fn flatten(prefix: &str, value: &serde_json::Value, into: &mut BTreeMap<String, String>) {
     use serde_json::Value;
     let below = |name: &str| if prefix.is_empty() { name.to_string() } else { format!("{prefix}.{name}") };
